--- a/lib/src/serving/beliefs/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -7,11 +7,11 @@
 
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::told::Blind;
-use crate::serving::beliefs::told::Said;
-use crate::serving::beliefs::told::Told;
-use crate::serving::beliefs::topic::Rhythm;
-use crate::serving::beliefs::topic::Topic;
+use crate::serving::cluster::told::Blind;
+use crate::serving::cluster::told::Said;
+use crate::serving::cluster::told::Told;
+use crate::serving::cluster::topic::Rhythm;
+use crate::serving::cluster::topic::Topic;
 use crate::serving::peers::pack::pack;
 use crate::serving::store::port::Item;
 
--- a/lib/src/serving/beliefs/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -11,7 +11,7 @@
 use crate::ids::ZoneName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::ownership::UNAWARE_KEPT;
+use crate::serving::cluster::ownership::UNAWARE_KEPT;
 
 /// The pause between two beacons of a VM in a small fleet.
 const BEAT: Span = Span::from_millis(400);
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | `path` | the path of a request; start at `path/serve.rs` |
 //! | `decisions` | what is decided, without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed try), [`Budget`] (how often), [`Books`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (whose request it is), [`quota`] (whether its organisation may use more) |
-//! | `beliefs` | what is believed: [`Feed`] (of the store), [`Members`] (of the VMs), [`Ownership`] (of who may order what) |
+//! | `cluster` | what is believed: [`Feed`] (of the store), [`Members`] (of the VMs), [`Ownership`] (of who may order what) |
 //! | `peers` | what VMs tell each other |
 //! | `store` | the store's port, and who follows it |
 //! | `program` | settings, start and stop |
@@ -12,32 +12,32 @@
 //! How requests, replicas and the store speak is a [`Border`]'s and a
 //! [`Store`]'s matter.
 
-mod beliefs;
+mod cluster;
 mod decisions;
 mod path;
 mod peers;
 mod program;
 mod store;
 
-pub use beliefs::audience::Audience;
-pub use beliefs::feed::Feed;
-pub use beliefs::feed::Feeds;
-pub use beliefs::feed::Next;
-pub use beliefs::members::Members;
-pub use beliefs::members::Stamp;
-pub use beliefs::ownership::HOLD;
-pub use beliefs::ownership::Ownership;
-pub use beliefs::recency::Recency;
-pub use beliefs::recency::Witness;
-pub use beliefs::recency::Witnesses;
-pub use beliefs::recency::reader;
-pub use beliefs::table::Owner;
-pub use beliefs::table::Table;
-pub use beliefs::told::Blind;
-pub use beliefs::told::Said;
-pub use beliefs::told::Told;
-pub use beliefs::topic::Rhythm;
-pub use beliefs::topic::Topic;
+pub use cluster::audience::Audience;
+pub use cluster::feed::Feed;
+pub use cluster::feed::Feeds;
+pub use cluster::feed::Next;
+pub use cluster::members::Members;
+pub use cluster::members::Stamp;
+pub use cluster::ownership::HOLD;
+pub use cluster::ownership::Ownership;
+pub use cluster::recency::Recency;
+pub use cluster::recency::Witness;
+pub use cluster::recency::Witnesses;
+pub use cluster::recency::reader;
+pub use cluster::table::Owner;
+pub use cluster::table::Table;
+pub use cluster::told::Blind;
+pub use cluster::told::Said;
+pub use cluster::told::Told;
+pub use cluster::topic::Rhythm;
+pub use cluster::topic::Topic;
 pub use decisions::access;
 pub use decisions::books::Books;
 pub use decisions::books::OrderEnd;
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -11,7 +11,7 @@
 use crate::ids::OrganisationName;
 use crate::ids::VmName;
 use crate::pool::Span;
-use crate::serving::beliefs::state::lender_seed;
+use crate::serving::cluster::state::lender_seed;
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::quota::Answer;
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -28,7 +28,7 @@
 use crate::ids::ServiceName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::state::Active;
+use crate::serving::cluster::state::Active;
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Ended;
 use crate::serving::decisions::decide::Refusal;
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -8,7 +8,7 @@
 
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::beliefs::state::Beliefs;
+use crate::serving::cluster::state::Beliefs;
 use crate::serving::peers::beacons::encode;
 
 /// The datagrams of a beat: what this VM tells goes to each VM of its zone,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -12,7 +12,7 @@
 
 use crate::platform::PlatformError;
 use crate::pool::Span;
-use crate::serving::beliefs::topic::Topic;
+use crate::serving::cluster::topic::Topic;
 use crate::serving::path::border::Border;
 use crate::serving::path::reading;
 use crate::serving::path::server;
