--- a/lib/src/serving/cluster/mod.rs
+++ b/lib/src/serving/cluster/mod.rs
@@ -1,11 +1,11 @@
 //! What a VM believes: of the store, of the other VMs, of who owns what.
 
-pub(super) mod audience;
 pub(super) mod feed;
 pub(super) mod members;
 pub(super) mod ownership;
 pub(super) mod recency;
 pub(super) mod state;
+pub(super) mod subscriptions;
 pub(super) mod table;
 pub(super) mod told;
 pub(super) mod topic;
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -19,7 +19,6 @@
 mod program;
 mod store;
 
-pub use cluster::audience::Audience;
 pub use cluster::feed::Feed;
 pub use cluster::feed::Feeds;
 pub use cluster::feed::Next;
@@ -31,6 +30,7 @@
 pub use cluster::recency::Witness;
 pub use cluster::recency::Witnesses;
 pub use cluster::recency::reader;
+pub use cluster::subscriptions::Audience;
 pub use cluster::table::Owner;
 pub use cluster::table::Table;
 pub use cluster::told::Blind;
