--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -7,11 +7,11 @@
 
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::told::Blind;
-use crate::serving::cluster::told::Said;
-use crate::serving::cluster::told::Told;
 use crate::serving::cluster::topic::Rhythm;
 use crate::serving::cluster::topic::Topic;
+use crate::serving::cluster::update::Blind;
+use crate::serving::cluster::update::Said;
+use crate::serving::cluster::update::Told;
 use crate::serving::peers::pack::pack;
 use crate::serving::store::port::Item;
 
--- a/lib/src/serving/cluster/mod.rs
+++ b/lib/src/serving/cluster/mod.rs
@@ -7,5 +7,5 @@
 pub(super) mod state;
 pub(super) mod subscriptions;
 pub(super) mod table;
-pub(super) mod told;
 pub(super) mod topic;
+pub(super) mod update;
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -10,7 +10,7 @@
 use crate::platform::PlatformError;
 use crate::pool::Moment;
 use crate::serving::cluster::state::Beliefs;
-use crate::serving::cluster::told::Told;
+use crate::serving::cluster::update::Told;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::store::follow;
--- a/lib/src/serving/store/news.rs
+++ b/lib/src/serving/store/news.rs
@@ -9,7 +9,7 @@
 use crate::ids::VmName;
 use crate::ids::ZoneName;
 use crate::serving::cluster::table::Table;
-use crate::serving::cluster::told::Told;
+use crate::serving::cluster::update::Told;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Listing;
 use crate::serving::program::node::Node;
