--- a/lib/src/serving/cluster/mod.rs
+++ b/lib/src/serving/cluster/mod.rs
@@ -2,10 +2,10 @@
 
 pub(super) mod feed;
 pub(super) mod members;
+pub(super) mod owner_table;
 pub(super) mod ownership;
 pub(super) mod recency;
 pub(super) mod state;
 pub(super) mod subscriptions;
-pub(super) mod table;
 pub(super) mod topic;
 pub(super) mod update;
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -8,7 +8,7 @@
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::table::Table;
+use crate::serving::cluster::owner_table::Table;
 
 /// How much later each further VM proposes a change than the one before it by
 /// name: a proposal is in force everywhere within about a second.
--- a/lib/src/serving/store/news.rs
+++ b/lib/src/serving/store/news.rs
@@ -8,7 +8,7 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::ids::ZoneName;
-use crate::serving::cluster::table::Table;
+use crate::serving::cluster::owner_table::Table;
 use crate::serving::cluster::update::Told;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Listing;
