--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -13,10 +13,10 @@
 use crate::serving::cluster::update::Told;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
+use crate::serving::store::apply::News;
+use crate::serving::store::apply::take_own;
 use crate::serving::store::follow;
 use crate::serving::store::follow::limited;
-use crate::serving::store::news::News;
-use crate::serving::store::news::take_own;
 use crate::serving::store::port::Freshness;
 
 /// How often it is looked whether to ask.
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -26,8 +26,8 @@
 use crate::serving::program::node::now;
 use crate::serving::program::node::span;
 use crate::serving::program::settings::ServeSettings;
-use crate::serving::store::news;
-use crate::serving::store::news::News;
+use crate::serving::store::apply;
+use crate::serving::store::apply::News;
 use crate::serving::store::port::Freshness;
 use crate::serving::store::port::Item;
 use crate::serving::store::port::Page;
@@ -104,10 +104,10 @@
 /// What news of a topic changes; gives whether others should hear of it.
 fn take(node: &Node, topic: Topic, news: &News<'_>) -> bool {
     match topic {
-        Topic::Config => news::take_config(node, news),
-        Topic::Replicas => news::take_replicas(node, news),
-        Topic::Versions => news::take_versions(node, news),
-        Topic::Own => news::take_own(node, news),
+        Topic::Config => apply::take_config(node, news),
+        Topic::Replicas => apply::take_replicas(node, news),
+        Topic::Versions => apply::take_versions(node, news),
+        Topic::Own => apply::take_own(node, news),
     }
 }
 
@@ -265,12 +265,12 @@
 fn take_changes(node: &Node, topic: Topic, changes: Vec<Told>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
-            news::tell_leaving(node, &change);
+            apply::tell_leaving(node, &change);
         }
         let news = News::One(&change);
         if take(node, topic, &news) {
             if !change.removed && topic == Topic::Replicas {
-                news::tell_leaving(node, &change);
+                apply::tell_leaving(node, &change);
             }
             node.beliefs().feeds.get(topic).keep(now(), change);
         }
--- a/lib/src/serving/store/mod.rs
+++ b/lib/src/serving/store/mod.rs
@@ -1,5 +1,5 @@
 //! The store that keeps what must last: its port, and who follows it.
 
+pub(super) mod apply;
 pub(super) mod follow;
-pub(super) mod news;
 pub(super) mod port;
