--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -12,7 +12,7 @@
 use crate::serving::cluster::update::Blind;
 use crate::serving::cluster::update::Said;
 use crate::serving::cluster::update::Told;
-use crate::serving::peers::pack::pack;
+use crate::serving::peers::compression::pack;
 use crate::serving::store::port::Item;
 
 /// How long a change is told: three beacons.
--- a/lib/src/serving/peers/mod.rs
+++ b/lib/src/serving/peers/mod.rs
@@ -1,7 +1,7 @@
 //! What VMs tell each other: beacons, reports on requests, confirmations.
 
 pub(super) mod beacons;
+pub(super) mod compression;
 pub(super) mod flights;
-pub(super) mod pack;
 pub(super) mod relay;
 pub(super) mod renewal;
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -19,7 +19,7 @@
 use crate::serving::cluster::update::Blind;
 use crate::serving::cluster::update::Said;
 use crate::serving::cluster::update::Told;
-use crate::serving::peers::pack::unpack;
+use crate::serving::peers::compression::unpack;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::instant;
