--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -11,7 +11,7 @@
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::forward::Held;
 use crate::serving::peers::beacons::send;
-use crate::serving::peers::flights;
+use crate::serving::peers::load_reports;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
@@ -79,7 +79,7 @@
         b.fleet.lacks(now(), replica, target);
     }
     if let Some(load) = &answer.load {
-        flights::take_total(&mut b, now(), load);
+        load_reports::take_total(&mut b, now(), load);
     }
     match answer.granted {
         true => Word::Go,
@@ -118,7 +118,7 @@
             number: ask.number,
             granted,
             lacks,
-            load: flights::write_load(b, &name, total),
+            load: load_reports::write_load(b, &name, total),
         };
         (answer, address)
     };
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the VMs: beacons and wishes; [`crate::serving::peers::flights`] has what
+//! Datagrams between the VMs: beacons and wishes; [`crate::serving::peers::load_reports`] has what
 //! they say of requests under way.
 
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use crate::serving::path::model::Target;
 use crate::serving::path::places;
 use crate::serving::path::reading;
-use crate::serving::peers::flights;
+use crate::serving::peers::load_reports;
 use crate::serving::peers::relay;
 use crate::serving::peers::renewal;
 use crate::serving::program::experiment::Mechanism;
@@ -147,7 +147,9 @@
         }
     }
     let owned = b.ownership.owned();
-    told.loads = owned.filter_map(|n| flights::load(b, now, n)).collect();
+    told.loads = owned
+        .filter_map(|n| load_reports::load(b, now, n))
+        .collect();
     told.store = follow::tell(node, b, now);
     let strikes = b.strikes.recent(now, STRIKES_TOLD);
     told.strikes = strikes
@@ -167,7 +169,7 @@
     let told = common(node, b, now, number);
     if b.members.relays() {
         let mut sendings = relay::sendings(b, now, told);
-        sendings.extend(flights::all_reports(node, b, now));
+        sendings.extend(load_reports::all_reports(node, b, now));
         return sendings;
     }
     let mut told = told;
@@ -176,7 +178,7 @@
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
     let names = b.uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
-    let mut flights = flights::by_owner(node, b, now, names);
+    let mut flights = load_reports::by_owner(node, b, now, names);
     // What is the same for all is encoded once; each receiver's own part
     // follows it, as messages can be joined.
     let common = encode(told);
@@ -241,7 +243,7 @@
                 beacons.for_each(|beacon| take_beacon(&node, beacon, from));
             }
             Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
-            Ok(Some(Body::Report(report))) => flights::take_report(&node, &report),
+            Ok(Some(Body::Report(report))) => load_reports::take_report(&node, &report),
             Ok(Some(Body::PlaceAsk(ask))) => places::take_ask(&node, &ask).await,
             Ok(Some(Body::PlaceAnswer(answer))) => node.places.answer(answer.number, answer),
             Ok(Some(Body::LeaseAsk(ask))) => charge::take_ask(&node, &ask).await,
@@ -298,10 +300,10 @@
         }
     }
     if beacon.complete {
-        flights::take_all(&mut b, now, &vm, &beacon.flights);
+        load_reports::take_all(&mut b, now, &vm, &beacon.flights);
     }
     for load in &beacon.loads {
-        flights::take_load(&mut b, now, &vm, load);
+        load_reports::take_load(&mut b, now, &vm, load);
     }
     drop(b);
     follow::hear(node, now, &beacon.store, &vm);
--- a/lib/src/serving/peers/mod.rs
+++ b/lib/src/serving/peers/mod.rs
@@ -2,6 +2,6 @@
 
 pub(super) mod beacons;
 pub(super) mod compression;
-pub(super) mod flights;
+pub(super) mod load_reports;
 pub(super) mod relay;
 pub(super) mod renewal;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -17,7 +17,7 @@
 use crate::serving::path::reading;
 use crate::serving::path::server;
 use crate::serving::peers::beacons;
-use crate::serving::peers::flights;
+use crate::serving::peers::load_reports;
 use crate::serving::peers::renewal;
 use crate::serving::program::experiment::Experiment;
 use crate::serving::program::node::Node;
@@ -108,7 +108,7 @@
         tokio::task::spawn_local(server::callers(node.clone(), callers));
         tokio::task::spawn_local(server::readiness(node.clone(), readiness));
         tokio::task::spawn_local(beacons::tell(node.clone()));
-        tokio::task::spawn_local(flights::report(node.clone()));
+        tokio::task::spawn_local(load_reports::report(node.clone()));
         tokio::task::spawn_local(beacons::hear(node.clone()));
         tokio::task::spawn_local(reading::keep(node.clone()));
         tokio::task::spawn_local(ordering::order(node.clone()));
