--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -79,7 +79,7 @@
 
 /// The beliefs of one VM; tasks take them for a moment at a time.
 #[derive(Debug)]
-pub(in crate::serving) struct Beliefs {
+pub(in crate::serving) struct NodeState {
     pub(in crate::serving) active: Option<Rc<Active>>,
     pub(in crate::serving) fleet: Fleet,
     pub(in crate::serving) budget: Budget,
@@ -120,7 +120,7 @@
     xxh3_64(name.as_str().as_bytes())
 }
 
-impl Beliefs {
+impl NodeState {
     pub(in crate::serving) fn new(settings: &ServeSettings, now: Moment) -> Self {
         let lease = span(settings.lease);
         let mut beliefs = Self {
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -16,7 +16,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::cluster::members::Stamp;
-use crate::serving::cluster::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::path::charge;
 use crate::serving::path::model::Instance;
@@ -118,7 +118,7 @@
     }
 }
 
-fn beacon(node: &Node, b: &Beliefs, number: u64) -> wire::Beacon {
+fn beacon(node: &Node, b: &NodeState, number: u64) -> wire::Beacon {
     let now = now();
     wire::Beacon {
         vm: node.settings.vm.to_string(),
@@ -134,7 +134,7 @@
 }
 
 /// What every VM is told in one beat.
-fn common(node: &Node, b: &mut Beliefs, now: Moment, number: u64) -> wire::Beacon {
+fn common(node: &Node, b: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
     let names: Vec<_> = b.books.names().cloned().collect();
     b.books.take_changed();
     let mut told = beacon(node, b, number);
@@ -164,7 +164,7 @@
 }
 
 /// The datagrams of one beat.
-fn complete(node: &Node, b: &mut Beliefs, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
+fn complete(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
     let told = common(node, b, now, number);
     if b.members.relays() {
@@ -203,7 +203,7 @@
 }
 
 /// What a replica of ours holds.
-fn book(b: &Beliefs, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
+fn book(b: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
     let held = b.books.held(name)?;
     let token = b.ownership.token(now, name)?;
     let here = held.here.iter().map(|(t, v)| (t, *v, false));
@@ -329,12 +329,12 @@
 }
 
 /// The replica that a word is about, if it has not started anew since.
-pub(in crate::serving) fn current(b: &Beliefs, name: &str, born: u64) -> Option<ReplicaName> {
+pub(in crate::serving) fn current(b: &NodeState, name: &str, born: u64) -> Option<ReplicaName> {
     let replica = instance(name, born)?;
     b.fleet.is_current(&replica).then_some(replica.name)
 }
 
-fn take_book(b: &mut Beliefs, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
+fn take_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
     let Some(name) = current(b, &book.replica, book.born) else {
         return;
     };
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -15,7 +15,7 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::cluster::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::cluster::state::OwnUse;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::model::Target;
@@ -74,7 +74,7 @@
 /// of others lapse there.
 pub(in crate::serving) fn all_reports(
     node: &Node,
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
     let names = b.uses.keys().chain(b.fleet.to_report());
@@ -90,7 +90,7 @@
 /// What this VM has under way at some replicas, by their owners.
 pub(in crate::serving) fn by_owner(
     node: &Node,
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     names: BTreeSet<ReplicaName>,
 ) -> BTreeMap<VmName, Vec<wire::Flight>> {
@@ -122,7 +122,7 @@
 
 /// What all VMs have under way at a replica of ours.
 pub(in crate::serving) fn load(
-    b: &Beliefs,
+    b: &NodeState,
     now: Moment,
     name: &ReplicaName,
 ) -> Option<wire::ReplicaLoad> {
@@ -132,7 +132,7 @@
 
 /// A load at a replica, for other VMs.
 pub(in crate::serving) fn write_load(
-    b: &Beliefs,
+    b: &NodeState,
     name: &ReplicaName,
     load: Load,
 ) -> Option<wire::ReplicaLoad> {
@@ -156,7 +156,7 @@
 
 /// An owner tells what all VMs have under way at its replica.
 pub(in crate::serving) fn take_load(
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     vm: &VmName,
     load: &wire::ReplicaLoad,
@@ -168,7 +168,7 @@
 }
 
 /// The owner of a replica says what all VMs have under way there.
-pub(in crate::serving) fn take_total(b: &mut Beliefs, now: Moment, load: &wire::ReplicaLoad) {
+pub(in crate::serving) fn take_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
     if let Some(name) = current(b, &load.replica, load.born) {
         let total = Load {
             requests: load.requests,
@@ -202,7 +202,7 @@
 
 /// A VM tells all that it has under way at replicas of ours.
 pub(in crate::serving) fn take_all(
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
@@ -213,7 +213,7 @@
 
 /// A VM's loads at replicas of ours; the books learn of its uses.
 fn read_flights(
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -8,13 +8,13 @@
 
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::cluster::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::peers::beacons::encode;
 
 /// The datagrams of a beat: what this VM tells goes to each VM of its zone,
 /// with what is to be passed on there, and to one VM in each other zone.
 pub(in crate::serving) fn sendings(
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     told: wire::Beacon,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
@@ -37,7 +37,7 @@
 
 /// A beacon is to be passed on with our next beat; a newer one of the same VM
 /// takes its place.
-pub(in crate::serving) fn keep(b: &mut Beliefs, vm: VmName, mut beacon: wire::Beacon) {
+pub(in crate::serving) fn keep(b: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
     beacon.pass_on = false;
     b.passing.insert(vm, beacon);
 }
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -9,7 +9,7 @@
 use crate::ids::VmName;
 use crate::platform::PlatformError;
 use crate::pool::Moment;
-use crate::serving::cluster::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::cluster::update::Told;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
@@ -107,7 +107,7 @@
 }
 
 /// What is told a VM of its last beacon.
-pub(in crate::serving) fn echo(node: &Node, b: &Beliefs, vm: &VmName) -> Option<wire::Echo> {
+pub(in crate::serving) fn echo(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
     if node.settings.fenced {
         return None;
     }
@@ -122,7 +122,7 @@
 /// Takes what a beacon says of the owner table and of our own beacons.
 pub(in crate::serving) fn take(
     node: &Node,
-    b: &mut Beliefs,
+    b: &mut NodeState,
     at: Moment,
     vm: &VmName,
     beacon: &wire::Beacon,
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -18,7 +18,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::cluster::recency::reader;
-use crate::serving::cluster::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::path::border::Border;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::port::Store;
@@ -107,7 +107,7 @@
     /// Wakes the task that tells the peers.
     pub(in crate::serving) news: Notify,
     pub(in crate::serving) phase: watch::Sender<Phase>,
-    beliefs: RefCell<Beliefs>,
+    beliefs: RefCell<NodeState>,
     numbers: Cell<u64>,
     open: Cell<usize>,
     /// Runs that wait for their turn.
@@ -131,7 +131,7 @@
         socket: UdpSocket,
     ) -> Self {
         let now = now();
-        let beliefs = Beliefs::new(&settings, now);
+        let beliefs = NodeState::new(&settings, now);
         // A restarted process must be told from the one before it; the clock
         // since the VM's start differs at each.
         let incarnation = Incarnation(now.0);
@@ -162,7 +162,7 @@
     }
 
     /// The beliefs; never held across an await.
-    pub(in crate::serving) fn beliefs(&self) -> RefMut<'_, Beliefs> {
+    pub(in crate::serving) fn beliefs(&self) -> RefMut<'_, NodeState> {
         self.beliefs.borrow_mut()
     }
 
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -12,7 +12,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::cluster::feed::Next;
-use crate::serving::cluster::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::cluster::topic::CALL_MARGIN;
 use crate::serving::cluster::topic::Rhythm;
 use crate::serving::cluster::topic::Topic;
@@ -340,7 +340,7 @@
 }
 
 /// What this VM tells the others of the store.
-pub(in crate::serving) fn tell(node: &Node, b: &mut Beliefs, at: Moment) -> Vec<wire::StoreNews> {
+pub(in crate::serving) fn tell(node: &Node, b: &mut NodeState, at: Moment) -> Vec<wire::StoreNews> {
     let said = |topic: Topic| {
         let rank = b.asking_rank(at, &node.settings, topic);
         let feed = b.feeds.get(topic);
@@ -376,7 +376,7 @@
 }
 
 /// What this VM tells the others of when the configuration was the newest.
-fn witnesses(b: &mut Beliefs, at: Moment) -> Vec<wire::Witness> {
+fn witnesses(b: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
     let heard = b.members.heard_within(at, WITNESSED);
     let told = b.witnesses.take(&b.recency, heard).into_iter();
     told.map(|w| wire::Witness {
@@ -389,7 +389,7 @@
 
 /// Takes when another VM knew our configuration to be the newest. It must know
 /// no revision that we do not know.
-fn take_witnesses(node: &Node, b: &mut Beliefs, at: Moment, news: &wire::StoreNews) {
+fn take_witnesses(node: &Node, b: &mut NodeState, at: Moment, news: &wire::StoreNews) {
     if b.feeds.get(Topic::Config).revision() < news.revision {
         return;
     }
