--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -75,7 +75,7 @@
         let outcome = if self.ran.get() { "ran" } else { "not_run" };
         count(&self.organisation, outcome, self.weight);
         if !self.ran.get() {
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             b.borrower.give_back(now(), &self.organisation, self.weight);
         }
     }
@@ -114,7 +114,7 @@
     };
     let lenders = node.settings.experiment.runs(Mechanism::LimitLenders);
     for place in QUESTIONS.into_iter().filter(|_| lenders) {
-        let spend = node.beliefs().borrower.spend(now(), name, weight);
+        let spend = node.state().borrower.spend(now(), name, weight);
         let question = match spend {
             Spend::Spent => return Ok(Some(charge())),
             Spend::Short(after) => return Err(over(after, "told")),
@@ -128,7 +128,7 @@
                 continue;
             }
         };
-        let mut b = node.beliefs();
+        let mut b = node.state();
         if b.borrower.answered(now(), name, weight, answer) {
             return Ok(Some(charge()));
         }
@@ -138,7 +138,7 @@
         }
     }
     let own = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let vms = b.members.count();
         b.borrower.spend_own(now(), name, limit, vms, weight)
     };
@@ -146,7 +146,7 @@
         return Ok(Some(charge()));
     }
     slog::info!(node.log, "no lender"; "id" => &ask.id, "organisation" => name.as_str(),
-        "weight" => weight, "heard_part" => node.beliefs().members.heard_part(now()));
+        "weight" => weight, "heard_part" => node.state().members.heard_part(now()));
     Err(Refusal::not_run("no_lender", COME_BACK))
 }
 
@@ -170,7 +170,7 @@
         question.ahead = 0.0;
     }
     let address = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         let lenders = b.members.lenders(now(), lender_seed(name));
         let Some(lender) = lenders.get(place).or(lenders.first()).copied() else {
@@ -223,7 +223,7 @@
     ) else {
         return;
     };
-    let address = node.beliefs().members.address(&vm);
+    let address = node.state().members.address(&vm);
     let Some(address) = address else {
         return;
     };
@@ -245,7 +245,7 @@
 
 /// `None` where this VM does not lend for the organisation.
 fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<Answer> {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let b = &mut *b;
     let at = now();
     let limit = *b.active.as_ref()?.use_limits.get(name)?;
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -84,7 +84,7 @@
 impl Run {
     fn begin(node: &Rc<Node>, held: &Held, replica: &ReplicaName) -> Self {
         let number = node.number();
-        let mut b = node.beliefs();
+        let mut b = node.state();
         b.begin(replica, held.target.as_ref(), held.cost);
         let born = b.fleet.born(replica).unwrap_or_default();
         Self {
@@ -106,7 +106,7 @@
             let turn = take_turn(&node, &self.replica, self.number, self.cost.unread, limit);
             self.turn = turn.await;
         }
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         b.fleet.await_first(now(), &self.replica, self.number);
     }
 
@@ -114,7 +114,7 @@
     pub(in crate::serving) fn heard(&mut self) {
         self.heard = true;
         self.turn = None;
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.read(&self.replica, self.cost.unread);
             b.fleet.heard(now(), &self.replica, self.number, true);
@@ -124,7 +124,7 @@
 
     /// The run ended so.
     pub(in crate::serving) fn learn(&self, end: End) {
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.learn(now(), &self.replica, end);
         }
@@ -141,7 +141,7 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         b.end(&self.instance(), self.target.as_ref(), self.cost);
         if !self.heard {
             b.fleet.heard(now(), &self.replica, self.number, false);
@@ -167,7 +167,7 @@
     resume_at: Option<u64>,
 ) -> Result<Begun, Ended> {
     let address = {
-        let b = node.beliefs();
+        let b = node.state();
         let listing = b.fleet.listing(replica).ok_or(Ended::NotSent)?;
         listing.address
     };
@@ -225,7 +225,7 @@
     let Some(key) = &held.caller.key else {
         return Ok(());
     };
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let freshness = b.key_freshness(now());
     let keys = b.active.as_ref().and_then(|a| a.keys.as_ref());
     let admitted = b.key_bounds.admit(keys, false, Some(key), &freshness);
@@ -239,7 +239,7 @@
         NotRun::Full => run.learn(End::Full),
         NotRun::Lacks => {
             if let Some(target) = &held.target {
-                let mut b = node.beliefs();
+                let mut b = node.state();
                 b.fleet.lacks(now(), &run.replica, target);
             }
         }
@@ -248,10 +248,7 @@
 
 /// Notes that an upstream broke while it ran this request.
 pub(in crate::serving) fn strike(node: &Node, held: &Held, replica: &Instance) {
-    let news = node
-        .beliefs()
-        .strikes
-        .note(now(), held.fingerprint, replica);
+    let news = node.state().strikes.note(now(), held.fingerprint, replica);
     if news {
         node.news.notify_one();
     }
@@ -268,7 +265,7 @@
     *request.uri_mut() = held.path.clone();
     let now = now();
     let version = {
-        let b = node.beliefs();
+        let b = node.state();
         let target = held.target.as_ref();
         target.and_then(|t| b.fleet.expected_version(now, replica, t))
     };
--- a/lib/src/serving/path/pass.rs
+++ b/lib/src/serving/path/pass.rs
@@ -174,7 +174,7 @@
             return false;
         };
         let replica = &begun.run.replica;
-        if !self.node.beliefs().fleet.silent(now(), replica) {
+        if !self.node.state().fleet.silent(now(), replica) {
             return false;
         }
         let mut avoid = self.avoid.clone();
@@ -227,7 +227,7 @@
                 false => End::Answered,
             };
             begun.run.learn(end);
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             b.strikes.clear(self.held.fingerprint);
         }
         Ok(rest)
@@ -278,7 +278,7 @@
         let late = |span: Span, most: Duration| u128::from(span.0) > most.as_micros();
         let pause = route.pause.is_some_and(|p| late(self.timing.longest, p));
         if self.events.is_some() {
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             let steps = b.fleet.event_steps(&self.asked.service);
             let reason = b.strain.ended(now(), steps, pause);
             drop(b);
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -37,7 +37,7 @@
     };
     let number = node.number();
     let (address, ask) = {
-        let b = node.beliefs();
+        let b = node.state();
         let at = now();
         let owner = b.ownership.owner(replica);
         let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.lives(at, vm));
@@ -74,7 +74,7 @@
     let Some(answer) = answer else {
         return Word::Go;
     };
-    let mut b = node.beliefs();
+    let mut b = node.state();
     if answer.lacks {
         b.fleet.lacks(now(), replica, target);
     }
@@ -93,7 +93,7 @@
         return;
     };
     let (answer, address) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         let at = now();
         let Some(address) = b.members.address(&vm) else {
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -39,7 +39,7 @@
 ) -> Option<Turn> {
     let at = now();
     let owner = {
-        let b = node.beliefs();
+        let b = node.state();
         let turns = node.settings.experiment.runs(Mechanism::PromptTurns);
         let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
         owner.filter(|vm| b.strain.active(at) && b.members.lives(at, vm))?
@@ -52,7 +52,7 @@
     };
     if owner == node.settings.vm {
         let id = TurnId { vm: owner, number };
-        node.beliefs().turns.ask(at, replica, id, tokens);
+        node.state().turns.ask(at, replica, id, tokens);
         node.turn_news.notify_one();
     } else {
         let ask = wire::TurnAsk {
@@ -73,14 +73,14 @@
 impl Drop for Turn {
     fn drop(&mut self) {
         let vm = self.node.settings.vm.clone();
-        let owner = self.node.beliefs().ownership.owner(&self.replica).cloned();
+        let owner = self.node.state().ownership.owner(&self.replica).cloned();
         let Some(owner) = owner else {
             return;
         };
         let number = self.number;
         if owner == vm {
             let id = TurnId { vm, number };
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             b.turns.end(now(), &self.replica, &id);
             drop(b);
             self.node.turn_news.notify_one();
@@ -97,7 +97,7 @@
 }
 
 async fn tell(node: &Node, vm: &VmName, body: Body) {
-    let Some(address) = node.beliefs().members.address(vm) else {
+    let Some(address) = node.state().members.address(vm) else {
         return;
     };
     let datagram = wire::Datagram { body: Some(body) };
@@ -108,7 +108,7 @@
 pub(in crate::serving) async fn keep(node: Rc<Node>) {
     loop {
         let (grants, wake) = {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             (b.turns.grants(now()), b.turns.next_wake())
         };
         for (_, id) in grants {
@@ -136,7 +136,7 @@
         vm,
         number: ask.number,
     };
-    node.beliefs().turns.ask(now(), &replica, id, ask.tokens);
+    node.state().turns.ask(now(), &replica, id, ask.tokens);
     node.turn_news.notify_one();
 }
 
@@ -149,6 +149,6 @@
         vm,
         number: end.number,
     };
-    node.beliefs().turns.end(now(), &replica, &id);
+    node.state().turns.end(now(), &replica, &id);
     node.turn_news.notify_one();
 }
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -127,7 +127,7 @@
 }
 
 fn refuse(node: &Node, id: &str, arrived: Moment, refusal: &Refusal) -> Response<AnswerBody> {
-    let config = node.beliefs().active.as_ref().map(|a| a.config.version);
+    let config = node.state().active.as_ref().map(|a| a.config.version);
     let after = refusal.retry_after.map(|after| after.as_millis());
     slog::info!(node.log, "refused"; "id" => id, "why" => refusal.reason,
         "status" => refusal.status.as_u16(), "retry_after_ms" => after,
@@ -155,7 +155,7 @@
         return Err(Refusal::not_run("stopping", Duration::ZERO));
     }
     let active = {
-        let b = node.beliefs();
+        let b = node.state();
         b.active.clone().filter(|_| b.listed)
     };
     let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
@@ -222,7 +222,7 @@
     ask: &Ask,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
     let (freshness, bounds) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         (b.key_freshness(now()), b.key_bounds)
     };
     let (keys, public) = (active.keys.as_ref(), asked.route.public);
@@ -285,7 +285,7 @@
 }
 
 fn check_convicted(node: &Node, held: &Held) -> Result<(), Refusal> {
-    let b = node.beliefs();
+    let b = node.state();
     let now = now();
     let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.standing(now, &r.name) != "live";
     match b.strikes.convicted(now, held.fingerprint, down) {
@@ -307,7 +307,7 @@
         ..Tries::default()
     };
     let mut avoid = BTreeSet::new();
-    node.beliefs().budget.first(now(), &asked.service);
+    node.state().budget.first(now(), &asked.service);
     let mut begun = first(node, &asked, &held, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
@@ -471,13 +471,13 @@
 }
 
 fn spend(node: &Node, asked: &Asked) -> bool {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let vms = b.members.count();
     b.budget.spend(now(), &asked.service, vms)
 }
 
 fn log_try(node: &Node, held: &Held, at: &ReplicaName, tries: &Tries, ended: Ended) {
-    let standing = node.beliefs().fleet.standing(now(), at);
+    let standing = node.state().fleet.standing(now(), at);
     slog::info!(node.log, "try ended"; "id" => &held.id, "replica" => at.as_str(),
         "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
         "runs" => tries.runs, "left_ms" => held.limit.since(now()).as_millis());
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -72,7 +72,7 @@
     if let Err(e) = stream.set_nodelay(true) {
         slog::debug!(node.log, "no nodelay"; "error" => %e);
     }
-    let limits = node.beliefs().active.as_ref().map(|a| a.config.limits);
+    let limits = node.state().active.as_ref().map(|a| a.config.limits);
     // One timer serves for the head and for the idle time before it.
     let head_time = limits.map_or(HEAD_TIME, |l| l.head_time.max(l.idle));
     let head_bytes = limits.map_or(HEAD_BYTES, |l| l.head * 2);
@@ -102,7 +102,7 @@
 /// Whether callers are served; those with keys are refused where it is not
 /// known that their keys still hold, so they should come to another VM.
 fn is_ready(node: &Node) -> bool {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     b.ready() && b.keys_hold(now())
 }
 
--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -128,7 +128,7 @@
 
 fn log_no_place(node: &Node, asked: &Asked, held: &Held, why: &'static str, waited: Span) {
     let at = now();
-    let b = node.beliefs();
+    let b = node.state();
     let seen = b.fleet.survey(at, &asked.service, held.target.as_ref());
     slog::info!(node.log, "no place"; "id" => &held.id, "why" => why,
         "target" => held.target.as_ref().map(ToString::to_string),
@@ -148,7 +148,7 @@
     at: Moment,
 ) -> Place {
     let bytes: usize = held.body.iter().map(Bytes::len).sum();
-    let b = node.beliefs();
+    let b = node.state();
     let want = Want {
         service: &asked.service,
         target: held.target.as_ref(),
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -49,7 +49,7 @@
     loop {
         number += 1;
         let (sendings, beat) = {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let beat = Duration::from_micros(b.members.beat().0);
             (complete(&node, &mut b, number), beat)
         };
@@ -73,7 +73,7 @@
 async fn tell_news(node: &Node, number: &mut u64, stops: bool) {
     let mut sendings = Vec::new();
     {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         let now = now();
         for name in b.books.take_changed() {
@@ -261,7 +261,7 @@
         return;
     };
     let now = now();
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let kept = b.members.lost_after();
     b.fleet.set_word_kept(kept);
     let stamp = Stamp {
@@ -311,7 +311,7 @@
         node.changed.notify_waiters();
     }
     if beacon.pass_on {
-        relay::keep(&mut node.beliefs(), vm, beacon);
+        relay::keep(&mut node.state(), vm, beacon);
     }
 }
 
@@ -362,7 +362,7 @@
 /// Asks the owner of a replica to load an adapter there.
 pub(in crate::serving) async fn wish(node: &Node, replica: &ReplicaName, target: &Target) {
     let address = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let Some(owner) = b.ownership.owner(replica).cloned() else {
             return;
         };
@@ -398,7 +398,7 @@
         return;
     };
     let now = now();
-    let mut b = node.beliefs();
+    let mut b = node.state();
     if !b.books.wish(now, &name, &target) {
         return;
     }
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -40,7 +40,7 @@
         tokio::time::sleep(REPORT_PAUSE).await;
         let mut sendings = Vec::new();
         {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let b = &mut *b;
             let names: BTreeSet<_> = b.fleet.unreported().cloned().collect();
             for (vm, flights) in by_owner(&node, b, now(), names) {
@@ -185,7 +185,7 @@
         return;
     };
     let now = now();
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let stamp = (Incarnation(report.incarnation), report.number);
     if b.reports.get(&vm).is_some_and(|old| *old >= stamp) {
         return;
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -51,7 +51,7 @@
 
 /// Whether the confirmation is so old that this VM asks itself.
 fn due(node: &Node) -> bool {
-    let b = node.beliefs();
+    let b = node.state();
     let at = now();
     let live = b.members.live(at);
     let rank = live.iter().position(|vm| *vm == node.settings.vm);
@@ -81,7 +81,7 @@
         }
         *since = revision.max(*since);
     }
-    node.beliefs().ownership.confirm(asked);
+    node.state().ownership.confirm(asked);
     Ok(())
 }
 
@@ -92,7 +92,7 @@
 
 impl Office {
     fn look(&mut self, node: &Node) {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let at = now();
         let vouched = b.members.vouched(&b.ownership.table.members);
         b.ownership.vouch(at, vouched);
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -107,7 +107,7 @@
     /// Wakes the task that tells the peers.
     pub(in crate::serving) news: Notify,
     pub(in crate::serving) phase: watch::Sender<Phase>,
-    beliefs: RefCell<NodeState>,
+    state: RefCell<NodeState>,
     numbers: Cell<u64>,
     open: Cell<usize>,
     /// Runs that wait for their turn.
@@ -131,7 +131,7 @@
         socket: UdpSocket,
     ) -> Self {
         let now = now();
-        let beliefs = NodeState::new(&settings, now);
+        let state = NodeState::new(&settings, now);
         // A restarted process must be told from the one before it; the clock
         // since the VM's start differs at each.
         let incarnation = Incarnation(now.0);
@@ -150,7 +150,7 @@
             socket,
             news: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
-            beliefs: RefCell::new(beliefs),
+            state: RefCell::new(state),
             numbers: Cell::new(0),
             open: Cell::new(0),
             turns: Questions::default(),
@@ -161,9 +161,9 @@
         }
     }
 
-    /// The beliefs; never held across an await.
-    pub(in crate::serving) fn beliefs(&self) -> RefMut<'_, NodeState> {
-        self.beliefs.borrow_mut()
+    /// The state; never held across an await.
+    pub(in crate::serving) fn state(&self) -> RefMut<'_, NodeState> {
+        self.state.borrow_mut()
     }
 
     /// A number that is used once.
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -64,14 +64,14 @@
         let at = now();
         if at.since(last) > SUSPENDED {
             slog::warn!(node.log, "was suspended"; "ms" => at.since(last).as_millis());
-            node.beliefs().ownership.suspend();
+            node.state().ownership.suspend();
             node.reread.notify_one();
         }
         last = at;
         for (name, token, step) in due(&node, at) {
             tokio::task::spawn_local(carry_out(node.clone(), name, token, step));
         }
-        let wake = node.beliefs().books.next_wake(at);
+        let wake = node.state().books.next_wake(at);
         let wait = wake.map_or(TICK, |w| until(w).min(TICK));
         // Woken by news or by time, the books are asked anew.
         let wait = wait.max(Duration::from_millis(5));
@@ -86,7 +86,7 @@
     if node.phase() == Phase::Closing {
         return Vec::new();
     }
-    let mut b = node.beliefs();
+    let mut b = node.state();
     b.open_books(at);
     let b = &mut *b;
     let loads = b.fleet.weight_loads().max(LEAST_LOADS);
@@ -113,12 +113,12 @@
     match &step {
         Step::Look => {
             let report = look(&node, &name).await;
-            let mut b = node.beliefs();
+            let mut b = node.state();
             b.books.looked(now(), &name, report);
         }
         _ => {
             let end = give(&node, &name, token, &step).await;
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let took = b.books.ended(now(), &name, &step, end);
             if matches!(end, OrderEnd::Fenced) {
                 b.ownership.refused(&name, token);
@@ -130,7 +130,7 @@
     node.news.notify_one();
     node.orders.notify_one();
     // Our own requests that wait for it learn of it with the news.
-    let mut b = node.beliefs();
+    let mut b = node.state();
     if let Some(held) = b.books.held(&name) {
         b.fleet.hear_book(now(), &name, held);
     }
@@ -205,10 +205,10 @@
         return OrderEnd::Refused;
     };
     // The lease is looked at right before the order goes out.
-    if node.beliefs().ownership.token(now(), name) != Some(token) {
+    if node.state().ownership.token(now(), name) != Some(token) {
         return OrderEnd::Refused;
     }
-    let unanswered = node.beliefs().books.unanswered(name).min(MOST_DOUBLED);
+    let unanswered = node.state().books.unanswered(name).min(MOST_DOUBLED);
     let wait = match node.settings.experiment.runs(Mechanism::OrderRepeats) {
         true => (FIRST_ANSWER * (1 << unanswered)).min(LONGEST_ANSWER),
         false => LONGEST_ANSWER,
@@ -225,7 +225,7 @@
     request: Request<Parts>,
     wait: Duration,
 ) -> Option<(StatusCode, Bytes)> {
-    let address = node.beliefs().fleet.listing(name)?.address;
+    let address = node.state().fleet.listing(name)?.address;
     let work = async {
         let mut answer = node.upstreams.send(address, request).await.ok()?;
         let body = collect(&mut answer, MOST_REPORT).await.ok()?;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -234,7 +234,7 @@
             match follow::list(&node, node.border.kinds.own, Freshness::Newest).await {
                 Ok((items, _)) => {
                     take_own(&node, &News::All(&items));
-                    node.beliefs().ownership.confirm(asked);
+                    node.state().ownership.confirm(asked);
                     break;
                 }
                 Err(e) => slog::warn!(node.log, "owners not read"; "error" => %e),
@@ -250,7 +250,7 @@
     loop {
         tokio::time::sleep(UPKEEP).await;
         follow::drop_lapsed(&node);
-        node.beliefs().keep_limits(now());
+        node.state().keep_limits(now());
         if now().since(began) >= SETTLED && node.phase() == Phase::Serving {
             repair(&node).await;
         }
@@ -260,7 +260,7 @@
 async fn repair(node: &Node) {
     let at = now();
     let (table, revision, live) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         if !b.ready() || !b.members.may_judge(at) {
             return;
@@ -289,7 +289,7 @@
     match limited(follow::SHORT_CALL, call).await {
         Ok(revision) => {
             let term = table.term.0;
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let moved = table.moved(&b.ownership.table);
             b.take_owners(now(), table, revision);
             b.ownership.confirm(asked);
@@ -303,7 +303,7 @@
         Err(e) => slog::warn!(node.log, "owners not changed"; "error" => %e),
     }
     let gone = {
-        let b = node.beliefs();
+        let b = node.state();
         let first = b.members.live(at).first() == Some(&node.settings.vm);
         match first {
             true => b.members.silent(at, VM_GONE),
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -57,7 +57,7 @@
         match (node.border.read_config)(item) {
             Ok(config) => {
                 let version = config.version;
-                let mut b = node.beliefs();
+                let mut b = node.state();
                 b.recency.read(true);
                 let taken = b.configure(config);
                 drop(b);
@@ -67,7 +67,7 @@
             }
             Err(e) => {
                 // Keys that it takes away are not known.
-                node.beliefs().recency.read(false);
+                node.state().recency.read(false);
                 slog::error!(node.log, "bad configuration"; "error" => %e);
             }
         }
@@ -89,14 +89,14 @@
         News::All(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas"; "count" => all.len());
-            let mut b = node.beliefs();
+            let mut b = node.state();
             b.relist(at, all);
             b.listed = true;
             true
         }
         News::One(told) if told.lapsed => {
             if let Ok(name) = told.item.name.parse::<ReplicaName>() {
-                node.beliefs().fleet.lapse(at, &name);
+                node.state().fleet.lapse(at, &name);
                 slog::info!(node.log, "replica lapsed"; "replica" => name.as_str(),
                     "revision" => told.item.revision);
             }
@@ -120,8 +120,8 @@
 fn take_replica(node: &Node, item: &Item, listing: Listing) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
     let born = listing.born;
-    let news = node.beliefs().fleet.is_news(&listing);
-    let changed = node.beliefs().take_listing(listing);
+    let news = node.state().fleet.is_news(&listing);
+    let changed = node.state().take_listing(listing);
     if changed {
         slog::info!(node.log, "replica"; "replica" => name.as_str(),
                         "draining" => draining, "born" => born, "revision" => item.revision);
@@ -133,7 +133,7 @@
     let Ok(name) = item.name.parse::<ReplicaName>() else {
         return;
     };
-    if node.beliefs().fleet.unlist(&name) {
+    if node.state().fleet.unlist(&name) {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(),
             "why" => why, "revision" => item.revision);
     }
@@ -144,7 +144,7 @@
     let Ok(name) = told.item.name.parse::<ReplicaName>() else {
         return;
     };
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let drains = b.fleet.listing(&name).is_some_and(|l| l.draining);
     let leaves = told.removed || drains;
     let Some(born) = b.fleet.born(&name).filter(|_| leaves) else {
@@ -160,7 +160,7 @@
     for item in news.items() {
         match (node.border.read_announced)(item) {
             Ok(a) => {
-                if node.beliefs().fleet.versions.announce(now(), &a) {
+                if node.state().fleet.versions.announce(now(), &a) {
                     slog::info!(node.log, "version announced"; "target" => %a.target,
                         "version" => a.version, "revision" => item.revision);
                 }
@@ -176,14 +176,14 @@
 pub(in crate::serving) fn take_own(node: &Node, news: &News<'_>) -> bool {
     news.items().iter().for_each(|i| take_own_item(node, i));
     if matches!(news, News::All(_)) {
-        node.beliefs().members.set_listed();
+        node.state().members.set_listed();
     }
     if let News::One(told) = news
         && told.removed
         && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
     {
-        node.beliefs().members.unlist(&vm);
+        node.state().members.unlist(&vm);
         slog::info!(node.log, "vm gone"; "vm" => vm.as_str());
     }
     true
@@ -197,7 +197,7 @@
         match serde_json::from_str::<Table>(item.spec.get()) {
             Ok(table) => {
                 let term = table.term.0;
-                if node.beliefs().take_owners(now(), table, item.revision) {
+                if node.state().take_owners(now(), table, item.revision) {
                     slog::info!(node.log, "owners"; "term" => term, "revision" => item.revision);
                     node.orders.notify_one();
                 }
@@ -208,7 +208,7 @@
     }
     match serde_json::from_str::<VmEntry>(item.spec.get()) {
         Ok(entry) => {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             if let Some(zone) = entry.zone {
                 b.members.set_zone(&entry.vm, zone);
             }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -116,7 +116,7 @@
     loop {
         let at = now();
         let (next, rank) = {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let rank = b.asking_rank(at, &node.settings, topic);
             let proof = topic == Topic::Config && b.proof_due(at, rank);
             match b.feeds.get(topic).next(at, rank) {
@@ -136,7 +136,7 @@
         };
         match outcome {
             Ok(true) => {
-                let pause = node.beliefs().feeds.get(topic).pause(rank);
+                let pause = node.state().feeds.get(topic).pause(rank);
                 tokio::time::sleep(pause).await;
             }
             Ok(false) => {}
@@ -146,7 +146,7 @@
 }
 
 fn log_lost(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let feed = b.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
         feed.expired();
@@ -171,7 +171,7 @@
 /// Reads a topic whole.
 async fn list_all(node: &Node, topic: Topic) -> Result<(), PlatformError> {
     let asked = now();
-    let first = node.beliefs().feeds.get(topic).age(asked).is_none();
+    let first = node.state().feeds.get(topic).age(asked).is_none();
     // What came since is read, or heard, next. Where replicas check no fences,
     // nobody is in office before the owner table is known to be the newest:
     // after a power loss of all that stopped all loads for 3 s. Keys that may
@@ -188,7 +188,7 @@
     };
     let (items, revision) = list(node, kind(node, topic), freshness).await?;
     let (out, changes) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let feed = b.feeds.get(topic);
         let out = feed.is_out();
         (out, feed.listed(now(), asked, revision, &items))
@@ -204,7 +204,7 @@
     if freshness == Freshness::Newest {
         confirm(node, topic, asked);
         if topic == Topic::Config {
-            node.beliefs().recency.listed(asked);
+            node.state().recency.listed(asked);
         }
     }
     node.changed.notify_waiters();
@@ -221,7 +221,7 @@
     let asked = now();
     let kind = kind(node, topic);
     let revision = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let feed = b.feeds.get(topic);
         if rank.is_some_and(|rank| rank > 0) {
             slog::info!(node.log, "news overdue"; "kind" => kind, "revision" => feed.revision(),
@@ -241,7 +241,7 @@
     let changes: Vec<_> = changes.collect();
     let some = !changes.is_empty();
     let (out, changes) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let feed = b.feeds.get(topic);
         let out = feed.is_out();
         let revision = answer.revision;
@@ -252,7 +252,7 @@
     confirm(node, topic, asked);
     if topic == Topic::Config {
         let waited = if some { Duration::ZERO } else { wait };
-        node.beliefs().recency.watched(asked, span(waited));
+        node.state().recency.watched(asked, span(waited));
     }
     if some {
         node.changed.notify_waiters();
@@ -272,7 +272,7 @@
             if !change.removed && topic == Topic::Replicas {
                 apply::tell_leaving(node, &change);
             }
-            node.beliefs().feeds.get(topic).keep(now(), change);
+            node.state().feeds.get(topic).keep(now(), change);
         }
     }
 }
@@ -284,7 +284,7 @@
             continue;
         };
         let changes = {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             // Without a measure of its way it may be of any age.
             let delay = b.members.delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
@@ -317,7 +317,7 @@
             take(node, topic, &News::One(change));
         }
         if topic == Topic::Config {
-            take_witnesses(node, &mut node.beliefs(), at, news);
+            take_witnesses(node, &mut node.state(), at, news);
         }
         if !changes.is_empty() {
             node.changed.notify_waiters();
@@ -403,7 +403,7 @@
 /// All that was in the store of a topic when it was asked is known now.
 fn confirm(node: &Node, topic: Topic, asked: Moment) {
     if topic == Topic::Own {
-        node.beliefs().ownership.confirm(asked);
+        node.state().ownership.confirm(asked);
     }
 }
 
@@ -465,7 +465,7 @@
 
 /// Drops replicas that did not come back after an outage.
 pub(in crate::serving) fn drop_lapsed(node: &Node) {
-    let gone = node.beliefs().fleet.drop_lapsed(now());
+    let gone = node.state().fleet.drop_lapsed(now());
     for name in gone {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(), "why" => "lapsed");
     }
