--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -46,7 +46,7 @@
 
 /// A configuration that is in force.
 #[derive(Debug)]
-pub(in crate::serving) struct Active {
+pub(in crate::serving) struct ActiveConfig {
     pub(in crate::serving) config: Config,
     pub(in crate::serving) routes: Routes,
     /// Who calls with which key; `None` where callers need none.
@@ -55,7 +55,7 @@
     pub(in crate::serving) use_limits: BTreeMap<OrganisationName, UseLimit>,
 }
 
-impl Active {
+impl ActiveConfig {
     fn new(config: Config) -> Self {
         let routes = Routes::new(&config.routes);
         let all = config.organisations.as_deref();
@@ -80,7 +80,7 @@
 /// The beliefs of one VM; tasks take them for a moment at a time.
 #[derive(Debug)]
 pub(in crate::serving) struct NodeState {
-    pub(in crate::serving) active: Option<Rc<Active>>,
+    pub(in crate::serving) active: Option<Rc<ActiveConfig>>,
     pub(in crate::serving) fleet: Fleet,
     pub(in crate::serving) budget: Budget,
     pub(in crate::serving) members: Members,
@@ -224,7 +224,7 @@
             return false;
         }
         self.fleet.configure(&config);
-        let active = Active::new(config);
+        let active = ActiveConfig::new(config);
         self.borrower
             .retain(|name| active.use_limits.contains_key(name));
         self.active = Some(Rc::new(active));
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -28,7 +28,7 @@
 use crate::ids::ServiceName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::state::Active;
+use crate::serving::cluster::state::ActiveConfig;
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Ended;
 use crate::serving::decisions::decide::Refusal;
@@ -197,7 +197,7 @@
 
 /// The route of a request and the service that it goes to.
 fn find_route(
-    active: &Active,
+    active: &ActiveConfig,
     uri: &Uri,
     headers: &HeaderMap,
     ask: &Ask,
@@ -217,7 +217,7 @@
 /// The organisation on whose behalf a request runs.
 fn find_caller(
     node: &Node,
-    active: &Active,
+    active: &ActiveConfig,
     asked: &Asked,
     ask: &Ask,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
@@ -271,7 +271,7 @@
 }
 
 /// What a request is expected to hold of an engine's memory.
-fn cost(active: &Active, service: &ServiceName, ask: &Ask) -> Load {
+fn cost(active: &ActiveConfig, service: &ServiceName, ask: &Ask) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
         Some(_) => u64::from(ask.prompt) + (f64::from(ask.output) * OUTPUT_PART) as u64,
