--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -18,7 +18,7 @@
 use crate::serving::cluster::ownership::Ownership;
 use crate::serving::cluster::recency::Recency;
 use crate::serving::cluster::recency::Witnesses;
-use crate::serving::cluster::subscriptions::Audience;
+use crate::serving::cluster::subscriptions::Subscriptions;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::decisions::access::Bounds;
 use crate::serving::decisions::access::Freshness;
@@ -95,7 +95,7 @@
     /// Leaving replicas that the other VMs are to be told of.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
     /// Who waits for news of which of our replicas.
-    pub(in crate::serving) audience: Audience,
+    pub(in crate::serving) audience: Subscriptions,
     /// The newest report of each VM on its requests.
     pub(in crate::serving) reports: BTreeMap<VmName, (Incarnation, u64)>,
     /// What is known of the store.
@@ -136,7 +136,7 @@
             uses: BTreeMap::new(),
             reserved: Reserved::default(),
             leaving: BTreeSet::new(),
-            audience: Audience::default(),
+            audience: Subscriptions::default(),
             reports: BTreeMap::new(),
             feeds: Feeds::new(|topic| follow::rhythm(settings, topic)),
             passing: BTreeMap::new(),
--- a/lib/src/serving/cluster/subscriptions.rs
+++ b/lib/src/serving/cluster/subscriptions.rs
@@ -19,12 +19,12 @@
 /// that. The others learn of it with the next beacon. Told to all, the news of
 /// 60 loads a second were 20,000 datagrams a second between 71 VMs.
 #[derive(Debug, Default)]
-pub struct Audience {
+pub struct Subscriptions {
     asked: BTreeMap<ReplicaName, BTreeMap<VmName, Moment>>,
     owed: BTreeMap<VmName, BTreeSet<ReplicaName>>,
 }
 
-impl Audience {
+impl Subscriptions {
     /// A VM wishes for something at a replica; `known` says that it is there
     /// already, so that the VM's picture is old.
     pub fn ask(&mut self, now: Moment, vm: &VmName, replica: &ReplicaName, known: bool) {
--- a/lib/tests/test_serving_audience.rs
+++ b/lib/tests/test_serving_audience.rs
@@ -4,7 +4,7 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Audience;
+use banyangauge::serving::Subscriptions;
 
 fn at(ms: u64) -> Moment {
     Moment(10_000_000).after(Span::from_millis(ms))
@@ -19,7 +19,7 @@
 }
 
 /// Who is told of which replicas, as text.
-fn owed(audience: &mut Audience) -> String {
+fn owed(audience: &mut Subscriptions) -> String {
     let owed = audience.take_owed();
     let lines = owed.iter().map(|(vm, names)| {
         let names: Vec<_> = names.iter().map(ReplicaName::as_str).collect();
@@ -30,7 +30,7 @@
 
 #[test]
 fn changed_is_told_to_those_who_wait() {
-    let mut a = Audience::default();
+    let mut a = Subscriptions::default();
     a.ask(at(0), &vm("vm-1"), &replica("i-1"), false);
     a.ask(at(0), &vm("vm-2"), &replica("i-2"), false);
     assert_eq!(owed(&mut a), "");
@@ -43,14 +43,14 @@
 /// One that asks for what is there already has an old picture.
 #[test]
 fn ask_for_what_is_there_is_answered() {
-    let mut a = Audience::default();
+    let mut a = Subscriptions::default();
     a.ask(at(0), &vm("vm-1"), &replica("i-1"), true);
     assert_eq!(owed(&mut a), "vm-1: i-1");
 }
 
 #[test]
 fn ask_lapses_unless_renewed() {
-    let mut a = Audience::default();
+    let mut a = Subscriptions::default();
     a.ask(at(0), &vm("vm-1"), &replica("i-1"), false);
     a.ask(at(900), &vm("vm-2"), &replica("i-1"), false);
     a.changed(at(1_200), &replica("i-1"));
