--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -11,7 +11,7 @@
 use crate::serving::cluster::topic::Topic;
 use crate::serving::cluster::update::Blind;
 use crate::serving::cluster::update::Said;
-use crate::serving::cluster::update::Told;
+use crate::serving::cluster::update::TopicChange;
 use crate::serving::peers::compression::pack;
 use crate::serving::store::port::Item;
 
@@ -60,7 +60,7 @@
     /// The objects that are there.
     names: BTreeSet<String>,
     /// The newest change of each object, with the time until which it is told.
-    recent: BTreeMap<String, (Moment, Told)>,
+    recent: BTreeMap<String, (Moment, TopicChange)>,
     /// All changes after this revision are among the recent ones.
     since: u64,
     /// The part of that over which a list stepped.
@@ -166,7 +166,7 @@
         asked: Moment,
         revision: u64,
         items: &[Item],
-    ) -> Vec<Told> {
+    ) -> Vec<TopicChange> {
         let names: BTreeSet<_> = items.iter().map(|i| i.name.clone()).collect();
         let Some(known) = self.known else {
             let newest = items.iter().map(|i| i.revision).max().unwrap_or(0);
@@ -190,11 +190,11 @@
         }
         let present = items
             .iter()
-            .map(|item| Told::new(item.clone(), false, false));
+            .map(|item| TopicChange::new(item.clone(), false, false));
         let gone = self.names.difference(&names).map(|name| {
             let mut item = Item::empty(name);
             item.revision = revision;
-            Told::new(item, true, self.outage)
+            TopicChange::new(item, true, self.outage)
         });
         let changes = self.admit(present.chain(gone).collect());
         // What is never removed cannot have come and gone in between.
@@ -227,7 +227,7 @@
         waited: Duration,
         revision: u64,
         changes: Vec<(Item, bool)>,
-    ) -> Vec<Told> {
+    ) -> Vec<TopicChange> {
         let as_of = match changes.is_empty() {
             true => asked
                 .after(Span(u64::try_from(waited.as_micros()).unwrap_or(0)))
@@ -243,7 +243,7 @@
     /// The changes of an answer as they are told. The revision of an object that
     /// is gone may be that of its content: it is gone as of the answer, or until
     /// its next change.
-    fn dated(&self, revision: u64, changes: Vec<(Item, bool)>) -> Vec<Told> {
+    fn dated(&self, revision: u64, changes: Vec<(Item, bool)>) -> Vec<TopicChange> {
         let mut next = BTreeMap::new();
         let mut told = Vec::new();
         for (mut item, removed) in changes.into_iter().rev() {
@@ -252,14 +252,14 @@
                 item.revision = after - 1;
             }
             next.insert(item.name.clone(), item.revision);
-            told.push(Told::new(item, removed, removed && self.outage));
+            told.push(TopicChange::new(item, removed, removed && self.outage));
         }
         told.reverse();
         told
     }
 
     /// Those changes that are news, which are known from now on.
-    fn admit(&mut self, changes: Vec<Told>) -> Vec<Told> {
+    fn admit(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
         let changes: Vec<_> = changes.into_iter().filter(|c| self.is_new(c)).collect();
         for c in &changes {
             let name = c.item.name.clone();
@@ -276,7 +276,7 @@
     /// may be answered after another VM told of something newer: taken late, an
     /// older change would be told on in place of the newer one, and whoever
     /// knows the older one would believe that it knows all.
-    fn is_new(&self, change: &Told) -> bool {
+    fn is_new(&self, change: &TopicChange) -> bool {
         let revision = change.item.revision;
         let ahead = self.ahead.get(&change.item.name);
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
@@ -304,7 +304,7 @@
     }
 
     /// A change is worth telling the other VMs.
-    pub fn keep(&mut self, now: Moment, mut change: Told) {
+    pub fn keep(&mut self, now: Moment, mut change: TopicChange) {
         if change.packed.is_empty() {
             change.packed = pack(change.item.spec.get());
         }
@@ -332,7 +332,7 @@
     /// content of an object holds whatever was missed. A VM that the store
     /// turns away is not left on an old configuration that way, though only the
     /// store can fill its gap.
-    pub fn hear(&mut self, now: Moment, said: Said) -> Vec<Told> {
+    pub fn hear(&mut self, now: Moment, said: Said) -> Vec<TopicChange> {
         let Some(known) = &mut self.known else {
             return Vec::new();
         };
@@ -358,7 +358,7 @@
 
     /// The same where the other VM stepped over a part of the history: within
     /// that, an object may have come that this VM knows of, and gone again.
-    pub fn hear_over(&mut self, now: Moment, mut said: Said, blind: Blind) -> Vec<Told> {
+    pub fn hear_over(&mut self, now: Moment, mut said: Said, blind: Blind) -> Vec<TopicChange> {
         if blind.hides(self.revision()) {
             said.since = said.revision;
         }
@@ -374,7 +374,7 @@
     /// ask, and had an answer lately.
     pub fn tell(&mut self, now: Moment, rank: Option<u64>) -> Option<Said> {
         let known = self.known?;
-        let over = |(until, _): &(Moment, Told)| *until <= now;
+        let over = |(until, _): &(Moment, TopicChange)| *until <= now;
         for (_, (_, change)) in self.recent.extract_if(.., |_, kept| over(kept)) {
             self.since = self.since.max(change.item.revision);
         }
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -5,7 +5,7 @@
 
 /// A change that VMs tell each other.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct TopicChange {
     /// The object, as it is or as it last was.
     pub item: Item,
     /// Whether it was removed.
@@ -16,7 +16,7 @@
     pub packed: Vec<u8>,
 }
 
-impl Told {
+impl TopicChange {
     /// A change that is not told yet.
     pub fn new(item: Item, removed: bool, lapsed: bool) -> Self {
         Self {
@@ -38,7 +38,7 @@
     /// The changes follow on from this revision.
     pub since: u64,
     /// The changes.
-    pub changes: Vec<Told>,
+    pub changes: Vec<TopicChange>,
 }
 
 /// A span of the store's history that a list stepped over. What was there only
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -37,7 +37,7 @@
 pub use cluster::topic::Topic;
 pub use cluster::update::Blind;
 pub use cluster::update::Said;
-pub use cluster::update::Told;
+pub use cluster::update::TopicChange;
 pub use decisions::access;
 pub use decisions::books::Books;
 pub use decisions::books::OrderEnd;
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -10,7 +10,7 @@
 use crate::platform::PlatformError;
 use crate::pool::Moment;
 use crate::serving::cluster::state::NodeState;
-use crate::serving::cluster::update::Told;
+use crate::serving::cluster::update::TopicChange;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::store::apply::News;
@@ -76,7 +76,7 @@
         let answer = answer?;
         let revision = answer.revision;
         for c in answer.changes {
-            let told = Told::new(c.item, c.removed, false);
+            let told = TopicChange::new(c.item, c.removed, false);
             take_own(node, &News::One(&told));
         }
         *since = revision.max(*since);
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -9,7 +9,7 @@
 use crate::ids::VmName;
 use crate::ids::ZoneName;
 use crate::serving::cluster::owner_table::Table;
-use crate::serving::cluster::update::Told;
+use crate::serving::cluster::update::TopicChange;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Listing;
 use crate::serving::program::node::Node;
@@ -37,7 +37,7 @@
     /// All objects of a topic.
     All(&'a [Item]),
     /// One object changed, or was removed.
-    One(&'a Told),
+    One(&'a TopicChange),
 }
 
 impl News<'_> {
@@ -140,7 +140,7 @@
 }
 
 /// The other VMs hear at once of a replica that this VM read to be leaving.
-pub(in crate::serving) fn tell_leaving(node: &Node, told: &Told) {
+pub(in crate::serving) fn tell_leaving(node: &Node, told: &TopicChange) {
     let Ok(name) = told.item.name.parse::<ReplicaName>() else {
         return;
     };
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -18,7 +18,7 @@
 use crate::serving::cluster::topic::Topic;
 use crate::serving::cluster::update::Blind;
 use crate::serving::cluster::update::Said;
-use crate::serving::cluster::update::Told;
+use crate::serving::cluster::update::TopicChange;
 use crate::serving::peers::compression::unpack;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -262,7 +262,7 @@
 
 /// Takes changes that this VM read itself, and keeps those that others should
 /// hear of.
-fn take_changes(node: &Node, topic: Topic, changes: Vec<Told>) {
+fn take_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
             apply::tell_leaving(node, &change);
@@ -325,9 +325,9 @@
     }
 }
 
-fn read_change(change: &wire::StoreChange) -> Option<Told> {
+fn read_change(change: &wire::StoreChange) -> Option<TopicChange> {
     let spec = RawValue::from_string(unpack(&change.spec)?).ok()?;
-    Some(Told {
+    Some(TopicChange {
         item: Item {
             name: change.name.clone(),
             revision: change.revision,
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -9,7 +9,7 @@
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::Said;
-use banyangauge::serving::Told;
+use banyangauge::serving::TopicChange;
 use rstest::rstest;
 
 /// Within how long a change is to be known, in milliseconds.
@@ -39,8 +39,8 @@
     }
 }
 
-fn told(name: &str, revision: u64) -> Told {
-    Told::new(item(name, revision), false, false)
+fn told(name: &str, revision: u64) -> TopicChange {
+    TopicChange::new(item(name, revision), false, false)
 }
 
 /// A feed that listed everything at the start.
--- a/lib/tests/test_serving_feed_late.rs
+++ b/lib/tests/test_serving_feed_late.rs
@@ -16,7 +16,7 @@
 use banyangauge::serving::Item;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::Said;
-use banyangauge::serving::Told;
+use banyangauge::serving::TopicChange;
 
 fn at(ms: u64) -> Moment {
     Moment(100_000_000).after(Span::from_millis(ms))
@@ -43,7 +43,8 @@
 }
 
 fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> Said {
-    let told = |(name, revision): &(&str, u64)| Told::new(item(name, *revision), false, false);
+    let told =
+        |(name, revision): &(&str, u64)| TopicChange::new(item(name, *revision), false, false);
     Said {
         revision,
         as_of: at(ms),
--- a/lib/tests/test_serving_feed_outage.rs
+++ b/lib/tests/test_serving_feed_outage.rs
@@ -9,7 +9,7 @@
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::Said;
-use banyangauge::serving::Told;
+use banyangauge::serving::TopicChange;
 use rstest::rstest;
 
 /// Within how long a change is to be known.
@@ -42,7 +42,8 @@
 }
 
 fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> Said {
-    let told = |(name, revision): &(&str, u64)| Told::new(item(name, *revision), false, false);
+    let told =
+        |(name, revision): &(&str, u64)| TopicChange::new(item(name, *revision), false, false);
     Said {
         revision,
         as_of: at(ms),
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -21,7 +21,7 @@
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::Said;
-use banyangauge::serving::Told;
+use banyangauge::serving::TopicChange;
 use rstest::rstest;
 use serde_json::value::RawValue;
 
@@ -159,7 +159,7 @@
     }
 
     /// Takes a change; gives whether it says something new.
-    fn take(&mut self, change: &Told) -> bool {
+    fn take(&mut self, change: &TopicChange) -> bool {
         let name = change.item.name.clone();
         let old = match change.removed {
             true => return self.beliefs.remove(&name).is_some() || change.removed,
