--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -10,8 +10,8 @@
 use crate::serving::cluster::topic::Rhythm;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::cluster::update::Blind;
-use crate::serving::cluster::update::Said;
 use crate::serving::cluster::update::TopicChange;
+use crate::serving::cluster::update::TopicUpdate;
 use crate::serving::peers::compression::pack;
 use crate::serving::store::port::Item;
 
@@ -332,7 +332,7 @@
     /// content of an object holds whatever was missed. A VM that the store
     /// turns away is not left on an old configuration that way, though only the
     /// store can fill its gap.
-    pub fn hear(&mut self, now: Moment, said: Said) -> Vec<TopicChange> {
+    pub fn hear(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
         let Some(known) = &mut self.known else {
             return Vec::new();
         };
@@ -358,7 +358,12 @@
 
     /// The same where the other VM stepped over a part of the history: within
     /// that, an object may have come that this VM knows of, and gone again.
-    pub fn hear_over(&mut self, now: Moment, mut said: Said, blind: Blind) -> Vec<TopicChange> {
+    pub fn hear_over(
+        &mut self,
+        now: Moment,
+        mut said: TopicUpdate,
+        blind: Blind,
+    ) -> Vec<TopicChange> {
         if blind.hides(self.revision()) {
             said.since = said.revision;
         }
@@ -372,7 +377,7 @@
 
     /// What this VM tells the others: nothing unless it is one of the first to
     /// ask, and had an answer lately.
-    pub fn tell(&mut self, now: Moment, rank: Option<u64>) -> Option<Said> {
+    pub fn tell(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
         let known = self.known?;
         let over = |(until, _): &(Moment, TopicChange)| *until <= now;
         for (_, (_, change)) in self.recent.extract_if(.., |_, kept| over(kept)) {
@@ -397,7 +402,7 @@
             changes.push(change.clone());
         }
         changes.reverse();
-        Some(Said {
+        Some(TopicUpdate {
             revision: known.revision,
             as_of: known.as_of,
             since,
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -30,7 +30,7 @@
 
 /// What one VM tells of a topic.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct TopicUpdate {
     /// The store's revision up to which it knows all.
     pub revision: u64,
     /// When that was so, on our clock.
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -17,8 +17,8 @@
 use crate::serving::cluster::topic::Rhythm;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::cluster::update::Blind;
-use crate::serving::cluster::update::Said;
 use crate::serving::cluster::update::TopicChange;
+use crate::serving::cluster::update::TopicUpdate;
 use crate::serving::peers::compression::unpack;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -289,7 +289,7 @@
             let delay = b.members.delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
             let changes: Option<Vec<_>> = news.changes.iter().map(read_change).collect();
-            let said = Said {
+            let said = TopicUpdate {
                 revision: news.revision,
                 as_of: Moment(at.0.saturating_sub(age)),
                 // What cannot be read was missed.
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -8,8 +8,8 @@
 use banyangauge::serving::Item;
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
-use banyangauge::serving::Said;
 use banyangauge::serving::TopicChange;
+use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
 
 /// Within how long a change is to be known, in milliseconds.
@@ -148,7 +148,7 @@
     }
 
     fn tell(&mut self, ms: u64) {
-        let said: Vec<Said> = self
+        let said: Vec<TopicUpdate> = self
             .vms
             .iter_mut()
             .filter(|vm| !vm.frozen)
@@ -269,7 +269,7 @@
 #[test]
 fn old_news_change_nothing() {
     let mut feed = listed(1_000, 5, &[]);
-    let said = Said {
+    let said = TopicUpdate {
         revision: 4,
         as_of: at(500),
         since: 1,
--- a/lib/tests/test_serving_feed_late.rs
+++ b/lib/tests/test_serving_feed_late.rs
@@ -15,8 +15,8 @@
 use banyangauge::serving::Feed;
 use banyangauge::serving::Item;
 use banyangauge::serving::Rhythm;
-use banyangauge::serving::Said;
 use banyangauge::serving::TopicChange;
+use banyangauge::serving::TopicUpdate;
 
 fn at(ms: u64) -> Moment {
     Moment(100_000_000).after(Span::from_millis(ms))
@@ -42,10 +42,10 @@
     feed
 }
 
-fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> Said {
+fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> TopicUpdate {
     let told =
         |(name, revision): &(&str, u64)| TopicChange::new(item(name, *revision), false, false);
-    Said {
+    TopicUpdate {
         revision,
         as_of: at(ms),
         since,
--- a/lib/tests/test_serving_feed_outage.rs
+++ b/lib/tests/test_serving_feed_outage.rs
@@ -8,8 +8,8 @@
 use banyangauge::serving::Item;
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
-use banyangauge::serving::Said;
 use banyangauge::serving::TopicChange;
+use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
 
 /// Within how long a change is to be known.
@@ -41,10 +41,10 @@
     feed
 }
 
-fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> Said {
+fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> TopicUpdate {
     let told =
         |(name, revision): &(&str, u64)| TopicChange::new(item(name, *revision), false, false);
-    Said {
+    TopicUpdate {
         revision,
         as_of: at(ms),
         since,
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -20,8 +20,8 @@
 use banyangauge::serving::Item;
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
-use banyangauge::serving::Said;
 use banyangauge::serving::TopicChange;
+use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
 use serde_json::value::RawValue;
 
@@ -194,7 +194,7 @@
         }
     }
 
-    fn hear(&mut self, now: Moment, said: Said, blind: Option<Blind>) {
+    fn hear(&mut self, now: Moment, said: TopicUpdate, blind: Option<Blind>) {
         let changes = match blind {
             None => self.feed.hear(now, said),
             Some(blind) => self.feed.hear_over(now, said, blind),
@@ -214,7 +214,7 @@
     store: Store,
     vms: Vec<Vm>,
     /// What is under way between VMs.
-    said: Vec<(usize, Said, Option<Blind>)>,
+    said: Vec<(usize, TopicUpdate, Option<Blind>)>,
     now: Moment,
 }
 
