--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -9,7 +9,7 @@
 use crate::pool::Span;
 use crate::serving::cluster::topic::Rhythm;
 use crate::serving::cluster::topic::Topic;
-use crate::serving::cluster::update::Blind;
+use crate::serving::cluster::update::SkippedRange;
 use crate::serving::cluster::update::TopicChange;
 use crate::serving::cluster::update::TopicUpdate;
 use crate::serving::peers::compression::pack;
@@ -64,7 +64,7 @@
     /// All changes after this revision are among the recent ones.
     since: u64,
     /// The part of that over which a list stepped.
-    blind: Option<Blind>,
+    blind: Option<SkippedRange>,
     /// When this VM last had an answer.
     answered: Option<Moment>,
     /// Since when changes are missing that others know of.
@@ -199,7 +199,7 @@
         let changes = self.admit(present.chain(gone).collect());
         // What is never removed cannot have come and gone in between.
         if self.rhythm.removes {
-            self.step_over(Blind {
+            self.step_over(SkippedRange {
                 from: known.revision,
                 to: revision,
             });
@@ -208,12 +208,12 @@
         changes
     }
 
-    fn step_over(&mut self, blind: Blind) {
+    fn step_over(&mut self, blind: SkippedRange) {
         self.blind = Some(self.blind.map_or(blind, |b| b.join(blind)));
     }
 
     /// The part of the history that is told over which a list stepped.
-    pub fn blind(&self) -> Option<Blind> {
+    pub fn blind(&self) -> Option<SkippedRange> {
         self.blind.filter(|b| b.to > self.since)
     }
 
@@ -362,7 +362,7 @@
         &mut self,
         now: Moment,
         mut said: TopicUpdate,
-        blind: Blind,
+        blind: SkippedRange,
     ) -> Vec<TopicChange> {
         if blind.hides(self.revision()) {
             said.since = said.revision;
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -45,14 +45,14 @@
 /// within it is not known: who knows a revision within it cannot follow on by
 /// what is told of the changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Blind {
+pub struct SkippedRange {
     /// All was known up to this revision.
     pub from: u64,
     /// And again from this one on.
     pub to: u64,
 }
 
-impl Blind {
+impl SkippedRange {
     /// Whether a revision lies within it.
     pub(super) fn hides(self, revision: u64) -> bool {
         self.from < revision && revision < self.to
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -35,7 +35,7 @@
 pub use cluster::subscriptions::Subscriptions;
 pub use cluster::topic::Rhythm;
 pub use cluster::topic::Topic;
-pub use cluster::update::Blind;
+pub use cluster::update::SkippedRange;
 pub use cluster::update::TopicChange;
 pub use cluster::update::TopicUpdate;
 pub use decisions::access;
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -16,7 +16,7 @@
 use crate::serving::cluster::topic::CALL_MARGIN;
 use crate::serving::cluster::topic::Rhythm;
 use crate::serving::cluster::topic::Topic;
-use crate::serving::cluster::update::Blind;
+use crate::serving::cluster::update::SkippedRange;
 use crate::serving::cluster::update::TopicChange;
 use crate::serving::cluster::update::TopicUpdate;
 use crate::serving::peers::compression::unpack;
@@ -298,7 +298,7 @@
             };
             let feed = b.feeds.get(topic);
             let before = feed.has_gap();
-            let blind = Blind {
+            let blind = SkippedRange {
                 from: news.blind_from,
                 to: news.blind_to,
             };
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -15,11 +15,11 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 
-use banyangauge::serving::Blind;
 use banyangauge::serving::Feed;
 use banyangauge::serving::Item;
 use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
+use banyangauge::serving::SkippedRange;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
@@ -194,7 +194,7 @@
         }
     }
 
-    fn hear(&mut self, now: Moment, said: TopicUpdate, blind: Option<Blind>) {
+    fn hear(&mut self, now: Moment, said: TopicUpdate, blind: Option<SkippedRange>) {
         let changes = match blind {
             None => self.feed.hear(now, said),
             Some(blind) => self.feed.hear_over(now, said, blind),
@@ -214,7 +214,7 @@
     store: Store,
     vms: Vec<Vm>,
     /// What is under way between VMs.
-    said: Vec<(usize, TopicUpdate, Option<Blind>)>,
+    said: Vec<(usize, TopicUpdate, Option<SkippedRange>)>,
     now: Moment,
 }
 
