--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -30,7 +30,7 @@
 
 /// What to do next about a topic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum FeedAction {
     /// Nothing before this moment.
     Wait(Moment),
     /// Read all of it.
@@ -127,26 +127,26 @@
 
     /// What the VM at place `rank` in the order of asking does next; `None`
     /// where each VM asks for itself.
-    pub fn next(&self, now: Moment, rank: Option<u64>) -> Next {
+    pub fn next(&self, now: Moment, rank: Option<u64>) -> FeedAction {
         if let Some(retry) = self.retry.filter(|at| *at > now) {
-            return Next::Wait(retry);
+            return FeedAction::Wait(retry);
         }
         let Some(known) = self.known.filter(|_| !self.expired) else {
-            return Next::List;
+            return FeedAction::List;
         };
         let Some(rank) = rank else {
-            return Next::Watch(self.rhythm.alone());
+            return FeedAction::Watch(self.rhythm.alone());
         };
         if rank == 0 {
-            return Next::Watch(self.rhythm.wait());
+            return FeedAction::Watch(self.rhythm.wait());
         }
         let spread = self.rhythm.spread(rank);
         let gap = self.gap.map(|at| at.after(Span(spread.0 / 2)));
         let due = known.as_of.after(self.rhythm.limit(rank));
         let due = gap.map_or(due, |gap| gap.min(due));
         match due <= now {
-            true => Next::Watch(Duration::ZERO),
-            false => Next::Wait(due),
+            true => FeedAction::Watch(Duration::ZERO),
+            false => FeedAction::Wait(due),
         }
     }
 
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -20,8 +20,8 @@
 mod store;
 
 pub use cluster::feed::Feed;
+pub use cluster::feed::FeedAction;
 pub use cluster::feed::Feeds;
-pub use cluster::feed::Next;
 pub use cluster::members::Members;
 pub use cluster::members::Stamp;
 pub use cluster::owner_table::Owner;
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -11,7 +11,7 @@
 use crate::platform::PlatformError;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::feed::Next;
+use crate::serving::cluster::feed::FeedAction;
 use crate::serving::cluster::state::NodeState;
 use crate::serving::cluster::topic::CALL_MARGIN;
 use crate::serving::cluster::topic::Rhythm;
@@ -120,19 +120,19 @@
             let rank = b.asking_rank(at, &node.settings, topic);
             let proof = topic == Topic::Config && b.proof_due(at, rank);
             match b.feeds.get(topic).next(at, rank) {
-                Next::Wait(_) if proof => (Next::List, rank),
+                FeedAction::Wait(_) if proof => (FeedAction::List, rank),
                 next => (next, rank),
             }
         };
         let outcome = match next {
-            Next::Wait(until) => {
+            FeedAction::Wait(until) => {
                 let until = until.min(at.after(LOOK));
                 let asked = tokio::time::timeout_at(instant(until), node.asks.notified());
                 asked.await.ok();
                 continue;
             }
-            Next::List => list_all(&node, topic).await.map(|()| false),
-            Next::Watch(wait) => watch(&node, topic, rank, wait).await,
+            FeedAction::List => list_all(&node, topic).await.map(|()| false),
+            FeedAction::Watch(wait) => watch(&node, topic, rank, wait).await,
         };
         match outcome {
             Ok(true) => {
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -5,8 +5,8 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Feed;
+use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
@@ -117,7 +117,7 @@
                 if vm.quiet_until > ms {
                     continue;
                 }
-                if let Next::Watch(wait) = vm.feed.next(at(ms), rank) {
+                if let FeedAction::Watch(wait) = vm.feed.next(at(ms), rank) {
                     vm.asked = Some((ms, wait.as_millis() as u64));
                     self.calls += 1;
                 }
@@ -244,7 +244,10 @@
     assert!(other.hear(at(5_000), late).is_empty());
     assert_eq!(other.revision(), 1);
     assert!(other.has_gap());
-    assert_eq!(other.next(at(6_000), Some(9)), Next::Watch(Duration::ZERO));
+    assert_eq!(
+        other.next(at(6_000), Some(9)),
+        FeedAction::Watch(Duration::ZERO)
+    );
 }
 
 /// What does not fit a datagram is not told, and is seen to be missing.
@@ -304,7 +307,7 @@
 fn forgotten_history_is_made_good() {
     let mut feed = listed(0, 1, &["a", "b"]);
     feed.expired();
-    assert_eq!(feed.next(at(100), Some(9)), Next::List);
+    assert_eq!(feed.next(at(100), Some(9)), FeedAction::List);
     let items = [item("b", 1), item("c", 7)];
     let changes = feed.listed(at(200), at(150), 9, &items);
     let seen: Vec<_> = changes
--- a/lib/tests/test_serving_feed_outage.rs
+++ b/lib/tests/test_serving_feed_outage.rs
@@ -5,8 +5,8 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Feed;
+use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
@@ -55,7 +55,7 @@
 /// When the next question goes out, looked at from a moment on.
 fn asks(feed: &Feed, from: Moment, rank: Option<u64>) -> Moment {
     let mut now = from;
-    while let Next::Wait(until) = feed.next(now, rank) {
+    while let FeedAction::Wait(until) = feed.next(now, rank) {
         now = until;
     }
     now
@@ -134,7 +134,7 @@
 #[test]
 fn silent_question_ends_within_its_bound() {
     let feed = listed();
-    let Next::Watch(wait) = feed.next(at(100), None) else {
+    let FeedAction::Watch(wait) = feed.next(at(100), None) else {
         panic!("it asks");
     };
     let wait = Span(wait.as_micros() as u64);
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -16,8 +16,8 @@
 use banyangauge::pool::Span;
 
 use banyangauge::serving::Feed;
+use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Next;
 use banyangauge::serving::Rhythm;
 use banyangauge::serving::SkippedRange;
 use banyangauge::serving::TopicChange;
@@ -255,7 +255,7 @@
         vm.question = Some(Question {
             asked: self.now,
             since: vm.feed.revision(),
-            list: vm.feed.next(self.now, None) == Next::List,
+            list: vm.feed.next(self.now, None) == FeedAction::List,
             answer: None,
         });
     }
