--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -7,7 +7,7 @@
 
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::topic::Rhythm;
+use crate::serving::cluster::topic::PollPolicy;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::cluster::update::SkippedRange;
 use crate::serving::cluster::update::TopicChange;
@@ -55,7 +55,7 @@
 /// off VM keeps a change from another. The store stays the only truth.
 #[derive(Debug)]
 pub struct Feed {
-    rhythm: Rhythm,
+    rhythm: PollPolicy,
     known: Option<Known>,
     /// The objects that are there.
     names: BTreeSet<String>,
@@ -82,7 +82,7 @@
 
 impl Feed {
     /// Nothing is known yet.
-    pub fn new(rhythm: Rhythm) -> Self {
+    pub fn new(rhythm: PollPolicy) -> Self {
         Self {
             rhythm,
             known: None,
@@ -422,7 +422,7 @@
 
 impl Feeds {
     /// Nothing is known yet of any.
-    pub fn new(rhythm: impl Fn(Topic) -> Rhythm) -> Self {
+    pub fn new(rhythm: impl Fn(Topic) -> PollPolicy) -> Self {
         let feed = |topic| Feed::new(rhythm(topic));
         Self {
             config: feed(Topic::Config),
--- a/lib/src/serving/cluster/topic.rs
+++ b/lib/src/serving/cluster/topic.rs
@@ -34,7 +34,7 @@
 
 /// How a topic is asked about.
 #[derive(Clone, Copy, Debug)]
-pub struct Rhythm {
+pub struct PollPolicy {
     /// Within how long a change is to be known everywhere.
     pub bound: Span,
     /// The longest that a question of a VM that asks for itself alone waits for
@@ -93,7 +93,7 @@
 /// knows a change within its bound.
 const OTHERS_PART: f64 = 0.3;
 
-impl Rhythm {
+impl PollPolicy {
     /// How long a question of the VM that asks for all waits for a change.
     pub(super) fn wait(&self) -> Duration {
         Duration::from_micros(self.part(WAIT_PART).0)
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -33,7 +33,7 @@
 pub use cluster::recency::Witnesses;
 pub use cluster::recency::reader;
 pub use cluster::subscriptions::Subscriptions;
-pub use cluster::topic::Rhythm;
+pub use cluster::topic::PollPolicy;
 pub use cluster::topic::Topic;
 pub use cluster::update::SkippedRange;
 pub use cluster::update::TopicChange;
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -14,7 +14,7 @@
 use crate::serving::cluster::feed::FeedAction;
 use crate::serving::cluster::state::NodeState;
 use crate::serving::cluster::topic::CALL_MARGIN;
-use crate::serving::cluster::topic::Rhythm;
+use crate::serving::cluster::topic::PollPolicy;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::cluster::update::SkippedRange;
 use crate::serving::cluster::update::TopicChange;
@@ -53,10 +53,10 @@
 const WITNESSED: Span = Span::from_millis(4_000);
 
 /// How a topic is asked about.
-pub(in crate::serving) fn rhythm(settings: &ServeSettings, topic: Topic) -> Rhythm {
+pub(in crate::serving) fn rhythm(settings: &ServeSettings, topic: Topic) -> PollPolicy {
     let millis = Duration::from_millis;
     match topic {
-        Topic::Config => Rhythm {
+        Topic::Config => PollPolicy {
             bound: span(settings.apply),
             lone_wait: millis(4_500),
             // Less than versions may take to be in force, and more than the
@@ -65,14 +65,14 @@
             pause: millis(150),
             removes: false,
         },
-        Topic::Replicas => Rhythm {
+        Topic::Replicas => PollPolicy {
             bound: span(settings.drain),
             lone_wait: millis(4_000),
             lone_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
             pause: millis(400),
             removes: true,
         },
-        Topic::Versions => Rhythm {
+        Topic::Versions => PollPolicy {
             bound: span(settings.renew.mul_f64(VERSION_PART)),
             lone_wait: millis(8_000),
             // They come by the dozen.
@@ -80,7 +80,7 @@
             pause: millis(250),
             removes: false,
         },
-        Topic::Own => Rhythm {
+        Topic::Own => PollPolicy {
             bound: OWN_BOUND,
             lone_wait: millis(15_000),
             lone_pause: millis(600),
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -7,7 +7,7 @@
 use banyangauge::serving::Feed;
 use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Rhythm;
+use banyangauge::serving::PollPolicy;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
@@ -18,8 +18,8 @@
 /// The pause between two beacons of a VM.
 const BEAT: u64 = 400;
 
-fn rhythm() -> Rhythm {
-    Rhythm {
+fn rhythm() -> PollPolicy {
+    PollPolicy {
         bound: Span::from_millis(BOUND),
         lone_wait: Duration::from_millis(4_500),
         lone_pause: Duration::from_millis(250),
--- a/lib/tests/test_serving_feed_late.rs
+++ b/lib/tests/test_serving_feed_late.rs
@@ -14,7 +14,7 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::Feed;
 use banyangauge::serving::Item;
-use banyangauge::serving::Rhythm;
+use banyangauge::serving::PollPolicy;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
 
@@ -30,7 +30,7 @@
 }
 
 fn listed(removes: bool, revision: u64, names: &[&str]) -> Feed {
-    let mut feed = Feed::new(Rhythm {
+    let mut feed = Feed::new(PollPolicy {
         bound: Span::from_millis(4_000),
         lone_wait: Duration::from_millis(4_500),
         lone_pause: Duration::from_millis(250),
--- a/lib/tests/test_serving_feed_outage.rs
+++ b/lib/tests/test_serving_feed_outage.rs
@@ -7,7 +7,7 @@
 use banyangauge::serving::Feed;
 use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Rhythm;
+use banyangauge::serving::PollPolicy;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
@@ -30,7 +30,7 @@
 }
 
 fn listed() -> Feed {
-    let mut feed = Feed::new(Rhythm {
+    let mut feed = Feed::new(PollPolicy {
         bound: BOUND,
         lone_wait: Duration::from_millis(4_500),
         lone_pause: Duration::from_millis(250),
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -18,7 +18,7 @@
 use banyangauge::serving::Feed;
 use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Rhythm;
+use banyangauge::serving::PollPolicy;
 use banyangauge::serving::SkippedRange;
 use banyangauge::serving::TopicChange;
 use banyangauge::serving::TopicUpdate;
@@ -144,7 +144,7 @@
 
 impl Vm {
     fn new() -> Self {
-        let feed = Feed::new(Rhythm {
+        let feed = Feed::new(PollPolicy {
             bound: Span::from_millis(3_000),
             lone_wait: Duration::from_millis(4_500),
             lone_pause: Duration::from_millis(250),
