--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -31,7 +31,7 @@
 
 /// All owners, as kept in the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Table {
+pub struct OwnerTable {
     /// The highest token that was given; it only rises.
     pub term: Token,
     /// The owners.
@@ -45,7 +45,7 @@
     pub gone: BTreeMap<ReplicaName, Owner>,
 }
 
-impl Table {
+impl OwnerTable {
     /// How many replicas have another owner than in an older table.
     pub fn moved(&self, old: &Self) -> usize {
         let same = |name, owner: &Owner| old.owners.get(name).is_some_and(|o| o.vm == owner.vm);
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -8,7 +8,7 @@
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::owner_table::Table;
+use crate::serving::cluster::owner_table::OwnerTable;
 
 /// How much later each further VM proposes a change than the one before it by
 /// name: a proposal is in force everywhere within about a second.
@@ -78,7 +78,7 @@
     lease: Span,
     fenced: bool,
     /// The table and its revision in the store.
-    pub table: Table,
+    pub table: OwnerTable,
     /// The revision; 0 while there is no table.
     pub revision: u64,
     terms: BTreeMap<ReplicaName, Term>,
@@ -105,7 +105,7 @@
             vm,
             lease,
             fenced,
-            table: Table::default(),
+            table: OwnerTable::default(),
             revision: 0,
             terms: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// Takes the table as the store has it; older revisions are dropped.
-    pub fn take(&mut self, now: Moment, table: Table, revision: u64) -> bool {
+    pub fn take(&mut self, now: Moment, table: OwnerTable, revision: u64) -> bool {
         if revision <= self.revision {
             return false;
         }
@@ -314,7 +314,7 @@
         now: Moment,
         live: &BTreeSet<VmName>,
         replicas: &BTreeSet<ReplicaName>,
-    ) -> Option<Table> {
+    ) -> Option<OwnerTable> {
         let Some(table) = self.repaired(now, live, replicas) else {
             self.due = None;
             return self.settled(now);
@@ -331,7 +331,7 @@
         now: Moment,
         live: &BTreeSet<VmName>,
         replicas: &BTreeSet<ReplicaName>,
-    ) -> Option<Table> {
+    ) -> Option<OwnerTable> {
         if self.fenced {
             return self.table.repaired(live, &BTreeSet::new(), replicas);
         }
@@ -349,7 +349,7 @@
     }
 
     /// The table with the waits of our replicas that are over.
-    fn settled(&self, now: Moment) -> Option<Table> {
+    fn settled(&self, now: Moment) -> Option<OwnerTable> {
         let mut table = self.table.clone();
         let over = |name: &ReplicaName| self.terms.get(name).is_some_and(|t| t.from <= now);
         for (name, owner) in &mut table.owners {
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -14,7 +14,7 @@
 use crate::pool::Moment;
 use crate::serving::cluster::feed::Feeds;
 use crate::serving::cluster::members::Members;
-use crate::serving::cluster::owner_table::Table;
+use crate::serving::cluster::owner_table::OwnerTable;
 use crate::serving::cluster::ownership::Ownership;
 use crate::serving::cluster::recency::Recency;
 use crate::serving::cluster::recency::Witnesses;
@@ -270,7 +270,7 @@
     pub(in crate::serving) fn take_owners(
         &mut self,
         now: Moment,
-        table: Table,
+        table: OwnerTable,
         revision: u64,
     ) -> bool {
         let old = self.ownership.table.owners.clone();
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -25,7 +25,7 @@
 pub use cluster::members::Members;
 pub use cluster::members::Stamp;
 pub use cluster::owner_table::Owner;
-pub use cluster::owner_table::Table;
+pub use cluster::owner_table::OwnerTable;
 pub use cluster::ownership::HOLD;
 pub use cluster::ownership::Ownership;
 pub use cluster::recency::Recency;
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -8,7 +8,7 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::ids::ZoneName;
-use crate::serving::cluster::owner_table::Table;
+use crate::serving::cluster::owner_table::OwnerTable;
 use crate::serving::cluster::update::TopicChange;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Listing;
@@ -194,7 +194,7 @@
         slog::error!(node.log, "bad entry"; "name" => &item.name, "error" => %e);
     };
     if item.name == OWNERS {
-        match serde_json::from_str::<Table>(item.spec.get()) {
+        match serde_json::from_str::<OwnerTable>(item.spec.get()) {
             Ok(table) => {
                 let term = table.term.0;
                 if node.state().take_owners(now(), table, item.revision) {
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -10,9 +10,9 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Members;
+use banyangauge::serving::OwnerTable;
 use banyangauge::serving::Ownership;
 use banyangauge::serving::Stamp;
-use banyangauge::serving::Table;
 use rstest::rstest;
 
 const LEASE: Span = Span::from_millis(3_000);
@@ -71,12 +71,12 @@
     ail: Ail,
     woke: u64,
     /// Answers of the store under way: when they come, what they hold.
-    answers: Vec<(u64, Moment, Table, u64)>,
+    answers: Vec<(u64, Moment, OwnerTable, u64)>,
 }
 
 struct World {
     vms: Vec<Vm>,
-    table: Table,
+    table: OwnerTable,
     revision: u64,
     replica: ReplicaName,
     guards: Guards,
@@ -111,9 +111,9 @@
         let first = BTreeSet::from([name(0)]);
         Self {
             vms: vms.collect(),
-            table: Table {
+            table: OwnerTable {
                 members: (0..guards.members).map(name).collect(),
-                ..Table::default()
+                ..OwnerTable::default()
                     .repaired(&first, &BTreeSet::new(), &all)
                     .unwrap()
             },
@@ -156,7 +156,7 @@
             .into_iter()
             .partition(|(when, ..)| *when <= ms);
         vm.answers = later;
-        let due: Vec<(u64, Moment, Table, u64)> = due;
+        let due: Vec<(u64, Moment, OwnerTable, u64)> = due;
         for (_, asked, table, revision) in due {
             vm.own.take(at(ms), table, revision);
             vm.own.confirm(asked);
@@ -355,7 +355,7 @@
     let all = BTreeSet::from(["i-1".parse::<ReplicaName>().unwrap()]);
     let none = BTreeSet::new();
     let (a, b): (VmName, VmName) = ("a".parse().unwrap(), "b".parse().unwrap());
-    let table = Table::default().repaired(&[a.clone()].into(), &none, &all);
+    let table = OwnerTable::default().repaired(&[a.clone()].into(), &none, &all);
     let table = table
         .unwrap()
         .repaired(&[b.clone()].into(), &none, &all)
@@ -387,8 +387,8 @@
     let all = BTreeSet::from(["i-1".parse::<ReplicaName>().unwrap()]);
     let none = BTreeSet::new();
     let (a, b): (VmName, VmName) = ("a".parse().unwrap(), "b".parse().unwrap());
-    let table = Table::default().repaired(&[a.clone()].into(), &none, &all);
-    let first = Table {
+    let table = OwnerTable::default().repaired(&[a.clone()].into(), &none, &all);
+    let first = OwnerTable {
         members: [a.clone()].into(),
         ..table.unwrap()
     };
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -8,9 +8,9 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Members;
+use banyangauge::serving::OwnerTable;
 use banyangauge::serving::Ownership;
 use banyangauge::serving::Stamp;
-use banyangauge::serving::Table;
 use rstest::rstest;
 
 const LEASE: Span = Span::from_millis(3_000);
@@ -37,7 +37,7 @@
 
 #[test]
 fn table_spreads_and_keeps() {
-    let first = Table::default()
+    let first = OwnerTable::default()
         .repaired(
             &vms(&["a", "b"]),
             &vms(&[]),
@@ -80,7 +80,7 @@
 /// The one before may not have heard of its loss yet.
 #[test]
 fn new_owner_waits_out_the_lease() {
-    let first = Table::default()
+    let first = OwnerTable::default()
         .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
@@ -103,7 +103,7 @@
 
 #[test]
 fn refused_token_is_used_no_more() {
-    let table = Table::default()
+    let table = OwnerTable::default()
         .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
@@ -117,7 +117,7 @@
 /// A VM that was suspended may have lost what it owned.
 #[test]
 fn suspended_owner_orders_nothing() {
-    let table = Table::default()
+    let table = OwnerTable::default()
         .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
@@ -131,7 +131,7 @@
 
 #[test]
 fn older_table_is_dropped() {
-    let first = Table::default()
+    let first = OwnerTable::default()
         .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
@@ -183,7 +183,7 @@
 /// All VMs restarted at once: those that had waited need not wait again.
 #[test]
 fn restarted_owner_does_not_wait_twice() {
-    let first = Table::default()
+    let first = OwnerTable::default()
         .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
@@ -206,7 +206,7 @@
 #[test]
 fn owners_of_replicas_that_left_are_remembered() {
     let none = vms(&[]);
-    let first = Table::default();
+    let first = OwnerTable::default();
     let first = first.repaired(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
     let first = first.unwrap();
     let left = first.repaired(&vms(&["a", "b"]), &none, &replicas(&["2"]));
@@ -224,7 +224,7 @@
 fn former_owners_add_up() {
     let none = vms(&[]);
     let all = replicas(&["1"]);
-    let table = Table::default().repaired(&vms(&["a"]), &none, &all);
+    let table = OwnerTable::default().repaired(&vms(&["a"]), &none, &all);
     let table = table.unwrap().repaired(&vms(&["b"]), &none, &all);
     let table = table.unwrap().repaired(&vms(&["c"]), &none, &all).unwrap();
     let owner = table.owners.values().next().unwrap();
@@ -235,7 +235,7 @@
 #[test]
 fn unjudged_owner_keeps_and_gets_nothing() {
     let none = vms(&[]);
-    let table = Table::default().repaired(&vms(&["a"]), &none, &replicas(&["1"]));
+    let table = OwnerTable::default().repaired(&vms(&["a"]), &none, &replicas(&["1"]));
     let table = table.unwrap();
     let next = table.repaired(&vms(&["b"]), &vms(&["a"]), &replicas(&["1", "2", "3"]));
     let next = next.unwrap();
