--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -102,7 +102,7 @@
 
 /// What a beacon says of itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Stamp {
+pub struct BeaconStamp {
     /// The incarnation of the sender.
     pub incarnation: Incarnation,
     /// Its number; it rises.
@@ -250,8 +250,8 @@
 
     /// A beacon came; gives whether it is newer than the last one, and whether
     /// the VM was not heard of before.
-    pub fn hear(&mut self, now: Moment, vm: &VmName, stamp: Stamp, stopping: bool) -> bool {
-        let Stamp {
+    pub fn hear(&mut self, now: Moment, vm: &VmName, stamp: BeaconStamp, stopping: bool) -> bool {
+        let BeaconStamp {
             incarnation,
             number,
             sent,
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -15,7 +15,7 @@
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::members::Stamp;
+use crate::serving::cluster::members::BeaconStamp;
 use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::path::charge;
@@ -264,7 +264,7 @@
     let mut b = node.state();
     let kept = b.members.lost_after();
     b.fleet.set_word_kept(kept);
-    let stamp = Stamp {
+    let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
         number: beacon.number,
         sent: Moment(beacon.sent_us),
--- a/lib/tests/test_serving_members.rs
+++ b/lib/tests/test_serving_members.rs
@@ -8,8 +8,8 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
-use banyangauge::serving::Stamp;
 use rstest::rstest;
 
 /// VMs, as the first of them sees them.
@@ -66,8 +66,8 @@
     ([127, 0, 0, 1], 1_024 + vm).into()
 }
 
-fn stamp(number: u64, sent: Moment) -> Stamp {
-    Stamp {
+fn stamp(number: u64, sent: Moment) -> BeaconStamp {
+    BeaconStamp {
         incarnation: Incarnation(7),
         number,
         sent,
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -9,10 +9,10 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
 use banyangauge::serving::OwnerTable;
 use banyangauge::serving::Ownership;
-use banyangauge::serving::Stamp;
 use rstest::rstest;
 
 const LEASE: Span = Span::from_millis(3_000);
@@ -174,7 +174,7 @@
             let heard = self.vms[i].members.last_heard(&self.vms[j].name);
             let after = heard.and_then(|(_, _, h)| self.vms[i].own.confirmed_after(h));
             let to = &mut self.vms[j];
-            let stamp = Stamp {
+            let stamp = BeaconStamp {
                 incarnation: Incarnation(1),
                 number,
                 sent: at(ms),
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -9,8 +9,8 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
-use banyangauge::serving::Stamp;
 use banyangauge::serving::UseLimit;
 use banyangauge::serving::Weight;
 use banyangauge::serving::quota::Allowance;
@@ -313,7 +313,7 @@
 
     fn tell(&mut self, ms: u64, from: usize) {
         let lends = self.vms[from].members.lends(at(ms));
-        let stamp = Stamp {
+        let stamp = BeaconStamp {
             incarnation: Incarnation(self.vms[from].incarnation),
             number: ms + 1,
             sent: at(ms),
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -7,10 +7,10 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
 use banyangauge::serving::OwnerTable;
 use banyangauge::serving::Ownership;
-use banyangauge::serving::Stamp;
 use rstest::rstest;
 
 const LEASE: Span = Span::from_millis(3_000);
@@ -23,8 +23,8 @@
     names.iter().map(|n| n.parse().unwrap()).collect()
 }
 
-fn stamp(incarnation: u64, number: u64) -> Stamp {
-    Stamp {
+fn stamp(incarnation: u64, number: u64) -> BeaconStamp {
+    BeaconStamp {
         incarnation: Incarnation(incarnation),
         number,
         sent: at(0),
