--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -112,11 +112,11 @@
 
 /// What to tell the VMs that were heard, some with each beacon.
 #[derive(Debug, Default)]
-pub struct Witnesses {
+pub struct WitnessQueue {
     next: usize,
 }
 
-impl Witnesses {
+impl WitnessQueue {
     /// Those to tell now. Of each VM that was heard: its incarnation, when its
     /// last beacon was sent by its clock, and when that came.
     pub fn take<'a>(
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -17,7 +17,7 @@
 use crate::serving::cluster::owner_table::OwnerTable;
 use crate::serving::cluster::ownership::Ownership;
 use crate::serving::cluster::recency::Recency;
-use crate::serving::cluster::recency::Witnesses;
+use crate::serving::cluster::recency::WitnessQueue;
 use crate::serving::cluster::subscriptions::Subscriptions;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::decisions::access::Bounds;
@@ -108,7 +108,7 @@
     pub(in crate::serving) key_bounds: Bounds,
     /// When the configuration was surely the newest.
     pub(in crate::serving) recency: Recency,
-    pub(in crate::serving) witnesses: Witnesses,
+    pub(in crate::serving) witnesses: WitnessQueue,
     /// What this VM was lent of organisations' limits.
     pub(in crate::serving) borrower: Borrower,
     /// What it lends of them.
@@ -146,7 +146,7 @@
                 apply: span(settings.apply),
             },
             recency: Recency::default(),
-            witnesses: Witnesses::default(),
+            witnesses: WitnessQueue::default(),
             borrower: Borrower::default(),
             lender: Lender::new(settings.allowance),
         };
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -30,7 +30,7 @@
 pub use cluster::ownership::Ownership;
 pub use cluster::recency::Recency;
 pub use cluster::recency::Witness;
-pub use cluster::recency::Witnesses;
+pub use cluster::recency::WitnessQueue;
 pub use cluster::recency::reader;
 pub use cluster::subscriptions::Subscriptions;
 pub use cluster::topic::PollPolicy;
--- a/lib/tests/test_serving_recency.rs
+++ b/lib/tests/test_serving_recency.rs
@@ -15,7 +15,7 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::Recency;
 use banyangauge::serving::Witness;
-use banyangauge::serving::Witnesses;
+use banyangauge::serving::WitnessQueue;
 use banyangauge::serving::reader;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -93,7 +93,7 @@
     /// 0 while it knows none.
     revision: u64,
     recency: Recency,
-    witnesses: Witnesses,
+    witnesses: WitnessQueue,
     heard: BTreeMap<usize, (Incarnation, Moment, Moment)>,
 }
 
@@ -120,7 +120,7 @@
             uncounted: 0,
             revision: 0,
             recency: Recency::default(),
-            witnesses: Witnesses::default(),
+            witnesses: WitnessQueue::default(),
             heard: BTreeMap::new(),
         };
         let vms = (0..VMS).map(vm).collect();
