--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -21,7 +21,7 @@
 /// How long a VM owns its replicas after the table was known to be the newest.
 /// It is confirmed each 0.6 s by one VM and told with the beacons, each 0.4 s:
 /// two lost beacons in a row leave it in office.
-pub const HOLD: Span = Span::from_millis(2_400);
+pub const OWNERSHIP_TTL: Span = Span::from_millis(2_400);
 
 /// How old the first VM by name lets the confirmation become: with a beat and
 /// one lost beacon on top, the others still learn of it in time.
@@ -69,7 +69,7 @@
 /// Made for VMs that are killed, frozen or cut off while they own replicas. A
 /// replica's orders must come from one VM at a time, with a lease between two.
 /// Where replicas check fences, a VM that lost one is stopped by the replica.
-/// Elsewhere the ownership ends by itself, [`HOLD`] after the store was last
+/// Elsewhere the ownership ends by itself, [`OWNERSHIP_TTL`] after the store was last
 /// known to hold no newer table, and a new owner waits until that is over and
 /// a lease has passed, or until the ones before it say that they know.
 #[derive(Clone, Debug)]
@@ -154,7 +154,7 @@
     fn longest_wait(&self) -> Span {
         match self.fenced {
             true => Span(self.lease.0 + NEWS_LAG.0),
-            false => Span(HOLD.0 + self.lease.0 + ORDER_REACH.0),
+            false => Span(OWNERSHIP_TTL.0 + self.lease.0 + ORDER_REACH.0),
         }
     }
 
@@ -249,7 +249,7 @@
     /// Whether this VM is still in office.
     ///
     /// It is as long as the table is known to be the newest not longer ago
-    /// than [`HOLD`]. While the store is away for all it cannot be changed
+    /// than [`OWNERSHIP_TTL`]. While the store is away for all it cannot be changed
     /// either: the VM then stays as long as each VM that could propose it
     /// hears this one, and so does not take it for lost.
     pub fn holds(&self, now: Moment) -> bool {
@@ -260,7 +260,7 @@
             return false;
         };
         let vouched = self.vouched.unwrap_or(Moment(0));
-        now < confirmed.after(HOLD) || now < vouched.min(confirmed.after(MOST_VOUCHED))
+        now < confirmed.after(OWNERSHIP_TTL) || now < vouched.min(confirmed.after(MOST_VOUCHED))
     }
 
     /// Our replicas that may get orders now, with their tokens.
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -26,7 +26,7 @@
 pub use cluster::members::Members;
 pub use cluster::owner_table::Owner;
 pub use cluster::owner_table::OwnerTable;
-pub use cluster::ownership::HOLD;
+pub use cluster::ownership::OWNERSHIP_TTL;
 pub use cluster::ownership::Ownership;
 pub use cluster::recency::Recency;
 pub use cluster::recency::Witness;
