--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -72,7 +72,7 @@
 
 /// Runs of one adapter at one replica, of this VM's requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub(in crate::serving) struct OwnUse {
+pub(in crate::serving) struct LocalUse {
     pub(in crate::serving) running: u32,
     pub(in crate::serving) begun: u32,
 }
@@ -89,7 +89,7 @@
     pub(in crate::serving) strikes: Strikes,
     pub(in crate::serving) strain: Strain,
     pub(in crate::serving) turns: Turns,
-    pub(in crate::serving) uses: BTreeMap<ReplicaName, BTreeMap<Target, OwnUse>>,
+    pub(in crate::serving) uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted a moment ago.
     pub(in crate::serving) reserved: Reserved,
     /// Leaving replicas that the other VMs are to be told of.
@@ -317,7 +317,10 @@
     }
 
     /// The uses at a replica to tell its owner; what was begun is told once.
-    pub(in crate::serving) fn take_uses(&mut self, name: &ReplicaName) -> BTreeMap<Target, OwnUse> {
+    pub(in crate::serving) fn take_uses(
+        &mut self,
+        name: &ReplicaName,
+    ) -> BTreeMap<Target, LocalUse> {
         let Some(uses) = self.uses.get_mut(name) else {
             return BTreeMap::new();
         };
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -15,8 +15,8 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::pool::Moment;
+use crate::serving::cluster::state::LocalUse;
 use crate::serving::cluster::state::NodeState;
-use crate::serving::cluster::state::OwnUse;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::model::Target;
 use crate::serving::peers::beacons::current;
@@ -145,7 +145,7 @@
     })
 }
 
-fn adapter_uses(uses: &BTreeMap<Target, OwnUse>) -> Vec<wire::AdapterUse> {
+fn adapter_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
     let uses = uses.iter().map(|(t, u)| wire::AdapterUse {
         target: t.to_string(),
         running: u.running,
