--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -25,8 +25,8 @@
 use crate::serving::program::node::now;
 use crate::serving::program::ordering;
 use crate::serving::program::settings::ServeSettings;
-use crate::serving::store::apply::News;
 use crate::serving::store::apply::OWNERS;
+use crate::serving::store::apply::StoreUpdate;
 use crate::serving::store::apply::VM_PREFIX;
 use crate::serving::store::apply::VmEntry;
 use crate::serving::store::apply::take_own;
@@ -233,7 +233,7 @@
             let asked = now();
             match follow::list(&node, node.border.kinds.own, Freshness::Newest).await {
                 Ok((items, _)) => {
-                    take_own(&node, &News::All(&items));
+                    take_own(&node, &StoreUpdate::All(&items));
                     node.state().ownership.confirm(asked);
                     break;
                 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -33,14 +33,14 @@
 }
 
 /// What a follower hears of the store.
-pub(in crate::serving) enum News<'a> {
+pub(in crate::serving) enum StoreUpdate<'a> {
     /// All objects of a topic.
     All(&'a [Item]),
     /// One object changed, or was removed.
     One(&'a TopicChange),
 }
 
-impl News<'_> {
+impl StoreUpdate<'_> {
     /// The objects that are there, as far as this tells.
     fn items(&self) -> &[Item] {
         match self {
@@ -52,7 +52,7 @@
 }
 
 /// Takes a configuration; the operator replaces it and never takes it away.
-pub(in crate::serving) fn take_config(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn take_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
         match (node.border.read_config)(item) {
             Ok(config) => {
@@ -77,7 +77,7 @@
 
 /// Takes entries of replicas; gives whether one says more than which adapters
 /// it holds.
-pub(in crate::serving) fn take_replicas(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn take_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
         let listing = (node.border.read_listing)(item);
@@ -86,7 +86,7 @@
         })
     };
     match news {
-        News::All(items) => {
+        StoreUpdate::All(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas"; "count" => all.len());
             let mut b = node.state();
@@ -94,7 +94,7 @@
             b.listed = true;
             true
         }
-        News::One(told) if told.lapsed => {
+        StoreUpdate::One(told) if told.lapsed => {
             if let Ok(name) = told.item.name.parse::<ReplicaName>() {
                 node.state().fleet.lapse(at, &name);
                 slog::info!(node.log, "replica lapsed"; "replica" => name.as_str(),
@@ -102,11 +102,11 @@
             }
             true
         }
-        News::One(told) if told.removed => {
+        StoreUpdate::One(told) if told.removed => {
             unlist(node, &told.item, "removed");
             true
         }
-        News::One(told) => match read(&told.item) {
+        StoreUpdate::One(told) => match read(&told.item) {
             Ok(listing) => take_replica(node, &told.item, listing),
             // It names no replica to use, whatever it named before.
             Err(()) => {
@@ -156,7 +156,7 @@
 }
 
 /// Takes announced versions.
-pub(in crate::serving) fn take_versions(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn take_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
         match (node.border.read_announced)(item) {
             Ok(a) => {
@@ -173,12 +173,12 @@
 }
 
 /// Takes our own objects: VMs and the owner table.
-pub(in crate::serving) fn take_own(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn take_own(node: &Node, news: &StoreUpdate<'_>) -> bool {
     news.items().iter().for_each(|i| take_own_item(node, i));
-    if matches!(news, News::All(_)) {
+    if matches!(news, StoreUpdate::All(_)) {
         node.state().members.set_listed();
     }
-    if let News::One(told) = news
+    if let StoreUpdate::One(told) = news
         && told.removed
         && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -27,7 +27,7 @@
 use crate::serving::program::node::span;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::apply;
-use crate::serving::store::apply::News;
+use crate::serving::store::apply::StoreUpdate;
 use crate::serving::store::port::Freshness;
 use crate::serving::store::port::Item;
 use crate::serving::store::port::Page;
@@ -102,7 +102,7 @@
 }
 
 /// What news of a topic changes; gives whether others should hear of it.
-fn take(node: &Node, topic: Topic, news: &News<'_>) -> bool {
+fn take(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
     match topic {
         Topic::Config => apply::take_config(node, news),
         Topic::Replicas => apply::take_replicas(node, news),
@@ -198,7 +198,7 @@
         "revision" => revision, "newest" => newest, "first" => first);
     log_regained(node, topic, out, revision);
     if first {
-        take(node, topic, &News::All(&items));
+        take(node, topic, &StoreUpdate::All(&items));
     }
     take_changes(node, topic, changes);
     if freshness == Freshness::Newest {
@@ -267,7 +267,7 @@
         if change.removed && !change.lapsed && topic == Topic::Replicas {
             apply::tell_leaving(node, &change);
         }
-        let news = News::One(&change);
+        let news = StoreUpdate::One(&change);
         if take(node, topic, &news) {
             if !change.removed && topic == Topic::Replicas {
                 apply::tell_leaving(node, &change);
@@ -314,7 +314,7 @@
             changes
         };
         for change in &changes {
-            take(node, topic, &News::One(change));
+            take(node, topic, &StoreUpdate::One(change));
         }
         if topic == Topic::Config {
             take_witnesses(node, &mut node.state(), at, news);
