--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -25,7 +25,7 @@
 use crate::serving::program::node::now;
 use crate::serving::program::ordering;
 use crate::serving::program::settings::ServeSettings;
-use crate::serving::store::apply::OWNERS;
+use crate::serving::store::apply::OWNER_TABLE;
 use crate::serving::store::apply::StoreUpdate;
 use crate::serving::store::apply::VM_PREFIX;
 use crate::serving::store::apply::VmEntry;
@@ -283,8 +283,8 @@
     let kind = node.border.kinds.own;
     let asked = now();
     let call = match revision {
-        0 => (node.store.create)(kind, OWNERS, &spec),
-        _ => (node.store.replace)(kind, OWNERS, revision, &spec),
+        0 => (node.store.create)(kind, OWNER_TABLE, &spec),
+        _ => (node.store.replace)(kind, OWNER_TABLE, revision, &spec),
     };
     match limited(follow::SHORT_CALL, call).await {
         Ok(revision) => {
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -17,7 +17,7 @@
 use crate::serving::store::port::Item;
 
 /// The name of the owner table in the store.
-pub(in crate::serving) const OWNERS: &str = "owners";
+pub(in crate::serving) const OWNER_TABLE: &str = "owners";
 
 /// What the names of VMs' entries begin with.
 pub(in crate::serving) const VM_PREFIX: &str = "vm.";
@@ -193,7 +193,7 @@
     let bad = |e: serde_json::Error| {
         slog::error!(node.log, "bad entry"; "name" => &item.name, "error" => %e);
     };
-    if item.name == OWNERS {
+    if item.name == OWNER_TABLE {
         match serde_json::from_str::<OwnerTable>(item.spec.get()) {
             Ok(table) => {
                 let term = table.term.0;
