--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -17,7 +17,7 @@
 use crate::serving::store::apply::take_own;
 use crate::serving::store::follow;
 use crate::serving::store::follow::limited;
-use crate::serving::store::port::Freshness;
+use crate::serving::store::port::Consistency;
 
 /// How often it is looked whether to ask.
 const LOOK: Duration = Duration::from_millis(100);
@@ -63,7 +63,7 @@
     let kind = node.border.kinds.own;
     let asked = now();
     if *since == 0 {
-        let (items, revision) = follow::list(node, kind, Freshness::Newest).await?;
+        let (items, revision) = follow::list(node, kind, Consistency::Newest).await?;
         take_own(node, &StoreUpdate::All(&items));
         *since = revision;
     } else {
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -33,7 +33,7 @@
 use crate::serving::store::follow;
 use crate::serving::store::follow::follow;
 use crate::serving::store::follow::limited;
-use crate::serving::store::port::Freshness;
+use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Store;
 
 /// How often the owner table is looked through.
@@ -231,7 +231,7 @@
         node.reread.notified().await;
         loop {
             let asked = now();
-            match follow::list(&node, node.border.kinds.own, Freshness::Newest).await {
+            match follow::list(&node, node.border.kinds.own, Consistency::Newest).await {
                 Ok((items, _)) => {
                     take_own(&node, &StoreUpdate::All(&items));
                     node.state().ownership.confirm(asked);
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -28,7 +28,7 @@
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::apply;
 use crate::serving::store::apply::StoreUpdate;
-use crate::serving::store::port::Freshness;
+use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Item;
 use crate::serving::store::port::Page;
 
@@ -183,8 +183,8 @@
     };
     let may_be_old = first && !proves;
     let freshness = match may_be_old {
-        true => Freshness::Recent,
-        false => Freshness::Newest,
+        true => Consistency::Recent,
+        false => Consistency::Newest,
     };
     let (items, revision) = list(node, kind(node, topic), freshness).await?;
     let (out, changes) = {
@@ -201,7 +201,7 @@
         take(node, topic, &StoreUpdate::All(&items));
     }
     take_changes(node, topic, changes);
-    if freshness == Freshness::Newest {
+    if freshness == Consistency::Newest {
         confirm(node, topic, asked);
         if topic == Topic::Config {
             node.state().recency.listed(asked);
@@ -411,7 +411,7 @@
 pub(in crate::serving) async fn list(
     node: &Node,
     kind: &'static str,
-    freshness: Freshness,
+    freshness: Consistency,
 ) -> Result<(Vec<Item>, u64), PlatformError> {
     let mut list = list_page(node, kind, None, freshness).await?;
     while list.more {
@@ -430,7 +430,7 @@
     node: &Node,
     kind: &'static str,
     after: Option<&str>,
-    freshness: Freshness,
+    freshness: Consistency,
 ) -> Result<Page, PlatformError> {
     let page = limited(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
     count_call(kind, page.is_ok());
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -80,7 +80,7 @@
 
 /// How new what is read must be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Freshness {
+pub enum Consistency {
     /// As new as the store.
     Newest,
     /// Seconds old at most, and cheaper: for what is followed on from there.
@@ -88,7 +88,7 @@
 }
 
 /// Reads the objects of a kind after a name.
-pub type List = Box<dyn Fn(&str, Option<&str>, Freshness) -> Pending<Page>>;
+pub type List = Box<dyn Fn(&str, Option<&str>, Consistency) -> Pending<Page>>;
 
 /// Reads the changes of a kind after a revision, waiting for one so long.
 pub type Watch = Box<dyn Fn(&str, u64, Duration) -> Pending<Changes>>;
