--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -63,7 +63,7 @@
     let kind = node.border.kinds.own;
     let asked = now();
     if *since == 0 {
-        let (items, revision) = follow::list(node, kind, Consistency::Newest).await?;
+        let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
         take_own(node, &StoreUpdate::All(&items));
         *since = revision;
     } else {
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -231,7 +231,7 @@
         node.reread.notified().await;
         loop {
             let asked = now();
-            match follow::list(&node, node.border.kinds.own, Consistency::Newest).await {
+            match follow::list(&node, node.border.kinds.own, Consistency::Latest).await {
                 Ok((items, _)) => {
                     take_own(&node, &StoreUpdate::All(&items));
                     node.state().ownership.confirm(asked);
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -184,7 +184,7 @@
     let may_be_old = first && !proves;
     let freshness = match may_be_old {
         true => Consistency::Recent,
-        false => Consistency::Newest,
+        false => Consistency::Latest,
     };
     let (items, revision) = list(node, kind(node, topic), freshness).await?;
     let (out, changes) = {
@@ -201,7 +201,7 @@
         take(node, topic, &StoreUpdate::All(&items));
     }
     take_changes(node, topic, changes);
-    if freshness == Consistency::Newest {
+    if freshness == Consistency::Latest {
         confirm(node, topic, asked);
         if topic == Topic::Config {
             node.state().recency.listed(asked);
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Consistency {
     /// As new as the store.
-    Newest,
+    Latest,
     /// Seconds old at most, and cheaper: for what is followed on from there.
     Recent,
 }
