--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -183,7 +183,7 @@
     };
     let may_be_old = first && !proves;
     let freshness = match may_be_old {
-        true => Consistency::Recent,
+        true => Consistency::BoundedStale,
         false => Consistency::Latest,
     };
     let (items, revision) = list(node, kind(node, topic), freshness).await?;
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -84,7 +84,7 @@
     /// As new as the store.
     Latest,
     /// Seconds old at most, and cheaper: for what is followed on from there.
-    Recent,
+    BoundedStale,
 }
 
 /// Reads the objects of a kind after a name.
