--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -106,7 +106,7 @@
 }
 
 /// What stands for a VM and its incarnation in a [`Witness`].
-pub fn reader(vm: &VmName, incarnation: Incarnation) -> u64 {
+pub fn reader_id(vm: &VmName, incarnation: Incarnation) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), incarnation.0)
 }
 
@@ -127,7 +127,7 @@
         let all: Vec<_> = heard
             .filter_map(|(vm, incarnation, sent, at)| {
                 Some(Witness {
-                    reader: reader(vm, incarnation),
+                    reader: reader_id(vm, incarnation),
                     sent,
                     after: recency.after(at)?,
                 })
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -31,7 +31,7 @@
 pub use cluster::recency::Recency;
 pub use cluster::recency::Witness;
 pub use cluster::recency::WitnessQueue;
-pub use cluster::recency::reader;
+pub use cluster::recency::reader_id;
 pub use cluster::subscriptions::Subscriptions;
 pub use cluster::topic::PollPolicy;
 pub use cluster::topic::Topic;
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -17,7 +17,7 @@
 use crate::ids::Incarnation;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::cluster::recency::reader;
+use crate::serving::cluster::recency::reader_id;
 use crate::serving::cluster::state::NodeState;
 use crate::serving::path::border::Border;
 use crate::serving::program::settings::ServeSettings;
@@ -135,7 +135,7 @@
         // A restarted process must be told from the one before it; the clock
         // since the VM's start differs at each.
         let incarnation = Incarnation(now.0);
-        let reader = reader(&settings.vm, incarnation);
+        let reader = reader_id(&settings.vm, incarnation);
         Self {
             settings,
             border,
--- a/lib/tests/test_serving_recency.rs
+++ b/lib/tests/test_serving_recency.rs
@@ -16,7 +16,7 @@
 use banyangauge::serving::Recency;
 use banyangauge::serving::Witness;
 use banyangauge::serving::WitnessQueue;
-use banyangauge::serving::reader;
+use banyangauge::serving::reader_id;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -319,11 +319,11 @@
                     }
                     return;
                 }
-                let own = reader(&me.name, Incarnation(me.incarnation));
+                let own = reader_id(&me.name, Incarnation(me.incarnation));
                 let mine = |w: &Witness| {
                     let any = guard == Guard::SameIncarnation;
                     let all = 1..=me.incarnation;
-                    let former = |i| reader(&me.name, Incarnation(i)) == w.reader;
+                    let former = |i| reader_id(&me.name, Incarnation(i)) == w.reader;
                     w.sent <= now && (w.reader == own || any && all.clone().any(former))
                 };
                 for w in witnesses.iter().filter(|w| mine(w)) {
