--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -12,7 +12,7 @@
 use crate::serving::cluster::update::SkippedRange;
 use crate::serving::cluster::update::TopicChange;
 use crate::serving::cluster::update::TopicUpdate;
-use crate::serving::peers::compression::pack;
+use crate::serving::peers::compression::compress;
 use crate::serving::store::port::Item;
 
 /// How long a change is told: three beacons.
@@ -306,7 +306,7 @@
     /// A change is worth telling the other VMs.
     pub fn keep(&mut self, now: Moment, mut change: TopicChange) {
         if change.packed.is_empty() {
-            change.packed = pack(change.item.spec.get());
+            change.packed = compress(change.item.spec.get());
         }
         let until = now.after(TOLD_FOR);
         self.recent
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -66,7 +66,7 @@
 pub use path::model::*;
 pub use path::routes::Routes;
 pub use path::routes::pick_service;
-pub use peers::compression::pack;
+pub use peers::compression::compress;
 pub use peers::compression::unpack;
 pub use program::experiment::BadExperiment;
 pub use program::experiment::Experiment;
--- a/lib/src/serving/peers/compression.rs
+++ b/lib/src/serving/peers/compression.rs
@@ -18,12 +18,12 @@
 /// 1,589.
 ///
 /// ```
-/// use banyangauge::serving::{pack, unpack};
+/// use banyangauge::serving::{compress, unpack};
 /// let text = "{}".repeat(500);
-/// assert!(pack(&text).len() < 50);
-/// assert_eq!(unpack(&pack(&text)), Some(text));
+/// assert!(compress(&text).len() < 50);
+/// assert_eq!(unpack(&compress(&text)), Some(text));
 /// ```
-pub fn pack(text: &str) -> Vec<u8> {
+pub fn compress(text: &str) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
     // Writing to memory does not fail; if it did, nothing could be unpacked
     // and its receiver would ask the store.
