--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -67,7 +67,7 @@
 pub use path::routes::Routes;
 pub use path::routes::pick_service;
 pub use peers::compression::compress;
-pub use peers::compression::unpack;
+pub use peers::compression::decompress;
 pub use program::experiment::BadExperiment;
 pub use program::experiment::Experiment;
 pub use program::experiment::Mechanism;
--- a/lib/src/serving/peers/compression.rs
+++ b/lib/src/serving/peers/compression.rs
@@ -18,10 +18,10 @@
 /// 1,589.
 ///
 /// ```
-/// use banyangauge::serving::{compress, unpack};
+/// use banyangauge::serving::{compress, decompress};
 /// let text = "{}".repeat(500);
 /// assert!(compress(&text).len() < 50);
-/// assert_eq!(unpack(&compress(&text)), Some(text));
+/// assert_eq!(decompress(&compress(&text)), Some(text));
 /// ```
 pub fn compress(text: &str) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
@@ -32,7 +32,7 @@
 }
 
 /// Unpacks a text; `None` if that is none, or too long.
-pub fn unpack(bytes: &[u8]) -> Option<String> {
+pub fn decompress(bytes: &[u8]) -> Option<String> {
     let mut text = String::new();
     let mut decoder = DeflateDecoder::new(bytes).take(MOST_BYTES + 1);
     let length = decoder.read_to_string(&mut text).ok()?;
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -19,7 +19,7 @@
 use crate::serving::cluster::update::SkippedRange;
 use crate::serving::cluster::update::TopicChange;
 use crate::serving::cluster::update::TopicUpdate;
-use crate::serving::peers::compression::unpack;
+use crate::serving::peers::compression::decompress;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::instant;
@@ -326,7 +326,7 @@
 }
 
 fn read_change(change: &wire::StoreChange) -> Option<TopicChange> {
-    let spec = RawValue::from_string(unpack(&change.spec)?).ok()?;
+    let spec = RawValue::from_string(decompress(&change.spec)?).ok()?;
     Some(TopicChange {
         item: Item {
             name: change.name.clone(),
