--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -16,7 +16,7 @@
 use crate::serving::store::apply::StoreUpdate;
 use crate::serving::store::apply::take_own;
 use crate::serving::store::follow;
-use crate::serving::store::follow::limited;
+use crate::serving::store::follow::with_timeout;
 use crate::serving::store::port::Consistency;
 
 /// How often it is looked whether to ask.
@@ -68,7 +68,7 @@
         *since = revision;
     } else {
         let call = (node.store.changes)(kind, *since, NO_WAIT);
-        let answer = limited(follow::SHORT_CALL, call).await;
+        let answer = with_timeout(follow::SHORT_CALL, call).await;
         follow::count_call(kind, answer.is_ok());
         if answer.is_err() {
             *since = 0;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -32,7 +32,7 @@
 use crate::serving::store::apply::take_own;
 use crate::serving::store::follow;
 use crate::serving::store::follow::follow;
-use crate::serving::store::follow::limited;
+use crate::serving::store::follow::with_timeout;
 use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Store;
 
@@ -136,7 +136,7 @@
             tokio::time::sleep(END_POLL).await;
         }
         let name = vm_name(node);
-        let removed = limited(
+        let removed = with_timeout(
             END_TIME / 2,
             (node.store.delete)(node.border.kinds.own, &name),
         );
@@ -216,7 +216,7 @@
     let name = vm_name(&node);
     loop {
         let call = (node.store.create)(node.border.kinds.own, &name, &spec);
-        match limited(follow::SHORT_CALL, call).await {
+        match with_timeout(follow::SHORT_CALL, call).await {
             // An earlier start wrote the same.
             Ok(_) | Err(PlatformError::Conflict) => return,
             Err(e) => slog::warn!(node.log, "entry not written"; "error" => %e),
@@ -286,7 +286,7 @@
         0 => (node.store.create)(kind, OWNER_TABLE, &spec),
         _ => (node.store.replace)(kind, OWNER_TABLE, revision, &spec),
     };
-    match limited(follow::SHORT_CALL, call).await {
+    match with_timeout(follow::SHORT_CALL, call).await {
         Ok(revision) => {
             let term = table.term.0;
             let mut b = node.state();
@@ -312,7 +312,7 @@
     };
     for vm in gone {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
-        if let Err(e) = limited(follow::SHORT_CALL, call).await {
+        if let Err(e) = with_timeout(follow::SHORT_CALL, call).await {
             slog::info!(node.log, "entry not removed"; "vm" => vm.as_str(), "error" => %e);
         }
     }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -233,7 +233,7 @@
     // The store waits a whole number of milliseconds, and at least one.
     let wait = Duration::from_millis(wait.as_millis().max(1) as u64);
     let call = (node.store.changes)(kind, revision, wait);
-    let answer = limited(wait + CALL_MARGIN, call).await;
+    let answer = with_timeout(wait + CALL_MARGIN, call).await;
     count_call(kind, answer.is_ok());
     let answer = answer?;
     log_unread(node, kind, answer.unread);
@@ -432,7 +432,7 @@
     after: Option<&str>,
     freshness: Consistency,
 ) -> Result<Page, PlatformError> {
-    let page = limited(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
+    let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
     count_call(kind, page.is_ok());
     let page = page?;
     log_unread(node, kind, page.unread);
@@ -452,7 +452,7 @@
 }
 
 /// A call with a time limit; what it did is not known after it.
-pub(in crate::serving) async fn limited<T>(
+pub(in crate::serving) async fn with_timeout<T>(
     time: Duration,
     call: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
