--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -68,7 +68,7 @@
         *since = revision;
     } else {
         let call = (node.store.changes)(kind, *since, NO_WAIT);
-        let answer = with_timeout(follow::SHORT_CALL, call).await;
+        let answer = with_timeout(follow::CALL_TIMEOUT, call).await;
         follow::count_call(kind, answer.is_ok());
         if answer.is_err() {
             *since = 0;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -216,7 +216,7 @@
     let name = vm_name(&node);
     loop {
         let call = (node.store.create)(node.border.kinds.own, &name, &spec);
-        match with_timeout(follow::SHORT_CALL, call).await {
+        match with_timeout(follow::CALL_TIMEOUT, call).await {
             // An earlier start wrote the same.
             Ok(_) | Err(PlatformError::Conflict) => return,
             Err(e) => slog::warn!(node.log, "entry not written"; "error" => %e),
@@ -286,7 +286,7 @@
         0 => (node.store.create)(kind, OWNER_TABLE, &spec),
         _ => (node.store.replace)(kind, OWNER_TABLE, revision, &spec),
     };
-    match with_timeout(follow::SHORT_CALL, call).await {
+    match with_timeout(follow::CALL_TIMEOUT, call).await {
         Ok(revision) => {
             let term = table.term.0;
             let mut b = node.state();
@@ -312,7 +312,7 @@
     };
     for vm in gone {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
-        if let Err(e) = with_timeout(follow::SHORT_CALL, call).await {
+        if let Err(e) = with_timeout(follow::CALL_TIMEOUT, call).await {
             slog::info!(node.log, "entry not removed"; "vm" => vm.as_str(), "error" => %e);
         }
     }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -461,7 +461,7 @@
 }
 
 /// The time limit of a short call.
-pub(in crate::serving) const SHORT_CALL: Duration = CALL_MARGIN;
+pub(in crate::serving) const CALL_TIMEOUT: Duration = CALL_MARGIN;
 
 /// Drops replicas that did not come back after an outage.
 pub(in crate::serving) fn drop_lapsed(node: &Node) {
