--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -13,12 +13,12 @@
 //! different rates (200 parts per million over 3 s are 0.6 ms) and for the
 //! time from the check to the send of an order.
 
-mod contest;
+mod elector;
 mod rank;
 mod record;
 mod types;
 
-pub use contest::Contest;
+pub use elector::Contest;
 pub use rank::rank;
 pub use record::Candidate;
 pub use record::Record;
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -17,7 +17,7 @@
 mod test_entry_life;
 mod test_entry_path;
 mod test_ids;
-mod test_lease_contest;
+mod test_lease_elector;
 mod test_link_tls;
 mod test_members_table;
 mod test_operator_story;
