--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -13,7 +13,7 @@
 use crate::control::members;
 use crate::ids::PoolName;
 use crate::lease::Candidate;
-use crate::lease::Contest;
+use crate::lease::Elector;
 use crate::lease::Record;
 use crate::lease::Step;
 use crate::lease::Tenure;
@@ -55,7 +55,7 @@
     shared: Shared,
     local: Arc<Local>,
     events: mpsc::Sender<Event>,
-    contests: BTreeMap<PoolName, Contest>,
+    contests: BTreeMap<PoolName, Elector>,
     watching: bool,
 }
 
@@ -169,7 +169,7 @@
                     address: self.shared.address,
                     incarnation: self.shared.incarnation,
                 };
-                Contest::new(me, self.local.settings.times())
+                Elector::new(me, self.local.settings.times())
             });
         }
     }
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -27,7 +27,7 @@
 
 /// One process's view of one lease.
 #[derive(Clone, Debug)]
-pub struct Contest {
+pub struct Elector {
     me: Candidate,
     times: Times,
     known: bool,
@@ -46,7 +46,7 @@
     resigned: Option<Token>,
 }
 
-impl Contest {
+impl Elector {
     /// A contest of which nothing is known yet.
     pub fn new(me: Candidate, times: Times) -> Self {
         Self {
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -1,6 +1,6 @@
 //! Ownership by lease: the arithmetic, apart from input and output.
 //!
-//! A [`Contest`] is one control process's view of one lease object. It is fed
+//! A [`Elector`] is one control process's view of one lease object. It is fed
 //! with what the platform said and asked what to do next; time is an argument
 //! and is read from a clock that also runs while the machine is suspended.
 //!
@@ -18,7 +18,7 @@
 mod record;
 mod types;
 
-pub use elector::Contest;
+pub use elector::Elector;
 pub use rank::rank;
 pub use record::Candidate;
 pub use record::Record;
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -78,11 +78,11 @@
 pub enum Step {
     /// Nothing.
     Wait,
-    /// Read the object and pass it to [`observe`](crate::lease::Contest::observe).
+    /// Read the object and pass it to [`observe`](crate::lease::Elector::observe).
     Read,
-    /// Create the object, then call [`written`](crate::lease::Contest::written).
+    /// Create the object, then call [`written`](crate::lease::Elector::written).
     Create(Record),
-    /// Replace the object at this version, then call [`written`](crate::lease::Contest::written).
+    /// Replace the object at this version, then call [`written`](crate::lease::Elector::written).
     Replace(String, Record),
 }
 
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -7,7 +7,7 @@
 use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
 use banyangauge::lease::Candidate;
-use banyangauge::lease::Contest;
+use banyangauge::lease::Elector;
 use banyangauge::lease::Former;
 use banyangauge::lease::Record;
 use banyangauge::lease::Step;
@@ -56,12 +56,12 @@
     }
 }
 
-fn contest(n: u64) -> Contest {
-    Contest::new(candidate(n, 1), Times::default())
+fn contest(n: u64) -> Elector {
+    Elector::new(candidate(n, 1), Times::default())
 }
 
 /// Steps once at `now` with every answer arriving.
-fn advance(c: &mut Contest, object: &mut Object, now: Moment) -> Step {
+fn advance(c: &mut Elector, object: &mut Object, now: Moment) -> Step {
     let step = c.step(now, || 0, None);
     match &step {
         Step::Wait => {}
@@ -77,12 +77,12 @@
     step
 }
 
-fn token(c: &Contest) -> Option<u64> {
+fn token(c: &Elector) -> Option<u64> {
     c.tenure().map(|t| t.token.0)
 }
 
 /// A contest that holds a fresh pool's lease, acquired at time 0.
-fn holder(object: &mut Object) -> Contest {
+fn holder(object: &mut Object) -> Elector {
     let mut c = contest(1);
     advance(&mut c, object, ms(0));
     advance(&mut c, object, ms(0));
@@ -241,7 +241,7 @@
 fn restart_takes_its_own_lease() {
     let mut object = Object::default();
     holder(&mut object);
-    let mut again = Contest::new(candidate(1, 2), Times::default());
+    let mut again = Elector::new(candidate(1, 2), Times::default());
     advance(&mut again, &mut object, ms(50));
     advance(&mut again, &mut object, ms(50));
     let tenure = again.tenure().unwrap();
