--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -229,7 +229,7 @@
             metrics::counter!("lease_changes_total", "event" => kind.word()).increment(1);
             let about = About {
                 pool: pool.to_string(),
-                detail: format!("token {}, former {:?}", tenure.token.0, tenure.former),
+                detail: format!("token {}, former {:?}", tenure.token.0, tenure.predecessor),
                 ..About::default()
             };
             self.shared.recorder.record(kind, about);
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -11,7 +11,7 @@
 
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
-use crate::lease::Former;
+use crate::lease::Predecessor;
 use crate::lease::Tenure;
 use crate::pool::Moment;
 use crate::pool::Span;
@@ -170,11 +170,14 @@
 
     // Whether an earlier owner may be alive and past its lease.
     fn former_may_grant(&self) -> bool {
-        matches!(self.tenure.former, Former::Lapsed(_) | Former::Unsettled)
+        matches!(
+            self.tenure.predecessor,
+            Predecessor::Lapsed(_) | Predecessor::Unsettled
+        )
     }
 
     fn grant_wait(&self) -> Span {
-        Span(self.tenure.former_ttl.0 + self.margin.0)
+        Span(self.tenure.predecessor_ttl.0 + self.margin.0)
     }
 
     fn fence_wait(&self) -> Span {
@@ -183,12 +186,12 @@
 
     fn is_open(&mut self, now: Moment, replicas: &BTreeSet<ReplicaName>, facts: &Facts) -> bool {
         let waited = now >= self.tenure.since.after(self.grant_wait());
-        match &self.tenure.former {
-            Former::None => true,
+        match &self.tenure.predecessor {
+            Predecessor::None => true,
             // Its last grant was sent before it ended.
-            Former::Ended | Former::Released(None) => waited,
-            Former::Released(Some(entries)) => waited || entries.is_subset(&facts.helloed),
-            Former::Lapsed(_) | Former::Unsettled if self.honours => {
+            Predecessor::Ended | Predecessor::Released(None) => waited,
+            Predecessor::Released(Some(entries)) => waited || entries.is_subset(&facts.helloed),
+            Predecessor::Lapsed(_) | Predecessor::Unsettled if self.honours => {
                 // Unreachable replicas get nothing until they are fenced, and
                 // then are held by `may_evict`.
                 let last = replicas
@@ -198,8 +201,8 @@
                     .max();
                 last.is_some_and(|at| now >= at.after(self.fence_wait()))
             }
-            Former::Lapsed(_) if facts.former_left => waited,
-            Former::Lapsed(_) | Former::Unsettled => {
+            Predecessor::Lapsed(_) if facts.former_left => waited,
+            Predecessor::Lapsed(_) | Predecessor::Unsettled => {
                 let told = facts.majority >= self.tenure.since.after(PUBLISHED);
                 if self.told.is_none() && told {
                     self.told = Some(now);
--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/upkeep.rs
@@ -7,7 +7,7 @@
 use crate::control::owner::Facts;
 use crate::control::owner::OwnerActor;
 use crate::control::uptime_ms;
-use crate::lease::Former;
+use crate::lease::Predecessor;
 use crate::pool::Moment;
 use crate::pool::Span;
 
@@ -17,8 +17,8 @@
 
 impl OwnerActor {
     pub(super) fn learn_facts(&mut self, now: Moment) {
-        let left = match &self.safety.tenure().former {
-            Former::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
+        let left = match &self.safety.tenure().predecessor {
+            Predecessor::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
             _ => false,
         };
         self.facts = Facts {
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::Token;
 use crate::lease::Candidate;
-use crate::lease::Former;
+use crate::lease::Predecessor;
 use crate::lease::Record;
 use crate::lease::Step;
 use crate::lease::Tenure;
@@ -41,7 +41,7 @@
     last: Moment,
     retry_at: Moment,
     tenure: Option<Tenure>,
-    past: Option<(Former, Span)>,
+    past: Option<(Predecessor, Span)>,
     settled: bool,
     resigned: Option<Token>,
 }
@@ -219,15 +219,15 @@
             Some(t) if t.token == record.token => t.until = t.until.max(until),
             _ => {
                 let past = self.past.take();
-                let (former, former_ttl) =
-                    past.unwrap_or((Former::Unsettled, self.times.grant_ttl));
-                self.settled = former == Former::None;
+                let (predecessor, predecessor_ttl) =
+                    past.unwrap_or((Predecessor::Unsettled, self.times.grant_ttl));
+                self.settled = predecessor == Predecessor::None;
                 self.tenure = Some(Tenure {
                     token: record.token,
                     until,
                     since: now,
-                    former,
-                    former_ttl,
+                    predecessor,
+                    predecessor_ttl,
                 });
             }
         }
@@ -262,17 +262,17 @@
         };
         let old = &seen.record;
         let ended = !old.released && old.is_of_predecessor(&self.me);
-        let (wait, former) = if old.released {
-            (Span(0), Former::Released(old.entries.clone()))
+        let (wait, predecessor) = if old.released {
+            (Span(0), Predecessor::Released(old.entries.clone()))
         } else if ended {
-            (Span(0), Former::Ended)
+            (Span(0), Predecessor::Ended)
         } else {
             let ttl = Span::from_millis(old.ttl_ms);
-            (ttl, Former::Lapsed(old.holder.clone()))
+            (ttl, Predecessor::Lapsed(old.holder.clone()))
         };
-        let former = match old.unsettled {
-            true => Former::Unsettled,
-            false => former,
+        let predecessor = match old.unsettled {
+            true => Predecessor::Unsettled,
+            false => predecessor,
         };
         let due = seen.since.after(wait);
         if now < due || !ended && now < due.after(stagger()) {
@@ -280,24 +280,24 @@
         }
         let ttl = Span::from_millis(old.granted_ttl);
         let record = self.fresh(Token(old.token.0 + 1));
-        self.send(now, Some(seen.version), record, Some((former, ttl)))
+        self.send(now, Some(seen.version), record, Some((predecessor, ttl)))
     }
 
     // Tokens go on rising after somebody deleted the object, as far as this
     // process knows; engines would refuse a lower one.
     fn send_first(&mut self, now: Moment) -> Step {
         let (token, past) = match &self.deleted {
-            None => (Token(1), (Former::None, Span(0))),
+            None => (Token(1), (Predecessor::None, Span(0))),
             Some(old) => (
                 Token(old.token.0 + 1),
                 (
-                    Former::Lapsed(old.holder.clone()),
+                    Predecessor::Lapsed(old.holder.clone()),
                     Span::from_millis(old.granted_ttl),
                 ),
             ),
         };
         let mut record = self.fresh(token);
-        record.unsettled = past.0 != Former::None;
+        record.unsettled = past.0 != Predecessor::None;
         self.send(now, None, record, Some(past))
     }
 
@@ -321,7 +321,7 @@
         now: Moment,
         version: Option<String>,
         mut record: Record,
-        past: Option<(Former, Span)>,
+        past: Option<(Predecessor, Span)>,
     ) -> Step {
         self.order += 1;
         record.operation = format!("{}-{:x}-{}", self.me.vm, self.me.incarnation.0, self.order);
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -22,7 +22,7 @@
 pub use rank::rank;
 pub use record::Candidate;
 pub use record::Record;
-pub use types::Former;
+pub use types::Predecessor;
 pub use types::Step;
 pub use types::Tenure;
 pub use types::Times;
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -43,7 +43,7 @@
 
 /// What is known of the holder before this one.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Former {
+pub enum Predecessor {
     /// There never was one.
     None,
     /// It gave the lease up after its last grant and order. The entries that
@@ -68,9 +68,9 @@
     /// When it was acquired, as far as this process knows.
     pub since: Moment,
     /// Who held it before.
-    pub former: Former,
+    pub predecessor: Predecessor,
     /// The longest that a grant of the former holder lives unrenewed.
-    pub former_ttl: Span,
+    pub predecessor_ttl: Span,
 }
 
 /// What to do next.
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -8,7 +8,7 @@
 use banyangauge::ids::VmName;
 use banyangauge::lease::Candidate;
 use banyangauge::lease::Elector;
-use banyangauge::lease::Former;
+use banyangauge::lease::Predecessor;
 use banyangauge::lease::Record;
 use banyangauge::lease::Step;
 use banyangauge::lease::Times;
@@ -95,7 +95,7 @@
     let mut object = Object::default();
     let c = holder(&mut object);
     let tenure = c.tenure().unwrap();
-    assert_eq!(tenure.former, Former::None);
+    assert_eq!(tenure.predecessor, Predecessor::None);
     // 3 s from before the sending, less the margin.
     assert_eq!(tenure.until, ms(2_700));
 }
@@ -126,7 +126,10 @@
     assert_eq!(token(&other), Some(2));
     let tenure = other.tenure().unwrap();
     assert!(held.tenure().unwrap().until < tenure.since);
-    assert_eq!(tenure.former, Former::Lapsed(VmName::new("vm-1").unwrap()));
+    assert_eq!(
+        tenure.predecessor,
+        Predecessor::Lapsed(VmName::new("vm-1").unwrap())
+    );
 }
 
 #[test]
@@ -200,7 +203,7 @@
     assert_eq!(tenure.token, Token(2));
     // Counted from when the write that took effect was sent.
     assert_eq!(tenure.until, ms(3_010 + 2_700));
-    assert!(matches!(tenure.former, Former::Lapsed(_)));
+    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
 }
 
 #[test]
@@ -234,7 +237,7 @@
     advance(&mut other, &mut object, ms(102));
     let tenure = other.tenure().unwrap();
     assert_eq!(tenure.token, Token(2));
-    assert_eq!(tenure.former, Former::Released(entries));
+    assert_eq!(tenure.predecessor, Predecessor::Released(entries));
 }
 
 #[test]
@@ -245,7 +248,10 @@
     advance(&mut again, &mut object, ms(50));
     advance(&mut again, &mut object, ms(50));
     let tenure = again.tenure().unwrap();
-    assert_eq!((tenure.token, &tenure.former), (Token(2), &Former::Ended));
+    assert_eq!(
+        (tenure.token, &tenure.predecessor),
+        (Token(2), &Predecessor::Ended)
+    );
 }
 
 #[test]
@@ -270,15 +276,15 @@
     let end = object.apply(&step);
     other.observe(ms(3_011), object.read());
     let tenure = other.tenure().unwrap().clone();
-    assert!(matches!(tenure.former, Former::Lapsed(_)));
+    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
     other.written(ms(3_012), end);
     assert_eq!(other.tenure(), Some(&tenure));
 }
 
 #[rstest]
-#[case::before_it_settled(false, Former::Unsettled)]
-#[case::after(true, Former::Released(Some(BTreeSet::new())))]
-fn release_of_a_successor(#[case] settled: bool, #[case] former: Former) {
+#[case::before_it_settled(false, Predecessor::Unsettled)]
+#[case::after(true, Predecessor::Released(Some(BTreeSet::new())))]
+fn release_of_a_successor(#[case] settled: bool, #[case] predecessor: Predecessor) {
     let mut object = Object::default();
     holder(&mut object);
     let mut second = contest(2);
@@ -295,7 +301,7 @@
     let mut third = contest(3);
     advance(&mut third, &mut object, ms(3_200));
     advance(&mut third, &mut object, ms(3_200));
-    assert_eq!(third.tenure().unwrap().former, former);
+    assert_eq!(third.tenure().unwrap().predecessor, predecessor);
 }
 
 #[test]
@@ -321,7 +327,7 @@
     advance(&mut other, &mut object, ms(20));
     let tenure = other.tenure().unwrap();
     assert_eq!(tenure.token, Token(2));
-    assert!(matches!(tenure.former, Former::Lapsed(_)));
+    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
 }
 
 #[test]
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -8,7 +8,7 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
-use banyangauge::lease::Former;
+use banyangauge::lease::Predecessor;
 use banyangauge::lease::Tenure;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
@@ -24,18 +24,18 @@
     ReplicaName::new("r-1").unwrap()
 }
 
-fn lapsed() -> Former {
-    Former::Lapsed(VmName::new("vm-1").unwrap())
+fn lapsed() -> Predecessor {
+    Predecessor::Lapsed(VmName::new("vm-1").unwrap())
 }
 
 /// Acquired at 1,000 ms, holds until 3,700 ms.
-fn safety(honours: bool, former: Former) -> Safety {
+fn safety(honours: bool, predecessor: Predecessor) -> Safety {
     let tenure = Tenure {
         token: Token(2),
         until: ms(3_700),
         since: ms(1_000),
-        former,
-        former_ttl: Span::from_millis(10_000),
+        predecessor,
+        predecessor_ttl: Span::from_millis(10_000),
     };
     let margin = Span::from_millis(2_000);
     Safety::new(honours, tenure, margin, Span::from_millis(30_000))
@@ -94,7 +94,7 @@
 
 #[test]
 fn frozen_never_for_a_first_owner() {
-    let mut s = safety(true, Former::None);
+    let mut s = safety(true, Predecessor::None);
     assert_eq!(opens_at(&mut s, &facts(0)), Some(1_000));
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn frozen_after_a_release_until_all_told() {
     let entries = BTreeSet::from(["vm-1/1".to_owned(), "vm-2/1".to_owned()]);
-    let mut s = safety(true, Former::Released(Some(entries.clone())));
+    let mut s = safety(true, Predecessor::Released(Some(entries.clone())));
     let mut f = facts(0);
     f.helloed = BTreeSet::from(["vm-1/1".to_owned(), "vm-9/9".to_owned()]);
     let all = BTreeSet::from([replica()]);
@@ -122,14 +122,14 @@
 }
 
 #[rstest]
-#[case::unknown_entries(Former::Released(None), 13_000)]
+#[case::unknown_entries(Predecessor::Released(None), 13_000)]
 #[case::one_never_comes(
-    Former::Released(Some(BTreeSet::from(["vm-1/1".to_owned()]))),
+    Predecessor::Released(Some(BTreeSet::from(["vm-1/1".to_owned()]))),
     13_000
 )]
-#[case::restarted(Former::Ended, 13_000)]
-fn frozen_at_the_longest(#[case] former: Former, #[case] opens: u64) {
-    let mut s = safety(false, former);
+#[case::restarted(Predecessor::Ended, 13_000)]
+fn frozen_at_the_longest(#[case] predecessor: Predecessor, #[case] opens: u64) {
+    let mut s = safety(false, predecessor);
     assert_eq!(opens_at(&mut s, &facts(0)), Some(opens));
 }
 
