--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -14,9 +14,9 @@
 use crate::ids::PoolName;
 use crate::lease::Candidate;
 use crate::lease::Elector;
+use crate::lease::HeldLease;
 use crate::lease::Record;
 use crate::lease::Step;
-use crate::lease::Tenure;
 use crate::lease::WriteEnd;
 use crate::lease::rank;
 use crate::platform::List;
@@ -141,7 +141,7 @@
         for (pool, contest) in &mut self.contests {
             settled.get(pool).inspect(|t| contest.set_settled(**t));
             deposed.get(pool).inspect(|t| contest.resign(**t));
-            if contest.tenure().is_none() && (!self.watching || stopping) {
+            if contest.lease().is_none() && (!self.watching || stopping) {
                 continue;
             }
             let stop = drained.get(pool).filter(|_| stopping);
@@ -202,23 +202,23 @@
     }
 
     fn publish(&self) {
-        let held: BTreeMap<PoolName, Tenure> = self
+        let held: BTreeMap<PoolName, HeldLease> = self
             .contests
             .iter()
-            .filter_map(|(p, c)| Some((p.clone(), c.tenure()?.clone())))
+            .filter_map(|(p, c)| Some((p.clone(), c.lease()?.clone())))
             .collect();
-        let before = self.local.tenures.borrow().clone();
+        let before = self.local.leases.borrow().clone();
         if before != held {
             self.note_changes(&before, &held);
-            self.local.tenures.send_replace(held);
+            self.local.leases.send_replace(held);
         }
         self.publish_owners();
     }
 
     fn note_changes(
         &self,
-        before: &BTreeMap<PoolName, Tenure>,
-        after: &BTreeMap<PoolName, Tenure>,
+        before: &BTreeMap<PoolName, HeldLease>,
+        after: &BTreeMap<PoolName, HeldLease>,
     ) {
         let lost = before.iter().filter(|(p, t)| is_new(after, p, t));
         let gained = after.iter().filter(|(p, t)| is_new(before, p, t));
@@ -259,11 +259,11 @@
     }
 
     fn is_over(&self) -> bool {
-        *self.shared.board.stopping.borrow() && self.contests.values().all(|c| c.tenure().is_none())
+        *self.shared.board.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
     }
 }
 
-fn is_new(other: &BTreeMap<PoolName, Tenure>, pool: &PoolName, tenure: &Tenure) -> bool {
+fn is_new(other: &BTreeMap<PoolName, HeldLease>, pool: &PoolName, tenure: &HeldLease) -> bool {
     other.get(pool).is_none_or(|t| t.token != tenure.token)
 }
 
--- a/lib/src/control/local.rs
+++ b/lib/src/control/local.rs
@@ -10,7 +10,7 @@
 use crate::control::ControlSettings;
 use crate::ids::PoolName;
 use crate::ids::Token;
-use crate::lease::Tenure;
+use crate::lease::HeldLease;
 use crate::pool::Moment;
 
 /// Entries, as `name/incarnation`, that may hold grants; `None` is unknown.
@@ -22,7 +22,7 @@
     /// The settings.
     pub settings: ControlSettings,
     /// The pools held; written by the election.
-    pub tenures: watch::Sender<BTreeMap<PoolName, Tenure>>,
+    pub leases: watch::Sender<BTreeMap<PoolName, HeldLease>>,
     /// Pools that grant and order nothing any more, ready to be released;
     /// written by the owner.
     pub drained: watch::Sender<BTreeMap<PoolName, Entries>>,
@@ -52,7 +52,7 @@
     pub fn new(settings: ControlSettings) -> Self {
         Self {
             settings,
-            tenures: watch::Sender::default(),
+            leases: watch::Sender::default(),
             drained: watch::Sender::default(),
             settled: watch::Sender::default(),
             deposed: watch::Sender::default(),
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -32,7 +32,7 @@
 use crate::ids::PoolName;
 use crate::ids::ReplicaName;
 use crate::ids::Token;
-use crate::lease::Tenure;
+use crate::lease::HeldLease;
 use crate::platform::PlatformError;
 use crate::pool::Health;
 use crate::pool::Held;
@@ -192,7 +192,12 @@
 
 impl OwnerActor {
     /// An owner that knows nothing of its replicas yet.
-    pub fn new(shared: Shared, local: Arc<Local>, name: PoolName, tenure: Tenure) -> Option<Self> {
+    pub fn new(
+        shared: Shared,
+        local: Arc<Local>,
+        name: PoolName,
+        tenure: HeldLease,
+    ) -> Option<Self> {
         let catalog = shared.board.catalog.borrow().clone();
         let spec = catalog.pools.get(&name)?.clone();
         let honours = match &spec.kind {
@@ -249,7 +254,7 @@
     }
 
     pub(super) fn token(&self) -> Token {
-        self.safety.tenure().token
+        self.safety.lease().token
     }
 
     /// Sends an event to this owner from a task of its own.
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -254,8 +254,8 @@
 // this still the owner? What is left is the time from here to the send.
 fn check(load: &Load) -> Result<(), OrderError> {
     let now = clock::now();
-    let tenures = load.local.tenures.borrow();
-    let tenure = tenures.get(&load.pool).filter(|t| t.token == load.token);
+    let leases = load.local.leases.borrow();
+    let tenure = leases.get(&load.pool).filter(|t| t.token == load.token);
     match tenure {
         Some(t) if load.honours || now < t.until => Ok(()),
         _ => Err(OrderError::Unreachable("the lease is over".to_owned())),
--- a/lib/src/control/owner/duty.rs
+++ b/lib/src/control/owner/duty.rs
@@ -17,7 +17,7 @@
 use crate::control::owner::OwnerActor;
 use crate::ids::PoolName;
 use crate::ids::Token;
-use crate::lease::Tenure;
+use crate::lease::HeldLease;
 use crate::pool::Moment;
 
 /// Events that may wait for an owner. A full mailbox holds up the streams that
@@ -44,9 +44,9 @@
 
 /// Starts an owner when a lease is gained and drops it when it is lost.
 pub async fn run(shared: Shared, local: Arc<Local>, registry: Arc<Registry>) {
-    let mut tenures = local.tenures.subscribe();
+    let mut leases = local.leases.subscribe();
     loop {
-        let held = tenures.borrow_and_update().clone();
+        let held = leases.borrow_and_update().clone();
         drop_lost(&shared, &registry, &held);
         for (pool, tenure) in held {
             let known = registry.lock().get(&pool).map(|(t, _)| *t);
@@ -54,13 +54,13 @@
                 start(&shared, &local, &registry, pool, tenure);
             }
         }
-        if tenures.changed().await.is_err() {
+        if leases.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn drop_lost(shared: &Shared, registry: &Registry, held: &BTreeMap<PoolName, Tenure>) {
+fn drop_lost(shared: &Shared, registry: &Registry, held: &BTreeMap<PoolName, HeldLease>) {
     registry.lock().retain(|pool, (token, address)| {
         let kept = held.get(pool).is_some_and(|t| t.token == *token);
         if !kept {
@@ -75,7 +75,13 @@
     });
 }
 
-fn start(shared: &Shared, local: &Arc<Local>, registry: &Registry, pool: PoolName, tenure: Tenure) {
+fn start(
+    shared: &Shared,
+    local: &Arc<Local>,
+    registry: &Registry,
+    pool: PoolName,
+    tenure: HeldLease,
+) {
     let token = tenure.token;
     let owner = OwnerActor::new(shared.clone(), Arc::clone(local), pool.clone(), tenure);
     let Some(owner) = owner else { return };
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -11,8 +11,8 @@
 
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
+use crate::lease::HeldLease;
 use crate::lease::Predecessor;
-use crate::lease::Tenure;
 use crate::pool::Moment;
 use crate::pool::Span;
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Safety {
     honours: bool,
-    tenure: Tenure,
+    tenure: HeldLease,
     margin: Span,
     quarantine: Span,
     // The incarnation that was fenced, first and last time.
@@ -56,7 +56,7 @@
 
 impl Safety {
     /// Rules for a pool whose engines honour tokens, or ignore them.
-    pub fn new(honours: bool, tenure: Tenure, margin: Span, quarantine: Span) -> Self {
+    pub fn new(honours: bool, tenure: HeldLease, margin: Span, quarantine: Span) -> Self {
         Self {
             honours,
             tenure,
@@ -74,7 +74,7 @@
     }
 
     /// The tenure.
-    pub fn tenure(&self) -> &Tenure {
+    pub fn lease(&self) -> &HeldLease {
         &self.tenure
     }
 
--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/upkeep.rs
@@ -17,7 +17,7 @@
 
 impl OwnerActor {
     pub(super) fn learn_facts(&mut self, now: Moment) {
-        let left = match &self.safety.tenure().predecessor {
+        let left = match &self.safety.lease().predecessor {
             Predecessor::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
             _ => false,
         };
@@ -33,8 +33,8 @@
     pub(super) fn follow_tenure(&mut self) {
         let token = self.token();
         let until = {
-            let tenures = self.local.tenures.borrow();
-            let tenure = tenures.get(&self.name).filter(|t| t.token == token);
+            let leases = self.local.leases.borrow();
+            let tenure = leases.get(&self.name).filter(|t| t.token == token);
             tenure.map(|t| t.until)
         };
         let higher = {
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -5,10 +5,10 @@
 
 use crate::ids::Token;
 use crate::lease::Candidate;
+use crate::lease::HeldLease;
 use crate::lease::Predecessor;
 use crate::lease::Record;
 use crate::lease::Step;
-use crate::lease::Tenure;
 use crate::lease::Times;
 use crate::lease::WriteEnd;
 use crate::pool::Moment;
@@ -40,7 +40,7 @@
     order: u64,
     last: Moment,
     retry_at: Moment,
-    tenure: Option<Tenure>,
+    tenure: Option<HeldLease>,
     past: Option<(Predecessor, Span)>,
     settled: bool,
     resigned: Option<Token>,
@@ -71,7 +71,7 @@
 
     /// The lease held, if it is; whether it is past its end is for the caller
     /// to compare.
-    pub fn tenure(&self) -> Option<&Tenure> {
+    pub fn lease(&self) -> Option<&HeldLease> {
         self.tenure.as_ref()
     }
 
@@ -222,7 +222,7 @@
                 let (predecessor, predecessor_ttl) =
                     past.unwrap_or((Predecessor::Unsettled, self.times.grant_ttl));
                 self.settled = predecessor == Predecessor::None;
-                self.tenure = Some(Tenure {
+                self.tenure = Some(HeldLease {
                     token: record.token,
                     until,
                     since: now,
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -59,7 +59,7 @@
 
 /// A lease that this process holds, or held when it last heard.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Tenure {
+pub struct HeldLease {
     /// The fencing token.
     pub token: Token,
     /// Until when it holds for certain, margin subtracted. After that it may
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -78,7 +78,7 @@
 }
 
 fn token(c: &Elector) -> Option<u64> {
-    c.tenure().map(|t| t.token.0)
+    c.lease().map(|t| t.token.0)
 }
 
 /// A contest that holds a fresh pool's lease, acquired at time 0.
@@ -94,7 +94,7 @@
 fn acquire_first() {
     let mut object = Object::default();
     let c = holder(&mut object);
-    let tenure = c.tenure().unwrap();
+    let tenure = c.lease().unwrap();
     assert_eq!(tenure.predecessor, Predecessor::None);
     // 3 s from before the sending, less the margin.
     assert_eq!(tenure.until, ms(2_700));
@@ -109,7 +109,7 @@
     let end = object.apply(&step);
     // The answer takes half a second; it buys nothing.
     c.written(ms(1_500), end);
-    assert_eq!(c.tenure().unwrap().until, ms(3_700));
+    assert_eq!(c.lease().unwrap().until, ms(3_700));
     assert_eq!(token(&c), Some(1));
 }
 
@@ -124,8 +124,8 @@
     }
     advance(&mut other, &mut object, ms(3_010));
     assert_eq!(token(&other), Some(2));
-    let tenure = other.tenure().unwrap();
-    assert!(held.tenure().unwrap().until < tenure.since);
+    let tenure = other.lease().unwrap();
+    assert!(held.lease().unwrap().until < tenure.since);
     assert_eq!(
         tenure.predecessor,
         Predecessor::Lapsed(VmName::new("vm-1").unwrap())
@@ -159,7 +159,7 @@
     // The holder wakes unaware; its clock has run, so it knows at once that its
     // lease is past, and its renewal tells it the rest.
     let now = ms(20_000);
-    assert!(held.tenure().unwrap().until < now);
+    assert!(held.lease().unwrap().until < now);
     advance(&mut held, &mut object, now);
     advance(&mut held, &mut object, now);
     assert_eq!(token(&held), None);
@@ -179,9 +179,9 @@
     c.written(ms(1_100), WriteEnd::Lost);
     assert_eq!(c.step(ms(1_100), || 0, None), Step::Wait);
     assert_eq!(advance(&mut c, &mut object, ms(1_300)), Step::Read);
-    assert_eq!(c.tenure().unwrap().until, ms(until));
+    assert_eq!(c.lease().unwrap().until, ms(until));
     advance(&mut c, &mut object, ms(2_300));
-    assert_eq!(c.tenure().unwrap().until, ms(5_000));
+    assert_eq!(c.lease().unwrap().until, ms(5_000));
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let end = object.apply(&second);
     other.written(ms(3_330), end);
     advance(&mut other, &mut object, ms(3_340));
-    let tenure = other.tenure().unwrap();
+    let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
     // Counted from when the write that took effect was sent.
     assert_eq!(tenure.until, ms(3_010 + 2_700));
@@ -235,7 +235,7 @@
     assert_eq!(held.step(ms(5_000), || 0, Some(&entries)), Step::Wait);
     other.observe(ms(102), object.read());
     advance(&mut other, &mut object, ms(102));
-    let tenure = other.tenure().unwrap();
+    let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
     assert_eq!(tenure.predecessor, Predecessor::Released(entries));
 }
@@ -247,7 +247,7 @@
     let mut again = Elector::new(candidate(1, 2), Times::default());
     advance(&mut again, &mut object, ms(50));
     advance(&mut again, &mut object, ms(50));
-    let tenure = again.tenure().unwrap();
+    let tenure = again.lease().unwrap();
     assert_eq!(
         (tenure.token, &tenure.predecessor),
         (Token(2), &Predecessor::Ended)
@@ -275,10 +275,10 @@
     let step = other.step(ms(3_010), || 0, None);
     let end = object.apply(&step);
     other.observe(ms(3_011), object.read());
-    let tenure = other.tenure().unwrap().clone();
+    let tenure = other.lease().unwrap().clone();
     assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
     other.written(ms(3_012), end);
-    assert_eq!(other.tenure(), Some(&tenure));
+    assert_eq!(other.lease(), Some(&tenure));
 }
 
 #[rstest]
@@ -301,7 +301,7 @@
     let mut third = contest(3);
     advance(&mut third, &mut object, ms(3_200));
     advance(&mut third, &mut object, ms(3_200));
-    assert_eq!(third.tenure().unwrap().predecessor, predecessor);
+    assert_eq!(third.lease().unwrap().predecessor, predecessor);
 }
 
 #[test]
@@ -325,7 +325,7 @@
     object.record = None;
     other.observe(ms(20), None);
     advance(&mut other, &mut object, ms(20));
-    let tenure = other.tenure().unwrap();
+    let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
     assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
 }
@@ -339,7 +339,7 @@
             c.written(ms(t * 1_000), WriteEnd::Nothing);
         }
     }
-    let tenure = c.tenure().unwrap();
+    let tenure = c.lease().unwrap();
     assert_eq!((tenure.token, tenure.until), (Token(1), ms(2_700)));
 }
 
@@ -354,7 +354,7 @@
     other.resume(back);
     assert_eq!(advance(&mut other, &mut object, back), Step::Wait);
     advance(&mut held, &mut object, back);
-    assert_eq!(held.tenure().unwrap().until, ms(3_602_700));
+    assert_eq!(held.lease().unwrap().until, ms(3_602_700));
     assert_eq!(token(&other), None);
 }
 
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -8,8 +8,8 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
+use banyangauge::lease::HeldLease;
 use banyangauge::lease::Predecessor;
-use banyangauge::lease::Tenure;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use rstest::rstest;
@@ -30,7 +30,7 @@
 
 /// Acquired at 1,000 ms, holds until 3,700 ms.
 fn safety(honours: bool, predecessor: Predecessor) -> Safety {
-    let tenure = Tenure {
+    let tenure = HeldLease {
         token: Token(2),
         until: ms(3_700),
         since: ms(1_000),
