--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -257,7 +257,7 @@
     let leases = load.local.leases.borrow();
     let tenure = leases.get(&load.pool).filter(|t| t.token == load.token);
     match tenure {
-        Some(t) if load.honours || now < t.until => Ok(()),
+        Some(t) if load.honours || now < t.valid_until => Ok(()),
         _ => Err(OrderError::Unreachable("the lease is over".to_owned())),
     }
 }
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -70,7 +70,7 @@
 
     /// The lease was renewed.
     pub fn renew(&mut self, until: Moment) {
-        self.tenure.until = until;
+        self.tenure.valid_until = until;
     }
 
     /// The tenure.
@@ -115,7 +115,7 @@
 
     /// Whether the lease is past its end, as this process counts.
     pub fn is_past(&self, now: Moment) -> bool {
-        now >= self.tenure.until
+        now >= self.tenure.valid_until
     }
 
     /// Whether to grant or prolong on a replica.
@@ -185,7 +185,7 @@
     }
 
     fn is_open(&mut self, now: Moment, replicas: &BTreeSet<ReplicaName>, facts: &Facts) -> bool {
-        let waited = now >= self.tenure.since.after(self.grant_wait());
+        let waited = now >= self.tenure.acquired_at.after(self.grant_wait());
         match &self.tenure.predecessor {
             Predecessor::None => true,
             // Its last grant was sent before it ended.
@@ -203,7 +203,7 @@
             }
             Predecessor::Lapsed(_) if facts.former_left => waited,
             Predecessor::Lapsed(_) | Predecessor::Unsettled => {
-                let told = facts.majority >= self.tenure.since.after(PUBLISHED);
+                let told = facts.majority >= self.tenure.acquired_at.after(PUBLISHED);
                 if self.told.is_none() && told {
                     self.told = Some(now);
                 }
--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/upkeep.rs
@@ -35,7 +35,7 @@
         let until = {
             let leases = self.local.leases.borrow();
             let tenure = leases.get(&self.name).filter(|t| t.token == token);
-            tenure.map(|t| t.until)
+            tenure.map(|t| t.valid_until)
         };
         let higher = {
             let owners = self.shared.board.owners.borrow();
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -216,7 +216,7 @@
             Moment(s.0 + self.times.ttl.0 - self.margin())
         });
         match &mut self.tenure {
-            Some(t) if t.token == record.token => t.until = t.until.max(until),
+            Some(t) if t.token == record.token => t.valid_until = t.valid_until.max(until),
             _ => {
                 let past = self.past.take();
                 let (predecessor, predecessor_ttl) =
@@ -224,8 +224,8 @@
                 self.settled = predecessor == Predecessor::None;
                 self.tenure = Some(HeldLease {
                     token: record.token,
-                    until,
-                    since: now,
+                    valid_until: until,
+                    acquired_at: now,
                     predecessor,
                     predecessor_ttl,
                 });
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -64,9 +64,9 @@
     pub token: Token,
     /// Until when it holds for certain, margin subtracted. After that it may
     /// have a successor; without the platform there can be none.
-    pub until: Moment,
+    pub valid_until: Moment,
     /// When it was acquired, as far as this process knows.
-    pub since: Moment,
+    pub acquired_at: Moment,
     /// Who held it before.
     pub predecessor: Predecessor,
     /// The longest that a grant of the former holder lives unrenewed.
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -97,7 +97,7 @@
     let tenure = c.lease().unwrap();
     assert_eq!(tenure.predecessor, Predecessor::None);
     // 3 s from before the sending, less the margin.
-    assert_eq!(tenure.until, ms(2_700));
+    assert_eq!(tenure.valid_until, ms(2_700));
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let end = object.apply(&step);
     // The answer takes half a second; it buys nothing.
     c.written(ms(1_500), end);
-    assert_eq!(c.lease().unwrap().until, ms(3_700));
+    assert_eq!(c.lease().unwrap().valid_until, ms(3_700));
     assert_eq!(token(&c), Some(1));
 }
 
@@ -125,7 +125,7 @@
     advance(&mut other, &mut object, ms(3_010));
     assert_eq!(token(&other), Some(2));
     let tenure = other.lease().unwrap();
-    assert!(held.lease().unwrap().until < tenure.since);
+    assert!(held.lease().unwrap().valid_until < tenure.acquired_at);
     assert_eq!(
         tenure.predecessor,
         Predecessor::Lapsed(VmName::new("vm-1").unwrap())
@@ -159,7 +159,7 @@
     // The holder wakes unaware; its clock has run, so it knows at once that its
     // lease is past, and its renewal tells it the rest.
     let now = ms(20_000);
-    assert!(held.lease().unwrap().until < now);
+    assert!(held.lease().unwrap().valid_until < now);
     advance(&mut held, &mut object, now);
     advance(&mut held, &mut object, now);
     assert_eq!(token(&held), None);
@@ -179,9 +179,9 @@
     c.written(ms(1_100), WriteEnd::Lost);
     assert_eq!(c.step(ms(1_100), || 0, None), Step::Wait);
     assert_eq!(advance(&mut c, &mut object, ms(1_300)), Step::Read);
-    assert_eq!(c.lease().unwrap().until, ms(until));
+    assert_eq!(c.lease().unwrap().valid_until, ms(until));
     advance(&mut c, &mut object, ms(2_300));
-    assert_eq!(c.lease().unwrap().until, ms(5_000));
+    assert_eq!(c.lease().unwrap().valid_until, ms(5_000));
 }
 
 #[test]
@@ -202,7 +202,7 @@
     let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
     // Counted from when the write that took effect was sent.
-    assert_eq!(tenure.until, ms(3_010 + 2_700));
+    assert_eq!(tenure.valid_until, ms(3_010 + 2_700));
     assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
 }
 
@@ -340,7 +340,7 @@
         }
     }
     let tenure = c.lease().unwrap();
-    assert_eq!((tenure.token, tenure.until), (Token(1), ms(2_700)));
+    assert_eq!((tenure.token, tenure.valid_until), (Token(1), ms(2_700)));
 }
 
 #[test]
@@ -354,7 +354,7 @@
     other.resume(back);
     assert_eq!(advance(&mut other, &mut object, back), Step::Wait);
     advance(&mut held, &mut object, back);
-    assert_eq!(held.lease().unwrap().until, ms(3_602_700));
+    assert_eq!(held.lease().unwrap().valid_until, ms(3_602_700));
     assert_eq!(token(&other), None);
 }
 
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -32,8 +32,8 @@
 fn safety(honours: bool, predecessor: Predecessor) -> Safety {
     let tenure = HeldLease {
         token: Token(2),
-        until: ms(3_700),
-        since: ms(1_000),
+        valid_until: ms(3_700),
+        acquired_at: ms(1_000),
         predecessor,
         predecessor_ttl: Span::from_millis(10_000),
     };
