--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -169,7 +169,7 @@
                     address: self.shared.address,
                     incarnation: self.shared.incarnation,
                 };
-                Elector::new(me, self.local.settings.times())
+                Elector::new(me, self.local.settings.lease_timing())
             });
         }
     }
--- a/lib/src/control/settings.rs
+++ b/lib/src/control/settings.rs
@@ -44,7 +44,7 @@
     /// How the log is written.
     #[serde(default)]
     pub log: LogFormat,
-    /// Times of leases.
+    /// Timing of leases.
     #[serde(default)]
     pub lease: LeaseSettings,
     /// Grants and what follows a change of owner.
@@ -64,7 +64,7 @@
     pub usage: UsageSettings,
 }
 
-/// Times of leases, in milliseconds.
+/// Timing of leases, in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseSettings {
@@ -204,14 +204,14 @@
 
 impl ControlSettings {
     /// The lease's times.
-    pub fn times(&self) -> lease::Times {
-        lease::Times {
+    pub fn lease_timing(&self) -> lease::Timing {
+        lease::Timing {
             ttl: Span::from_millis(self.lease.ttl_ms),
-            renew: Span::from_millis(self.lease.renew_ms),
+            renew_interval: Span::from_millis(self.lease.renew_ms),
             margin: Span::from_millis(self.lease.margin_ms),
             stagger: Span::from_millis(self.lease.stagger_ms),
             grant_ttl: Span::from_millis(self.grants.ttl_ms),
-            ..lease::Times::default()
+            ..lease::Timing::default()
         }
     }
 
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -9,7 +9,7 @@
 use crate::lease::Predecessor;
 use crate::lease::Record;
 use crate::lease::Step;
-use crate::lease::Times;
+use crate::lease::Timing;
 use crate::lease::WriteEnd;
 use crate::pool::Moment;
 use crate::pool::Span;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Elector {
     me: Candidate,
-    times: Times,
+    timing: Timing,
     known: bool,
     since: Moment,
     seen: Option<Seen>,
@@ -48,10 +48,10 @@
 
 impl Elector {
     /// A contest of which nothing is known yet.
-    pub fn new(me: Candidate, times: Times) -> Self {
+    pub fn new(me: Candidate, timing: Timing) -> Self {
         Self {
             me,
-            times,
+            timing,
             known: false,
             since: Moment(0),
             seen: None,
@@ -167,7 +167,7 @@
     /// A read ended without an answer.
     pub fn unread(&mut self, now: Moment) {
         self.busy = false;
-        self.retry_at = now.after(self.times.retry);
+        self.retry_at = now.after(self.timing.retry_delay);
     }
 
     /// A read ended with an answer, which is then passed to `observe`.
@@ -191,12 +191,12 @@
             }
             WriteEnd::Nothing => {
                 self.attempt = None;
-                self.retry_at = now.after(self.times.retry);
+                self.retry_at = now.after(self.timing.retry_delay);
             }
             WriteEnd::Conflict | WriteEnd::Lost => {
                 self.known = false;
                 self.retry_at = match end {
-                    WriteEnd::Lost => now.after(self.times.retry),
+                    WriteEnd::Lost => now.after(self.timing.retry_delay),
                     _ => now,
                 };
             }
@@ -213,14 +213,14 @@
         // An own write of unknown date holds nothing until it is renewed.
         let sent = self.sent.get(&record.operation).copied();
         let until = sent.map_or(Moment(0), |s| {
-            Moment(s.0 + self.times.ttl.0 - self.margin())
+            Moment(s.0 + self.timing.ttl.0 - self.margin())
         });
         match &mut self.tenure {
             Some(t) if t.token == record.token => t.valid_until = t.valid_until.max(until),
             _ => {
                 let past = self.past.take();
                 let (predecessor, predecessor_ttl) =
-                    past.unwrap_or((Predecessor::Unsettled, self.times.grant_ttl));
+                    past.unwrap_or((Predecessor::Unsettled, self.timing.grant_ttl));
                 self.settled = predecessor == Predecessor::None;
                 self.tenure = Some(HeldLease {
                     token: record.token,
@@ -234,14 +234,14 @@
     }
 
     fn margin(&self) -> u64 {
-        self.times.margin.0.min(self.times.ttl.0)
+        self.timing.margin.0.min(self.timing.ttl.0)
     }
 
     fn step_holding(&mut self, now: Moment, stop: Option<&Option<BTreeSet<String>>>) -> Step {
         let Some(seen) = self.seen.clone() else {
             return Step::Wait;
         };
-        if stop.is_none() && now < self.last.after(self.times.renew) {
+        if stop.is_none() && now < self.last.after(self.timing.renew_interval) {
             return Step::Wait;
         }
         let mut record = seen.record;
@@ -252,7 +252,7 @@
     }
 
     fn step_contending(&mut self, now: Moment, rank: impl FnOnce() -> u64) -> Step {
-        let step = self.times.stagger.0;
+        let step = self.timing.stagger.0;
         let stagger = || Span(step * rank());
         let Some(seen) = self.seen.clone() else {
             if now < self.since.after(stagger()) {
@@ -307,9 +307,9 @@
             address: self.me.address,
             incarnation: self.me.incarnation,
             token,
-            ttl_ms: self.times.ttl.as_millis(),
+            ttl_ms: self.timing.ttl.as_millis(),
             released: false,
-            granted_ttl: self.times.grant_ttl.as_millis(),
+            granted_ttl: self.timing.grant_ttl.as_millis(),
             unsettled: true,
             operation: String::new(),
             entries: None,
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -25,5 +25,5 @@
 pub use types::HeldLease;
 pub use types::Predecessor;
 pub use types::Step;
-pub use types::Times;
+pub use types::Timing;
 pub use types::WriteEnd;
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -10,32 +10,32 @@
 
 /// The lease's times.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Times {
+pub struct Timing {
     /// How long a lease holds from its last write. Longer survives longer
     /// hiccups of the platform; shorter shortens the takeover after a kill.
     pub ttl: Span,
     /// How long after the last write the next is sent: a third of `ttl`, so
     /// that two may fail before the lease is lost.
-    pub renew: Span,
+    pub renew_interval: Span,
     /// What the holder subtracts from its own count.
     pub margin: Span,
     /// How much later each further candidate tries, so that they do not all
     /// write at once; the conditional update decides in any case.
     pub stagger: Span,
     /// How long after a failed call the next is made.
-    pub retry: Span,
+    pub retry_delay: Span,
     /// How long a grant lives unrenewed; told to successors.
     pub grant_ttl: Span,
 }
 
-impl Default for Times {
+impl Default for Timing {
     fn default() -> Self {
         Self {
             ttl: Span::from_millis(3_000),
-            renew: Span::from_millis(1_000),
+            renew_interval: Span::from_millis(1_000),
             margin: Span::from_millis(300),
             stagger: Span::from_millis(100),
-            retry: Span::from_millis(200),
+            retry_delay: Span::from_millis(200),
             grant_ttl: Span::from_millis(10_000),
         }
     }
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -11,7 +11,7 @@
 use banyangauge::lease::Predecessor;
 use banyangauge::lease::Record;
 use banyangauge::lease::Step;
-use banyangauge::lease::Times;
+use banyangauge::lease::Timing;
 use banyangauge::lease::WriteEnd;
 use banyangauge::lease::rank;
 use banyangauge::pool::Moment;
@@ -57,7 +57,7 @@
 }
 
 fn contest(n: u64) -> Elector {
-    Elector::new(candidate(n, 1), Times::default())
+    Elector::new(candidate(n, 1), Timing::default())
 }
 
 /// Steps once at `now` with every answer arriving.
@@ -244,7 +244,7 @@
 fn restart_takes_its_own_lease() {
     let mut object = Object::default();
     holder(&mut object);
-    let mut again = Elector::new(candidate(1, 2), Times::default());
+    let mut again = Elector::new(candidate(1, 2), Timing::default());
     advance(&mut again, &mut object, ms(50));
     advance(&mut again, &mut object, ms(50));
     let tenure = again.lease().unwrap();
