--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -11,7 +11,7 @@
 use crate::claims::Verdict;
 use crate::claims::Who;
 use crate::claims::Write;
-use crate::claims::WriteEnd;
+use crate::claims::WriteOutcome;
 use crate::ids::Token;
 use crate::pool::Moment;
 
@@ -257,18 +257,18 @@
     ///
     /// Those that it did not record are free again; should the lost write take
     /// effect later, the next write to the segment leaves them out.
-    pub fn written(&mut self, now: Moment, end: WriteEnd) -> (Vec<ClaimKey>, bool) {
+    pub fn written(&mut self, now: Moment, end: WriteOutcome) -> (Vec<ClaimKey>, bool) {
         let Some((number, keys)) = self.flying.take() else {
             return (Vec::new(), false);
         };
         let done = match end {
-            WriteEnd::Done(version) => {
+            WriteOutcome::Done(version) => {
                 let place = self.places.entry(number).or_default();
                 place.version = Some(version);
                 place.dirty = None;
                 true
             }
-            WriteEnd::Open(found) => {
+            WriteOutcome::Unconfirmed(found) => {
                 self.adopt(number, found);
                 false
             }
--- a/lib/src/claims/mod.rs
+++ b/lib/src/claims/mod.rs
@@ -17,4 +17,4 @@
 pub use types::Verdict;
 pub use types::Who;
 pub use types::Write;
-pub use types::WriteEnd;
+pub use types::WriteOutcome;
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -76,9 +76,9 @@
 
 /// How a write, with its reading back where that was needed, ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// Done; the new version.
     Done(String),
     /// Not done, or not known. What the platform holds now, when it was read.
-    Open(Option<(Segment, String)>),
+    Unconfirmed(Option<(Segment, String)>),
 }
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -17,7 +17,7 @@
 use crate::lease::HeldLease;
 use crate::lease::Record;
 use crate::lease::Step;
-use crate::lease::WriteEnd;
+use crate::lease::WriteOutcome;
 use crate::lease::rank;
 use crate::platform::List;
 use crate::platform::Platform;
@@ -44,7 +44,7 @@
     Changed(String, Option<(Record, String)>),
     WatchBroke,
     Read(PoolName, Result<Option<(Record, String)>, PlatformError>),
-    Written(PoolName, WriteEnd),
+    Written(PoolName, WriteOutcome),
 }
 
 fn object_name(pool: &PoolName) -> String {
@@ -283,12 +283,12 @@
     }
 }
 
-fn write_end(answer: Result<String, PlatformError>) -> WriteEnd {
+fn write_end(answer: Result<String, PlatformError>) -> WriteOutcome {
     match answer {
-        Ok(version) => WriteEnd::Done(version),
-        Err(PlatformError::Conflict | PlatformError::NotFound) => WriteEnd::Conflict,
-        Err(PlatformError::Lost(_) | PlatformError::Malformed(_)) => WriteEnd::Lost,
-        Err(_) => WriteEnd::Nothing,
+        Ok(version) => WriteOutcome::Done(version),
+        Err(PlatformError::Conflict | PlatformError::NotFound) => WriteOutcome::Conflict,
+        Err(PlatformError::Lost(_) | PlatformError::Malformed(_)) => WriteOutcome::Unknown,
+        Err(_) => WriteOutcome::NotApplied,
     }
 }
 
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -17,7 +17,7 @@
 use crate::claims::ClaimKey;
 use crate::claims::Journal;
 use crate::claims::Segment;
-use crate::claims::WriteEnd;
+use crate::claims::WriteOutcome;
 use crate::control::Shared;
 use crate::control::clock;
 use crate::control::local::Local;
@@ -110,7 +110,7 @@
     /// The earlier owner was shut out of the journal, or not.
     JournalSealed(Result<Vec<String>, PlatformError>),
     /// A commit to the journal ended.
-    Committed(WriteEnd),
+    Committed(WriteOutcome),
     /// The lease is over: refuse what waits and end.
     Ended,
     /// Time passes.
--- a/lib/src/control/owner/journal.rs
+++ b/lib/src/control/owner/journal.rs
@@ -4,7 +4,7 @@
 
 use crate::claims::Segment;
 use crate::claims::Write;
-use crate::claims::WriteEnd;
+use crate::claims::WriteOutcome;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
 use crate::ids::PoolName;
@@ -91,21 +91,23 @@
     write: Write,
 ) {
     let end = match send(&platform, &pool, &write).await {
-        Ok(version) => WriteEnd::Done(version),
+        Ok(version) => WriteOutcome::Done(version),
         Err(
             PlatformError::Refused(_) | PlatformError::Unreachable(_) | PlatformError::TooLarge,
-        ) => WriteEnd::Open(None),
+        ) => WriteOutcome::Unconfirmed(None),
         Err(_) => read_back(&platform, &pool, &write).await,
     };
     let _ = owner.send(Event::Committed(end)).detach().await;
 }
 
-async fn read_back(platform: &Platform, pool: &PoolName, write: &Write) -> WriteEnd {
+async fn read_back(platform: &Platform, pool: &PoolName, write: &Write) -> WriteOutcome {
     let name = object_name(pool, write.segment.number);
     match platform.get::<Segment>(CLAIMS, &name).await {
-        Ok(o) if o.spec.operation == write.segment.operation => WriteEnd::Done(o.metadata.version),
-        Ok(o) => WriteEnd::Open(Some((o.spec, o.metadata.version))),
-        Err(_) => WriteEnd::Open(None),
+        Ok(o) if o.spec.operation == write.segment.operation => {
+            WriteOutcome::Done(o.metadata.version)
+        }
+        Ok(o) => WriteOutcome::Unconfirmed(Some((o.spec, o.metadata.version))),
+        Err(_) => WriteOutcome::Unconfirmed(None),
     }
 }
 
@@ -178,7 +180,7 @@
         tokio::spawn(commit(address, platform, pool, write));
     }
 
-    pub(super) fn committed(&mut self, now: Moment, end: WriteEnd) {
+    pub(super) fn committed(&mut self, now: Moment, end: WriteOutcome) {
         let (keys, done) = self.journal.written(now, end);
         for key in keys {
             let Some((ticket, grant)) = self.held.remove(&key) else {
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -10,7 +10,7 @@
 use crate::lease::Record;
 use crate::lease::Step;
 use crate::lease::Timing;
-use crate::lease::WriteEnd;
+use crate::lease::WriteOutcome;
 use crate::pool::Moment;
 use crate::pool::Span;
 
@@ -176,10 +176,10 @@
     }
 
     /// The write of the last step ended.
-    pub fn written(&mut self, now: Moment, end: WriteEnd) {
+    pub fn written(&mut self, now: Moment, end: WriteOutcome) {
         self.busy = false;
         match end {
-            WriteEnd::Done(version) => {
+            WriteOutcome::Done(version) => {
                 if let Some(record) = self.attempt.take() {
                     self.settle(now, &record);
                     self.seen = Some(Seen {
@@ -189,14 +189,14 @@
                     });
                 }
             }
-            WriteEnd::Nothing => {
+            WriteOutcome::NotApplied => {
                 self.attempt = None;
                 self.retry_at = now.after(self.timing.retry_delay);
             }
-            WriteEnd::Conflict | WriteEnd::Lost => {
+            WriteOutcome::Conflict | WriteOutcome::Unknown => {
                 self.known = false;
                 self.retry_at = match end {
-                    WriteEnd::Lost => now.after(self.timing.retry_delay),
+                    WriteOutcome::Unknown => now.after(self.timing.retry_delay),
                     _ => now,
                 };
             }
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -26,4 +26,4 @@
 pub use types::Predecessor;
 pub use types::Step;
 pub use types::Timing;
-pub use types::WriteEnd;
+pub use types::WriteOutcome;
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -88,14 +88,14 @@
 
 /// How a write ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// Done; the new version.
     Done(String),
     /// It surely did nothing.
-    Nothing,
+    NotApplied,
     /// The object has another version: done by somebody, perhaps by an own
     /// write whose answer was lost.
     Conflict,
     /// It may have taken effect.
-    Lost,
+    Unknown,
 }
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -9,7 +9,7 @@
 use banyangauge::claims::Verdict;
 use banyangauge::claims::Who;
 use banyangauge::claims::Write;
-use banyangauge::claims::WriteEnd;
+use banyangauge::claims::WriteOutcome;
 use banyangauge::ids::Token;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
@@ -54,20 +54,20 @@
     }
 
     /// What a writer finds when it reads back.
-    fn read_back(&self, write: &Write) -> WriteEnd {
+    fn read_back(&self, write: &Write) -> WriteOutcome {
         let found = self
             .segments
             .iter()
             .find(|(s, _)| s.number == write.segment.number);
         match found {
-            Some((s, v)) if s.operation == write.segment.operation => WriteEnd::Done(v.clone()),
-            other => WriteEnd::Open(other.cloned()),
+            Some((s, v)) if s.operation == write.segment.operation => WriteOutcome::Done(v.clone()),
+            other => WriteOutcome::Unconfirmed(other.cloned()),
         }
     }
 
-    fn commit(&mut self, write: &Write) -> WriteEnd {
+    fn commit(&mut self, write: &Write) -> WriteOutcome {
         match self.apply(write) {
-            Some(version) => WriteEnd::Done(version),
+            Some(version) => WriteOutcome::Done(version),
             None => self.read_back(write),
         }
     }
@@ -233,7 +233,7 @@
     j.next_write(ms(200)).unwrap();
     j.free(ms(201), &key(1));
     assert_eq!(j.claim(ms(202), &key(1), &who(2)), Verdict::Fresh);
-    j.written(ms(203), WriteEnd::Open(None));
+    j.written(ms(203), WriteOutcome::Unconfirmed(None));
     // The commit failed for the first request; the second still has the key.
     assert_eq!(j.record(&key(1)), Record::Waits);
     let write = j.next_write(ms(400)).unwrap();
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -12,7 +12,7 @@
 use banyangauge::lease::Record;
 use banyangauge::lease::Step;
 use banyangauge::lease::Timing;
-use banyangauge::lease::WriteEnd;
+use banyangauge::lease::WriteOutcome;
 use banyangauge::lease::rank;
 use banyangauge::pool::Moment;
 use rstest::rstest;
@@ -41,18 +41,18 @@
         Some((self.record.clone()?, self.version.to_string()))
     }
 
-    fn apply(&mut self, step: &Step) -> WriteEnd {
+    fn apply(&mut self, step: &Step) -> WriteOutcome {
         let (expected, record) = match step {
             Step::Create(record) if self.record.is_none() => (self.version, record),
             Step::Replace(version, record) => (version.parse().unwrap(), record),
-            _ => return WriteEnd::Conflict,
+            _ => return WriteOutcome::Conflict,
         };
         if expected != self.version {
-            return WriteEnd::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.version += 1;
         self.record = Some(record.clone());
-        WriteEnd::Done(self.version.to_string())
+        WriteOutcome::Done(self.version.to_string())
     }
 }
 
@@ -176,7 +176,7 @@
     if applied {
         object.apply(&step);
     }
-    c.written(ms(1_100), WriteEnd::Lost);
+    c.written(ms(1_100), WriteOutcome::Unknown);
     assert_eq!(c.step(ms(1_100), || 0, None), Step::Wait);
     assert_eq!(advance(&mut c, &mut object, ms(1_300)), Step::Read);
     assert_eq!(c.lease().unwrap().valid_until, ms(until));
@@ -191,7 +191,7 @@
     let mut other = contest(2);
     advance(&mut other, &mut object, ms(10));
     let first = other.step(ms(3_010), || 0, None);
-    other.written(ms(3_110), WriteEnd::Lost);
+    other.written(ms(3_110), WriteOutcome::Unknown);
     // It is read back as not done, and tried again; then the first arrives.
     advance(&mut other, &mut object, ms(3_310));
     let second = other.step(ms(3_320), || 0, None);
@@ -336,7 +336,7 @@
     let mut c = holder(&mut object);
     for t in 1..100 {
         if c.step(ms(t * 1_000), || 0, None) != Step::Wait {
-            c.written(ms(t * 1_000), WriteEnd::Nothing);
+            c.written(ms(t * 1_000), WriteOutcome::NotApplied);
         }
     }
     let tenure = c.lease().unwrap();
