--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -95,7 +95,7 @@
                 for (pool, contest) in &mut self.contests {
                     let name = object_name(pool);
                     let found = records.iter().find(|(n, _, _)| *n == name);
-                    contest.resume(now);
+                    contest.restart_ttl(now);
                     contest.observe(now, found.map(|(_, r, v)| (r.clone(), v.clone())));
                 }
             }
@@ -113,16 +113,16 @@
                 if let Some(contest) = self.contests.get_mut(&pool) {
                     match answer {
                         Ok(object) => {
-                            contest.read();
+                            contest.read_done();
                             contest.observe(now, object);
                         }
-                        Err(_) => contest.unread(now),
+                        Err(_) => contest.read_failed(now),
                     }
                 }
             }
             Event::Written(pool, end) => {
                 if let Some(contest) = self.contests.get_mut(&pool) {
-                    contest.written(now, end);
+                    contest.write_done(now, end);
                 }
             }
         }
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -134,7 +134,7 @@
     /// The platform is back after it could not be followed: the holder could
     /// not renew either, and gets a whole `ttl` to do so. Without this every
     /// pool would change its owner at the end of each outage.
-    pub fn resume(&mut self, now: Moment) {
+    pub fn restart_ttl(&mut self, now: Moment) {
         if let Some(seen) = &mut self.seen {
             seen.since = now;
         }
@@ -165,18 +165,18 @@
     }
 
     /// A read ended without an answer.
-    pub fn unread(&mut self, now: Moment) {
+    pub fn read_failed(&mut self, now: Moment) {
         self.busy = false;
         self.retry_at = now.after(self.timing.retry_delay);
     }
 
     /// A read ended with an answer, which is then passed to `observe`.
-    pub fn read(&mut self) {
+    pub fn read_done(&mut self) {
         self.busy = false;
     }
 
     /// The write of the last step ended.
-    pub fn written(&mut self, now: Moment, end: WriteOutcome) {
+    pub fn write_done(&mut self, now: Moment, end: WriteOutcome) {
         self.busy = false;
         match end {
             WriteOutcome::Done(version) => {
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -80,9 +80,9 @@
     Wait,
     /// Read the object and pass it to [`observe`](crate::lease::Elector::observe).
     Read,
-    /// Create the object, then call [`written`](crate::lease::Elector::written).
+    /// Create the object, then call [`write_done`](crate::lease::Elector::write_done).
     Create(Record),
-    /// Replace the object at this version, then call [`written`](crate::lease::Elector::written).
+    /// Replace the object at this version, then call [`write_done`](crate::lease::Elector::write_done).
     Replace(String, Record),
 }
 
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -66,12 +66,12 @@
     match &step {
         Step::Wait => {}
         Step::Read => {
-            c.read();
+            c.read_done();
             c.observe(now, object.read());
         }
         write => {
             let end = object.apply(write);
-            c.written(now, end);
+            c.write_done(now, end);
         }
     }
     step
@@ -108,7 +108,7 @@
     let step = c.step(ms(1_000), || 0, None);
     let end = object.apply(&step);
     // The answer takes half a second; it buys nothing.
-    c.written(ms(1_500), end);
+    c.write_done(ms(1_500), end);
     assert_eq!(c.lease().unwrap().valid_until, ms(3_700));
     assert_eq!(token(&c), Some(1));
 }
@@ -176,7 +176,7 @@
     if applied {
         object.apply(&step);
     }
-    c.written(ms(1_100), WriteOutcome::Unknown);
+    c.write_done(ms(1_100), WriteOutcome::Unknown);
     assert_eq!(c.step(ms(1_100), || 0, None), Step::Wait);
     assert_eq!(advance(&mut c, &mut object, ms(1_300)), Step::Read);
     assert_eq!(c.lease().unwrap().valid_until, ms(until));
@@ -191,13 +191,13 @@
     let mut other = contest(2);
     advance(&mut other, &mut object, ms(10));
     let first = other.step(ms(3_010), || 0, None);
-    other.written(ms(3_110), WriteOutcome::Unknown);
+    other.write_done(ms(3_110), WriteOutcome::Unknown);
     // It is read back as not done, and tried again; then the first arrives.
     advance(&mut other, &mut object, ms(3_310));
     let second = other.step(ms(3_320), || 0, None);
     object.apply(&first);
     let end = object.apply(&second);
-    other.written(ms(3_330), end);
+    other.write_done(ms(3_330), end);
     advance(&mut other, &mut object, ms(3_340));
     let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
@@ -214,9 +214,9 @@
     advance(&mut b, &mut object, ms(0));
     let (first, second) = (a.step(ms(1), || 0, None), b.step(ms(1), || 0, None));
     let end = object.apply(&second);
-    b.written(ms(2), end);
+    b.write_done(ms(2), end);
     let end = object.apply(&first);
-    a.written(ms(2), end);
+    a.write_done(ms(2), end);
     advance(&mut a, &mut object, ms(3));
     assert_eq!((token(&a), token(&b)), (None, Some(1)));
 }
@@ -230,7 +230,7 @@
     let entries = Some(BTreeSet::from(["vm-1/1".to_owned()]));
     let step = held.step(ms(100), || 0, Some(&entries));
     let end = object.apply(&step);
-    held.written(ms(101), end);
+    held.write_done(ms(101), end);
     assert_eq!(token(&held), None);
     assert_eq!(held.step(ms(5_000), || 0, Some(&entries)), Step::Wait);
     other.observe(ms(102), object.read());
@@ -277,7 +277,7 @@
     other.observe(ms(3_011), object.read());
     let tenure = other.lease().unwrap().clone();
     assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
-    other.written(ms(3_012), end);
+    other.write_done(ms(3_012), end);
     assert_eq!(other.lease(), Some(&tenure));
 }
 
@@ -297,7 +297,7 @@
     let stop = Some(BTreeSet::new());
     let step = second.step(ms(3_100), || 0, Some(&stop));
     let end = object.apply(&step);
-    second.written(ms(3_101), end);
+    second.write_done(ms(3_101), end);
     let mut third = contest(3);
     advance(&mut third, &mut object, ms(3_200));
     advance(&mut third, &mut object, ms(3_200));
@@ -336,7 +336,7 @@
     let mut c = holder(&mut object);
     for t in 1..100 {
         if c.step(ms(t * 1_000), || 0, None) != Step::Wait {
-            c.written(ms(t * 1_000), WriteOutcome::NotApplied);
+            c.write_done(ms(t * 1_000), WriteOutcome::NotApplied);
         }
     }
     let tenure = c.lease().unwrap();
@@ -351,7 +351,7 @@
     advance(&mut other, &mut object, ms(10));
     // An hour without the platform; then both find it at the same time.
     let back = ms(3_600_000);
-    other.resume(back);
+    other.restart_ttl(back);
     assert_eq!(advance(&mut other, &mut object, back), Step::Wait);
     advance(&mut held, &mut object, back);
     assert_eq!(held.lease().unwrap().valid_until, ms(3_602_700));
