--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -35,7 +35,7 @@
 use crate::lease::HeldLease;
 use crate::platform::PlatformError;
 use crate::pool::Health;
-use crate::pool::Held;
+use crate::pool::InheritedDispatch;
 use crate::pool::Moment;
 use crate::pool::OrderEnd;
 use crate::pool::OrderId;
@@ -155,7 +155,7 @@
     pub(super) journal: Journal,
     pub(super) held: BTreeMap<ClaimKey, (Ticket, wire::Grant)>,
     // Grants on replicas that the catalog here does not name yet.
-    pub(super) orphans: Vec<Held>,
+    pub(super) orphans: Vec<InheritedDispatch>,
     pub(super) outboxes: BTreeMap<SessionId, Outbox>,
     pub(super) replicas: BTreeMap<ReplicaName, Watched>,
     pub(super) orders: Orders,
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -21,7 +21,7 @@
 use crate::pool::Arrival;
 use crate::pool::Class;
 use crate::pool::Finish;
-use crate::pool::Held;
+use crate::pool::InheritedDispatch;
 use crate::pool::Moment;
 use crate::pool::Outcome;
 use crate::pool::Reason;
@@ -103,7 +103,7 @@
         if grant.token > self.token().0 || !self.book.adopt(entry, grant, until) {
             return;
         }
-        let held = Held {
+        let held = InheritedDispatch {
             ticket: Ticket(grant.grant),
             replica,
             incarnation: Incarnation(grant.incarnation),
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -186,7 +186,7 @@
     }
 
     /// A new owner learns of a dispatch under an earlier owner's grant.
-    pub fn adopt(&mut self, now: Moment, held: Held) {
+    pub fn adopt(&mut self, now: Moment, held: InheritedDispatch) {
         let lane = Lane::of(held.class);
         let run = Running {
             replica: held.replica,
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -166,7 +166,7 @@
 
 /// A dispatch that a new owner learns of from an entry.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct InheritedDispatch {
     /// The owner's number for it.
     pub ticket: Ticket,
     /// Where it runs.
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -217,7 +217,7 @@
     for (ticket, adapter) in [(1, "a@1"), (2, "x@1")] {
         pool.adopt(
             Moment(11_000_000),
-            Held {
+            InheritedDispatch {
                 ticket: Ticket(ticket),
                 replica: "r1".parse().unwrap(),
                 incarnation: Incarnation(1),
