--- a/bench/benches/decision.rs
+++ b/bench/benches/decision.rs
@@ -132,7 +132,7 @@
     fn turn(&mut self) {
         self.offer_loaded();
         if let Some(ticket) = self.running.pop_front() {
-            let finish = Finish {
+            let finish = DispatchEnd {
                 ticket,
                 outcome: Outcome::Answered,
                 tokens: 100,
--- a/bench/src/capacity/decisions.rs
+++ b/bench/src/capacity/decisions.rs
@@ -11,7 +11,7 @@
 use banyangauge::pool::Arrival;
 use banyangauge::pool::Class;
 use banyangauge::pool::Command;
-use banyangauge::pool::Finish;
+use banyangauge::pool::DispatchEnd;
 use banyangauge::pool::LoadReport;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Outcome;
@@ -116,7 +116,7 @@
             let total = Span::from_millis(500);
             pool.finish(
                 now,
-                Finish {
+                DispatchEnd {
                     ticket,
                     outcome: Outcome::Answered,
                     tokens: 100,
--- a/bench/src/policy/baseline.rs
+++ b/bench/src/policy/baseline.rs
@@ -136,7 +136,7 @@
     }
 
     /// As [`Pool::finish`].
-    pub fn finish(&mut self, now: Moment, finish: Finish) {
+    pub fn finish(&mut self, now: Moment, finish: DispatchEnd) {
         let Some((name, inc, adapter)) = self.running.remove(&finish.ticket) else {
             return;
         };
--- a/bench/src/policy/sim.rs
+++ b/bench/src/policy/sim.rs
@@ -65,7 +65,7 @@
         to_both!(self, p => p.offer(now, a))
     }
 
-    fn finish(&mut self, now: Moment, f: Finish) {
+    fn finish(&mut self, now: Moment, f: DispatchEnd) {
         to_both!(self, p => p.finish(now, f))
     }
 
@@ -337,7 +337,7 @@
 
     fn finish(&mut self, ticket: Ticket, outcome: Outcome, tokens: u32, granted: Moment) {
         let total = self.now.since(granted);
-        let finish = Finish {
+        let finish = DispatchEnd {
             ticket,
             outcome,
             tokens,
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -20,7 +20,7 @@
 use crate::ids::TeamName;
 use crate::pool::Arrival;
 use crate::pool::Class;
-use crate::pool::Finish;
+use crate::pool::DispatchEnd;
 use crate::pool::InheritedDispatch;
 use crate::pool::Moment;
 use crate::pool::Outcome;
@@ -215,7 +215,7 @@
         self.book.remove(ticket);
         self.pool.finish(
             now,
-            Finish {
+            DispatchEnd {
                 ticket,
                 outcome,
                 tokens: release.tokens,
@@ -292,7 +292,7 @@
         if let Some(key) = self.book.remove(ticket).and_then(|i| i.claim) {
             self.end_claim(now, &key, outcome, "");
         }
-        let finish = Finish {
+        let finish = DispatchEnd {
             outcome,
             ..not_run(ticket)
         };
@@ -358,8 +358,8 @@
     wire::OwnerMessage { body: Some(answer) }
 }
 
-fn not_run(ticket: Ticket) -> Finish {
-    Finish {
+fn not_run(ticket: Ticket) -> DispatchEnd {
+    DispatchEnd {
         ticket,
         outcome: Outcome::NotRun,
         tokens: 0,
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -190,7 +190,7 @@
     }
 
     /// What the end of a dispatch teaches.
-    pub(super) fn learn(&mut self, now: Moment, f: &Finish, run: &Running) {
+    pub(super) fn learn(&mut self, now: Moment, f: &DispatchEnd, run: &Running) {
         match f.outcome {
             Outcome::Answered => self.learn_answer(f, run),
             Outcome::BrokenEarly | Outcome::BrokenLate => self.learn_break(now, run),
@@ -204,7 +204,7 @@
         }
     }
 
-    fn learn_answer(&mut self, f: &Finish, run: &Running) {
+    fn learn_answer(&mut self, f: &DispatchEnd, run: &Running) {
         self.budget.earn(self.settings.retry_share);
         self.verdicts.clear(run.fingerprint);
         self.service.learn(run.lane, f.tokens, f.total);
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -174,7 +174,7 @@
     }
 
     /// A dispatch ended, or its grant lapsed.
-    pub fn finish(&mut self, now: Moment, finish: Finish) {
+    pub fn finish(&mut self, now: Moment, finish: DispatchEnd) {
         if let Some(run) = self.running.remove(&finish.ticket) {
             self.learn(now, &finish, &run);
             let name = run.replica.clone();
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -151,7 +151,7 @@
 
 /// The end of a dispatch.
 #[derive(Clone, Debug)]
-pub struct Finish {
+pub struct DispatchEnd {
     /// Which request.
     pub ticket: Ticket,
     /// How it ended.
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -198,7 +198,7 @@
 fn wrong_identity_not_granted_until_reported() {
     let mut pool = reported();
     pool.offer(Moment(20_000_000), arrival(1, "t", "a@1"));
-    let finish = Finish {
+    let finish = DispatchEnd {
         ticket: Ticket(1),
         outcome: Outcome::WrongIdentity,
         tokens: 0,
@@ -290,7 +290,7 @@
     pool.report(Moment(1_000_000), report(1, 0, &["a@1"]));
     pool.offer(Moment(2_000_000), arrival(1, "t", "a@1"));
     pool.take_commands();
-    let finish = Finish {
+    let finish = DispatchEnd {
         ticket: Ticket(1),
         outcome,
         tokens: 0,
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -317,7 +317,7 @@
 
     fn finish(&mut self, ticket: Ticket, outcome: Outcome, tokens: u32, granted: Moment) {
         let total = self.now.since(granted);
-        let finish = Finish {
+        let finish = DispatchEnd {
             ticket,
             outcome,
             tokens,
