--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -67,7 +67,7 @@
                 ticket,
                 reason,
                 retry_after,
-            } => self.refuse(now, ticket, reason.word(), retry_after),
+            } => self.refuse(now, ticket, reason.as_str(), retry_after),
             Command::Load {
                 order,
                 replica,
@@ -95,10 +95,10 @@
         let address = self.replicas.get(replica).map(|r| r.address);
         let allowed = !self.deposed && self.safety.may_grant(now, replica, &self.facts);
         let Some(address) = address.filter(|_| allowed) else {
-            return self.take_back(now, ticket, Reason::Draining.word());
+            return self.take_back(now, ticket, Reason::Draining.as_str());
         };
         let Some(item) = self.book.item(ticket) else {
-            return self.take_back(now, ticket, Reason::Draining.word());
+            return self.take_back(now, ticket, Reason::Draining.as_str());
         };
         let grant = wire::Grant {
             request: item.request,
@@ -145,7 +145,7 @@
             None => false,
         };
         if !sent {
-            return self.take_back(now, ticket, Reason::Draining.word());
+            return self.take_back(now, ticket, Reason::Draining.as_str());
         }
         metrics::counter!("granted_total").increment(1);
         self.book.grant(ticket, grant, now.after(self.grant_ttl()));
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -135,14 +135,14 @@
     fn acquire(&mut self, now: Moment, session: SessionId, entry: &str, acquire: wire::Acquire) {
         let request = acquire.request;
         let Ok(team) = TeamName::new(&acquire.team) else {
-            return self.tell_refusal(session, request, Reason::NoReplica.word(), "");
+            return self.tell_refusal(session, request, Reason::NoReplica.as_str(), "");
         };
         if self.deposed || self.draining {
-            return self.tell_refusal(session, request, Reason::Draining.word(), "");
+            return self.tell_refusal(session, request, Reason::Draining.as_str(), "");
         }
         // Dispatched once: nothing tells whether the first try ran.
         if !acquire.idempotent && acquire.claim.is_empty() && acquire.attempt > 0 {
-            return self.tell_refusal(session, request, Reason::RetryBudget.word(), "");
+            return self.tell_refusal(session, request, Reason::RetryBudget.as_str(), "");
         }
         if let Some(ticket) = self.book.waiting(entry, request) {
             self.forget(now, ticket);
@@ -195,7 +195,7 @@
         match self.journal.claim(now, &key, &who) {
             Verdict::Fresh => Ok(Some(key)),
             Verdict::Seen(state) => Err(("claim", state.word())),
-            Verdict::Full => Err((Reason::QueueFull.word(), "")),
+            Verdict::Full => Err((Reason::QueueFull.as_str(), "")),
         }
     }
 
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -119,7 +119,7 @@
 
 impl Reason {
     /// The word for it in error bodies and on the wire.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Deadline => "deadline",
             Self::QueueFull => "queue_full",
