--- a/bench/src/policy/sim.rs
+++ b/bench/src/policy/sim.rs
@@ -439,7 +439,7 @@
                 adapter,
                 evict,
             } => self.order(order, &replica, incarnation, adapter, evict),
-            Command::Convict { .. } => {}
+            Command::Block { .. } => {}
         }
     }
 
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -75,7 +75,7 @@
                 adapter,
                 evict,
             } => self.load(now, order, &replica, incarnation, adapter, evict),
-            Command::Convict { fingerprint, hold } => {
+            Command::Block { fingerprint, hold } => {
                 slog::warn!(self.shared.log, "convicted"; "pool" => %self.name,
                     "fingerprint" => fingerprint.0);
                 self.note(Kind::Convicted, None, "", &fingerprint.0.to_string());
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -224,7 +224,7 @@
     fn learn_break(&mut self, now: Moment, run: &Running) {
         if run.solo {
             let hold = self.settings.verdict;
-            self.commands.push(Command::Convict {
+            self.commands.push(Command::Block {
                 fingerprint: run.fingerprint,
                 hold,
             });
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -263,7 +263,7 @@
         evict: Option<AdapterVersion>,
     },
     /// The request crashes its upstream: refuse it everywhere until then.
-    Convict {
+    Block {
         /// Hash of the request.
         fingerprint: Fingerprint,
         /// How long the verdict holds.
--- a/lib/tests/test_pool_obey.rs
+++ b/lib/tests/test_pool_obey.rs
@@ -66,7 +66,7 @@
                 self.orders.insert(order, (replica, incarnation, adapter));
                 self.at(now.after(self.load), Event::Loaded(order));
             }
-            Command::Convict { fingerprint, .. } => {
+            Command::Block { fingerprint, .. } => {
                 self.convicted.insert(fingerprint);
             }
         }
