--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/upkeep.rs
@@ -70,7 +70,7 @@
         for (fingerprint, until) in &board {
             if self.verdicts.get(fingerprint) != Some(until) {
                 let left = Span::from_millis(until.saturating_sub(uptime));
-                self.pool.convict(now, *fingerprint, left);
+                self.pool.block(now, *fingerprint, left);
             }
         }
         self.verdicts = board;
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -228,7 +228,7 @@
                 fingerprint: run.fingerprint,
                 hold,
             });
-            self.convict(now, run.fingerprint, hold);
+            self.block(now, run.fingerprint, hold);
         } else {
             self.verdicts
                 .suspect(now, run.fingerprint, &run.replica, run.incarnation);
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -200,7 +200,7 @@
     }
 
     /// Another process found that a request crashes its upstream.
-    pub fn convict(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
+    pub fn block(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
         self.verdicts.convict(now, fingerprint, now.after(hold));
         for ticket in self.queue.matching(|a| a.fingerprint == fingerprint) {
             self.turn_away(now, ticket, Reason::Convicted, hold);
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -90,7 +90,7 @@
 fn verdict_ages_out() {
     let mut rig = Rig::new(settings(), 1, 0, 8);
     let hold = Span::from_millis(1_000);
-    rig.pool.convict(rig.now, Fingerprint(0), hold);
+    rig.pool.block(rig.now, Fingerprint(0), hold);
     rig.offer_in(0, arrival(0, "t", ""));
     rig.run_for(1_500);
     let mut again = arrival(1, "t", "");
