--- a/bench/benches/decision.rs
+++ b/bench/benches/decision.rs
@@ -78,7 +78,7 @@
     /// Makes every adapter known, as after days of work.
     fn ask_for_all(&mut self) {
         let thaw = self.now.after(Span(self.adapters.len() as u64 * 200));
-        self.pool.freeze(thaw);
+        self.pool.freeze_slots(thaw);
         for i in self.loaded..self.adapters.len() {
             let ticket = self.offer(i);
             self.pool.abandon(self.now, ticket);
--- a/bench/src/capacity/decisions.rs
+++ b/bench/src/capacity/decisions.rs
@@ -89,7 +89,7 @@
         return 0.0;
     };
     // Every adapter has been asked for once.
-    pool.freeze(Moment(u64::MAX / 2));
+    pool.freeze_slots(Moment(u64::MAX / 2));
     for (i, a) in known.iter().enumerate() {
         now = now.after(Span(100));
         pool.offer(now, arrival(i as u64, now, a, &team));
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -212,7 +212,7 @@
         let reports = Orders::new(std::time::Duration::from_millis(times.report_ms));
         let limits = local.settings.claim_limits();
         let mut pool = new_pool(&catalog, &spec);
-        pool.freeze(clock::now().after(AHEAD));
+        pool.freeze_slots(clock::now().after(AHEAD));
         Some(Self {
             pool,
             book: Book::new(tenure.token),
--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/upkeep.rs
@@ -96,7 +96,7 @@
             });
         }
         if self.frozen {
-            self.pool.freeze(now.after(AHEAD));
+            self.pool.freeze_slots(now.after(AHEAD));
         }
         if self.keeping {
             self.pool.freeze_evictions(now.after(AHEAD));
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -210,7 +210,7 @@
 
     /// No slot changes before `until`: a new owner's quarantine at engines that
     /// ignore fencing tokens, where an earlier owner may still give orders.
-    pub fn freeze(&mut self, until: Moment) {
+    pub fn freeze_slots(&mut self, until: Moment) {
         self.frozen = self.frozen.max(until);
     }
 
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -193,7 +193,7 @@
 
     pub(crate) fn freeze(&mut self, until: Moment) {
         self.frozen = until;
-        self.pool.freeze(until);
+        self.pool.freeze_slots(until);
     }
 
     pub(crate) fn health(&mut self, name: &str, health: Health) {
