--- a/lib/src/pool/ahead.rs
+++ b/lib/src/pool/ahead.rs
@@ -29,7 +29,7 @@
         let outlook = |a: &AdapterVersion| {
             let e = self.adapters.get(&Some(a.clone()))?;
             let known = e.backoff <= now && e.loading == 0 && e.demand.due(half) > now;
-            known.then(|| e.demand.outlook(now, half, SILENCE))
+            known.then(|| e.demand.expected_rate(now, half, SILENCE))
         };
         let missed = self.adapters.missed().take(LOADS_PROBED);
         let best = missed.filter_map(|a| Some((outlook(a)?, a)));
--- a/lib/src/pool/demand.rs
+++ b/lib/src/pool/demand.rs
@@ -44,7 +44,7 @@
     /// likely. A count alone keeps yesterday's busiest adapter for many
     /// half-lives; an adapter of one request a second that was silent for
     /// `patience` seconds has most likely lost its callers.
-    pub(crate) fn outlook(&self, now: Moment, half_us: f64, patience: f64) -> f64 {
+    pub(crate) fn expected_rate(&self, now: Moment, half_us: f64, patience: f64) -> f64 {
         let silence = now.since(self.last).0 as f64 / 1e6;
         self.rate(now, half_us).min(patience / silence.max(1e-3))
     }
--- a/lib/src/pool/evict.rs
+++ b/lib/src/pool/evict.rs
@@ -78,7 +78,7 @@
         let half = self.half_life();
         let worth = |a: &AdapterVersion| {
             let e = self.adapters.get(&Some(a.clone()))?;
-            let rate = e.demand.outlook(now, half, SILENCE);
+            let rate = e.demand.expected_rate(now, half, SILENCE);
             let free = e.waiting() == 0 || urgent && !e.urgent();
             free.then(|| rate / e.holders.len().max(1) as f64)
         };
@@ -115,7 +115,7 @@
         let entry = self.adapters.get(&Some(adapter.clone()));
         entry.map_or(0.0, |e| match e.demand.due(half) <= now {
             true => 0.0,
-            false => e.demand.outlook(now, half, SILENCE) / e.holders.len().max(1) as f64,
+            false => e.demand.expected_rate(now, half, SILENCE) / e.holders.len().max(1) as f64,
         })
     }
 }
--- a/lib/src/pool/loads.rs
+++ b/lib/src/pool/loads.rs
@@ -77,7 +77,7 @@
         let long = e.list(Lane::Long).len() as f64;
         let short = (e.waiting() + more) as f64 - long;
         let waiting = (short + long * LONG_WEIGHT - 1.0).max(0.0);
-        let rate = e.demand.outlook(now, half, SILENCE);
+        let rate = e.demand.expected_rate(now, half, SILENCE);
         let expected = (rate * PER_RATE).min(MOST_FOR_RATE);
         let copy = if e.holders.is_empty() {
             0.0
