--- a/lib/src/pool/demand.rs
+++ b/lib/src/pool/demand.rs
@@ -27,7 +27,7 @@
     };
 
     /// Counts `weight` requests at `now`.
-    pub(crate) fn count(&mut self, now: Moment, half_us: f64, weight: f64) {
+    pub(crate) fn record(&mut self, now: Moment, half_us: f64, weight: f64) {
         let scale = now.0 as f64 / half_us;
         let old = (self.log - scale).exp2();
         self.log = scale + (old + weight).log2();
--- a/lib/src/pool/slots.rs
+++ b/lib/src/pool/slots.rs
@@ -34,7 +34,7 @@
             let demand = &mut self.adapters.entry(&a.adapter).demand;
             let together = now.since(demand.last) < TOGETHER;
             let weight = if together { TOGETHER_WEIGHT } else { 1.0 };
-            demand.count(now, half, weight);
+            demand.record(now, half, weight);
         }
         if let Some(adapter) = &a.adapter {
             self.reindex(adapter);
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -190,7 +190,7 @@
         let entry = self.use_of(t);
         if begun > 0 || running > 0 {
             let weight = f64::from(begun) + RUNNING_WEIGHT;
-            entry.demand.count(now, DEMAND_HALF, weight);
+            entry.demand.record(now, DEMAND_HALF, weight);
         }
         entry.running.insert(vm.clone(), (now, running));
     }
@@ -537,7 +537,7 @@
                 };
                 slot.phase = Phase::Here;
                 slot.version = version.unwrap_or(slot.version);
-                self.use_of(target).demand.count(now, DEMAND_HALF, 1.0);
+                self.use_of(target).demand.record(now, DEMAND_HALF, 1.0);
                 if target.adapter.is_some() {
                     self.note_near(target);
                 }
