--- a/lib/src/pool/adapter.rs
+++ b/lib/src/pool/adapter.rs
@@ -209,7 +209,7 @@
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let key = a.demand.key(a.holders.len());
+        let key = a.demand.order_key(a.holders.len());
         let last = a.demand.last;
         let due = a.demand.due(half_us);
         a.ranked = Some(Rank { key, last, due });
--- a/lib/src/pool/demand.rs
+++ b/lib/src/pool/demand.rs
@@ -58,7 +58,7 @@
     }
 
     /// A key that orders as the rate shared by `copies` does, at any time.
-    pub(crate) fn key(&self, copies: usize) -> i64 {
+    pub(crate) fn order_key(&self, copies: usize) -> i64 {
         let log = self.log - (copies.max(1) as f64).log2();
         (log.max(-1e12) * KEY_STEPS) as i64
     }
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -390,8 +390,11 @@
         }
         let here = self.adapters_here();
         let idle = here.filter(|(t, _)| !self.wishes.contains_key(*t) && self.idle(now, t));
-        let least =
-            idle.min_by_key(|(t, _)| self.uses.get(*t).map_or(i64::MIN, |u| u.demand.key(1)));
+        let least = idle.min_by_key(|(t, _)| {
+            self.uses
+                .get(*t)
+                .map_or(i64::MIN, |u| u.demand.order_key(1))
+        });
         least.map(|(t, _)| t.clone())
     }
 
