--- a/lib/src/pool/adapter.rs
+++ b/lib/src/pool/adapter.rs
@@ -210,7 +210,7 @@
             return;
         };
         let key = a.demand.order_key(a.holders.len());
-        let last = a.demand.last;
+        let last = a.demand.last_request;
         let due = a.demand.due(half_us);
         a.ranked = Some(Rank { key, last, due });
         if !a.holders.iter().any(live) {
--- a/lib/src/pool/demand.rs
+++ b/lib/src/pool/demand.rs
@@ -16,14 +16,14 @@
 pub(crate) struct Demand {
     log: f64,
     /// When it was last asked for.
-    pub(crate) last: Moment,
+    pub(crate) last_request: Moment,
 }
 
 impl Demand {
     /// Nothing was asked for so far.
     pub(crate) const NONE: Self = Self {
         log: f64::NEG_INFINITY,
-        last: Moment(0),
+        last_request: Moment(0),
     };
 
     /// Counts `weight` requests at `now`.
@@ -31,7 +31,7 @@
         let scale = now.0 as f64 / half_us;
         let old = (self.log - scale).exp2();
         self.log = scale + (old + weight).log2();
-        self.last = now;
+        self.last_request = now;
     }
 
     /// Requests a second, as far as the half-life can tell.
@@ -45,7 +45,7 @@
     /// half-lives; an adapter of one request a second that was silent for
     /// `patience` seconds has most likely lost its callers.
     pub(crate) fn expected_rate(&self, now: Moment, half_us: f64, patience: f64) -> f64 {
-        let silence = now.since(self.last).0 as f64 / 1e6;
+        let silence = now.since(self.last_request).0 as f64 / 1e6;
         self.rate(now, half_us).min(patience / silence.max(1e-3))
     }
 
@@ -53,8 +53,8 @@
     /// requests that come as often as these did leave so long a gap once in
     /// four hundred times.
     pub(crate) fn due(&self, half_us: f64) -> Moment {
-        let rate = self.rate(self.last, half_us).max(1e-6);
-        self.last.after(Span((GAP / rate * 1e6) as u64))
+        let rate = self.rate(self.last_request, half_us).max(1e-6);
+        self.last_request.after(Span((GAP / rate * 1e6) as u64))
     }
 
     /// A key that orders as the rate shared by `copies` does, at any time.
--- a/lib/src/pool/slots.rs
+++ b/lib/src/pool/slots.rs
@@ -32,7 +32,7 @@
         let half = self.half_life();
         if a.attempt == 0 {
             let demand = &mut self.adapters.entry(&a.adapter).demand;
-            let together = now.since(demand.last) < TOGETHER;
+            let together = now.since(demand.last_request) < TOGETHER;
             let weight = if together { TOGETHER_WEIGHT } else { 1.0 };
             demand.record(now, half, weight);
         }
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -405,7 +405,7 @@
         let kept = Span(self.news.0 * RUNS_KEPT);
         let running = uses.running.values();
         let mut running = running.filter(|(heard, n)| *n > 0 && now.since(*heard) < kept);
-        running.next().is_none() && now.since(uses.demand.last) >= self.news
+        running.next().is_none() && now.since(uses.demand.last_request) >= self.news
     }
 
     pub(super) fn next_wake(&self, now: Moment) -> Option<Moment> {
