--- a/bench/benches/decision.rs
+++ b/bench/benches/decision.rs
@@ -96,7 +96,7 @@
             adapter: Some(self.adapters[adapter].clone()),
             class: Class::Interactive,
             deadline: self.now.after(Span::from_millis(3_600_000)),
-            prompt: 200,
+            prompt_tokens: 200,
             output: 200,
             prefix: self.serial % 5_000,
             idempotent: true,
--- a/bench/src/capacity/decisions.rs
+++ b/bench/src/capacity/decisions.rs
@@ -45,7 +45,7 @@
         adapter: Some(adapter.clone()),
         class: Class::Interactive,
         deadline: now.after(Span::from_millis(30_000)),
-        prompt: 20,
+        prompt_tokens: 20,
         output: 100,
         prefix: number % 50,
         idempotent: true,
--- a/bench/src/policy/sim.rs
+++ b/bench/src/policy/sim.rs
@@ -250,7 +250,7 @@
             adapter: Some(self.jobs.adapters[j.adapter].clone()),
             class: j.class,
             deadline: j.deadline,
-            prompt: j.prompt,
+            prompt_tokens: j.prompt,
             output: j.limit,
             prefix: j.prefix,
             idempotent: true,
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -158,7 +158,7 @@
             adapter: adapter_of(&acquire.adapter, acquire.version),
             class: class_of(acquire.class),
             deadline: now.after(Span::from_millis(acquire.deadline_ms)),
-            prompt: acquire.prompt_tokens,
+            prompt_tokens: acquire.prompt_tokens,
             output: acquire.max_tokens,
             prefix: acquire.prefix,
             idempotent: acquire.idempotent,
--- a/lib/src/pool/admit.rs
+++ b/lib/src/pool/admit.rs
@@ -94,7 +94,7 @@
             .verdicts
             .is_suspect(now, a.fingerprint, self.settings.strikes);
         self.note_demand(now, &a);
-        let cost = u64::from(a.output / 2) + u64::from(a.prompt / 16) + 1;
+        let cost = u64::from(a.output / 2) + u64::from(a.prompt_tokens / 16) + 1;
         let share = self.share(&a);
         let tag = self.fair[lane.index()].tag(&a.team, cost, share);
         let least = self.service.least(&self.settings, lane, a.output);
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -82,7 +82,7 @@
     /// When its caller no longer wants the answer.
     pub deadline: Moment,
     /// Tokens in the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The most tokens it may generate.
     pub output: u32,
     /// Hash of the prompt's head; 0 is none.
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -98,7 +98,7 @@
         adapter: (!adapter.is_empty()).then(|| adapter.parse().unwrap()),
         class: Class::Interactive,
         deadline: Moment(u64::MAX),
-        prompt: 100,
+        prompt_tokens: 100,
         output: 50,
         prefix: 0,
         idempotent: true,
