--- a/bench/benches/decision.rs
+++ b/bench/benches/decision.rs
@@ -97,7 +97,7 @@
             class: Class::Interactive,
             deadline: self.now.after(Span::from_millis(3_600_000)),
             prompt_tokens: 200,
-            output: 200,
+            max_tokens: 200,
             prefix: self.serial % 5_000,
             idempotent: true,
             fingerprint: Fingerprint(self.serial),
--- a/bench/src/capacity/decisions.rs
+++ b/bench/src/capacity/decisions.rs
@@ -46,7 +46,7 @@
         class: Class::Interactive,
         deadline: now.after(Span::from_millis(30_000)),
         prompt_tokens: 20,
-        output: 100,
+        max_tokens: 100,
         prefix: number % 50,
         idempotent: true,
         fingerprint: Fingerprint(number),
--- a/bench/src/policy/sim.rs
+++ b/bench/src/policy/sim.rs
@@ -251,7 +251,7 @@
             class: j.class,
             deadline: j.deadline,
             prompt_tokens: j.prompt,
-            output: j.limit,
+            max_tokens: j.limit,
             prefix: j.prefix,
             idempotent: true,
             fingerprint: Fingerprint(job as u64),
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -110,7 +110,7 @@
             adapter: adapter_of(&grant.adapter, grant.version),
             team,
             class: class_of(grant.class),
-            output: grant.max_tokens,
+            max_tokens: grant.max_tokens,
             fingerprint: Fingerprint(grant.fingerprint),
         };
         match self.replicas.contains_key(&held.replica) {
@@ -159,7 +159,7 @@
             class: class_of(acquire.class),
             deadline: now.after(Span::from_millis(acquire.deadline_ms)),
             prompt_tokens: acquire.prompt_tokens,
-            output: acquire.max_tokens,
+            max_tokens: acquire.max_tokens,
             prefix: acquire.prefix,
             idempotent: acquire.idempotent,
             fingerprint: Fingerprint(acquire.fingerprint),
--- a/lib/src/pool/admit.rs
+++ b/lib/src/pool/admit.rs
@@ -47,7 +47,7 @@
             return Err((Reason::QueueFull, self.wait_estimate()));
         }
         let wait = self.least_wait(now, a);
-        let least = self.service.least(&self.settings, lane, a.output);
+        let least = self.service.least(&self.settings, lane, a.max_tokens);
         if now.after(Span(wait.0 + least.0)) > a.deadline {
             return Err((Reason::Deadline, wait.clamp(COME_BACK, LONGEST_AFTER)));
         }
@@ -94,10 +94,10 @@
             .verdicts
             .is_suspect(now, a.fingerprint, self.settings.strikes);
         self.note_demand(now, &a);
-        let cost = u64::from(a.output / 2) + u64::from(a.prompt_tokens / 16) + 1;
+        let cost = u64::from(a.max_tokens / 2) + u64::from(a.prompt_tokens / 16) + 1;
         let share = self.share(&a);
         let tag = self.fair[lane.index()].tag(&a.team, cost, share);
-        let least = self.service.least(&self.settings, lane, a.output);
+        let least = self.service.least(&self.settings, lane, a.max_tokens);
         let expiry = Moment(a.deadline.0.saturating_sub(least.0)).max(now);
         let w = Waiting {
             arrival: a,
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -84,7 +84,7 @@
     /// Tokens in the prompt.
     pub prompt_tokens: u32,
     /// The most tokens it may generate.
-    pub output: u32,
+    pub max_tokens: u32,
     /// Hash of the prompt's head; 0 is none.
     pub prefix: u64,
     /// Whether it may run more than once.
@@ -180,7 +180,7 @@
     /// Its class.
     pub class: Class,
     /// The most tokens it may generate.
-    pub output: u32,
+    pub max_tokens: u32,
     /// Hash of the whole request.
     pub fingerprint: Fingerprint,
 }
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -224,7 +224,7 @@
                 adapter: Some(adapter.parse().unwrap()),
                 team: "t".parse().unwrap(),
                 class: Class::Interactive,
-                output: 10,
+                max_tokens: 10,
                 fingerprint: Fingerprint(ticket),
             },
         );
--- a/lib/tests/test_pool_obey.rs
+++ b/lib/tests/test_pool_obey.rs
@@ -106,7 +106,7 @@
         let longs = longs.count();
         let peak = self.peak.entry(name.clone()).or_default();
         *peak = (peak.0.max(e.running.len()), peak.1.max(longs));
-        let time = Span(u64::from(a.output) * self.step.0 * e.slow / 100);
+        let time = Span(u64::from(a.max_tokens) * self.step.0 * e.slow / 100);
         if self.poison.contains(&a.fingerprint) {
             self.at(now.after(FUSE), Event::Crash(name, inc));
         } else {
--- a/lib/tests/test_pool_outcomes.rs
+++ b/lib/tests/test_pool_outcomes.rs
@@ -126,7 +126,7 @@
     for i in 0..200 {
         let mut a = arrival(i, "archive", "");
         a.class = Class::Long;
-        a.output = 500;
+        a.max_tokens = 500;
         rig.offer_in(0, due(&rig, 400_000, a));
     }
     for i in 0..100 {
@@ -152,7 +152,7 @@
     for i in 0..10 {
         let mut a = arrival(5_000 + i, "archive", "");
         a.class = Class::Long;
-        a.output = 500;
+        a.max_tokens = 500;
         rig.offer_in(500, due(&rig, 60_000, a));
     }
     rig.run_for(60_000);
@@ -259,7 +259,7 @@
     let mut rig = Rig::new(settings(), 2, 1, 2);
     for i in 0..2 {
         let mut a = arrival(i, "t", "b@1");
-        a.output = 300;
+        a.max_tokens = 300;
         rig.offer_in(0, a);
     }
     rig.run_for(700);
--- a/lib/tests/test_pool_promises.rs
+++ b/lib/tests/test_pool_promises.rs
@@ -91,7 +91,7 @@
                 a.class = Class::Long;
             }
             a.deadline = rig.now.after(Span::from_millis(*deadline));
-            a.output = *output;
+            a.max_tokens = *output;
             if *poison {
                 rig.poison.insert(a.fingerprint);
             }
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -99,7 +99,7 @@
         class: Class::Interactive,
         deadline: Moment(u64::MAX),
         prompt_tokens: 100,
-        output: 50,
+        max_tokens: 50,
         prefix: 0,
         idempotent: true,
         fingerprint: Fingerprint(ticket),
@@ -312,7 +312,7 @@
             total: self.now.since(offered),
         };
         self.got.insert(ticket, got);
-        self.finish(ticket, Outcome::Answered, a.output, granted);
+        self.finish(ticket, Outcome::Answered, a.max_tokens, granted);
     }
 
     fn finish(&mut self, ticket: Ticket, outcome: Outcome, tokens: u32, granted: Moment) {
