--- a/bench/benches/decision.rs
+++ b/bench/benches/decision.rs
@@ -136,7 +136,7 @@
                 ticket,
                 outcome: Outcome::Answered,
                 tokens: 100,
-                first: Span::from_millis(50),
+                first_byte: Span::from_millis(50),
                 total: Span::from_millis(900),
             };
             self.pool.finish(self.now, finish);
--- a/bench/src/capacity/decisions.rs
+++ b/bench/src/capacity/decisions.rs
@@ -120,7 +120,7 @@
                     ticket,
                     outcome: Outcome::Answered,
                     tokens: 100,
-                    first: Span::from_millis(20),
+                    first_byte: Span::from_millis(20),
                     total,
                 },
             );
--- a/bench/src/policy/sim.rs
+++ b/bench/src/policy/sim.rs
@@ -341,7 +341,7 @@
             ticket,
             outcome,
             tokens,
-            first: Span(total.0 / u64::from(tokens.max(1))),
+            first_byte: Span(total.0 / u64::from(tokens.max(1))),
             total,
         };
         self.policy.finish(self.now, finish);
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -219,7 +219,7 @@
                 ticket,
                 outcome,
                 tokens: release.tokens,
-                first: Span::from_millis(release.first_ms),
+                first_byte: Span::from_millis(release.first_ms),
                 total: Span::from_millis(release.total_ms),
             },
         );
@@ -363,7 +363,7 @@
         ticket,
         outcome: Outcome::NotRun,
         tokens: 0,
-        first: Span(0),
+        first_byte: Span(0),
         total: Span(0),
     }
 }
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -159,7 +159,7 @@
     /// Tokens that were passed on.
     pub tokens: u32,
     /// From dispatch to the first byte; zero when there was none.
-    pub first: Span,
+    pub first_byte: Span,
     /// From dispatch to the end.
     pub total: Span,
 }
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -202,7 +202,7 @@
         ticket: Ticket(1),
         outcome: Outcome::WrongIdentity,
         tokens: 0,
-        first: Span(0),
+        first_byte: Span(0),
         total: Span(0),
     };
     pool.finish(Moment(20_100_000), finish);
@@ -294,7 +294,7 @@
         ticket: Ticket(1),
         outcome,
         tokens: 0,
-        first: Span(0),
+        first_byte: Span(0),
         total: Span(0),
     };
     pool.finish(Moment(3_000_000), finish);
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -321,7 +321,7 @@
             ticket,
             outcome,
             tokens,
-            first: Span(total.0.min(self.step.0)),
+            first_byte: Span(total.0.min(self.step.0)),
             total,
         };
         self.pool.finish(self.now, finish);
