--- a/lib/src/pool/gather.rs
+++ b/lib/src/pool/gather.rs
@@ -26,7 +26,7 @@
         if !self.gathers() || r.spec.slots == 0 {
             return true;
         }
-        let enough = part(r.spec.batch, self.settings.gather) as usize;
+        let enough = part(r.spec.batch, self.settings.batch_fill) as usize;
         let mut ready = r.busy() as usize + more;
         for adapter in &r.loaded {
             if ready >= enough {
@@ -46,7 +46,7 @@
 
     /// Whether long work is gathered in this pool.
     pub(super) fn gathers(&self) -> bool {
-        self.settings.weighing == Objective::Batch && self.settings.gather > 0
+        self.settings.weighing == Objective::Batch && self.settings.batch_fill > 0
     }
 
     /// Whether the first in turn has waited long enough.
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -56,7 +56,8 @@
     /// long work must fill with what runs to be started at once; 0 starts it
     /// always.
     #[builder(default = 60)]
-    pub gather: u32,
+    #[serde(rename = "gather")]
+    pub batch_fill: u32,
     /// The longest that long work waits for company, in microseconds; never
     /// more than a tenth of the time to its deadline.
     #[builder(default = Span::from_millis(10_000))]
@@ -149,8 +150,8 @@
         if self.strikes == 0 {
             return bad("strikes", self.strikes.to_string(), "1 or more");
         }
-        if self.gather > 100 {
-            return bad("gather", self.gather.to_string(), "0 to 100");
+        if self.batch_fill > 100 {
+            return bad("gather", self.batch_fill.to_string(), "0 to 100");
         }
         if self.long_floor > self.long_part() {
             return bad("long_floor", self.long_floor.to_string(), "0 to long_cap");
