--- a/lib/src/pool/gather.rs
+++ b/lib/src/pool/gather.rs
@@ -58,7 +58,7 @@
 
     fn patience_end(&self, since: Moment, a: &Arrival) -> Moment {
         let part = Span(a.deadline.since(since).0 / DEADLINE_PARTS);
-        since.after(part.min(self.settings.gather_for))
+        since.after(part.min(self.settings.batch_delay))
     }
 
     /// Notes that long work waits for company.
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -61,7 +61,8 @@
     /// The longest that long work waits for company, in microseconds; never
     /// more than a tenth of the time to its deadline.
     #[builder(default = Span::from_millis(10_000))]
-    pub gather_for: Span,
+    #[serde(rename = "gather_for")]
+    pub batch_delay: Span,
     /// Retries allowed, in hundredths of the answers.
     #[builder(default = 10)]
     pub retry_share: u32,
