--- a/bench/src/policy/mod.rs
+++ b/bench/src/policy/mod.rs
@@ -108,7 +108,7 @@
 /// The settings that give the decisions of the round before the latest.
 fn previous(settings: &PoolSettings) -> PoolSettings {
     PoolSettings {
-        ahead: false,
+        prefetch: false,
         ..settings.clone()
     }
 }
--- a/lib/src/pool/ahead.rs
+++ b/lib/src/pool/ahead.rs
@@ -22,7 +22,7 @@
     /// comes is asked for much more than what goes; else near equals would
     /// chase each other out, and each such load holds up the next real one.
     pub(super) fn load_ahead(&mut self, now: Moment) {
-        if !self.settings.ahead || self.open.is_empty() {
+        if !self.settings.prefetch || self.open.is_empty() {
             return;
         }
         let half = self.half_life();
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -73,7 +73,8 @@
     /// Whether adapters are loaded ahead of requests while nothing waits for a
     /// load.
     #[builder(default = true)]
-    pub ahead: bool,
+    #[serde(rename = "ahead")]
+    pub prefetch: bool,
     /// How many times a request must have run where an upstream broke before
     /// it is run alone. With 1 a request that crashes its upstream takes one
     /// batch of others down; with 2 it takes two, but what an engine loses
