--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -223,7 +223,7 @@
     /// the next crash convicts exactly it.
     fn learn_break(&mut self, now: Moment, run: &Running) {
         if run.solo {
-            let hold = self.settings.verdict;
+            let hold = self.settings.block_for;
             self.commands.push(Command::Block {
                 fingerprint: run.fingerprint,
                 hold,
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -84,7 +84,8 @@
     /// How long a request stays convicted of crashing its upstream, in
     /// microseconds.
     #[builder(default = Span::from_millis(600_000))]
-    pub verdict: Span,
+    #[serde(rename = "verdict")]
+    pub block_for: Span,
 }
 
 impl Default for PoolSettings {
