--- a/lib/src/pool/admit.rs
+++ b/lib/src/pool/admit.rs
@@ -40,7 +40,7 @@
         let lane = Lane::of(a.class);
         let flows = self.queue.flows().max(1);
         let limit = match self.queue.len() < MOST_WAITING {
-            true => self.settings.queue as usize,
+            true => self.settings.queue_limit as usize,
             false => MOST_WAITING / flows,
         };
         if self.queue.count(&a.team, lane) as usize >= limit {
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -20,7 +20,7 @@
 ///     .step_us(3_500)
 ///     .build();
 /// assert!(s.check().is_ok());
-/// assert_eq!(s.queue, PoolSettings::default().queue);
+/// assert_eq!(s.queue_limit, PoolSettings::default().queue_limit);
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Builder)]
 #[serde(default, deny_unknown_fields)]
@@ -39,7 +39,8 @@
     pub shares: Shares,
     /// The most requests of one team and class that may wait.
     #[builder(default = 256)]
-    pub queue: u32,
+    #[serde(rename = "queue")]
+    pub queue_limit: u32,
     /// The part of each replica's batch, in hundredths, that long work may
     /// hold; 0 is by the weighing: 75 for stalls, 100 for batch.
     #[builder(default)]
@@ -141,8 +142,8 @@
         if !(1..=10_000_000).contains(&self.step_us) {
             return bad("step_us", self.step_us.to_string(), "1 to 10000000");
         }
-        if self.queue == 0 {
-            return bad("queue", self.queue.to_string(), "1 or more");
+        if self.queue_limit == 0 {
+            return bad("queue", self.queue_limit.to_string(), "1 or more");
         }
         if self.long_cap > 100 {
             return bad("long_cap", self.long_cap.to_string(), "0 to 100");
