--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -327,7 +327,7 @@
             step_us,
             ..
         } => PoolSettings::builder()
-            .weighing(*weighing)
+            .objective(*weighing)
             .loads_per_s(*loads_per_s)
             .step_us(*step_us)
             .shares(shares)
--- a/lib/src/pool/gather.rs
+++ b/lib/src/pool/gather.rs
@@ -46,7 +46,7 @@
 
     /// Whether long work is gathered in this pool.
     pub(super) fn gathers(&self) -> bool {
-        self.settings.weighing == Objective::Batch && self.settings.batch_fill > 0
+        self.settings.objective == Objective::Batch && self.settings.batch_fill > 0
     }
 
     /// Whether the first in turn has waited long enough.
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -15,7 +15,7 @@
 /// use banyangauge::pool::PoolSettings;
 /// use banyangauge::pool::Objective;
 /// let s = PoolSettings::builder()
-///     .weighing(Objective::Batch)
+///     .objective(Objective::Batch)
 ///     .loads_per_s(2.0)
 ///     .step_us(3_500)
 ///     .build();
@@ -27,7 +27,8 @@
 pub struct PoolSettings {
     /// What the deployment weighs more.
     #[builder(default = Objective::Stalls)]
-    pub weighing: Objective,
+    #[serde(rename = "weighing")]
+    pub objective: Objective,
     /// Loads a second that the weight store gives at full speed.
     #[builder(default = 3.0)]
     pub loads_per_s: f64,
@@ -102,7 +103,7 @@
     /// are asked for once in a minute. Long work can wait for a load, so the
     /// second counts for more where full steps do.
     pub(super) fn half_life_us(&self) -> f64 {
-        match (self.half_life.0, self.weighing) {
+        match (self.half_life.0, self.objective) {
             (0, Objective::Stalls) => 80e6,
             (0, Objective::Batch) => 200e6,
             (us, _) => us as f64,
@@ -116,7 +117,7 @@
     /// when the next place frees, which in a full batch of long work takes a
     /// fraction of a second.
     pub(super) fn long_part(&self) -> u32 {
-        match (self.long_cap, self.weighing) {
+        match (self.long_cap, self.objective) {
             (0, Objective::Stalls) => 75,
             (0, Objective::Batch) => 100,
             (cap, _) => cap,
--- a/lib/tests/test_pool_outcomes.rs
+++ b/lib/tests/test_pool_outcomes.rs
@@ -218,7 +218,7 @@
 
 fn gathering() -> Rig {
     let mut s = settings();
-    s.weighing = Objective::Batch;
+    s.objective = Objective::Batch;
     Rig::new(s, 2, 2, 10)
 }
 
