--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | decides |
 //! |---|---|
-//! | `admit` | who may wait, who is refused and when to come back |
+//! | `admission` | who may wait, who is refused and when to come back |
 //! | `queue` | whose turn it is |
 //! | `dispatch` | where a request runs, what a replica runs next |
 //! | `gather` | when long work starts |
@@ -17,7 +17,7 @@
 //! | `solo`, `verdicts` | which request crashes its upstream |
 
 mod adapter;
-mod admit;
+mod admission;
 mod ahead;
 mod budget;
 mod demand;
