--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -12,13 +12,12 @@
 //! | `gather` | when long work starts |
 //! | `loads` | which adapter is loaded next |
 //! | `evict` | where, and what gives up its slot |
-//! | `ahead` | what is loaded before it is asked for |
+//! | `prefetch` | what is loaded before it is asked for |
 //! | `health` | what reports and ends of dispatches mean |
 //! | `solo`, `verdicts` | which request crashes its upstream |
 
 mod adapter;
 mod admission;
-mod ahead;
 mod budget;
 mod demand;
 mod dispatch;
@@ -26,6 +25,7 @@
 mod gather;
 mod health;
 mod loads;
+mod prefetch;
 mod prefix;
 mod queue;
 mod replica;
