--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -18,7 +18,6 @@
 
 mod adapter;
 mod admission;
-mod budget;
 mod demand;
 mod dispatch;
 mod evict;
@@ -29,6 +28,7 @@
 mod prefix;
 mod queue;
 mod replica;
+mod retry_budget;
 mod service;
 mod settings;
 mod slots;
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -5,12 +5,12 @@
 
 use super::adapter::Adapters;
 use super::adapter::Target;
-use super::budget::RetryBudget;
 use super::prefix::Prefixes;
 use super::queue::Fair;
 use super::queue::Lane;
 use super::queue::Queue;
 use super::replica::Replica;
+use super::retry_budget::RetryBudget;
 use super::service::Service;
 use super::settings::PoolSettings;
 use super::types::*;
