--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -11,7 +11,7 @@
 //! | `dispatch` | where a request runs, what a replica runs next |
 //! | `gather` | when long work starts |
 //! | `loads` | which adapter is loaded next |
-//! | `evict` | where, and what gives up its slot |
+//! | `eviction` | where, and what gives up its slot |
 //! | `prefetch` | what is loaded before it is asked for |
 //! | `health` | what reports and ends of dispatches mean |
 //! | `solo`, `verdicts` | which request crashes its upstream |
@@ -20,7 +20,7 @@
 mod admission;
 mod demand;
 mod dispatch;
-mod evict;
+mod eviction;
 mod gather;
 mod health;
 mod loads;
