--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -9,7 +9,7 @@
 //! | `admission` | who may wait, who is refused and when to come back |
 //! | `queue` | whose turn it is |
 //! | `dispatch` | where a request runs, what a replica runs next |
-//! | `gather` | when long work starts |
+//! | `batching` | when long work starts |
 //! | `loads` | which adapter is loaded next |
 //! | `eviction` | where, and what gives up its slot |
 //! | `prefetch` | what is loaded before it is asked for |
@@ -18,10 +18,10 @@
 
 mod adapter;
 mod admission;
+mod batching;
 mod demand;
 mod dispatch;
 mod eviction;
-mod gather;
 mod health;
 mod loads;
 mod prefetch;
