--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -29,7 +29,7 @@
 mod queue;
 mod replica;
 mod retry_budget;
-mod service;
+mod service_time;
 mod settings;
 mod slots;
 mod solo;
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -11,7 +11,7 @@
 use super::queue::Queue;
 use super::replica::Replica;
 use super::retry_budget::RetryBudget;
-use super::service::Service;
+use super::service_time::Service;
 use super::settings::PoolSettings;
 use super::types::*;
 use super::verdicts::Verdicts;
