--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -14,7 +14,7 @@
 //! | `eviction` | where, and what gives up its slot |
 //! | `prefetch` | what is loaded before it is asked for |
 //! | `health` | what reports and ends of dispatches mean |
-//! | `solo`, `verdicts` | which request crashes its upstream |
+//! | `isolation`, `verdicts` | which request crashes its upstream |
 
 mod adapter;
 mod admission;
@@ -23,6 +23,7 @@
 mod dispatch;
 mod eviction;
 mod health;
+mod isolation;
 mod loads;
 mod prefetch;
 mod prefix;
@@ -32,7 +33,6 @@
 mod service_time;
 mod settings;
 mod slots;
-mod solo;
 mod state;
 mod types;
 mod verdicts;
