--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -14,7 +14,7 @@
 //! | `eviction` | where, and what gives up its slot |
 //! | `prefetch` | what is loaded before it is asked for |
 //! | `health` | what reports and ends of dispatches mean |
-//! | `isolation`, `verdicts` | which request crashes its upstream |
+//! | `isolation`, `poison` | which request crashes its upstream |
 
 mod adapter;
 mod admission;
@@ -25,6 +25,7 @@
 mod health;
 mod isolation;
 mod loads;
+mod poison;
 mod prefetch;
 mod prefix;
 mod queue;
@@ -35,7 +36,6 @@
 mod slots;
 mod state;
 mod types;
-mod verdicts;
 
 pub(crate) use demand::Demand;
 pub use settings::PoolSettings;
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -5,6 +5,7 @@
 
 use super::adapter::Adapters;
 use super::adapter::Target;
+use super::poison::Verdicts;
 use super::prefix::Prefixes;
 use super::queue::Fair;
 use super::queue::Lane;
@@ -14,7 +15,6 @@
 use super::service_time::Service;
 use super::settings::PoolSettings;
 use super::types::*;
-use super::verdicts::Verdicts;
 use crate::ids::AdapterVersion;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
