--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 
 use crate::claims::ClaimKey;
+use crate::claims::Claimant;
 use crate::claims::Limits;
 use crate::claims::Record;
 use crate::claims::Segment;
 use crate::claims::State;
 use crate::claims::Verdict;
-use crate::claims::Who;
 use crate::claims::Write;
 use crate::claims::WriteOutcome;
 use crate::ids::Token;
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 struct Claim {
-    who: Option<Who>,
+    who: Option<Claimant>,
     state: State,
     // The segment that holds it, once it is recorded.
     place: Option<u64>,
@@ -43,7 +43,7 @@
     head: u64,
     pending: BTreeSet<ClaimKey>,
     // The segment that is being written and the claims that are new in it.
-    flying: Option<(u64, BTreeMap<ClaimKey, Option<Who>>)>,
+    flying: Option<(u64, BTreeMap<ClaimKey, Option<Claimant>>)>,
     last: Moment,
     orders: u64,
     ready: bool,
@@ -151,7 +151,7 @@
 
     /// A request with a key arrives. A fresh key is the request's from now on,
     /// in memory only; nothing was written.
-    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Who) -> Verdict {
+    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Claimant) -> Verdict {
         match self.claims.get(key) {
             Some(claim) if claim.who.as_ref() == Some(who) => match claim.touched {
                 false => Verdict::Fresh,
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -36,7 +36,7 @@
 
 /// The request that claims a key: an entry's own number for it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Who {
+pub struct Claimant {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
     /// Its number for the request.
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -7,9 +7,9 @@
 use wire::owner_message::Body as Answer;
 
 use crate::claims::ClaimKey;
+use crate::claims::Claimant;
 use crate::claims::State;
 use crate::claims::Verdict;
-use crate::claims::Who;
 use crate::control::owner::OwnerActor;
 use crate::control::owner::SessionId;
 use crate::control::owner::actor::Outbox;
@@ -188,7 +188,7 @@
             return Err(("platform_down", ""));
         }
         let key = ClaimKey::new(&acquire.claim);
-        let who = Who {
+        let who = Claimant {
             entry: entry.to_owned(),
             request: acquire.request,
         };
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -1,13 +1,13 @@
 //! The journal of claims: at most once, whatever the platform loses.
 
 use banyangauge::claims::ClaimKey;
+use banyangauge::claims::Claimant;
 use banyangauge::claims::Journal;
 use banyangauge::claims::Limits;
 use banyangauge::claims::Record;
 use banyangauge::claims::Segment;
 use banyangauge::claims::State;
 use banyangauge::claims::Verdict;
-use banyangauge::claims::Who;
 use banyangauge::claims::Write;
 use banyangauge::claims::WriteOutcome;
 use banyangauge::ids::Token;
@@ -23,8 +23,8 @@
     ClaimKey::new(&format!("team/{n}"))
 }
 
-fn who(n: u64) -> Who {
-    Who {
+fn who(n: u64) -> Claimant {
+    Claimant {
         entry: "vm-1/1".to_owned(),
         request: n,
     }
