--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 
 use crate::claims::ClaimKey;
+use crate::claims::ClaimResult;
 use crate::claims::Claimant;
 use crate::claims::Limits;
 use crate::claims::Record;
 use crate::claims::Segment;
 use crate::claims::State;
-use crate::claims::Verdict;
 use crate::claims::Write;
 use crate::claims::WriteOutcome;
 use crate::ids::Token;
@@ -151,14 +151,14 @@
 
     /// A request with a key arrives. A fresh key is the request's from now on,
     /// in memory only; nothing was written.
-    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Claimant) -> Verdict {
+    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Claimant) -> ClaimResult {
         match self.claims.get(key) {
             Some(claim) if claim.who.as_ref() == Some(who) => match claim.touched {
-                false => Verdict::Fresh,
-                true => Verdict::Seen(State::Unknown),
+                false => ClaimResult::Claimed,
+                true => ClaimResult::Duplicate(State::Unknown),
             },
-            Some(claim) => Verdict::Seen(claim.state),
-            None if self.is_full() => Verdict::Full,
+            Some(claim) => ClaimResult::Duplicate(claim.state),
+            None if self.is_full() => ClaimResult::Full,
             None => {
                 let claim = Claim {
                     who: Some(who.clone()),
@@ -168,7 +168,7 @@
                     at: now,
                 };
                 self.claims.insert(key.clone(), claim);
-                Verdict::Fresh
+                ClaimResult::Claimed
             }
         }
     }
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -45,11 +45,11 @@
 
 /// What the journal says of a request with a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ClaimResult {
     /// The key is this request's; it may be granted once it is recorded.
-    Fresh,
+    Claimed,
     /// Another request had the key.
-    Seen(State),
+    Duplicate(State),
     /// The journal is full.
     Full,
 }
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -7,9 +7,9 @@
 use wire::owner_message::Body as Answer;
 
 use crate::claims::ClaimKey;
+use crate::claims::ClaimResult;
 use crate::claims::Claimant;
 use crate::claims::State;
-use crate::claims::Verdict;
 use crate::control::owner::OwnerActor;
 use crate::control::owner::SessionId;
 use crate::control::owner::actor::Outbox;
@@ -193,9 +193,9 @@
             request: acquire.request,
         };
         match self.journal.claim(now, &key, &who) {
-            Verdict::Fresh => Ok(Some(key)),
-            Verdict::Seen(state) => Err(("claim", state.word())),
-            Verdict::Full => Err((Reason::QueueFull.as_str(), "")),
+            ClaimResult::Claimed => Ok(Some(key)),
+            ClaimResult::Duplicate(state) => Err(("claim", state.word())),
+            ClaimResult::Full => Err((Reason::QueueFull.as_str(), "")),
         }
     }
 
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -1,13 +1,13 @@
 //! The journal of claims: at most once, whatever the platform loses.
 
 use banyangauge::claims::ClaimKey;
+use banyangauge::claims::ClaimResult;
 use banyangauge::claims::Claimant;
 use banyangauge::claims::Journal;
 use banyangauge::claims::Limits;
 use banyangauge::claims::Record;
 use banyangauge::claims::Segment;
 use banyangauge::claims::State;
-use banyangauge::claims::Verdict;
 use banyangauge::claims::Write;
 use banyangauge::claims::WriteOutcome;
 use banyangauge::ids::Token;
@@ -83,7 +83,7 @@
 }
 
 fn claim(journal: &mut Journal, now: Moment, n: u64) {
-    assert_eq!(journal.claim(now, &key(n), &who(n)), Verdict::Fresh);
+    assert_eq!(journal.claim(now, &key(n), &who(n)), ClaimResult::Claimed);
     assert_eq!(journal.record(&key(n)), Record::Waits);
 }
 
@@ -94,7 +94,7 @@
     claim(&mut j, ms(200), 1);
     assert_eq!(
         j.claim(ms(200), &key(1), &who(2)),
-        Verdict::Seen(State::Running)
+        ClaimResult::Duplicate(State::Running)
     );
     let write = j.next_write(ms(200)).unwrap();
     let (keys, done) = j.written(ms(201), store.commit(&write));
@@ -102,7 +102,7 @@
     j.end(ms(300), &key(1), State::Answered);
     assert_eq!(
         j.claim(ms(400), &key(1), &who(3)),
-        Verdict::Seen(State::Answered)
+        ClaimResult::Duplicate(State::Answered)
     );
 }
 
@@ -172,7 +172,7 @@
     let mut new = store.open(ms(9_000), 2, Limits::default()).unwrap();
     assert_eq!(
         new.claim(ms(9_100), &key(1), &who(7)),
-        Verdict::Seen(State::Unknown)
+        ClaimResult::Duplicate(State::Unknown)
     );
     claim(&mut new, ms(9_100), 2);
     let (_, done) = old.written(ms(9_200), store.commit(&late));
@@ -205,14 +205,14 @@
     let mut new = store.open(ms(9_100), 2, limits).unwrap();
     assert_eq!(
         new.claim(ms(9_200), &key(2), &who(7)),
-        Verdict::Seen(State::Unknown)
+        ClaimResult::Duplicate(State::Unknown)
     );
 }
 
 #[rstest]
-#[case::refused_before_any_try(false, Verdict::Fresh)]
-#[case::refused_after_a_broken_try(true, Verdict::Seen(State::Unknown))]
-fn free_after(#[case] touched: bool, #[case] verdict: Verdict) {
+#[case::refused_before_any_try(false, ClaimResult::Claimed)]
+#[case::refused_after_a_broken_try(true, ClaimResult::Duplicate(State::Unknown))]
+fn free_after(#[case] touched: bool, #[case] verdict: ClaimResult) {
     let mut store = Store::default();
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
@@ -232,7 +232,7 @@
     claim(&mut j, ms(200), 1);
     j.next_write(ms(200)).unwrap();
     j.free(ms(201), &key(1));
-    assert_eq!(j.claim(ms(202), &key(1), &who(2)), Verdict::Fresh);
+    assert_eq!(j.claim(ms(202), &key(1), &who(2)), ClaimResult::Claimed);
     j.written(ms(203), WriteOutcome::Unconfirmed(None));
     // The commit failed for the first request; the second still has the key.
     assert_eq!(j.record(&key(1)), Record::Waits);
@@ -256,7 +256,7 @@
     let mut new = store.open(ms(5_000), 2, Limits::default()).unwrap();
     assert_eq!(
         new.claim(ms(5_001), &key(1), &who(4)),
-        Verdict::Seen(State::Answered)
+        ClaimResult::Duplicate(State::Answered)
     );
 }
 
@@ -276,9 +276,9 @@
         j.written(ms(200 * (n + 1)), store.commit(&write));
         j.end(ms(1_000), &key(n), State::Answered);
     }
-    assert_eq!(j.claim(ms(1_000), &key(9), &who(9)), Verdict::Full);
+    assert_eq!(j.claim(ms(1_000), &key(9), &who(9)), ClaimResult::Full);
     assert!(j.expire(ms(10_999)).is_empty());
     // All but the segment for new claims can be deleted.
     assert_eq!(j.expire(ms(11_000)), vec![1]);
-    assert_eq!(j.claim(ms(11_000), &key(9), &who(9)), Verdict::Fresh);
+    assert_eq!(j.claim(ms(11_000), &key(9), &who(9)), ClaimResult::Claimed);
 }
