--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -6,8 +6,8 @@
 use crate::claims::ClaimKey;
 use crate::claims::ClaimResult;
 use crate::claims::Claimant;
+use crate::claims::Durability;
 use crate::claims::Limits;
-use crate::claims::Record;
 use crate::claims::Segment;
 use crate::claims::State;
 use crate::claims::Write;
@@ -173,17 +173,17 @@
         }
     }
 
-    /// The pool granted the request. `Recorded` when its claim is durable
+    /// The pool granted the request. `Durable` when its claim is durable
     /// already (a second try of the same request); otherwise it waits for a
     /// commit.
-    pub fn record(&mut self, key: &ClaimKey) -> Record {
+    pub fn record(&mut self, key: &ClaimKey) -> Durability {
         match self.claims.get(key) {
-            Some(claim) if claim.place.is_some() => Record::Recorded,
+            Some(claim) if claim.place.is_some() => Durability::Durable,
             Some(_) => {
                 self.pending.insert(key.clone());
-                Record::Waits
+                Durability::Pending
             }
-            None => Record::Lost,
+            None => Durability::Missing,
         }
     }
 
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -56,13 +56,13 @@
 
 /// Whether a claim is durable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Record {
+pub enum Durability {
     /// It is.
-    Recorded,
+    Durable,
     /// The next commit makes it so.
-    Waits,
+    Pending,
     /// The journal does not hold it: the request may not be granted.
-    Lost,
+    Missing,
 }
 
 /// A write to the platform that the journal wants.
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -6,7 +6,7 @@
 use banyangauge_proto as wire;
 use wire::owner_message::Body as Answer;
 
-use crate::claims::Record;
+use crate::claims::Durability;
 use crate::control::clock;
 use crate::control::local::Local;
 use crate::control::owner::Event;
@@ -121,11 +121,11 @@
         };
         // The claim is durable before anybody can act on the grant.
         match self.journal.record(&key) {
-            Record::Recorded => self.send_grant(now, ticket, grant),
-            Record::Waits => {
+            Durability::Durable => self.send_grant(now, ticket, grant),
+            Durability::Pending => {
                 self.held.insert(key, (ticket, grant));
             }
-            Record::Lost => self.take_back(now, ticket, "platform_down"),
+            Durability::Missing => self.take_back(now, ticket, "platform_down"),
         }
     }
 
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -3,9 +3,9 @@
 use banyangauge::claims::ClaimKey;
 use banyangauge::claims::ClaimResult;
 use banyangauge::claims::Claimant;
+use banyangauge::claims::Durability;
 use banyangauge::claims::Journal;
 use banyangauge::claims::Limits;
-use banyangauge::claims::Record;
 use banyangauge::claims::Segment;
 use banyangauge::claims::State;
 use banyangauge::claims::Write;
@@ -84,7 +84,7 @@
 
 fn claim(journal: &mut Journal, now: Moment, n: u64) {
     assert_eq!(journal.claim(now, &key(n), &who(n)), ClaimResult::Claimed);
-    assert_eq!(journal.record(&key(n)), Record::Waits);
+    assert_eq!(journal.record(&key(n)), Durability::Pending);
 }
 
 #[test]
@@ -235,7 +235,7 @@
     assert_eq!(j.claim(ms(202), &key(1), &who(2)), ClaimResult::Claimed);
     j.written(ms(203), WriteOutcome::Unconfirmed(None));
     // The commit failed for the first request; the second still has the key.
-    assert_eq!(j.record(&key(1)), Record::Waits);
+    assert_eq!(j.record(&key(1)), Durability::Pending);
     let write = j.next_write(ms(400)).unwrap();
     let (keys, done) = j.written(ms(401), store.commit(&write));
     assert_eq!((keys, done), (vec![key(1)], true));
