--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -221,7 +221,10 @@
 
     /// The next write, when one is due. Its end goes to [`Journal::written`].
     pub fn next_write(&mut self, now: Moment) -> Option<Write> {
-        if !self.is_ready() || self.flying.is_some() || now < self.last.after(self.limits.gap) {
+        if !self.is_ready()
+            || self.flying.is_some()
+            || now < self.last.after(self.limits.write_interval)
+        {
             return None;
         }
         let number = match self.pending.is_empty() {
@@ -245,12 +248,12 @@
         if !self.is_ready() || self.flying.is_some() {
             return None;
         }
-        let paced = self.last.after(self.limits.gap);
+        let paced = self.last.after(self.limits.write_interval);
         if !self.pending.is_empty() {
             return Some(paced);
         }
         let oldest = self.places.values().filter_map(|p| p.dirty).min()?;
-        Some(oldest.after(self.limits.lazy).max(paced))
+        Some(oldest.after(self.limits.outcome_delay).max(paced))
     }
 
     /// A write ended: the keys it was to record, and whether it did.
@@ -309,7 +312,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.claims.len() >= self.limits.segment * self.limits.segments
+        self.claims.len() >= self.limits.segment_size * self.limits.max_segments
     }
 
     fn soil(&mut self, now: Moment, place: Option<u64>) {
@@ -325,7 +328,7 @@
 
     // The segment for new claims; a full one gives way to the next.
     fn place_pending(&mut self) -> u64 {
-        if self.count(self.head) >= self.limits.segment {
+        if self.count(self.head) >= self.limits.segment_size {
             self.head += 1;
             self.places.insert(self.head, Place::default());
         }
@@ -337,7 +340,7 @@
             .iter()
             .filter_map(|(n, p)| Some((p.dirty?, *n)))
             .min()
-            .filter(|(at, _)| now >= at.after(self.limits.lazy))
+            .filter(|(at, _)| now >= at.after(self.limits.outcome_delay))
             .map(|(_, n)| n)
     }
 
@@ -345,7 +348,7 @@
         if number != self.head {
             return BTreeSet::new();
         }
-        let room = self.limits.segment.saturating_sub(self.count(number));
+        let room = self.limits.segment_size.saturating_sub(self.count(number));
         let keys: BTreeSet<_> = self.pending.iter().take(room).cloned().collect();
         self.pending.retain(|k| !keys.contains(k));
         keys
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -11,25 +11,25 @@
     pub retention: Span,
     /// Claims in one segment. Each commit rewrites one segment, about 40 bytes
     /// a claim: 1,000 keep a commit near 40 KB, far below the megabyte.
-    pub segment: usize,
-    /// Segments; with `segment` this bounds memory and what a takeover reads.
+    pub segment_size: usize,
+    /// Segments; with `segment_size` this bounds memory and what a takeover reads.
     /// 64,000 claims in 10 minutes are 106 keyed calls a second.
-    pub segments: usize,
+    pub max_segments: usize,
     /// The shortest time between two writes: ten a second at the most, whatever
     /// the rate of keyed calls.
-    pub gap: Span,
+    pub write_interval: Span,
     /// How long an outcome may wait for a commit to travel with.
-    pub lazy: Span,
+    pub outcome_delay: Span,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             retention: Span::from_millis(600_000),
-            segment: 1_000,
-            segments: 64,
-            gap: Span::from_millis(100),
-            lazy: Span::from_millis(1_000),
+            segment_size: 1_000,
+            max_segments: 64,
+            write_interval: Span::from_millis(100),
+            outcome_delay: Span::from_millis(1_000),
         }
     }
 }
--- a/lib/src/control/settings.rs
+++ b/lib/src/control/settings.rs
@@ -219,7 +219,7 @@
     pub fn claim_limits(&self) -> claims::Limits {
         claims::Limits {
             retention: Span::from_millis(self.claims.retention_ms),
-            gap: Span::from_millis(self.claims.gap_ms),
+            write_interval: Span::from_millis(self.claims.gap_ms),
             ..claims::Limits::default()
         }
     }
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -183,7 +183,7 @@
 #[test]
 fn takeover_races_a_rotation() {
     let limits = Limits {
-        segment: 1,
+        segment_size: 1,
         ..Limits::default()
     };
     let mut store = Store::default();
@@ -263,8 +263,8 @@
 #[test]
 fn full_refuses_and_retention_frees() {
     let limits = Limits {
-        segment: 2,
-        segments: 2,
+        segment_size: 2,
+        max_segments: 2,
         retention: Span::from_millis(10_000),
         ..Limits::default()
     };
