--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -123,7 +123,7 @@
     }
 
     /// The writes of [`Journal::seal`] are done, with these versions in order.
-    pub fn sealed(&mut self, versions: &[String]) {
+    pub fn seal_done(&mut self, versions: &[String]) {
         let old = versions.len().saturating_sub(1);
         if let Some(version) = versions.first().filter(|_| old > 0)
             && let Some(place) = self.places.get_mut(&self.head)
@@ -188,7 +188,7 @@
     }
 
     /// A dispatch of the request may have run.
-    pub fn touch(&mut self, key: &ClaimKey) {
+    pub fn mark_started(&mut self, key: &ClaimKey) {
         if let Some(claim) = self.claims.get_mut(key) {
             claim.touched = true;
         }
@@ -199,7 +199,7 @@
     pub fn free(&mut self, now: Moment, key: &ClaimKey) {
         self.pending.remove(key);
         if self.claims.get(key).is_some_and(|c| c.touched) {
-            self.end(now, key, State::Unknown);
+            self.set_outcome(now, key, State::Unknown);
             return;
         }
         if let Some(claim) = self.claims.remove(key) {
@@ -208,7 +208,7 @@
     }
 
     /// The request ended.
-    pub fn end(&mut self, now: Moment, key: &ClaimKey, state: State) {
+    pub fn set_outcome(&mut self, now: Moment, key: &ClaimKey, state: State) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
@@ -219,7 +219,7 @@
         self.soil(now, place);
     }
 
-    /// The next write, when one is due. Its end goes to [`Journal::written`].
+    /// The next write, when one is due. Its end goes to [`Journal::write_done`].
     pub fn next_write(&mut self, now: Moment) -> Option<Write> {
         if !self.is_ready()
             || self.flying.is_some()
@@ -260,7 +260,7 @@
     ///
     /// Those that it did not record are free again; should the lost write take
     /// effect later, the next write to the segment leaves them out.
-    pub fn written(&mut self, now: Moment, end: WriteOutcome) -> (Vec<ClaimKey>, bool) {
+    pub fn write_done(&mut self, now: Moment, end: WriteOutcome) -> (Vec<ClaimKey>, bool) {
         let Some((number, keys)) = self.flying.take() else {
             return (Vec::new(), false);
         };
--- a/lib/src/claims/segment.rs
+++ b/lib/src/claims/segment.rs
@@ -52,7 +52,7 @@
 
 impl State {
     /// The word for it on the wire.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Running => "running",
             Self::Answered => "answered",
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/entries.rs
@@ -194,7 +194,7 @@
         };
         match self.journal.claim(now, &key, &who) {
             ClaimResult::Claimed => Ok(Some(key)),
-            ClaimResult::Duplicate(state) => Err(("claim", state.word())),
+            ClaimResult::Duplicate(state) => Err(("claim", state.as_str())),
             ClaimResult::Full => Err((Reason::QueueFull.as_str(), "")),
         }
     }
@@ -228,12 +228,12 @@
     fn end_claim(&mut self, now: Moment, key: &ClaimKey, outcome: Outcome, told: &str) {
         match (told, outcome) {
             ("answered", _) | ("", Outcome::Answered) => {
-                self.journal.end(now, key, State::Answered);
+                self.journal.set_outcome(now, key, State::Answered);
             }
             ("", Outcome::NotRun) => self.journal.free(now, key),
             // The entry may still settle it by resuming.
-            ("", Outcome::BrokenEarly | Outcome::BrokenLate) => self.journal.touch(key),
-            _ => self.journal.end(now, key, State::Unknown),
+            ("", Outcome::BrokenEarly | Outcome::BrokenLate) => self.journal.mark_started(key),
+            _ => self.journal.set_outcome(now, key, State::Unknown),
         }
     }
 
--- a/lib/src/control/owner/journal.rs
+++ b/lib/src/control/owner/journal.rs
@@ -158,7 +158,7 @@
         match sealed {
             Ok(versions) => {
                 self.recovering = false;
-                self.journal.sealed(&versions);
+                self.journal.seal_done(&versions);
             }
             Err(_) => self.journal_failed(now),
         }
@@ -181,7 +181,7 @@
     }
 
     pub(super) fn committed(&mut self, now: Moment, end: WriteOutcome) {
-        let (keys, done) = self.journal.written(now, end);
+        let (keys, done) = self.journal.write_done(now, end);
         for key in keys {
             let Some((ticket, grant)) = self.held.remove(&key) else {
                 continue;
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -77,7 +77,7 @@
         journal.recover(now, &self.segments);
         let writes = journal.seal();
         let versions: Option<Vec<_>> = writes.iter().map(|w| self.apply(w)).collect();
-        journal.sealed(&versions?);
+        journal.seal_done(&versions?);
         Some(journal)
     }
 }
@@ -97,9 +97,9 @@
         ClaimResult::Duplicate(State::Running)
     );
     let write = j.next_write(ms(200)).unwrap();
-    let (keys, done) = j.written(ms(201), store.commit(&write));
+    let (keys, done) = j.write_done(ms(201), store.commit(&write));
     assert_eq!((keys, done), (vec![key(1)], true));
-    j.end(ms(300), &key(1), State::Answered);
+    j.set_outcome(ms(300), &key(1), State::Answered);
     assert_eq!(
         j.claim(ms(400), &key(1), &who(3)),
         ClaimResult::Duplicate(State::Answered)
@@ -117,10 +117,10 @@
         claim(&mut j, ms(201), n);
     }
     assert_eq!(j.next_write(ms(210)), None);
-    j.written(ms(210), store.commit(&first));
+    j.write_done(ms(210), store.commit(&first));
     assert_eq!(j.next_write(ms(299)), None);
     let second = j.next_write(ms(300)).unwrap();
-    let (keys, done) = j.written(ms(301), store.commit(&second));
+    let (keys, done) = j.write_done(ms(301), store.commit(&second));
     assert_eq!(
         (keys.len(), done, store.segments[0].0.claims.len()),
         (50, true, 51)
@@ -135,7 +135,7 @@
     let write = j.next_write(ms(200)).unwrap();
     store.apply(&write);
     let end = store.read_back(&write);
-    let (_, done) = j.written(ms(300), end);
+    let (_, done) = j.write_done(ms(300), end);
     assert!(done);
 }
 
@@ -145,17 +145,17 @@
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
     let lost = j.next_write(ms(200)).unwrap();
-    let (_, done) = j.written(ms(300), store.read_back(&lost));
+    let (_, done) = j.write_done(ms(300), store.read_back(&lost));
     // Its caller was told "not run", and may try again.
     assert!(!done);
     store.apply(&lost).unwrap();
     claim(&mut j, ms(400), 1);
     let again = j.next_write(ms(400)).unwrap();
-    let (_, done) = j.written(ms(401), store.commit(&again));
+    let (_, done) = j.write_done(ms(401), store.commit(&again));
     assert!(!done);
     claim(&mut j, ms(600), 1);
     let again = j.next_write(ms(600)).unwrap();
-    let (keys, done) = j.written(ms(601), store.commit(&again));
+    let (keys, done) = j.write_done(ms(601), store.commit(&again));
     assert_eq!((keys, done), (vec![key(1)], true));
 }
 
@@ -165,7 +165,7 @@
     let mut old = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut old, ms(200), 1);
     let write = old.next_write(ms(200)).unwrap();
-    old.written(ms(201), store.commit(&write));
+    old.write_done(ms(201), store.commit(&write));
     claim(&mut old, ms(400), 2);
     let late = old.next_write(ms(400)).unwrap();
     // The old owner is paused before the write is sent.
@@ -175,7 +175,7 @@
         ClaimResult::Duplicate(State::Unknown)
     );
     claim(&mut new, ms(9_100), 2);
-    let (_, done) = old.written(ms(9_200), store.commit(&late));
+    let (_, done) = old.write_done(ms(9_200), store.commit(&late));
     assert!(!done && old.is_deposed() && !old.is_ready());
     assert_eq!(old.next_write(ms(9_999)), None);
 }
@@ -190,14 +190,14 @@
     let mut old = store.open(ms(0), 1, limits).unwrap();
     claim(&mut old, ms(200), 1);
     let write = old.next_write(ms(200)).unwrap();
-    old.written(ms(201), store.commit(&write));
+    old.write_done(ms(201), store.commit(&write));
     claim(&mut old, ms(400), 2);
     let rotation = old.next_write(ms(400)).unwrap();
     // The new owner reads before the new segment is there.
     let mut new = Journal::new(Token(2), limits);
     new.recover(ms(9_000), &store.segments.clone());
     let seal = new.seal();
-    let (_, done) = old.written(ms(9_001), store.commit(&rotation));
+    let (_, done) = old.write_done(ms(9_001), store.commit(&rotation));
     assert!(done);
     let versions: Option<Vec<_>> = seal.iter().map(|w| store.apply(w)).collect();
     assert_eq!(versions, None);
@@ -217,9 +217,9 @@
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
     let write = j.next_write(ms(200)).unwrap();
-    j.written(ms(201), store.commit(&write));
+    j.write_done(ms(201), store.commit(&write));
     if touched {
-        j.touch(&key(1));
+        j.mark_started(&key(1));
     }
     j.free(ms(300), &key(1));
     assert_eq!(j.claim(ms(400), &key(1), &who(9)), verdict);
@@ -233,11 +233,11 @@
     j.next_write(ms(200)).unwrap();
     j.free(ms(201), &key(1));
     assert_eq!(j.claim(ms(202), &key(1), &who(2)), ClaimResult::Claimed);
-    j.written(ms(203), WriteOutcome::Unconfirmed(None));
+    j.write_done(ms(203), WriteOutcome::Unconfirmed(None));
     // The commit failed for the first request; the second still has the key.
     assert_eq!(j.record(&key(1)), Durability::Pending);
     let write = j.next_write(ms(400)).unwrap();
-    let (keys, done) = j.written(ms(401), store.commit(&write));
+    let (keys, done) = j.write_done(ms(401), store.commit(&write));
     assert_eq!((keys, done), (vec![key(1)], true));
 }
 
@@ -247,12 +247,12 @@
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
     let write = j.next_write(ms(200)).unwrap();
-    j.written(ms(201), store.commit(&write));
-    j.end(ms(300), &key(1), State::Answered);
+    j.write_done(ms(201), store.commit(&write));
+    j.set_outcome(ms(300), &key(1), State::Answered);
     assert_eq!(j.next_write(ms(1_299)), None);
     assert_eq!(j.next_wake(), Some(ms(1_300)));
     let write = j.next_write(ms(1_300)).unwrap();
-    j.written(ms(1_301), store.commit(&write));
+    j.write_done(ms(1_301), store.commit(&write));
     let mut new = store.open(ms(5_000), 2, Limits::default()).unwrap();
     assert_eq!(
         new.claim(ms(5_001), &key(1), &who(4)),
@@ -273,8 +273,8 @@
     for n in 0..4 {
         claim(&mut j, ms(200 * (n + 1)), n);
         let write = j.next_write(ms(200 * (n + 1))).unwrap();
-        j.written(ms(200 * (n + 1)), store.commit(&write));
-        j.end(ms(1_000), &key(n), State::Answered);
+        j.write_done(ms(200 * (n + 1)), store.commit(&write));
+        j.set_outcome(ms(1_000), &key(n), State::Answered);
     }
     assert_eq!(j.claim(ms(1_000), &key(9), &who(9)), ClaimResult::Full);
     assert!(j.expire(ms(10_999)).is_empty());
