--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -24,6 +24,6 @@
 pub use duty::Registry;
 pub use duty::run;
 pub use safety::Facts;
-pub use safety::HEARD;
+pub use safety::MAJORITY_MAX_AGE;
 pub use safety::Safety;
 pub use service::GrantsService;
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -19,15 +19,15 @@
 /// How long an owner past its lease grants on a replica after the engine's
 /// last word that it has seen no higher token. Four polls; a successor adds it
 /// to its wait.
-pub(super) const CONFIRMED: Span = Span::from_millis(1_000);
+pub(super) const FENCE_MAX_AGE: Span = Span::from_millis(1_000);
 
 /// How recently a majority of peers must have answered for an owner past its
 /// lease to go on granting at engines that ignore tokens.
-pub const HEARD: Span = Span::from_millis(2_000);
+pub const MAJORITY_MAX_AGE: Span = Span::from_millis(2_000);
 
 /// Between the publication of a tenure and its being on every digest that
 /// this process sends.
-pub(super) const PUBLISHED: Span = Span::from_millis(100);
+pub(super) const PUBLISH_DELAY: Span = Span::from_millis(100);
 
 /// What the owner knows from outside at one moment.
 #[derive(Clone, Debug, Default)]
@@ -110,7 +110,7 @@
             return true;
         };
         // Half of the limit, so that a slow answer does not interrupt grants.
-        *fenced != incarnation || (self.is_past(now) && now.since(*last).0 > CONFIRMED.0 / 2)
+        *fenced != incarnation || (self.is_past(now) && now.since(*last).0 > FENCE_MAX_AGE.0 / 2)
     }
 
     /// Whether the lease is past its end, as this process counts.
@@ -126,12 +126,12 @@
     /// so themselves; for the others a majority of the peers does.
     pub fn may_grant(&self, now: Moment, replica: &ReplicaName, facts: &Facts) -> bool {
         if !self.honours {
-            return !self.is_past(now) || now <= facts.majority.after(HEARD);
+            return !self.is_past(now) || now <= facts.majority.after(MAJORITY_MAX_AGE);
         }
         let Some((_, _, last)) = self.fenced.get(replica) else {
             return false;
         };
-        !self.is_past(now) || now.since(*last) <= CONFIRMED
+        !self.is_past(now) || now.since(*last) <= FENCE_MAX_AGE
     }
 
     /// Whether to send an order now; asked immediately before each.
@@ -181,7 +181,7 @@
     }
 
     fn fence_wait(&self) -> Span {
-        Span(CONFIRMED.0 + self.grant_wait().0)
+        Span(FENCE_MAX_AGE.0 + self.grant_wait().0)
     }
 
     fn is_open(&mut self, now: Moment, replicas: &BTreeSet<ReplicaName>, facts: &Facts) -> bool {
@@ -203,7 +203,7 @@
             }
             Predecessor::Lapsed(_) if facts.former_left => waited,
             Predecessor::Lapsed(_) | Predecessor::Unsettled => {
-                let told = facts.majority >= self.tenure.acquired_at.after(PUBLISHED);
+                let told = facts.majority >= self.tenure.acquired_at.after(PUBLISH_DELAY);
                 if self.told.is_none() && told {
                     self.told = Some(now);
                 }
--- a/lib/src/control/settings.rs
+++ b/lib/src/control/settings.rs
@@ -256,7 +256,7 @@
             (
                 "grants.quarantine_ms",
                 g.quarantine_ms,
-                g.ttl_ms + g.margin_ms + owner::HEARD.as_millis(),
+                g.ttl_ms + g.margin_ms + owner::MAJORITY_MAX_AGE.as_millis(),
                 600_000,
                 "grants.ttl_ms + grants.margin_ms + 2000 to 600000",
             ),
