--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -22,8 +22,8 @@
 use crate::control::clock;
 use crate::control::local::Local;
 use crate::control::owner::Book;
-use crate::control::owner::Facts;
-use crate::control::owner::Safety;
+use crate::control::owner::ExternalState;
+use crate::control::owner::SafetyRules;
 use crate::control::owner::SessionId;
 use crate::control::owner::entries::message;
 use crate::control::owner::upkeep::AHEAD;
@@ -150,8 +150,8 @@
     pub(super) catalog: Arc<Catalog>,
     pub(super) pool: Pool,
     pub(super) book: Book,
-    pub(super) safety: Safety,
-    pub(super) facts: Facts,
+    pub(super) safety: SafetyRules,
+    pub(super) facts: ExternalState,
     pub(super) journal: Journal,
     pub(super) held: BTreeMap<ClaimKey, (Ticket, wire::Grant)>,
     // Grants on replicas that the catalog here does not name yet.
@@ -217,13 +217,13 @@
             pool,
             book: Book::new(tenure.token),
             journal: Journal::new(tenure.token, limits),
-            safety: Safety::new(honours, tenure, margin, quarantine),
+            safety: SafetyRules::new(honours, tenure, margin, quarantine),
             spec: PoolSpec {
                 replicas: Vec::new(),
                 ..spec
             },
             catalog: Arc::default(),
-            facts: Facts::default(),
+            facts: ExternalState::default(),
             held: BTreeMap::new(),
             orphans: Vec::new(),
             outboxes: BTreeMap::new(),
--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -1,6 +1,6 @@
 //! Owners of pools: each drives one [`Pool`](crate::pool::Pool).
 //!
-//! [`book`](Book) and [`safety`](Safety) are plain state; the actor carries
+//! [`book`](Book) and [`safety`](SafetyRules) are plain state; the actor carries
 //! out what they and the pool decide.
 
 mod actor;
@@ -23,7 +23,7 @@
 pub use book::SessionId;
 pub use duty::Registry;
 pub use duty::run;
-pub use safety::Facts;
+pub use safety::ExternalState;
 pub use safety::MAJORITY_MAX_AGE;
-pub use safety::Safety;
+pub use safety::SafetyRules;
 pub use service::GrantsService;
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -31,7 +31,7 @@
 
 /// What the owner knows from outside at one moment.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct ExternalState {
     /// A majority of the configured peers has answered exchanges begun at this
     /// moment or later.
     pub majority: Moment,
@@ -43,7 +43,7 @@
 
 /// One owner's rules for its pool.
 #[derive(Clone, Debug)]
-pub struct Safety {
+pub struct SafetyRules {
     honours: bool,
     tenure: HeldLease,
     margin: Span,
@@ -54,7 +54,7 @@
     open: bool,
 }
 
-impl Safety {
+impl SafetyRules {
     /// Rules for a pool whose engines honour tokens, or ignore them.
     pub fn new(honours: bool, tenure: HeldLease, margin: Span, quarantine: Span) -> Self {
         Self {
@@ -124,7 +124,7 @@
     /// orders. Past it, which takes an outage of the platform, only while no
     /// successor can be about to change slots: engines that honour tokens say
     /// so themselves; for the others a majority of the peers does.
-    pub fn may_grant(&self, now: Moment, replica: &ReplicaName, facts: &Facts) -> bool {
+    pub fn may_grant(&self, now: Moment, replica: &ReplicaName, facts: &ExternalState) -> bool {
         if !self.honours {
             return !self.is_past(now) || now <= facts.majority.after(MAJORITY_MAX_AGE);
         }
@@ -159,7 +159,7 @@
         &mut self,
         now: Moment,
         replicas: &BTreeSet<ReplicaName>,
-        facts: &Facts,
+        facts: &ExternalState,
     ) -> bool {
         if self.open {
             return false;
@@ -184,7 +184,12 @@
         Span(FENCE_MAX_AGE.0 + self.grant_wait().0)
     }
 
-    fn is_open(&mut self, now: Moment, replicas: &BTreeSet<ReplicaName>, facts: &Facts) -> bool {
+    fn is_open(
+        &mut self,
+        now: Moment,
+        replicas: &BTreeSet<ReplicaName>,
+        facts: &ExternalState,
+    ) -> bool {
         let waited = now >= self.tenure.acquired_at.after(self.grant_wait());
         match &self.tenure.predecessor {
             Predecessor::None => true,
--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/upkeep.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use crate::control::clock;
-use crate::control::owner::Facts;
+use crate::control::owner::ExternalState;
 use crate::control::owner::OwnerActor;
 use crate::control::uptime_ms;
 use crate::lease::Predecessor;
@@ -21,7 +21,7 @@
             Predecessor::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
             _ => false,
         };
-        self.facts = Facts {
+        self.facts = ExternalState {
             majority: self.local.majority(now),
             former_left: left,
             helloed: self.book.helloed().clone(),
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use banyangauge::control::owner::Facts;
-use banyangauge::control::owner::Safety;
+use banyangauge::control::owner::ExternalState;
+use banyangauge::control::owner::SafetyRules;
 use banyangauge::ids::Incarnation;
 use banyangauge::ids::ReplicaName;
 use banyangauge::ids::Token;
@@ -29,7 +29,7 @@
 }
 
 /// Acquired at 1,000 ms, holds until 3,700 ms.
-fn safety(honours: bool, predecessor: Predecessor) -> Safety {
+fn safety(honours: bool, predecessor: Predecessor) -> SafetyRules {
     let tenure = HeldLease {
         token: Token(2),
         valid_until: ms(3_700),
@@ -38,17 +38,17 @@
         predecessor_ttl: Span::from_millis(10_000),
     };
     let margin = Span::from_millis(2_000);
-    Safety::new(honours, tenure, margin, Span::from_millis(30_000))
+    SafetyRules::new(honours, tenure, margin, Span::from_millis(30_000))
 }
 
-fn facts(majority: u64) -> Facts {
-    Facts {
+fn facts(majority: u64) -> ExternalState {
+    ExternalState {
         majority: ms(majority),
-        ..Facts::default()
+        ..ExternalState::default()
     }
 }
 
-fn opens_at(s: &mut Safety, f: &Facts) -> Option<u64> {
+fn opens_at(s: &mut SafetyRules, f: &ExternalState) -> Option<u64> {
     let all = BTreeSet::from([replica()]);
     (1_000..60_000)
         .step_by(100)
