--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -1,5 +1,5 @@
 //! The owner of one pool: an actor that feeds the pool and carries out what it
-//! decides. Its parts stand in `entries`, `dispatch` and `replicas`.
+//! decides. Its parts stand in `sessions`, `dispatch` and `replicas`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 use crate::control::owner::ExternalState;
 use crate::control::owner::SafetyRules;
 use crate::control::owner::SessionId;
-use crate::control::owner::entries::message;
-use crate::control::owner::upkeep::AHEAD;
+use crate::control::owner::maintenance::AHEAD;
+use crate::control::owner::sessions::message;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -4,26 +4,26 @@
 //! out what they and the pool decide.
 
 mod actor;
-mod book;
 mod dispatch;
-mod duty;
-mod entries;
 mod journal;
-mod polling;
+mod maintenance;
+mod probes;
 mod replicas;
+mod requests;
 mod safety;
 mod service;
-mod upkeep;
+mod sessions;
+mod supervisor;
 
 pub use actor::Event;
 pub use actor::OwnerActor;
-pub use book::Book;
-pub use book::Item;
-pub use book::Opened;
-pub use book::SessionId;
-pub use duty::Registry;
-pub use duty::run;
+pub use requests::Book;
+pub use requests::Item;
+pub use requests::Opened;
+pub use requests::SessionId;
 pub use safety::ExternalState;
 pub use safety::MAJORITY_MAX_AGE;
 pub use safety::SafetyRules;
 pub use service::GrantsService;
+pub use supervisor::Registry;
+pub use supervisor::run;
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -10,7 +10,7 @@
 use crate::control::owner::OwnerActor;
 use crate::control::owner::actor::Watched;
 use crate::control::owner::actor::shares;
-use crate::control::owner::polling;
+use crate::control::owner::probes;
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
 use crate::pool::Health;
@@ -75,7 +75,7 @@
                     leaving: false,
                     fencing: false,
                     health: Health::Suspect,
-                    polling: tokio::spawn(polling::poll(owner, reports, name, address, every)),
+                    polling: tokio::spawn(probes::poll(owner, reports, name, address, every)),
                 });
         }
     }
@@ -107,7 +107,7 @@
             return;
         };
         let (orders, token) = (self.reports.clone(), self.token());
-        tokio::spawn(polling::fence(
+        tokio::spawn(probes::fence(
             owner,
             orders,
             name.clone(),
--- a/lib/src/control/owner/service.rs
+++ b/lib/src/control/owner/service.rs
@@ -24,7 +24,7 @@
 use crate::control::owner::OwnerActor;
 use crate::control::owner::Registry;
 use crate::control::owner::SessionId;
-use crate::control::owner::entries::message;
+use crate::control::owner::sessions::message;
 use crate::ids::PoolName;
 
 /// Answers that may wait for one entry to read them.
