--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -21,8 +21,8 @@
 use crate::control::Shared;
 use crate::control::clock;
 use crate::control::local::Local;
-use crate::control::owner::Book;
 use crate::control::owner::ExternalState;
+use crate::control::owner::RequestTable;
 use crate::control::owner::SafetyRules;
 use crate::control::owner::SessionId;
 use crate::control::owner::maintenance::AHEAD;
@@ -149,7 +149,7 @@
     pub(super) spec: PoolSpec,
     pub(super) catalog: Arc<Catalog>,
     pub(super) pool: Pool,
-    pub(super) book: Book,
+    pub(super) requests: RequestTable,
     pub(super) safety: SafetyRules,
     pub(super) facts: ExternalState,
     pub(super) journal: Journal,
@@ -215,7 +215,7 @@
         pool.freeze_slots(clock::now().after(AHEAD));
         Some(Self {
             pool,
-            book: Book::new(tenure.token),
+            requests: RequestTable::new(tenure.token),
             journal: Journal::new(tenure.token, limits),
             safety: SafetyRules::new(honours, tenure, margin, quarantine),
             spec: PoolSpec {
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -97,7 +97,7 @@
         let Some(address) = address.filter(|_| allowed) else {
             return self.take_back(now, ticket, Reason::Draining.as_str());
         };
-        let Some(item) = self.book.item(ticket) else {
+        let Some(item) = self.requests.get(ticket) else {
             return self.take_back(now, ticket, Reason::Draining.as_str());
         };
         let grant = wire::Grant {
@@ -132,9 +132,9 @@
     /// Sends a grant; it counts as in use from here on.
     pub(super) fn send_grant(&mut self, now: Moment, ticket: Ticket, grant: wire::Grant) {
         let session = self
-            .book
-            .item(ticket)
-            .and_then(|i| self.book.session_of(&i.entry));
+            .requests
+            .get(ticket)
+            .and_then(|i| self.requests.session_of(&i.entry));
         // A commit takes time: whether to grant is asked again.
         let replica = ReplicaName::new(&grant.replica).ok();
         let allowed = !self.deposed
@@ -148,7 +148,8 @@
             return self.take_back(now, ticket, Reason::Draining.as_str());
         }
         metrics::counter!("granted_total").increment(1);
-        self.book.grant(ticket, grant, now.after(self.grant_ttl()));
+        self.requests
+            .mark_granted(ticket, grant, now.after(self.grant_ttl()));
     }
 
     fn load(
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -24,7 +24,7 @@
         self.facts = ExternalState {
             majority: self.local.majority(now),
             former_left: left,
-            helloed: self.book.helloed().clone(),
+            synced: self.requests.synced().clone(),
         };
     }
 
@@ -119,7 +119,7 @@
             return;
         }
         // An earlier owner's grants may be out that nobody here knows of.
-        let entries = self.settled.then(|| self.book.entries());
+        let entries = self.settled.then(|| self.requests.entries());
         self.local.drained.send_if_modified(|drained| {
             let new = !drained.contains_key(&self.name);
             drained.insert(self.name.clone(), entries);
--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -1,6 +1,6 @@
 //! Owners of pools: each drives one [`Pool`](crate::pool::Pool).
 //!
-//! [`book`](Book) and [`safety`](SafetyRules) are plain state; the actor carries
+//! [`requests`](RequestTable) and [`safety`](SafetyRules) are plain state; the actor carries
 //! out what they and the pool decide.
 
 mod actor;
@@ -17,10 +17,10 @@
 
 pub use actor::Event;
 pub use actor::OwnerActor;
-pub use requests::Book;
-pub use requests::Item;
-pub use requests::Opened;
+pub use requests::RequestTable;
 pub use requests::SessionId;
+pub use requests::Superseded;
+pub use requests::TrackedRequest;
 pub use safety::ExternalState;
 pub use safety::MAJORITY_MAX_AGE;
 pub use safety::SafetyRules;
--- a/lib/src/control/owner/requests.rs
+++ b/lib/src/control/owner/requests.rs
@@ -22,7 +22,7 @@
 
 /// One request that waits or is granted.
 #[derive(Clone, Debug)]
-pub struct Item {
+pub struct TrackedRequest {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
     /// The entry's number for it.
@@ -39,7 +39,7 @@
 
 /// What a new stream ends of its entry's earlier one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Opened {
+pub struct Superseded {
     /// Grants that were lost on the way: by its hello the entry will not use
     /// them.
     pub unused: Vec<Ticket>,
@@ -49,16 +49,16 @@
 
 /// All requests of a pool that its owner knows of.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct RequestTable {
     next: u64,
     sessions: BTreeMap<SessionId, String>,
     current: BTreeMap<String, SessionId>,
-    items: BTreeMap<Ticket, Item>,
+    items: BTreeMap<Ticket, TrackedRequest>,
     waiting: BTreeMap<(String, u64), Ticket>,
-    helloed: BTreeSet<String>,
+    synced: BTreeSet<String>,
 }
 
-impl Book {
+impl RequestTable {
     /// An empty book for an owner with this token.
     pub fn new(token: Token) -> Self {
         Self {
@@ -67,20 +67,20 @@
             current: BTreeMap::new(),
             items: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            helloed: BTreeSet::new(),
+            synced: BTreeSet::new(),
         }
     }
 
     /// A new stream takes the place of the entry's earlier one, and with it
     /// what the entry holds and waits for.
-    pub fn open(&mut self, session: SessionId, entry: &str, held: &BTreeSet<u64>) -> Opened {
+    pub fn open(&mut self, session: SessionId, entry: &str, held: &BTreeSet<u64>) -> Superseded {
         self.sessions.insert(session, entry.to_owned());
         self.current.insert(entry.to_owned(), session);
-        self.helloed.insert(entry.to_owned());
+        self.synced.insert(entry.to_owned());
         let of_entry = || self.items.iter().filter(|(_, i)| i.entry == entry);
         let unused = of_entry().filter(|(t, i)| i.until.is_some() && !held.contains(&t.0));
         let waiting = of_entry().filter(|(_, i)| i.until.is_none());
-        Opened {
+        Superseded {
             unused: unused.map(|(t, _)| *t).collect(),
             waiting: waiting.map(|(t, _)| *t).collect(),
         }
@@ -95,13 +95,13 @@
             return Vec::new();
         }
         self.current.remove(&entry);
-        let waits = |(_, i): &(&Ticket, &Item)| i.entry == entry && i.until.is_none();
+        let waits = |(_, i): &(&Ticket, &TrackedRequest)| i.entry == entry && i.until.is_none();
         self.items.iter().filter(waits).map(|(t, _)| *t).collect()
     }
 
     /// The entry that speaks on a stream, unless another stream has replaced
     /// this one.
-    pub fn speaker(&self, session: SessionId) -> Option<&str> {
+    pub fn entry_of(&self, session: SessionId) -> Option<&str> {
         let entry = self.sessions.get(&session)?;
         (self.current.get(entry) == Some(&session)).then_some(entry.as_str())
     }
@@ -112,7 +112,7 @@
     }
 
     /// Enters a request that waits.
-    pub fn enter(
+    pub fn enqueue(
         &mut self,
         entry: &str,
         acquire: wire::Acquire,
@@ -121,7 +121,7 @@
         let ticket = Ticket(self.next);
         self.next += 1;
         let key = (entry.to_owned(), acquire.request);
-        let item = Item {
+        let item = TrackedRequest {
             entry: entry.to_owned(),
             request: acquire.request,
             acquire,
@@ -142,7 +142,7 @@
             item.until = item.until.map(|old| old.max(until));
             return false;
         }
-        let item = Item {
+        let item = TrackedRequest {
             entry: entry.to_owned(),
             request: grant.request,
             acquire: wire::Acquire::default(),
@@ -160,12 +160,12 @@
     }
 
     /// A request by its ticket.
-    pub fn item(&self, ticket: Ticket) -> Option<&Item> {
+    pub fn get(&self, ticket: Ticket) -> Option<&TrackedRequest> {
         self.items.get(&ticket)
     }
 
     /// A request is granted until then.
-    pub fn grant(&mut self, ticket: Ticket, grant: wire::Grant, until: Moment) {
+    pub fn mark_granted(&mut self, ticket: Ticket, grant: wire::Grant, until: Moment) {
         if let Some(item) = self.items.get_mut(&ticket) {
             self.waiting.remove(&(item.entry.clone(), item.request));
             item.grant = Some(grant);
@@ -185,7 +185,7 @@
     }
 
     /// Strikes a request out.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Item> {
+    pub fn remove(&mut self, ticket: Ticket) -> Option<TrackedRequest> {
         let item = self.items.remove(&ticket)?;
         let key = (item.entry.clone(), item.request);
         if self.waiting.get(&key) == Some(&ticket) {
@@ -195,7 +195,7 @@
     }
 
     /// Grants whose time, with `margin`, has passed unrenewed.
-    pub fn lapsed(&self, now: Moment, margin: Span) -> Vec<Ticket> {
+    pub fn expired(&self, now: Moment, margin: Span) -> Vec<Ticket> {
         self.items
             .iter()
             .filter(|(_, i)| i.until.is_some_and(|u| u.after(margin) <= now))
@@ -212,7 +212,7 @@
 
     /// Entries that have opened a stream since this owner began, and so have
     /// told of all grants that they held.
-    pub fn helloed(&self) -> &BTreeSet<String> {
-        &self.helloed
+    pub fn synced(&self) -> &BTreeSet<String> {
+        &self.synced
     }
 }
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -38,7 +38,7 @@
     /// Whether the former owner's VM has left the platform's VM list.
     pub former_left: bool,
     /// Entries that have told which grants they hold.
-    pub helloed: BTreeSet<String>,
+    pub synced: BTreeSet<String>,
 }
 
 /// One owner's rules for its pool.
@@ -195,7 +195,7 @@
             Predecessor::None => true,
             // Its last grant was sent before it ended.
             Predecessor::Ended | Predecessor::Released(None) => waited,
-            Predecessor::Released(Some(entries)) => waited || entries.is_subset(&facts.helloed),
+            Predecessor::Released(Some(entries)) => waited || entries.is_subset(&facts.synced),
             Predecessor::Lapsed(_) | Predecessor::Unsettled if self.honours => {
                 // Unreachable replicas get nothing until they are fenced, and
                 // then are held by `may_evict`.
--- a/lib/src/control/owner/sessions.rs
+++ b/lib/src/control/owner/sessions.rs
@@ -50,7 +50,7 @@
         let entry = format!("{}/{}", hello.entry, hello.incarnation);
         let numbers: BTreeSet<u64> = hello.held.iter().map(|g| g.grant).collect();
         self.outboxes.insert(session, out);
-        let opened = self.book.open(session, &entry, &numbers);
+        let opened = self.requests.open(session, &entry, &numbers);
         for ticket in opened.unused {
             self.finish(now, ticket, Outcome::NotRun);
         }
@@ -69,13 +69,13 @@
 
     pub(super) fn close(&mut self, now: Moment, session: SessionId) {
         self.outboxes.remove(&session);
-        for ticket in self.book.close(session) {
+        for ticket in self.requests.close(session) {
             self.forget(now, ticket);
         }
     }
 
     pub(super) fn say(&mut self, now: Moment, session: SessionId, said: Said) {
-        let Some(entry) = self.book.speaker(session).map(str::to_owned) else {
+        let Some(entry) = self.requests.entry_of(session).map(str::to_owned) else {
             return;
         };
         match said {
@@ -83,7 +83,7 @@
             Said::Hello(_) | Said::Revoked(_) => {}
             Said::Acquire(acquire) => self.acquire(now, session, &entry, acquire),
             Said::Abandon(abandon) => {
-                if let Some(ticket) = self.book.waiting(&entry, abandon.request) {
+                if let Some(ticket) = self.requests.waiting(&entry, abandon.request) {
                     self.forget(now, ticket);
                 }
             }
@@ -100,7 +100,7 @@
         let Ok(team) = TeamName::new(&grant.team) else {
             return;
         };
-        if grant.token > self.token().0 || !self.book.adopt(entry, grant, until) {
+        if grant.token > self.token().0 || !self.requests.adopt(entry, grant, until) {
             return;
         }
         let held = InheritedDispatch {
@@ -122,7 +122,7 @@
     /// Counts grants on replicas that the catalog names only now.
     pub(super) fn adopt_orphans(&mut self, now: Moment) {
         for held in std::mem::take(&mut self.orphans) {
-            if self.book.item(held.ticket).is_none() {
+            if self.requests.get(held.ticket).is_none() {
                 continue;
             }
             match self.replicas.contains_key(&held.replica) {
@@ -144,14 +144,14 @@
         if !acquire.idempotent && acquire.claim.is_empty() && acquire.attempt > 0 {
             return self.tell_refusal(session, request, Reason::RetryBudget.as_str(), "");
         }
-        if let Some(ticket) = self.book.waiting(entry, request) {
+        if let Some(ticket) = self.requests.waiting(entry, request) {
             self.forget(now, ticket);
         }
         let claim = match self.claim(now, entry, &acquire) {
             Ok(claim) => claim,
             Err((reason, state)) => return self.tell_refusal(session, request, reason, state),
         };
-        let ticket = self.book.enter(entry, acquire.clone(), claim);
+        let ticket = self.requests.enqueue(entry, acquire.clone(), claim);
         let arrival = Arrival {
             ticket,
             team,
@@ -201,7 +201,7 @@
 
     fn release(&mut self, now: Moment, entry: &str, release: &wire::Release) {
         let ticket = Ticket(release.grant);
-        let Some(item) = self.book.item(ticket).filter(|i| i.entry == entry) else {
+        let Some(item) = self.requests.get(ticket).filter(|i| i.entry == entry) else {
             return;
         };
         let outcome = outcome_of(release.outcome);
@@ -212,7 +212,7 @@
         if let Some(key) = claim {
             self.end_claim(now, &key, outcome, &release.claim_outcome);
         }
-        self.book.remove(ticket);
+        self.requests.remove(ticket);
         self.pool.finish(
             now,
             DispatchEnd {
@@ -242,8 +242,8 @@
         let mut renewed = wire::Renewed::default();
         for number in &renew.grants {
             let replica = self
-                .book
-                .item(Ticket(*number))
+                .requests
+                .get(Ticket(*number))
                 .and_then(|i| i.grant.as_ref())
                 .and_then(|g| ReplicaName::new(&g.replica).ok());
             let Some(replica) = replica else {
@@ -254,7 +254,7 @@
                 // Neither prolonged nor unknown: the entry asks again.
                 continue;
             }
-            match self.book.renew(entry, *number, until) {
+            match self.requests.renew(entry, *number, until) {
                 true => renewed.grants.push(*number),
                 false => renewed.unknown.push(*number),
             }
@@ -265,7 +265,7 @@
     // A request that waits is no longer wanted.
     fn forget(&mut self, now: Moment, ticket: Ticket) {
         self.pool.abandon(now, ticket);
-        if let Some(key) = self.book.remove(ticket).and_then(|i| i.claim) {
+        if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
             self.unhold(now, ticket, &key);
             self.journal.free(now, &key);
         }
@@ -282,14 +282,14 @@
     /// Ends grants that lapsed: nobody uses them any more.
     pub(super) fn end_lapsed(&mut self, now: Moment) {
         let margin = Span::from_millis(self.local.settings.grants.margin_ms);
-        for ticket in self.book.lapsed(now, margin) {
+        for ticket in self.requests.expired(now, margin) {
             self.finish(now, ticket, Outcome::Cancelled);
         }
     }
 
     /// Ends a dispatch without word from its entry.
     pub(super) fn finish(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
-        if let Some(key) = self.book.remove(ticket).and_then(|i| i.claim) {
+        if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
             self.end_claim(now, &key, outcome, "");
         }
         let finish = DispatchEnd {
@@ -307,14 +307,14 @@
 
     /// Tells the entry that a request did not run, and frees its key.
     pub(super) fn refuse(&mut self, now: Moment, ticket: Ticket, reason: &str, retry: Span) {
-        let Some(item) = self.book.remove(ticket) else {
+        let Some(item) = self.requests.remove(ticket) else {
             return;
         };
         if let Some(key) = &item.claim {
             self.journal.free(now, key);
         }
         metrics::counter!("refused_total", "reason" => reason.to_owned()).increment(1);
-        if let Some(session) = self.book.session_of(&item.entry) {
+        if let Some(session) = self.requests.session_of(&item.entry) {
             let refusal = wire::Refusal {
                 request: item.request,
                 reason: reason.to_owned(),
--- a/lib/tests/test_owner_book.rs
+++ b/lib/tests/test_owner_requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use banyangauge::control::owner::Book;
+use banyangauge::control::owner::RequestTable;
 use banyangauge::control::owner::SessionId;
 use banyangauge::ids::Token;
 use banyangauge::pool::Moment;
@@ -34,28 +34,28 @@
 
 #[test]
 fn tickets_of_owners_never_meet() {
-    let mut first = Book::new(Token(1));
-    let mut second = Book::new(Token(2));
-    let a = first.enter("vm-1/1", acquire(1), None);
-    let b = second.enter("vm-1/1", acquire(1), None);
+    let mut first = RequestTable::new(Token(1));
+    let mut second = RequestTable::new(Token(2));
+    let a = first.enqueue("vm-1/1", acquire(1), None);
+    let b = second.enqueue("vm-1/1", acquire(1), None);
     assert_ne!(a, b);
 }
 
 #[test]
 fn new_stream_replaces_the_old() {
-    let mut book = Book::new(Token(1));
+    let mut book = RequestTable::new(Token(1));
     book.open(ONE, "vm-1/1", &BTreeSet::new());
-    let held = book.enter("vm-1/1", acquire(1), None);
-    let lost = book.enter("vm-1/1", acquire(2), None);
-    let waits = book.enter("vm-1/1", acquire(3), None);
-    let other = book.enter("vm-2/1", acquire(1), None);
+    let held = book.enqueue("vm-1/1", acquire(1), None);
+    let lost = book.enqueue("vm-1/1", acquire(2), None);
+    let waits = book.enqueue("vm-1/1", acquire(3), None);
+    let other = book.enqueue("vm-2/1", acquire(1), None);
     for t in [held, lost, other] {
-        book.grant(t, grant(t.0, 1), ms(10));
+        book.mark_granted(t, grant(t.0, 1), ms(10));
     }
     let opened = book.open(TWO, "vm-1/1", &BTreeSet::from([held.0]));
     assert_eq!((opened.unused, opened.waiting), (vec![lost], vec![waits]));
     assert_eq!(
-        (book.speaker(ONE), book.speaker(TWO)),
+        (book.entry_of(ONE), book.entry_of(TWO)),
         (None, Some("vm-1/1"))
     );
     // The end of the old stream ends nothing of the new one.
@@ -65,26 +65,26 @@
 
 #[test]
 fn grant_lapses_unless_renewed() {
-    let mut book = Book::new(Token(1));
+    let mut book = RequestTable::new(Token(1));
     book.open(ONE, "vm-1/1", &BTreeSet::new());
-    let ticket = book.enter("vm-1/1", acquire(1), None);
-    book.grant(ticket, grant(ticket.0, 1), ms(10_000));
+    let ticket = book.enqueue("vm-1/1", acquire(1), None);
+    book.mark_granted(ticket, grant(ticket.0, 1), ms(10_000));
     let margin = Span::from_millis(2_000);
-    assert_eq!(book.lapsed(ms(11_999), margin), []);
+    assert_eq!(book.expired(ms(11_999), margin), []);
     assert!(book.renew("vm-1/1", ticket.0, ms(15_000)));
-    assert_eq!(book.lapsed(ms(12_000), margin), []);
-    assert_eq!(book.lapsed(ms(17_000), margin), [ticket]);
+    assert_eq!(book.expired(ms(12_000), margin), []);
+    assert_eq!(book.expired(ms(17_000), margin), [ticket]);
     // Nobody prolongs another's grant.
     assert!(!book.renew("vm-2/1", ticket.0, ms(90_000)));
 }
 
 #[test]
 fn adopted_grant_outlives_its_stream() {
-    let mut book = Book::new(Token(2));
+    let mut book = RequestTable::new(Token(2));
     book.open(ONE, "vm-1/1", &BTreeSet::from([77]));
     assert!(book.adopt("vm-1/1", &grant(77, 5), ms(10)));
     assert!(!book.adopt("vm-1/1", &grant(77, 5), ms(20)));
     assert_eq!(book.close(ONE), []);
     assert!(book.entries().contains("vm-1/1"));
-    assert_eq!(book.lapsed(ms(20), Span(0)).len(), 1);
+    assert_eq!(book.expired(ms(20), Span(0)).len(), 1);
 }
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -114,10 +114,10 @@
     let entries = BTreeSet::from(["vm-1/1".to_owned(), "vm-2/1".to_owned()]);
     let mut s = safety(true, Predecessor::Released(Some(entries.clone())));
     let mut f = facts(0);
-    f.helloed = BTreeSet::from(["vm-1/1".to_owned(), "vm-9/9".to_owned()]);
+    f.synced = BTreeSet::from(["vm-1/1".to_owned(), "vm-9/9".to_owned()]);
     let all = BTreeSet::from([replica()]);
     assert!(s.is_frozen(ms(1_100), &all, &f));
-    f.helloed.extend(entries);
+    f.synced.extend(entries);
     assert!(!s.is_frozen(ms(1_200), &all, &f));
 }
 
