--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// An entry opened a stream.
-    Open {
+    SessionOpened {
         /// The stream.
         session: SessionId,
         /// Its first message.
@@ -66,16 +66,16 @@
         out: mpsc::Sender<Result<wire::OwnerMessage, tonic::Status>>,
     },
     /// An entry says something.
-    Say {
+    EntryMessage {
         /// On which stream.
         session: SessionId,
         /// What.
         body: wire::entry_message::Body,
     },
     /// A stream ended.
-    Closed(SessionId),
+    SessionClosed(SessionId),
     /// A load report came, or none.
-    Reported {
+    LoadReport {
         /// Which replica.
         replica: ReplicaName,
         /// Where it was asked.
@@ -84,7 +84,7 @@
         report: Result<Report, OrderError>,
     },
     /// An engine was asked for its fence.
-    Fenced {
+    FenceAnswer {
         /// Which replica.
         replica: ReplicaName,
         /// Where it was asked.
@@ -97,7 +97,7 @@
         report: Report,
     },
     /// An order ended.
-    Ordered {
+    OrderEnded {
         /// Its number.
         order: OrderId,
         /// How it ended.
@@ -112,7 +112,7 @@
     /// A commit to the journal ended.
     Committed(WriteOutcome),
     /// The lease is over: refuse what waits and end.
-    Ended,
+    LeaseEnded,
     /// Time passes.
     Tick,
 }
@@ -348,34 +348,34 @@
 
     async fn handle(&mut self, event: Event, ctx: &mut Context<Self>) {
         let now = clock::now();
-        let last = matches!(event, Event::Ended);
+        let last = matches!(event, Event::LeaseEnded);
         match event {
-            Event::Open {
+            Event::SessionOpened {
                 session,
                 hello,
                 out,
             } => self.open(now, session, &hello, out),
-            Event::Say { session, body } => self.say(now, session, body),
-            Event::Closed(session) => self.close(now, session),
-            Event::Reported {
+            Event::EntryMessage { session, body } => self.say(now, session, body),
+            Event::SessionClosed(session) => self.close(now, session),
+            Event::LoadReport {
                 replica,
                 address,
                 report,
             } => self.reported(now, &replica, address, report),
-            Event::Fenced {
+            Event::FenceAnswer {
                 replica,
                 address,
                 asked,
                 answer,
                 report,
             } => self.fenced(now, &replica, address, asked, answer, &report),
-            Event::Ordered { order, end } => self.ordered(now, order, end),
+            Event::OrderEnded { order, end } => self.ordered(now, order, end),
             Event::Unloading(true) => self.unloading += 1,
             Event::Unloading(false) => self.unloading = self.unloading.saturating_sub(1),
             Event::JournalRead(read) => self.journal_read(now, read),
             Event::JournalSealed(sealed) => self.journal_sealed(now, sealed),
             Event::Committed(end) => self.committed(now, end),
-            Event::Ended => self.depose(),
+            Event::LeaseEnded => self.depose(),
             Event::Tick => self.tick(now),
         }
         self.carry_out(now);
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -205,7 +205,10 @@
                 Ok(()) => order_end(load_one(&load).await),
                 Err(e) => order_end(Err(e)),
             };
-            let _ = address.send(Event::Ordered { order, end }).detach().await;
+            let _ = address
+                .send(Event::OrderEnded { order, end })
+                .detach()
+                .await;
         });
     }
 
--- a/lib/src/control/owner/probes.rs
+++ b/lib/src/control/owner/probes.rs
@@ -27,7 +27,7 @@
     loop {
         tick.tick().await;
         let report = read_report(&orders, address).await;
-        let event = Event::Reported {
+        let event = Event::LoadReport {
             replica: replica.clone(),
             address,
             report,
@@ -50,7 +50,7 @@
 ) {
     let asked = clock::now();
     let answer: Result<_, OrderError> = orders.fence(address, token).await;
-    let event = Event::Fenced {
+    let event = Event::FenceAnswer {
         replica,
         address,
         asked,
--- a/lib/src/control/owner/service.rs
+++ b/lib/src/control/owner/service.rs
@@ -92,7 +92,7 @@
         return;
     };
     let session = SessionId(service.sessions.fetch_add(1, Ordering::Relaxed));
-    let open = Event::Open {
+    let open = Event::SessionOpened {
         session,
         hello,
         out: out.clone(),
@@ -131,7 +131,7 @@
     while let Ok(Some(m)) = said.message().await {
         let Some(body) = m.body else { continue };
         if owner
-            .send(Event::Say { session, body })
+            .send(Event::EntryMessage { session, body })
             .detach()
             .await
             .is_err()
@@ -140,5 +140,5 @@
             return;
         }
     }
-    let _ = owner.send(Event::Closed(session)).detach().await;
+    let _ = owner.send(Event::SessionClosed(session)).detach().await;
 }
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -68,7 +68,7 @@
             // It refuses what waits, then ends.
             let address = address.clone();
             tokio::spawn(async move {
-                let _ = address.send(Event::Ended).detach().await;
+                let _ = address.send(Event::LeaseEnded).detach().await;
             });
         }
         kept
