--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -9,7 +9,7 @@
 //! | `store` | the store's port, and who follows it |
 //! | `program` | settings, start and stop |
 //!
-//! How requests, replicas and the store speak is a [`Border`]'s and a
+//! How requests, replicas and the store speak is a [`Codec`]'s and a
 //! [`Store`]'s matter.
 
 mod cluster;
@@ -57,7 +57,7 @@
 pub use decisions::turns::TurnId;
 pub use decisions::turns::Turns;
 pub use path::border::BadRecord;
-pub use path::border::Border;
+pub use path::border::Codec;
 pub use path::border::Kinds;
 pub use path::border::NotRun;
 pub use path::border::Order;
--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -106,7 +106,7 @@
 
 /// The functions of a border. None of them waits, repeats or chooses.
 #[derive(Clone, Copy)]
-pub struct Border {
+pub struct Codec {
     /// Kinds of objects.
     pub kinds: Kinds,
     /// The path on which the balancer asks whether we are ready.
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -19,7 +19,7 @@
 use crate::pool::Span;
 use crate::serving::cluster::recency::reader_id;
 use crate::serving::cluster::state::NodeState;
-use crate::serving::path::border::Border;
+use crate::serving::path::border::Codec;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::port::Store;
 use crate::upstream::Upstreams;
@@ -89,7 +89,7 @@
 /// One VM of the serving path.
 pub(in crate::serving) struct Node {
     pub(in crate::serving) settings: ServeSettings,
-    pub(in crate::serving) border: Border,
+    pub(in crate::serving) border: Codec,
     pub(in crate::serving) store: Store,
     pub(in crate::serving) upstreams: Upstreams,
     pub(in crate::serving) log: slog::Logger,
@@ -125,7 +125,7 @@
 impl Node {
     pub(in crate::serving) fn new(
         settings: ServeSettings,
-        border: Border,
+        border: Codec,
         store: Store,
         log: slog::Logger,
         socket: UdpSocket,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -13,7 +13,7 @@
 use crate::platform::PlatformError;
 use crate::pool::Span;
 use crate::serving::cluster::topic::Topic;
-use crate::serving::path::border::Border;
+use crate::serving::path::border::Codec;
 use crate::serving::path::reading;
 use crate::serving::path::server;
 use crate::serving::peers::beacons;
@@ -89,7 +89,7 @@
     /// When an address cannot be listened on.
     pub async fn start(
         settings: ServeSettings,
-        border: Border,
+        border: Codec,
         store: Store,
         log: slog::Logger,
     ) -> Result<Self, ServeError> {
@@ -155,7 +155,7 @@
 /// When it cannot start.
 pub async fn run(
     settings: ServeSettings,
-    border: Border,
+    border: Codec,
     store: Store,
     log: slog::Logger,
     reload: impl Fn() -> Result<ServeSettings, String>,
