--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -35,7 +35,7 @@
 
 /// The kinds of objects in the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Kinds {
+pub struct ObjectKinds {
     /// The configuration.
     pub config: &'static str,
     /// The replicas.
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy)]
 pub struct Codec {
     /// Kinds of objects.
-    pub kinds: Kinds,
+    pub kinds: ObjectKinds,
     /// The path on which the balancer asks whether we are ready.
     pub ready_path: &'static str,
     /// Reads what a caller's request says of itself.
