--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -43,7 +43,7 @@
     /// Announced versions of adapters.
     pub versions: &'static str,
     /// Our own: VMs and owners.
-    pub own: &'static str,
+    pub internal: &'static str,
 }
 
 /// What we set on a request that goes to a replica.
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -60,7 +60,7 @@
 
 /// Asks for what changed since the last answer.
 async fn ask(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
-    let kind = node.border.kinds.own;
+    let kind = node.border.kinds.internal;
     let asked = now();
     if *since == 0 {
         let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -138,7 +138,7 @@
         let name = vm_name(node);
         let removed = with_timeout(
             END_TIME / 2,
-            (node.store.delete)(node.border.kinds.own, &name),
+            (node.store.delete)(node.border.kinds.internal, &name),
         );
         if let Err(e) = removed.await {
             slog::info!(node.log, "entry not removed"; "error" => %e);
@@ -215,7 +215,7 @@
     };
     let name = vm_name(&node);
     loop {
-        let call = (node.store.create)(node.border.kinds.own, &name, &spec);
+        let call = (node.store.create)(node.border.kinds.internal, &name, &spec);
         match with_timeout(follow::CALL_TIMEOUT, call).await {
             // An earlier start wrote the same.
             Ok(_) | Err(PlatformError::Conflict) => return,
@@ -231,7 +231,7 @@
         node.reread.notified().await;
         loop {
             let asked = now();
-            match follow::list(&node, node.border.kinds.own, Consistency::Latest).await {
+            match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
                     take_own(&node, &StoreUpdate::All(&items));
                     node.state().ownership.confirm(asked);
@@ -280,7 +280,7 @@
     let Ok(spec) = to_raw_value(&table) else {
         return;
     };
-    let kind = node.border.kinds.own;
+    let kind = node.border.kinds.internal;
     let asked = now();
     let call = match revision {
         0 => (node.store.create)(kind, OWNER_TABLE, &spec),
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -97,7 +97,7 @@
         Topic::Config => kinds.config,
         Topic::Replicas => kinds.replicas,
         Topic::Versions => kinds.versions,
-        Topic::Own => kinds.own,
+        Topic::Own => kinds.internal,
     }
 }
 
