--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -48,7 +48,7 @@
 
 /// What we set on a request that goes to a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct ForwardHeaders<'a> {
     /// How long the answer is worth waiting for.
     pub left: Duration,
     /// The replica that it is meant for.
@@ -114,7 +114,7 @@
     /// Reads what a caller's request says of itself.
     pub read_ask: fn(&HeaderMap) -> Ask,
     /// Takes out what only we may set, and sets it.
-    pub write_head: fn(&mut HeaderMap, &Sending<'_>),
+    pub write_head: fn(&mut HeaderMap, &ForwardHeaders<'_>),
     /// Reads the head of an answer to the request with this id from this
     /// replica.
     pub read_reply: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -24,8 +24,8 @@
 use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::turns::LONG_PROMPT;
+use crate::serving::path::border::ForwardHeaders;
 use crate::serving::path::border::Reply;
-use crate::serving::path::border::Sending;
 use crate::serving::path::charge::Charge;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::KeyDigest;
@@ -271,7 +271,7 @@
     };
     let headers = request.headers_mut();
     *headers = held.headers.clone();
-    let sending = Sending {
+    let sending = ForwardHeaders {
         left: Duration::from_micros(held.limit.since(now).0),
         replica,
         version,
