--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardHeaders<'a> {
     /// How long the answer is worth waiting for.
-    pub left: Duration,
+    pub timeout: Duration,
     /// The replica that it is meant for.
     pub replica: &'a ReplicaName,
     /// The version of the adapter that it must begin on.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -272,7 +272,7 @@
     let headers = request.headers_mut();
     *headers = held.headers.clone();
     let sending = ForwardHeaders {
-        left: Duration::from_micros(held.limit.since(now).0),
+        timeout: Duration::from_micros(held.limit.since(now).0),
         replica,
         version,
         resume_at,
