--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -112,24 +112,24 @@
     /// The path on which the balancer asks whether we are ready.
     pub ready_path: &'static str,
     /// Reads what a caller's request says of itself.
-    pub read_ask: fn(&HeaderMap) -> Ask,
+    pub parse_request: fn(&HeaderMap) -> Ask,
     /// Takes out what only we may set, and sets it.
-    pub write_head: fn(&mut HeaderMap, &ForwardHeaders<'_>),
+    pub set_headers: fn(&mut HeaderMap, &ForwardHeaders<'_>),
     /// Reads the head of an answer to the request with this id from this
     /// replica.
-    pub read_reply: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
+    pub classify_response: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
     /// Reads the configuration.
-    pub read_config: fn(&Item) -> Result<Config, BadRecord>,
+    pub parse_config: fn(&Item) -> Result<Config, BadRecord>,
     /// Reads a replica's entry.
-    pub read_listing: fn(&Item) -> Result<Listing, BadRecord>,
+    pub parse_replica: fn(&Item) -> Result<Listing, BadRecord>,
     /// Reads an announced version.
-    pub read_announced: fn(&Item) -> Result<Announced, BadRecord>,
+    pub parse_version: fn(&Item) -> Result<Announced, BadRecord>,
     /// Writes an order.
-    pub write_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
+    pub encode_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
     /// Reads its answer.
-    pub read_order: fn(StatusCode) -> OrderEnd,
+    pub parse_order_end: fn(StatusCode) -> OrderEnd,
     /// Asks for a report.
-    pub write_look: fn() -> Result<Request<Parts>, BadRecord>,
+    pub encode_report_request: fn() -> Result<Request<Parts>, BadRecord>,
     /// Reads a report.
-    pub read_report: fn(&[u8]) -> Result<Report, BadRecord>,
+    pub parse_report: fn(&[u8]) -> Result<Report, BadRecord>,
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -195,7 +195,7 @@
         Ok(Ok(answer)) => answer,
     };
     run.heard();
-    let read = node.border.read_reply;
+    let read = node.border.classify_response;
     match read(answer.head.status, &answer.head.headers, &held.id, replica) {
         Reply::Answer => Ok(Begun {
             answer,
@@ -278,7 +278,7 @@
         resume_at,
         organisation: held.caller.organisation.as_ref(),
     };
-    (node.border.write_head)(headers, &sending);
+    (node.border.set_headers)(headers, &sending);
     request
 }
 
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -88,7 +88,7 @@
 ) -> Response<AnswerBody> {
     let open = node.enter();
     let arrived = now();
-    let ask = (node.border.read_ask)(request.headers());
+    let ask = (node.border.parse_request)(request.headers());
     let mut waiting = Waiting {
         node: node.clone(),
         id: ask.id.clone(),
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -163,12 +163,12 @@
 }
 
 async fn look(node: &Node, name: &ReplicaName) -> Option<Report> {
-    let request = (node.border.write_look)().ok()?;
+    let request = (node.border.encode_report_request)().ok()?;
     let (status, body) = call(node, name, request, LONGEST_ANSWER).await?;
     if !status.is_success() {
         return None;
     }
-    match (node.border.read_report)(&body) {
+    match (node.border.parse_report)(&body) {
         Ok(report) => {
             slog::info!(node.log, "report"; "replica" => name.as_str(),
                 "accepted" => report.accepted, "here" => report.here.len(),
@@ -201,7 +201,7 @@
         token,
         replica: name,
     };
-    let Ok(request) = (node.border.write_order)(&order) else {
+    let Ok(request) = (node.border.encode_order)(&order) else {
         return OrderEnd::Refused;
     };
     // The lease is looked at right before the order goes out.
@@ -214,7 +214,7 @@
         false => LONGEST_ANSWER,
     };
     match call(node, name, request, wait).await {
-        Some((status, _)) => (node.border.read_order)(status),
+        Some((status, _)) => (node.border.parse_order_end)(status),
         None => OrderEnd::Unknown,
     }
 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -54,7 +54,7 @@
 /// Takes a configuration; the operator replaces it and never takes it away.
 pub(in crate::serving) fn take_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
-        match (node.border.read_config)(item) {
+        match (node.border.parse_config)(item) {
             Ok(config) => {
                 let version = config.version;
                 let mut b = node.state();
@@ -80,7 +80,7 @@
 pub(in crate::serving) fn take_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
-        let listing = (node.border.read_listing)(item);
+        let listing = (node.border.parse_replica)(item);
         listing.map_err(|e| {
             slog::error!(node.log, "bad replica"; "name" => &item.name, "error" => %e);
         })
@@ -158,7 +158,7 @@
 /// Takes announced versions.
 pub(in crate::serving) fn take_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
-        match (node.border.read_announced)(item) {
+        match (node.border.parse_version)(item) {
             Ok(a) => {
                 if node.state().fleet.versions.announce(now(), &a) {
                     slog::info!(node.log, "version announced"; "target" => %a.target,
