--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -82,7 +82,7 @@
     /// The replica did not run it and will not.
     NotRun(NotRun),
     /// Another request's answer, or not an answer that may be passed on.
-    Spoilt(&'static str),
+    Invalid(&'static str),
 }
 
 /// An order to a replica.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -212,7 +212,7 @@
             refused(node, held, &run, why);
             Err(Ended::NotRun(why))
         }
-        Reply::Spoilt(what) => {
+        Reply::Invalid(what) => {
             run.learn(End::Broken);
             Err(Ended::Spoilt(what))
         }
