--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -54,7 +54,7 @@
         match self {
             Self::NotSent => "not_sent",
             Self::NotRun(NotRun::Gone) => "replica_gone",
-            Self::NotRun(NotRun::Lacks) => "not_loaded",
+            Self::NotRun(NotRun::NotLoaded) => "not_loaded",
             Self::NotRun(NotRun::Full) => "replica_full",
             Self::Broken => "broken",
             Self::Spoilt(_) => "spoilt",
--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -67,7 +67,7 @@
     /// Another replica has the address now.
     Gone,
     /// It does not hold the adapter, or not in this version.
-    Lacks,
+    NotLoaded,
     /// It is full, or leaving.
     Full,
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -237,7 +237,7 @@
     match why {
         NotRun::Gone => run.learn(End::Gone),
         NotRun::Full => run.learn(End::Full),
-        NotRun::Lacks => {
+        NotRun::NotLoaded => {
             if let Some(target) = &held.target {
                 let mut b = node.state();
                 b.fleet.lacks(now(), &run.replica, target);
