--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -14,9 +14,9 @@
 use crate::serving::decisions::books::OrderEnd;
 use crate::serving::decisions::books::Report;
 use crate::serving::path::model::Announced;
-use crate::serving::path::model::Ask;
 use crate::serving::path::model::Config;
 use crate::serving::path::model::Listing;
+use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::Target;
 use crate::serving::store::port::Item;
 use crate::upstream::Parts;
@@ -112,7 +112,7 @@
     /// The path on which the balancer asks whether we are ready.
     pub ready_path: &'static str,
     /// Reads what a caller's request says of itself.
-    pub parse_request: fn(&HeaderMap) -> Ask,
+    pub parse_request: fn(&HeaderMap) -> RequestInfo,
     /// Takes out what only we may set, and sets it.
     pub set_headers: fn(&mut HeaderMap, &ForwardHeaders<'_>),
     /// Reads the head of an answer to the request with this id from this
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -17,8 +17,8 @@
 use crate::serving::decisions::quota::Answer;
 use crate::serving::decisions::quota::Ask as LeaseAsk;
 use crate::serving::decisions::quota::Spend;
-use crate::serving::path::model::Ask;
 use crate::serving::path::model::Organisation;
+use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::UseLimit;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
@@ -92,7 +92,7 @@
 pub(in crate::serving) async fn take(
     node: &Rc<Node>,
     organisation: &Organisation,
-    ask: &Ask,
+    ask: &RequestInfo,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(limit) = &organisation.limit else {
         return Ok(None);
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -74,7 +74,7 @@
 
 /// What a caller's request says of itself.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The caller's id of this attempt; empty if it sent none.
     pub id: String,
     /// The model or adapter; `None` for a plain service.
@@ -252,14 +252,14 @@
     /// What this request takes.
     ///
     /// ```
-    /// use banyangauge::serving::{Ask, Weight};
-    /// let ask = Ask { prompt: 90, output: 10, ..Ask::default() };
+    /// use banyangauge::serving::{RequestInfo, Weight};
+    /// let ask = RequestInfo { prompt: 90, output: 10, ..RequestInfo::default() };
     /// let tokens = Weight::Tokens { plain: 7 };
     /// assert_eq!(tokens.of(&ask), 100.0);
-    /// assert_eq!(tokens.of(&Ask::default()), 7.0);
+    /// assert_eq!(tokens.of(&RequestInfo::default()), 7.0);
     /// assert_eq!(Weight::Request.of(&ask), 1.0);
     /// ```
-    pub fn of(self, ask: &Ask) -> f64 {
+    pub fn of(self, ask: &RequestInfo) -> f64 {
         match self {
             Self::Request => 1.0,
             Self::Tokens { plain } if ask.prompt == 0 && ask.output == 0 => f64::from(plain),
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -42,10 +42,10 @@
 use crate::serving::path::forward::forward;
 use crate::serving::path::forward::strip_hop;
 use crate::serving::path::forward::strip_request;
-use crate::serving::path::model::Ask;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Kind;
 use crate::serving::path::model::Organisation;
+use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::Route;
 use crate::serving::path::pass::AnswerBody;
 use crate::serving::path::pass::Events;
@@ -147,7 +147,7 @@
 async fn answer(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    ask: Ask,
+    ask: RequestInfo,
     arrived: Moment,
     open: Open,
 ) -> Result<Response<AnswerBody>, Refusal> {
@@ -200,7 +200,7 @@
     active: &ActiveConfig,
     uri: &Uri,
     headers: &HeaderMap,
-    ask: &Ask,
+    ask: &RequestInfo,
 ) -> Result<Asked, Refusal> {
     let host = headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(uri.host()).unwrap_or_default();
@@ -219,7 +219,7 @@
     node: &Node,
     active: &ActiveConfig,
     asked: &Asked,
-    ask: &Ask,
+    ask: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
     let (freshness, bounds) = {
         let mut b = node.state();
@@ -271,7 +271,7 @@
 }
 
 /// What a request is expected to hold of an engine's memory.
-fn cost(active: &ActiveConfig, service: &ServiceName, ask: &Ask) -> Load {
+fn cost(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
         Some(_) => u64::from(ask.prompt) + (f64::from(ask.output) * OUTPUT_PART) as u64,
