--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -80,9 +80,9 @@
     /// The model or adapter; `None` for a plain service.
     pub target: Option<Target>,
     /// Tokens in the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The most tokens that it may generate.
-    pub output: u32,
+    pub max_tokens: u32,
     /// The beginning of the prompt that it shares with others.
     pub shared: Option<Shared>,
     /// How long the caller waits.
@@ -253,7 +253,7 @@
     ///
     /// ```
     /// use banyangauge::serving::{RequestInfo, Weight};
-    /// let ask = RequestInfo { prompt: 90, output: 10, ..RequestInfo::default() };
+    /// let ask = RequestInfo { prompt_tokens: 90, max_tokens: 10, ..RequestInfo::default() };
     /// let tokens = Weight::Tokens { plain: 7 };
     /// assert_eq!(tokens.of(&ask), 100.0);
     /// assert_eq!(tokens.of(&RequestInfo::default()), 7.0);
@@ -262,8 +262,10 @@
     pub fn of(self, ask: &RequestInfo) -> f64 {
         match self {
             Self::Request => 1.0,
-            Self::Tokens { plain } if ask.prompt == 0 && ask.output == 0 => f64::from(plain),
-            Self::Tokens { .. } => f64::from(ask.prompt) + f64::from(ask.output),
+            Self::Tokens { plain } if ask.prompt_tokens == 0 && ask.max_tokens == 0 => {
+                f64::from(plain)
+            }
+            Self::Tokens { .. } => f64::from(ask.prompt_tokens) + f64::from(ask.max_tokens),
         }
     }
 }
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -274,13 +274,17 @@
 fn cost(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
-        Some(_) => u64::from(ask.prompt) + (f64::from(ask.output) * OUTPUT_PART) as u64,
+        Some(_) => u64::from(ask.prompt_tokens) + (f64::from(ask.max_tokens) * OUTPUT_PART) as u64,
         None => 0,
     };
     Load {
         requests: 1,
         tokens,
-        unread: if tokens > 0 { u64::from(ask.prompt) } else { 0 },
+        unread: if tokens > 0 {
+            u64::from(ask.prompt_tokens)
+        } else {
+            0
+        },
     }
 }
 
