--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -86,7 +86,7 @@
     /// The beginning of the prompt that it shares with others.
     pub shared: Option<Shared>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The last event that the caller has already.
     pub resume_at: Option<u64>,
     /// The key that it bears, if it bears one that can be read.
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -162,7 +162,7 @@
     let (head, body) = request.into_parts();
     let asked = find_route(&active, &head.uri, &head.headers, &ask)?;
     let organisation = find_caller(node, &active, &asked, &ask)?;
-    let patience = ask.patience.unwrap_or(DEFAULT_PATIENCE);
+    let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE);
     let time = patience.min(asked.route.timeout);
     let limit = arrived.after(span(time));
     let charge = match &organisation {
