--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -56,7 +56,7 @@
     /// The version of the adapter that it must begin on.
     pub version: Option<u32>,
     /// The event after which a broken stream goes on.
-    pub resume_at: Option<u64>,
+    pub resume_after: Option<u64>,
     /// On whose behalf it is sent; the caller's key is never passed on.
     pub organisation: Option<&'a OrganisationName>,
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -275,7 +275,7 @@
         timeout: Duration::from_micros(held.limit.since(now).0),
         replica,
         version,
-        resume_at,
+        resume_after: resume_at,
         organisation: held.caller.organisation.as_ref(),
     };
     (node.border.set_headers)(headers, &sending);
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -88,7 +88,7 @@
     /// How long the caller waits.
     pub timeout: Option<Duration>,
     /// The last event that the caller has already.
-    pub resume_at: Option<u64>,
+    pub resume_after: Option<u64>,
     /// The key that it bears, if it bears one that can be read.
     pub key: Option<KeyDigest>,
 }
