--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -12,7 +12,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::path::model::Listing;
-use crate::serving::path::model::Shared;
+use crate::serving::path::model::SharedPrefix;
 use crate::serving::path::model::Target;
 use crate::serving::program::experiment::Mechanism;
 
@@ -85,7 +85,7 @@
     /// What it will hold there.
     pub cost: Load,
     /// What its prompt shares with others.
-    pub shared: Option<Shared>,
+    pub shared: Option<SharedPrefix>,
     /// Kilobytes of body.
     pub body_kb: f64,
     /// Within how long its answer should begin, in milliseconds.
@@ -331,7 +331,7 @@
 
 /// The rank of a replica for a shared beginning: requests that share it meet
 /// where it is kept, as far as several replicas hold their adapter.
-fn prefix_rank(shared: Shared, seed: u64) -> u64 {
+fn prefix_rank(shared: SharedPrefix, seed: u64) -> u64 {
     xxh3_64_with_seed(&seed.to_le_bytes(), shared.key)
 }
 
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -29,7 +29,7 @@
 use crate::serving::path::charge::Charge;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::KeyDigest;
-use crate::serving::path::model::Shared;
+use crate::serving::path::model::SharedPrefix;
 use crate::serving::path::model::Target;
 use crate::serving::path::reading::Turn;
 use crate::serving::path::reading::take_turn;
@@ -50,7 +50,7 @@
     pub(in crate::serving) target: Option<Target>,
     /// What it is expected to hold at a replica.
     pub(in crate::serving) cost: Load,
-    pub(in crate::serving) shared: Option<Shared>,
+    pub(in crate::serving) shared: Option<SharedPrefix>,
     pub(in crate::serving) fingerprint: Fingerprint,
     /// On whose behalf it runs.
     pub(in crate::serving) caller: Caller,
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -65,7 +65,7 @@
 
 /// The beginning of a prompt that other requests have as well.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Shared {
+pub struct SharedPrefix {
     /// Tells it from others.
     pub key: u64,
     /// Its tokens.
@@ -84,7 +84,7 @@
     /// The most tokens that it may generate.
     pub max_tokens: u32,
     /// The beginning of the prompt that it shares with others.
-    pub shared: Option<Shared>,
+    pub shared: Option<SharedPrefix>,
     /// How long the caller waits.
     pub timeout: Option<Duration>,
     /// The last event that the caller has already.
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -23,7 +23,7 @@
 use banyangauge::serving::Mechanism;
 use banyangauge::serving::Place;
 use banyangauge::serving::Service;
-use banyangauge::serving::Shared;
+use banyangauge::serving::SharedPrefix;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
 use banyangauge::serving::Want;
@@ -374,7 +374,7 @@
             service: &service,
             target: Some(&target),
             cost: COST,
-            shared: Some(Shared { key, tokens: 6_000 }),
+            shared: Some(SharedPrefix { key, tokens: 6_000 }),
             body_kb: 1.0,
             objective_ms: 1_000.0,
             waited: None,
