--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -95,7 +95,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum RouteKind {
     /// It may run more than once.
     Safe,
     /// It runs at most once.
@@ -114,7 +114,7 @@
     /// How the path begins; it ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time until the final answer.
     pub timeout: Duration,
     /// The latency objective.
@@ -137,9 +137,9 @@
     /// Whether a request may run more than once.
     pub fn idempotent(&self) -> bool {
         match self.kind {
-            Kind::Safe => true,
-            Kind::Unsafe => false,
-            Kind::Stream => self.resumable,
+            RouteKind::Safe => true,
+            RouteKind::Unsafe => false,
+            RouteKind::Stream => self.resumable,
         }
     }
 }
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -43,10 +43,10 @@
 use crate::serving::path::forward::strip_hop;
 use crate::serving::path::forward::strip_request;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Kind;
 use crate::serving::path::model::Organisation;
 use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::Route;
+use crate::serving::path::model::RouteKind;
 use crate::serving::path::pass::AnswerBody;
 use crate::serving::path::pass::Events;
 use crate::serving::path::pass::Passing;
@@ -315,7 +315,7 @@
     let mut begun = first(node, &asked, &held, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
-    let stream = asked.route.kind == Kind::Stream;
+    let stream = asked.route.kind == RouteKind::Stream;
     while !stream || begun.failed {
         match read_ahead(&mut begun, &held, &mut ahead).await {
             Ok(read) if begun.failed && tries.idempotent => {
--- a/lib/tests/test_serving_routes.rs
+++ b/lib/tests/test_serving_routes.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use banyangauge::serving::Kind;
 use banyangauge::serving::Route;
+use banyangauge::serving::RouteKind;
 use banyangauge::serving::Routes;
 use banyangauge::serving::pick_service;
 use rstest::rstest;
@@ -13,7 +13,7 @@
         name: prefix.to_owned(),
         host: "h.example".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         timeout: Duration::from_secs(1),
         objective: Duration::from_secs(1),
         attempts: 1,
