--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -120,15 +120,15 @@
     /// The latency objective.
     pub objective: Duration,
     /// Replicas that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank; 0 is the most urgent.
-    pub rank: u32,
+    pub priority: u32,
     /// The services and their weights.
     pub services: Vec<(ServiceName, u32)>,
     /// Whether a stream may go on at another replica.
     pub resumable: bool,
     /// The longest pause between events that is in time.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Whether callers need no key.
     pub public: bool,
 }
--- a/lib/src/serving/path/pass.rs
+++ b/lib/src/serving/path/pass.rs
@@ -130,7 +130,11 @@
             let begun = self.begun.as_mut()?;
             let piece = match self.events {
                 Some(_) if self.tries.idempotent => {
-                    let pause = self.asked.route.pause.unwrap_or(self.asked.route.objective);
+                    let pause = self
+                        .asked
+                        .route
+                        .max_gap
+                        .unwrap_or(self.asked.route.objective);
                     let soon = tokio::time::Instant::now() + pause * PAUSES_BEFORE_LOOK;
                     let by = instant(self.held.limit).min(soon);
                     tokio::time::timeout_at(by, begun.answer.data()).await
@@ -276,7 +280,7 @@
     fn log_late(&self) {
         let route = &self.asked.route;
         let late = |span: Span, most: Duration| u128::from(span.0) > most.as_micros();
-        let pause = route.pause.is_some_and(|p| late(self.timing.longest, p));
+        let pause = route.max_gap.is_some_and(|p| late(self.timing.longest, p));
         if self.events.is_some() {
             let mut b = self.node.state();
             let steps = b.fleet.event_steps(&self.asked.service);
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -306,7 +306,7 @@
     open: Open,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = Tries {
-        most_runs: asked.route.attempts,
+        most_runs: asked.route.max_attempts,
         idempotent: asked.route.idempotent(),
         ..Tries::default()
     };
--- a/lib/tests/test_serving_routes.rs
+++ b/lib/tests/test_serving_routes.rs
@@ -16,14 +16,14 @@
         kind: RouteKind::Safe,
         timeout: Duration::from_secs(1),
         objective: Duration::from_secs(1),
-        attempts: 1,
-        rank: 0,
+        max_attempts: 1,
+        priority: 0,
         services: services
             .iter()
             .map(|(s, w)| (s.parse().unwrap(), *w))
             .collect(),
         resumable: false,
-        pause: None,
+        max_gap: None,
         public: false,
     }
 }
