--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -33,11 +33,11 @@
 fn config(service: &ServiceName, model: &ModelName) -> Config {
     let engine = Engine {
         slots: 64,
-        memory: 265_000,
-        adapters: ADAPTERS as u32,
-        stride: 8,
+        kv_tokens: 265_000,
+        adapter_slots: ADAPTERS as u32,
+        event_tokens: 8,
         models: BTreeMap::from([(model.clone(), 10_000)]),
-        loads: 40.0,
+        load_rate: 40.0,
     };
     let service = Service {
         name: service.clone(),
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -354,7 +354,7 @@
     pub fn engine_slots(&self, listing: &Listing) -> u32 {
         let service = self.services.get(&listing.service);
         let engine = service.and_then(|s| s.engine.as_ref());
-        engine.map_or(0, |e| e.adapters)
+        engine.map_or(0, |e| e.adapter_slots)
     }
 
     /// What is believed of a service's replicas.
@@ -390,7 +390,7 @@
     pub fn event_steps(&self, service: &ServiceName) -> u32 {
         let service = self.services.get(service);
         let engine = service.and_then(|s| s.engine.as_ref());
-        engine.map_or(0, |e| e.stride)
+        engine.map_or(0, |e| e.event_tokens)
     }
 
     /// Adapters on their way to all replicas, as far as known.
@@ -404,7 +404,7 @@
     /// Loads of weights a second that the weight store allows.
     pub fn weight_loads(&self) -> f64 {
         let engines = self.services.values().filter_map(|s| s.engine.as_ref());
-        engines.map(|e| e.loads).fold(0.0, f64::max)
+        engines.map(|e| e.load_rate).fold(0.0, f64::max)
     }
 
     /// Whether any replica is known.
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -279,7 +279,7 @@
             Some(engine) => {
                 let tokens = (load.tokens + want.cost.tokens) as f64;
                 let first = load.requests == 0;
-                let memory = first || tokens <= engine.memory as f64 * MEMORY_PART;
+                let memory = first || tokens <= engine.kv_tokens as f64 * MEMORY_PART;
                 memory && f64::from(load.requests) < slots
             }
             None => f64::from(load.requests) < slots * (1.0 + QUEUE_PART),
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -150,16 +150,16 @@
     /// Requests in a batch.
     pub slots: u32,
     /// Tokens that the KV memory holds.
-    pub memory: u64,
+    pub kv_tokens: u64,
     /// Adapters that a replica holds.
-    pub adapters: u32,
+    pub adapter_slots: u32,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub event_tokens: u32,
     /// The models, with the number of their adapters.
     pub models: BTreeMap<ModelName, u32>,
     /// Loads of weights a second that the weight store allows, over all
     /// replicas.
-    pub loads: f64,
+    pub load_rate: f64,
 }
 
 /// A service as the operator configured it.
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -59,11 +59,11 @@
 fn config() -> Config {
     let engine = Engine {
         slots: 8,
-        memory: 100_000,
-        adapters: 2,
-        stride: 1,
+        kv_tokens: 100_000,
+        adapter_slots: 2,
+        event_tokens: 1,
         models: BTreeMap::from([(ModelName::new("base").unwrap(), 100)]),
-        loads: 1.0,
+        load_rate: 1.0,
     };
     let service = |name: &str, engine: Option<Engine>| {
         let name: ServiceName = name.parse().unwrap();
