--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -49,10 +49,10 @@
         routes: Vec::new(),
         services: BTreeMap::from([(service.name.clone(), service)]),
         limits: Limits {
-            head: 1,
-            body: 1,
-            head_time: Duration::ZERO,
-            idle: Duration::ZERO,
+            header_bytes: 1,
+            body_bytes: 1,
+            header_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         },
         organisations: None,
     }
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -177,13 +177,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub header_bytes: usize,
     /// Bytes of its body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Time for the head to come.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What stands for a caller's key: keys themselves are kept nowhere, so that
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -169,7 +169,7 @@
         Some(organisation) => charge::take(node, organisation, &ask).await?,
         None => None,
     };
-    let body = read_body(body, active.config.limits.body, limit).await?;
+    let body = read_body(body, active.config.limits.body_bytes, limit).await?;
     let mut headers = head.headers;
     strip_request(&mut headers);
     let held = Held {
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -74,8 +74,8 @@
     }
     let limits = node.state().active.as_ref().map(|a| a.config.limits);
     // One timer serves for the head and for the idle time before it.
-    let head_time = limits.map_or(HEAD_TIME, |l| l.head_time.max(l.idle));
-    let head_bytes = limits.map_or(HEAD_BYTES, |l| l.head * 2);
+    let head_time = limits.map_or(HEAD_TIME, |l| l.header_timeout.max(l.idle_timeout));
+    let head_bytes = limits.map_or(HEAD_BYTES, |l| l.header_bytes * 2);
     let shared = node.clone();
     let service = service_fn(move |request| {
         let node = shared.clone();
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -79,10 +79,10 @@
         routes: Vec::new(),
         services: BTreeMap::from([service("llm", Some(engine)), service("app", None)]),
         limits: Limits {
-            head: 1,
-            body: 1,
-            head_time: Duration::ZERO,
-            idle: Duration::ZERO,
+            header_bytes: 1,
+            body_bytes: 1,
+            header_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         },
         organisations: None,
     }
