--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -36,8 +36,8 @@
 use crate::serving::path::model::Config;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Listing;
+use crate::serving::path::model::RateLimit;
 use crate::serving::path::model::Target;
-use crate::serving::path::model::UseLimit;
 use crate::serving::path::routes::Routes;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::span;
@@ -52,7 +52,7 @@
     /// Who calls with which key; `None` where callers need none.
     pub(in crate::serving) keys: Option<Keys>,
     /// The limits of organisations that have one.
-    pub(in crate::serving) use_limits: BTreeMap<OrganisationName, UseLimit>,
+    pub(in crate::serving) use_limits: BTreeMap<OrganisationName, RateLimit>,
 }
 
 impl ActiveConfig {
--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -8,7 +8,7 @@
 use crate::serving::decisions::quota::Bucket;
 use crate::serving::decisions::quota::lender::Answer;
 use crate::serving::decisions::quota::lender::Ask;
-use crate::serving::path::model::UseLimit;
+use crate::serving::path::model::RateLimit;
 
 /// How long what was lent may be used; the lender counts it as used at once.
 const LEASE: Span = Span::from_millis(1_000);
@@ -172,13 +172,13 @@
         &mut self,
         now: Moment,
         name: &OrganisationName,
-        limit: &UseLimit,
+        limit: &RateLimit,
         vms: usize,
         weight: f64,
     ) -> bool {
         let account = self.account(now, name);
         let part = 1.0 / vms.max(1) as f64;
-        let limit = UseLimit {
+        let limit = RateLimit {
             rate: limit.rate * OWN_RATE,
             burst: limit.burst * OWN_BURST,
             ..*limit
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -8,7 +8,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::quota::Bucket;
 use crate::serving::decisions::quota::LONGEST_WAIT;
-use crate::serving::path::model::UseLimit;
+use crate::serving::path::model::RateLimit;
 
 /// What may be used beyond the limits, over all VMs in any window.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
     }
 
     /// Time passes; gives the part of the rate that flows in.
-    fn pass(&mut self, now: Moment, limit: &UseLimit, start: f64, heard: f64, first: bool) -> f64 {
+    fn pass(&mut self, now: Moment, limit: &RateLimit, start: f64, heard: f64, first: bool) -> f64 {
         let term = self.term.filter(|t| now.since(t.last) < PLACE_KEPT);
         let term = term.filter(|_| first);
         let since = term.map_or(now, |t| t.since);
@@ -131,7 +131,7 @@
     }
 
     /// What is given out before anything has flowed in.
-    fn start(&self, limit: &UseLimit) -> f64 {
+    fn start(&self, limit: &RateLimit) -> f64 {
         let a = &self.allowance;
         let beyond = a.over * (limit.rate * a.window + limit.burst) + a.slack;
         limit.burst.min(beyond * START_PART)
@@ -152,7 +152,7 @@
         &mut self,
         now: Moment,
         name: &OrganisationName,
-        limit: &UseLimit,
+        limit: &RateLimit,
         heard: f64,
         first: bool,
         ask: Ask,
@@ -181,7 +181,7 @@
         &mut self,
         now: Moment,
         heard: f64,
-        kept: impl Iterator<Item = (&'a OrganisationName, &'a UseLimit)>,
+        kept: impl Iterator<Item = (&'a OrganisationName, &'a RateLimit)>,
     ) {
         let mut firsts = BTreeSet::new();
         for (name, limit) in kept {
--- a/lib/src/serving/decisions/quota/mod.rs
+++ b/lib/src/serving/decisions/quota/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::UseLimit;
+use crate::serving::path::model::RateLimit;
 
 pub use borrower::Borrower;
 pub use borrower::Spend;
@@ -34,7 +34,7 @@
 
 impl Bucket {
     /// Lets `part` of the limit's rate flow in.
-    fn fill(&mut self, now: Moment, limit: &UseLimit, part: f64) {
+    fn fill(&mut self, now: Moment, limit: &RateLimit, part: f64) {
         let seconds = now.since(self.at).0 as f64 / 1e6;
         // A limit that was lowered takes effect on what is there as well.
         self.level = self.level.min(limit.burst);
@@ -45,12 +45,12 @@
 
     /// Whether it holds enough for a request of this weight. One that is larger
     /// than the whole bucket may take it below zero, as it would never run.
-    fn holds(&self, limit: &UseLimit, weight: f64) -> bool {
+    fn holds(&self, limit: &RateLimit, weight: f64) -> bool {
         self.level >= weight.min(limit.burst)
     }
 
     /// How long until it holds that, with `part` of the rate flowing in.
-    fn wait(&self, limit: &UseLimit, part: f64, weight: f64) -> Span {
+    fn wait(&self, limit: &RateLimit, part: f64, weight: f64) -> Span {
         let lacks = (weight.min(limit.burst) - self.level).max(0.0);
         let seconds = lacks / (limit.rate * part).max(f64::MIN_POSITIVE);
         Span((seconds * 1e6).min(LONGEST_WAIT.0 as f64) as u64)
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -18,8 +18,8 @@
 use crate::serving::decisions::quota::Ask as LeaseAsk;
 use crate::serving::decisions::quota::Spend;
 use crate::serving::path::model::Organisation;
+use crate::serving::path::model::RateLimit;
 use crate::serving::path::model::RequestInfo;
-use crate::serving::path::model::UseLimit;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -162,7 +162,7 @@
 async fn ask_lender(
     node: &Node,
     name: &OrganisationName,
-    limit: &UseLimit,
+    limit: &RateLimit,
     place: usize,
     mut question: LeaseAsk,
 ) -> Asked {
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -219,12 +219,12 @@
     /// The keys that its callers bear.
     pub keys: BTreeSet<KeyDigest>,
     /// What it may use; `None` for any amount.
-    pub limit: Option<UseLimit>,
+    pub limit: Option<RateLimit>,
 }
 
 /// How much an organisation may use, over all VMs: a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UseLimit {
+pub struct RateLimit {
     /// What flows into the bucket a second.
     pub rate: f64,
     /// What the bucket holds.
@@ -233,7 +233,7 @@
     pub weight: Weight,
 }
 
-impl Eq for UseLimit {}
+impl Eq for RateLimit {}
 
 /// What a request takes out of its organisation's bucket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -11,7 +11,7 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
-use banyangauge::serving::UseLimit;
+use banyangauge::serving::RateLimit;
 use banyangauge::serving::Weight;
 use banyangauge::serving::quota::Allowance;
 use banyangauge::serving::quota::Answer;
@@ -32,7 +32,7 @@
     "halls".parse().unwrap()
 }
 
-const LIMIT: UseLimit = UseLimit {
+const LIMIT: RateLimit = RateLimit {
     rate: 1_000.0,
     burst: 1_000.0,
     weight: Weight::Tokens { plain: 1 },
@@ -100,7 +100,7 @@
 #[test]
 fn lender_lowered_limit_takes_what_is_there() {
     let mut lender = lender(9_000);
-    let low = UseLimit {
+    let low = RateLimit {
         rate: 100.0,
         burst: 100.0,
         ..LIMIT
