--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -244,7 +244,7 @@
     /// where it names none.
     Tokens {
         /// For a request that names no tokens.
-        plain: u32,
+        default: u32,
     },
 }
 
@@ -254,7 +254,7 @@
     /// ```
     /// use banyangauge::serving::{RequestInfo, Weight};
     /// let ask = RequestInfo { prompt_tokens: 90, max_tokens: 10, ..RequestInfo::default() };
-    /// let tokens = Weight::Tokens { plain: 7 };
+    /// let tokens = Weight::Tokens { default: 7 };
     /// assert_eq!(tokens.of(&ask), 100.0);
     /// assert_eq!(tokens.of(&RequestInfo::default()), 7.0);
     /// assert_eq!(Weight::Request.of(&ask), 1.0);
@@ -262,7 +262,7 @@
     pub fn of(self, ask: &RequestInfo) -> f64 {
         match self {
             Self::Request => 1.0,
-            Self::Tokens { plain } if ask.prompt_tokens == 0 && ask.max_tokens == 0 => {
+            Self::Tokens { default: plain } if ask.prompt_tokens == 0 && ask.max_tokens == 0 => {
                 f64::from(plain)
             }
             Self::Tokens { .. } => f64::from(ask.prompt_tokens) + f64::from(ask.max_tokens),
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -35,7 +35,7 @@
 const LIMIT: RateLimit = RateLimit {
     rate: 1_000.0,
     burst: 1_000.0,
-    weight: Weight::Tokens { plain: 1 },
+    weight: Weight::Tokens { default: 1 },
 };
 
 /// What may be used beyond a limit: a tenth, and what three large requests take.
