--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -68,7 +68,7 @@
         });
         fleet.list(Listing {
             name: name(i)?,
-            born: 0,
+            started_ms: 0,
             service: service.clone(),
             address: ([127, 0, 0, 1], 1_024 + i as u16).into(),
             zone: format!("z-{}", i % 4).parse().ok()?,
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -234,7 +234,7 @@
     /// Takes a replica's entry in the store; gives whether it changed what
     /// requests may use.
     pub(in crate::serving) fn take_listing(&mut self, listing: Listing) -> bool {
-        let (name, born) = (listing.name.clone(), listing.born);
+        let (name, born) = (listing.name.clone(), listing.started_ms);
         if self.fleet.born(&name).is_some_and(|old| old != born) {
             self.uses.remove(&name);
         }
@@ -244,7 +244,11 @@
     /// Takes the whole list of replicas.
     pub(in crate::serving) fn relist(&mut self, now: Moment, all: Vec<Listing>) {
         for l in &all {
-            if self.fleet.born(&l.name).is_some_and(|old| old != l.born) {
+            if self
+                .fleet
+                .born(&l.name)
+                .is_some_and(|old| old != l.started_ms)
+            {
                 self.uses.remove(&l.name);
             }
         }
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -164,8 +164,8 @@
         let models = listing.models.iter().map(|m| (m.target(), Slot::here(0)));
         Self {
             most: 0,
-            born: listing.born,
-            listed: listing.born,
+            born: listing.started_ms,
+            listed: listing.started_ms,
             accepted: None,
             look_from: now,
             slots: here.chain(models).collect(),
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -59,9 +59,9 @@
     pub fn open(&mut self, now: Moment, listing: &Listing, most: u32) {
         let book = self.books.entry(listing.name.clone());
         let book = book.or_insert_with(|| Book::new(now, listing));
-        if book.listed != listing.born {
-            book.listed = listing.born;
-            if book.born != listing.born {
+        if book.listed != listing.started_ms {
+            book.listed = listing.started_ms;
+            if book.born != listing.started_ms {
                 *book = Book::new(now, listing);
             }
         }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -223,7 +223,7 @@
     /// requests may use.
     pub fn list(&mut self, listing: Listing) -> bool {
         match self.replicas.get_mut(&listing.name) {
-            Some(r) if r.listing.born == listing.born => {
+            Some(r) if r.listing.started_ms == listing.started_ms => {
                 r.lapsed = None;
                 let mut listing = listing;
                 // One that leaves does not stay after all.
@@ -283,7 +283,7 @@
     /// Another VM has read that a replica is leaving; gives whether it is news.
     pub fn leave(&mut self, replica: &Instance) -> bool {
         let r = self.replicas.get_mut(&replica.name);
-        let r = r.filter(|r| r.listing.born == replica.born);
+        let r = r.filter(|r| r.listing.started_ms == replica.started_ms);
         r.is_some_and(|r| !std::mem::replace(&mut r.listing.draining, true))
     }
 
@@ -327,12 +327,12 @@
 
     /// The start of a replica that is listed.
     pub fn born(&self, name: &ReplicaName) -> Option<u64> {
-        self.listing(name).map(|l| l.born)
+        self.listing(name).map(|l| l.started_ms)
     }
 
     /// Whether a replica has not started anew since.
     pub fn is_current(&self, replica: &Instance) -> bool {
-        self.born(&replica.name) == Some(replica.born)
+        self.born(&replica.name) == Some(replica.started_ms)
     }
 
     /// The replicas as the store lists them.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -134,7 +134,7 @@
     pub(in crate::serving) fn instance(&self) -> Instance {
         Instance {
             name: self.replica.clone(),
-            born: self.born,
+            started_ms: self.born,
         }
     }
 }
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -292,7 +292,7 @@
     /// The name of the replica.
     pub name: ReplicaName,
     /// When it started, in Unix milliseconds; 0 where replicas do not say.
-    pub born: u64,
+    pub started_ms: u64,
 }
 
 /// A replica as it is listed in the store.
@@ -301,7 +301,7 @@
     /// Its name; a restarted replica may have another.
     pub name: ReplicaName,
     /// When it started, in Unix milliseconds; 0 where replicas do not say.
-    pub born: u64,
+    pub started_ms: u64,
     /// What it serves.
     pub service: ServiceName,
     /// Where it listens.
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -157,7 +157,7 @@
         .map(|(f, replica)| wire::StrikeNote {
             fingerprint: f.0,
             replica: replica.name.to_string(),
-            born: replica.born,
+            born: replica.started_ms,
         })
         .collect();
     told
@@ -318,14 +318,17 @@
 fn write_leaving(replica: &Instance) -> wire::Leaving {
     wire::Leaving {
         replica: replica.name.to_string(),
-        born: replica.born,
+        born: replica.started_ms,
     }
 }
 
 /// A start of a replica by its parts; `None` if that is no name.
 pub(in crate::serving) fn instance(name: &str, born: u64) -> Option<Instance> {
     let name = name.parse().ok()?;
-    Some(Instance { name, born })
+    Some(Instance {
+        name,
+        started_ms: born,
+    })
 }
 
 /// The replica that a word is about, if it has not started anew since.
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -119,7 +119,7 @@
 
 fn take_replica(node: &Node, item: &Item, listing: Listing) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
-    let born = listing.born;
+    let born = listing.started_ms;
     let news = node.state().fleet.is_news(&listing);
     let changed = node.state().take_listing(listing);
     if changed {
@@ -150,7 +150,10 @@
     let Some(born) = b.fleet.born(&name).filter(|_| leaves) else {
         return;
     };
-    b.leaving.insert(Instance { name, born });
+    b.leaving.insert(Instance {
+        name,
+        started_ms: born,
+    });
     drop(b);
     node.news.notify_one();
 }
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -76,7 +76,7 @@
 fn instance(name: &str) -> Instance {
     Instance {
         name: name.parse().unwrap(),
-        born: 0,
+        started_ms: 0,
     }
 }
 
@@ -86,10 +86,17 @@
     let mut strikes = Strikes::default();
     for born in 1..=3 {
         let name = "i-1".parse().unwrap();
-        strikes.note(at(0), Fingerprint(1), &Instance { name, born });
+        strikes.note(
+            at(0),
+            Fingerprint(1),
+            &Instance {
+                name,
+                started_ms: born,
+            },
+        );
     }
-    assert!(strikes.convicted(at(0), Fingerprint(1), |r| r.born < 4));
-    assert!(!strikes.convicted(at(0), Fingerprint(1), |r| r.born < 3));
+    assert!(strikes.convicted(at(0), Fingerprint(1), |r| r.started_ms < 4));
+    assert!(!strikes.convicted(at(0), Fingerprint(1), |r| r.started_ms < 3));
 }
 
 #[test]
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -25,7 +25,7 @@
 
 fn started(born: u64, held: &[&str]) -> Listing {
     Listing {
-        born,
+        started_ms: born,
         ..listing("i-1", "llm", "z-a", held)
     }
 }
@@ -33,7 +33,7 @@
 fn instance(born: u64) -> Instance {
     Instance {
         name: "i-1".parse().unwrap(),
-        born,
+        started_ms: born,
     }
 }
 
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -37,7 +37,7 @@
         .fold(0_u16, |n, b| n.wrapping_mul(31) + u16::from(b));
     Listing {
         name: name.parse().unwrap(),
-        born: 0,
+        started_ms: 0,
         service: service.parse().unwrap(),
         address: ([127, 0, 0, 1], 1_024 + number % 40_000).into(),
         zone: zone.parse().unwrap(),
@@ -617,7 +617,7 @@
     assert!(!scene.fleet.is_news(&a));
     let replica = Instance {
         name: a.name.clone(),
-        born: a.born,
+        started_ms: a.started_ms,
     };
     if told {
         assert!(scene.fleet.leave(&replica));
