--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -35,8 +35,8 @@
 use crate::serving::decisions::turns::Turns;
 use crate::serving::path::model::Config;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Listing;
 use crate::serving::path::model::RateLimit;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::Target;
 use crate::serving::path::routes::Routes;
 use crate::serving::program::experiment::Mechanism;
@@ -233,7 +233,7 @@
 
     /// Takes a replica's entry in the store; gives whether it changed what
     /// requests may use.
-    pub(in crate::serving) fn take_listing(&mut self, listing: Listing) -> bool {
+    pub(in crate::serving) fn take_listing(&mut self, listing: ReplicaInfo) -> bool {
         let (name, born) = (listing.name.clone(), listing.started_ms);
         if self.fleet.born(&name).is_some_and(|old| old != born) {
             self.uses.remove(&name);
@@ -242,7 +242,7 @@
     }
 
     /// Takes the whole list of replicas.
-    pub(in crate::serving) fn relist(&mut self, now: Moment, all: Vec<Listing>) {
+    pub(in crate::serving) fn relist(&mut self, now: Moment, all: Vec<ReplicaInfo>) {
         for l in &all {
             if self
                 .fleet
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -14,7 +14,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::decisions::fleet::Versions;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::Target;
 
 /// Adapters that may be on their way to one replica at a time; the replica
@@ -158,7 +158,7 @@
 }
 
 impl Book {
-    pub(super) fn new(now: Moment, listing: &Listing) -> Self {
+    pub(super) fn new(now: Moment, listing: &ReplicaInfo) -> Self {
         let here = listing.adapters.iter();
         let here = here.map(|(t, v)| (t.clone(), Slot::here(*v)));
         let models = listing.models.iter().map(|m| (m.target(), Slot::here(0)));
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -14,7 +14,7 @@
 use crate::serving::decisions::fleet::Held;
 use crate::serving::decisions::fleet::Versions;
 use crate::serving::decisions::pace::Pace;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::Target;
 use crate::serving::program::experiment::Experiment;
 
@@ -56,7 +56,7 @@
 
     /// Opens a book for a replica that we came to own; what its entry in the
     /// store says is a start, its report decides.
-    pub fn open(&mut self, now: Moment, listing: &Listing, most: u32) {
+    pub fn open(&mut self, now: Moment, listing: &ReplicaInfo, most: u32) {
         let book = self.books.entry(listing.name.clone());
         let book = book.or_insert_with(|| Book::new(now, listing));
         if book.listed != listing.started_ms {
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -31,7 +31,7 @@
 use crate::pool::Span;
 use crate::serving::path::model::Config;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::Service;
 use crate::serving::path::model::Target;
 use crate::serving::program::experiment::Experiment;
@@ -107,7 +107,7 @@
 /// One replica, as this VM believes it to be.
 #[derive(Debug)]
 struct Replica {
-    listing: Listing,
+    listing: ReplicaInfo,
     /// The hash of its address, by which homes of adapters are ranked.
     seed: u64,
     own: Load,
@@ -127,7 +127,7 @@
 }
 
 impl Replica {
-    fn new(listing: Listing, told: Load) -> Self {
+    fn new(listing: ReplicaInfo, told: Load) -> Self {
         Self {
             seed: place::address_seed(&listing),
             listing,
@@ -221,7 +221,7 @@
 
     /// Takes a replica's entry in the store; gives whether it changed what
     /// requests may use.
-    pub fn list(&mut self, listing: Listing) -> bool {
+    pub fn list(&mut self, listing: ReplicaInfo) -> bool {
         match self.replicas.get_mut(&listing.name) {
             Some(r) if r.listing.started_ms == listing.started_ms => {
                 r.lapsed = None;
@@ -257,7 +257,7 @@
     /// is leaving always does: this VM may have heard that from another already,
     /// which not all have. So does one that had lapsed: who heard of that would
     /// drop the replica.
-    pub fn is_news(&self, listing: &Listing) -> bool {
+    pub fn is_news(&self, listing: &ReplicaInfo) -> bool {
         if listing.draining {
             return true;
         }
@@ -266,7 +266,7 @@
             return true;
         };
         let old = &there.listing;
-        let same = Listing {
+        let same = ReplicaInfo {
             adapters: old.adapters.clone(),
             ..listing.clone()
         };
@@ -295,7 +295,7 @@
     /// Takes the whole list of the store. After an outage, entries that lapsed
     /// meanwhile may come back within two seconds, so what is missing then is
     /// kept as long; otherwise it is gone.
-    pub fn relist(&mut self, now: Moment, all: Vec<Listing>, outage: bool) {
+    pub fn relist(&mut self, now: Moment, all: Vec<ReplicaInfo>, outage: bool) {
         let names: BTreeSet<_> = all.iter().map(|l| l.name.clone()).collect();
         for listing in all {
             self.list(listing);
@@ -321,7 +321,7 @@
     }
 
     /// A replica's entry in the store, if it is listed.
-    pub fn listing(&self, name: &ReplicaName) -> Option<&Listing> {
+    pub fn listing(&self, name: &ReplicaName) -> Option<&ReplicaInfo> {
         self.replicas.get(name).map(|r| &r.listing)
     }
 
@@ -336,22 +336,22 @@
     }
 
     /// The replicas as the store lists them.
-    pub fn listings(&self) -> impl Iterator<Item = &Listing> {
+    pub fn listings(&self) -> impl Iterator<Item = &ReplicaInfo> {
         self.replicas.values().map(|r| &r.listing)
     }
 
     /// Whether a replica is of a service that is configured.
-    pub fn is_configured(&self, listing: &Listing) -> bool {
+    pub fn is_configured(&self, listing: &ReplicaInfo) -> bool {
         self.services.contains_key(&listing.service)
     }
 
     /// The replicas that can hold adapters.
-    pub fn engines(&self) -> impl Iterator<Item = &Listing> {
+    pub fn engines(&self) -> impl Iterator<Item = &ReplicaInfo> {
         self.listings().filter(|l| self.engine_slots(l) > 0)
     }
 
     /// How many adapters a replica may hold.
-    pub fn engine_slots(&self, listing: &Listing) -> u32 {
+    pub fn engine_slots(&self, listing: &ReplicaInfo) -> u32 {
         let service = self.services.get(&listing.service);
         let engine = service.and_then(|s| s.engine.as_ref());
         engine.map_or(0, |e| e.adapter_slots)
@@ -376,7 +376,7 @@
 
     /// What a replica that holds nothing should load: the model of its service
     /// that the fewest replicas hold.
-    pub fn missing_model(&self, listing: &Listing) -> Option<&ModelName> {
+    pub fn missing_model(&self, listing: &ReplicaInfo) -> Option<&ModelName> {
         let service = self.services.get(&listing.service)?;
         let models = service.engine.as_ref()?.models.keys();
         let holders = |m: &ModelName| {
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -11,7 +11,7 @@
 use crate::ids::ServiceName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::SharedPrefix;
 use crate::serving::path::model::Target;
 use crate::serving::program::experiment::Mechanism;
@@ -325,7 +325,7 @@
 
 /// The hash of a replica's address, which stands for the replica: after a
 /// restart there it still has the adapter's weights on its disk.
-pub(super) fn address_seed(listing: &Listing) -> u64 {
+pub(super) fn address_seed(listing: &ReplicaInfo) -> u64 {
     xxh3_64_with_seed(listing.address.to_string().as_bytes(), 0)
 }
 
--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -15,7 +15,7 @@
 use crate::serving::decisions::books::Report;
 use crate::serving::path::model::Announced;
 use crate::serving::path::model::Config;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::Target;
 use crate::serving::store::port::Item;
@@ -121,7 +121,7 @@
     /// Reads the configuration.
     pub parse_config: fn(&Item) -> Result<Config, BadRecord>,
     /// Reads a replica's entry.
-    pub parse_replica: fn(&Item) -> Result<Listing, BadRecord>,
+    pub parse_replica: fn(&Item) -> Result<ReplicaInfo, BadRecord>,
     /// Reads an announced version.
     pub parse_version: fn(&Item) -> Result<Announced, BadRecord>,
     /// Writes an order.
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -297,7 +297,7 @@
 
 /// A replica as it is listed in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listing {
+pub struct ReplicaInfo {
     /// Its name; a restarted replica may have another.
     pub name: ReplicaName,
     /// When it started, in Unix milliseconds; 0 where replicas do not say.
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -11,7 +11,7 @@
 use crate::serving::cluster::owner_table::OwnerTable;
 use crate::serving::cluster::update::TopicChange;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::store::port::Item;
@@ -117,7 +117,7 @@
     }
 }
 
-fn take_replica(node: &Node, item: &Item, listing: Listing) -> bool {
+fn take_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
     let born = listing.started_ms;
     let news = node.state().fleet.is_news(&listing);
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -6,9 +6,9 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::Announced;
 use banyangauge::serving::Books;
-use banyangauge::serving::Listing;
 use banyangauge::serving::OrderEnd;
 use banyangauge::serving::Pace;
+use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Report;
 use banyangauge::serving::Step;
 use banyangauge::serving::Target;
@@ -43,7 +43,7 @@
 impl Desk {
     /// The owner of one replica with two slots, which reports `held`.
     fn new(held: &[&str], accepted: u64) -> Self {
-        let listing: Listing = listing("i-1", "llm", "z-a", held);
+        let listing: ReplicaInfo = listing("i-1", "llm", "z-a", held);
         let mut books = Books::default();
         books.open(ms(0), &listing, 2);
         let mut desk = Self {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -10,8 +10,8 @@
 use banyangauge::serving::End;
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
-use banyangauge::serving::Listing;
 use banyangauge::serving::Load;
+use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Report;
 use banyangauge::serving::Step;
 use banyangauge::serving::Target;
@@ -23,8 +23,8 @@
     Moment(10_000_000).after(Span::from_millis(ms))
 }
 
-fn started(born: u64, held: &[&str]) -> Listing {
-    Listing {
+fn started(born: u64, held: &[&str]) -> ReplicaInfo {
+    ReplicaInfo {
         started_ms: born,
         ..listing("i-1", "llm", "z-a", held)
     }
@@ -40,7 +40,7 @@
 #[test]
 fn draining_ends_with_its_start() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
-    fleet.list(Listing {
+    fleet.list(ReplicaInfo {
         draining: true,
         ..started(1, &["base"])
     });
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -18,10 +18,10 @@
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
 use banyangauge::serving::Limits;
-use banyangauge::serving::Listing;
 use banyangauge::serving::Load;
 use banyangauge::serving::Mechanism;
 use banyangauge::serving::Place;
+use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Service;
 use banyangauge::serving::SharedPrefix;
 use banyangauge::serving::Target;
@@ -30,12 +30,12 @@
 use rstest::rstest;
 
 /// A replica's entry that holds models and adapters in version 1.
-pub(crate) fn listing(name: &str, service: &str, zone: &str, held: &[&str]) -> Listing {
+pub(crate) fn listing(name: &str, service: &str, zone: &str, held: &[&str]) -> ReplicaInfo {
     let held: Vec<Target> = held.iter().map(|t| Target::parse(t).unwrap()).collect();
     let number = name
         .bytes()
         .fold(0_u16, |n, b| n.wrapping_mul(31) + u16::from(b));
-    Listing {
+    ReplicaInfo {
         name: name.parse().unwrap(),
         started_ms: 0,
         service: service.parse().unwrap(),
@@ -96,7 +96,7 @@
 }
 
 impl Scene {
-    fn new(listings: &[Listing]) -> Self {
+    fn new(listings: &[ReplicaInfo]) -> Self {
         let mut fleet = Fleet::new("z-a".parse().unwrap());
         fleet.configure(&config());
         let mut loadable = BTreeSet::new();
