--- a/lib/src/serving/decisions/fleet/versions.rs
+++ b/lib/src/serving/decisions/fleet/versions.rs
@@ -6,7 +6,7 @@
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::Announced;
+use crate::serving::path::model::AnnouncedVersion;
 use crate::serving::path::model::Target;
 
 /// How long after the news of a version its forerunner still serves. Owners
@@ -30,7 +30,7 @@
 
 impl Versions {
     /// Takes an announcement; gives whether it is news.
-    pub fn announce(&mut self, now: Moment, a: &Announced) -> bool {
+    pub fn announce(&mut self, now: Moment, a: &AnnouncedVersion) -> bool {
         if self.newest(&a.target).is_some_and(|v| v >= a.version) {
             return false;
         }
--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -13,7 +13,7 @@
 use crate::ids::VmName;
 use crate::serving::decisions::books::OrderEnd;
 use crate::serving::decisions::books::Report;
-use crate::serving::path::model::Announced;
+use crate::serving::path::model::AnnouncedVersion;
 use crate::serving::path::model::Config;
 use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::RequestInfo;
@@ -123,7 +123,7 @@
     /// Reads a replica's entry.
     pub parse_replica: fn(&Item) -> Result<ReplicaInfo, BadRecord>,
     /// Reads an announced version.
-    pub parse_version: fn(&Item) -> Result<Announced, BadRecord>,
+    pub parse_version: fn(&Item) -> Result<AnnouncedVersion, BadRecord>,
     /// Writes an order.
     pub encode_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
     /// Reads its answer.
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -320,7 +320,7 @@
 
 /// An adapter and a version of it that was announced.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Announced {
+pub struct AnnouncedVersion {
     /// The adapter.
     pub target: Target,
     /// Its version.
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -4,7 +4,7 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Announced;
+use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::Books;
 use banyangauge::serving::OrderEnd;
 use banyangauge::serving::Pace;
@@ -412,7 +412,7 @@
 #[test]
 fn new_version_replaces_the_old_one() {
     let mut desk = Desk::new(&["base", "base/a1"], 0);
-    let news = Announced {
+    let news = AnnouncedVersion {
         target: target("base/a1"),
         version: 2,
     };
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -10,7 +10,7 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Announced;
+use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::Config;
 use banyangauge::serving::End;
 use banyangauge::serving::Engine;
@@ -434,7 +434,7 @@
 fn old_version_serves_until_the_new_one_can_have_come() {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let mut scene = Scene::new(&[a]);
-    let news = Announced {
+    let news = AnnouncedVersion {
         target: Target::parse("base/x").unwrap(),
         version: 2,
     };
@@ -499,7 +499,7 @@
     let mut versions = Versions::default();
     let target = Target::parse("base/a1").unwrap();
     for version in 2..12 {
-        let news = Announced {
+        let news = AnnouncedVersion {
             target: target.clone(),
             version,
         };
@@ -523,7 +523,7 @@
     let mut scene = Scene::new(&[]);
     let target = Target::parse("base/a1").unwrap();
     for (ms, version) in [(0, 2), (2_000, 3)] {
-        let news = Announced {
+        let news = AnnouncedVersion {
             target: target.clone(),
             version,
         };
@@ -590,7 +590,7 @@
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a, b]);
-    let announced = Announced {
+    let announced = AnnouncedVersion {
         target: Target::parse("base/x").unwrap(),
         version: 2,
     };
