--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -77,11 +77,11 @@
 impl std::error::Error for ServeError {}
 
 /// A serving process inside this one.
-pub struct Program {
+pub struct Server {
     node: Rc<Node>,
 }
 
-impl Program {
+impl Server {
     /// Listens and serves; must be called within a `LocalSet`.
     ///
     /// # Errors
@@ -166,7 +166,7 @@
     let mut hangup = take(SignalKind::hangup())?;
     let old = settings.clone();
     let log = log.new(slog::o!("vm" => settings.vm.to_string()));
-    let program = Program::start(settings, border, store, log.clone()).await?;
+    let program = Server::start(settings, border, store, log.clone()).await?;
     loop {
         tokio::select! {
             _ = term.recv() => break,
