--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -26,15 +26,15 @@
 
 /// Questions to other VMs that wait for an answer, by number.
 #[derive(Debug)]
-pub(in crate::serving) struct Questions<T>(RefCell<BTreeMap<u64, oneshot::Sender<T>>>);
+pub(in crate::serving) struct PendingCalls<T>(RefCell<BTreeMap<u64, oneshot::Sender<T>>>);
 
-impl<T> Default for Questions<T> {
+impl<T> Default for PendingCalls<T> {
     fn default() -> Self {
         Self(RefCell::default())
     }
 }
 
-impl<T> Questions<T> {
+impl<T> PendingCalls<T> {
     /// An answer to this number is waited for, until what is returned is dropped.
     pub(in crate::serving) fn ask(&self, number: u64) -> Question<'_, T> {
         let (sender, receiver) = oneshot::channel();
@@ -56,7 +56,7 @@
 
 /// A question that waits for its answer; its caller may leave meanwhile.
 pub(in crate::serving) struct Question<'a, T> {
-    questions: &'a Questions<T>,
+    questions: &'a PendingCalls<T>,
     number: u64,
     receiver: oneshot::Receiver<T>,
 }
@@ -111,11 +111,11 @@
     numbers: Cell<u64>,
     open: Cell<usize>,
     /// Runs that wait for their turn.
-    pub(in crate::serving) turns: Questions<()>,
+    pub(in crate::serving) turns: PendingCalls<()>,
     /// Questions to owners of replicas.
-    pub(in crate::serving) places: Questions<wire::PlaceAnswer>,
+    pub(in crate::serving) places: PendingCalls<wire::PlaceAnswer>,
     /// Questions to the VMs that lend for organisations.
-    pub(in crate::serving) leases: Questions<wire::LeaseAnswer>,
+    pub(in crate::serving) leases: PendingCalls<wire::LeaseAnswer>,
     /// What stands for this VM in what others tell it.
     pub(in crate::serving) reader: u64,
     /// Wakes the task that gives turns.
@@ -153,9 +153,9 @@
             state: RefCell::new(state),
             numbers: Cell::new(0),
             open: Cell::new(0),
-            turns: Questions::default(),
-            places: Questions::default(),
-            leases: Questions::default(),
+            turns: PendingCalls::default(),
+            places: PendingCalls::default(),
+            leases: PendingCalls::default(),
             reader,
             turn_news: Notify::new(),
         }
