--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -36,10 +36,10 @@
 
 impl<T> PendingCalls<T> {
     /// An answer to this number is waited for, until what is returned is dropped.
-    pub(in crate::serving) fn ask(&self, number: u64) -> Question<'_, T> {
+    pub(in crate::serving) fn ask(&self, number: u64) -> PendingCall<'_, T> {
         let (sender, receiver) = oneshot::channel();
         self.0.borrow_mut().insert(number, sender);
-        Question {
+        PendingCall {
             questions: self,
             number,
             receiver,
@@ -55,13 +55,13 @@
 }
 
 /// A question that waits for its answer; its caller may leave meanwhile.
-pub(in crate::serving) struct Question<'a, T> {
+pub(in crate::serving) struct PendingCall<'a, T> {
     questions: &'a PendingCalls<T>,
     number: u64,
     receiver: oneshot::Receiver<T>,
 }
 
-impl<T> Question<'_, T> {
+impl<T> PendingCall<'_, T> {
     /// The answer, if it comes in time.
     pub(in crate::serving) async fn within(mut self, time: Duration) -> Option<T> {
         let answer = tokio::time::timeout(time, &mut self.receiver).await;
@@ -69,7 +69,7 @@
     }
 }
 
-impl<T> Drop for Question<'_, T> {
+impl<T> Drop for PendingCall<'_, T> {
     fn drop(&mut self) {
         self.questions.0.borrow_mut().remove(&self.number);
     }
