--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -58,7 +58,7 @@
         };
         (address, ask)
     };
-    let question = node.places.ask(number);
+    let question = node.places.register(number);
     let datagram = wire::Datagram {
         body: Some(Body::PlaceAsk(ask)),
     };
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -36,7 +36,7 @@
 
 impl<T> PendingCalls<T> {
     /// An answer to this number is waited for, until what is returned is dropped.
-    pub(in crate::serving) fn ask(&self, number: u64) -> PendingCall<'_, T> {
+    pub(in crate::serving) fn register(&self, number: u64) -> PendingCall<'_, T> {
         let (sender, receiver) = oneshot::channel();
         self.0.borrow_mut().insert(number, sender);
         PendingCall {
@@ -47,7 +47,7 @@
     }
 
     /// An answer came; one that nobody waits for any more is dropped.
-    pub(in crate::serving) fn answer(&self, number: u64, answer: T) {
+    pub(in crate::serving) fn complete(&self, number: u64, answer: T) {
         if let Some(sender) = self.0.borrow_mut().remove(&number) {
             sender.send(answer).ok();
         }
