--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -197,7 +197,7 @@
         ahead: question.ahead,
     };
     tell(node, Body::LeaseAsk(ask), address).await;
-    let (outcome, asked) = match waiting.within(ANSWER_WAIT).await {
+    let (outcome, asked) = match waiting.wait(ANSWER_WAIT).await {
         Some(answer) if answer.declined => ("declined", Asked::Unanswered),
         Some(answer) if answer.lent > 0.0 => ("lent", Asked::Answer(Answer::Lent(answer.lent))),
         Some(answer) => {
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -63,7 +63,7 @@
         body: Some(Body::PlaceAsk(ask)),
     };
     send(node, &datagram.encode_to_vec(), address).await;
-    let answer = question.within(ANSWER_WAIT).await;
+    let answer = question.wait(ANSWER_WAIT).await;
     let outcome = match &answer {
         Some(answer) if answer.granted => "granted",
         Some(answer) if answer.lacks => "lacks",
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -64,7 +64,7 @@
         tell(node, &owner, Body::TurnAsk(ask)).await;
     }
     let end = at.after(LONGEST_WAIT).min(limit);
-    if granted.within(until(end)).await.is_none() {
+    if granted.wait(until(end)).await.is_none() {
         slog::debug!(node.log, "no turn in time"; "replica" => replica.as_str());
     }
     Some(turn)
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -63,7 +63,7 @@
 
 impl<T> PendingCall<'_, T> {
     /// The answer, if it comes in time.
-    pub(in crate::serving) async fn within(mut self, time: Duration) -> Option<T> {
+    pub(in crate::serving) async fn wait(mut self, time: Duration) -> Option<T> {
         let answer = tokio::time::timeout(time, &mut self.receiver).await;
         answer.ok()?.ok()
     }
