--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -147,7 +147,7 @@
             b.fleet.heard(now(), &self.replica, self.number, false);
         }
         drop(b);
-        self.node.changed.notify_waiters();
+        self.node.placement_wake.notify_waiters();
     }
 }
 
@@ -250,7 +250,7 @@
 pub(in crate::serving) fn strike(node: &Node, held: &Held, replica: &Instance) {
     let news = node.state().strikes.note(now(), held.fingerprint, replica);
     if news {
-        node.news.notify_one();
+        node.beacon_wake.notify_one();
     }
 }
 
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -53,7 +53,7 @@
     if owner == node.settings.vm {
         let id = TurnId { vm: owner, number };
         node.state().turns.ask(at, replica, id, tokens);
-        node.turn_news.notify_one();
+        node.turns_wake.notify_one();
     } else {
         let ask = wire::TurnAsk {
             vm: node.settings.vm.to_string(),
@@ -83,7 +83,7 @@
             let mut b = self.node.state();
             b.turns.end(now(), &self.replica, &id);
             drop(b);
-            self.node.turn_news.notify_one();
+            self.node.turns_wake.notify_one();
             return;
         }
         let end = wire::TurnEnd {
@@ -121,7 +121,7 @@
         }
         let wait = wake.map_or(IDLE, |w| until(w).max(Duration::from_millis(1)));
         // Woken by news or by time, the turns are looked through anew.
-        tokio::time::timeout(wait, node.turn_news.notified())
+        tokio::time::timeout(wait, node.turns_wake.notified())
             .await
             .ok();
     }
@@ -137,7 +137,7 @@
         number: ask.number,
     };
     node.state().turns.ask(now(), &replica, id, ask.tokens);
-    node.turn_news.notify_one();
+    node.turns_wake.notify_one();
 }
 
 /// A VM's prompt was read.
@@ -150,5 +150,5 @@
         number: end.number,
     };
     node.state().turns.end(now(), &replica, &id);
-    node.turn_news.notify_one();
+    node.turns_wake.notify_one();
 }
--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -72,7 +72,7 @@
     let mut asks = 0;
     loop {
         let at = now();
-        let changed = node.changed.notified();
+        let changed = node.placement_wake.notified();
         let waited = (at < load_limit).then(|| at.since(began));
         let place = place(node, asked, held, avoid, waited, at);
         let (limit, refusal) = match place {
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -57,7 +57,7 @@
             send(&node, &bytes, address).await;
         }
         let next = tokio::time::Instant::now() + beat;
-        while tokio::time::timeout_at(next, node.news.notified())
+        while tokio::time::timeout_at(next, node.beacon_wake.notified())
             .await
             .is_ok()
         {
@@ -308,7 +308,7 @@
     drop(b);
     follow::hear(node, now, &beacon.store, &vm);
     if !beacon.books.is_empty() {
-        node.changed.notify_waiters();
+        node.placement_wake.notify_waiters();
     }
     if beacon.pass_on {
         relay::keep(&mut node.state(), vm, beacon);
@@ -371,7 +371,7 @@
         };
         if owner == node.settings.vm {
             b.books.wish(now(), replica, target);
-            node.orders.notify_one();
+            node.orders_wake.notify_one();
             return;
         }
         b.members.address(&owner)
@@ -411,8 +411,8 @@
         b.audience.ask(now, &vm, &name, known);
     }
     drop(b);
-    node.orders.notify_one();
+    node.orders_wake.notify_one();
     if known {
-        node.news.notify_one();
+        node.beacon_wake.notify_one();
     }
 }
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -130,7 +130,7 @@
     let newer = beacon.owners > 0 && b.ownership.hear(at, vm, beacon.owners);
     // Where replicas check fences the news of the store is soon enough.
     if newer && !node.settings.fenced {
-        node.reread.notify_one();
+        node.owners_wake.notify_one();
     }
     let Some(echo) = &beacon.echo else {
         return;
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -95,17 +95,17 @@
     pub(in crate::serving) log: slog::Logger,
     pub(in crate::serving) incarnation: Incarnation,
     /// Wakes requests that wait for a place.
-    pub(in crate::serving) changed: Notify,
+    pub(in crate::serving) placement_wake: Notify,
     /// Wakes the task that gives orders.
-    pub(in crate::serving) orders: Notify,
+    pub(in crate::serving) orders_wake: Notify,
     /// Wakes the followers of the store that miss changes.
-    pub(in crate::serving) asks: Notify,
+    pub(in crate::serving) catch_up_wake: Notify,
     /// Wakes the task that reads the owner table anew.
-    pub(in crate::serving) reread: Notify,
+    pub(in crate::serving) owners_wake: Notify,
     /// Datagrams to and from the other VMs.
     pub(in crate::serving) socket: UdpSocket,
     /// Wakes the task that tells the peers.
-    pub(in crate::serving) news: Notify,
+    pub(in crate::serving) beacon_wake: Notify,
     pub(in crate::serving) phase: watch::Sender<Phase>,
     state: RefCell<NodeState>,
     numbers: Cell<u64>,
@@ -119,7 +119,7 @@
     /// What stands for this VM in what others tell it.
     pub(in crate::serving) reader: u64,
     /// Wakes the task that gives turns.
-    pub(in crate::serving) turn_news: Notify,
+    pub(in crate::serving) turns_wake: Notify,
 }
 
 impl Node {
@@ -143,12 +143,12 @@
             upstreams: Upstreams::with(CONNECT_TIMEOUT, IDLE_TIMEOUT),
             log,
             incarnation,
-            changed: Notify::new(),
-            orders: Notify::new(),
-            asks: Notify::new(),
-            reread: Notify::new(),
+            placement_wake: Notify::new(),
+            orders_wake: Notify::new(),
+            catch_up_wake: Notify::new(),
+            owners_wake: Notify::new(),
             socket,
-            news: Notify::new(),
+            beacon_wake: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             state: RefCell::new(state),
             numbers: Cell::new(0),
@@ -157,7 +157,7 @@
             places: PendingCalls::default(),
             leases: PendingCalls::default(),
             reader,
-            turn_news: Notify::new(),
+            turns_wake: Notify::new(),
         }
     }
 
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -65,7 +65,7 @@
         if at.since(last) > SUSPENDED {
             slog::warn!(node.log, "was suspended"; "ms" => at.since(last).as_millis());
             node.state().ownership.suspend();
-            node.reread.notify_one();
+            node.owners_wake.notify_one();
         }
         last = at;
         for (name, token, step) in due(&node, at) {
@@ -75,7 +75,7 @@
         let wait = wake.map_or(TICK, |w| until(w).min(TICK));
         // Woken by news or by time, the books are asked anew.
         let wait = wait.max(Duration::from_millis(5));
-        tokio::time::timeout(wait, node.orders.notified())
+        tokio::time::timeout(wait, node.orders_wake.notified())
             .await
             .ok();
     }
@@ -127,15 +127,15 @@
             log_order(&node, &name, token, &step, end, took);
         }
     }
-    node.news.notify_one();
-    node.orders.notify_one();
+    node.beacon_wake.notify_one();
+    node.orders_wake.notify_one();
     // Our own requests that wait for it learn of it with the news.
     let mut b = node.state();
     if let Some(held) = b.books.held(&name) {
         b.fleet.hear_book(now(), &name, held);
     }
     drop(b);
-    node.changed.notify_waiters();
+    node.placement_wake.notify_waiters();
 }
 
 fn log_order(
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -127,7 +127,7 @@
         let began = tokio::time::Instant::now();
         let end = began + node.settings.grace.saturating_sub(END_TIME);
         node.phase.send_replace(Phase::Leaving);
-        node.news.notify_one();
+        node.beacon_wake.notify_one();
         tokio::time::sleep(LEAVE_TIME).await;
         node.phase.send_replace(Phase::Closing);
         // Connections that are idle are closed first.
@@ -228,7 +228,7 @@
 /// Reads the owner table anew after a suspension.
 async fn reread(node: Rc<Node>) {
     loop {
-        node.reread.notified().await;
+        node.owners_wake.notified().await;
         loop {
             let asked = now();
             match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
@@ -296,7 +296,7 @@
             drop(b);
             slog::info!(node.log, "owners changed"; "term" => term, "revision" => revision,
                 "moved" => moved, "live" => live);
-            node.orders.notify_one();
+            node.orders_wake.notify_one();
         }
         // Another VM was first; the watch brings its table.
         Err(PlatformError::Conflict) => {}
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -155,7 +155,7 @@
         started_ms: born,
     });
     drop(b);
-    node.news.notify_one();
+    node.beacon_wake.notify_one();
 }
 
 /// Takes announced versions.
@@ -171,7 +171,7 @@
             Err(e) => slog::error!(node.log, "bad version"; "name" => &item.name, "error" => %e),
         }
     }
-    node.orders.notify_one();
+    node.orders_wake.notify_one();
     !news.items().is_empty()
 }
 
@@ -202,7 +202,7 @@
                 let term = table.term.0;
                 if node.state().take_owners(now(), table, item.revision) {
                     slog::info!(node.log, "owners"; "term" => term, "revision" => item.revision);
-                    node.orders.notify_one();
+                    node.orders_wake.notify_one();
                 }
             }
             Err(e) => bad(e),
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -127,7 +127,7 @@
         let outcome = match next {
             FeedAction::Wait(until) => {
                 let until = until.min(at.after(LOOK));
-                let asked = tokio::time::timeout_at(instant(until), node.asks.notified());
+                let asked = tokio::time::timeout_at(instant(until), node.catch_up_wake.notified());
                 asked.await.ok();
                 continue;
             }
@@ -207,7 +207,7 @@
             node.state().recency.listed(asked);
         }
     }
-    node.changed.notify_waiters();
+    node.placement_wake.notify_waiters();
     Ok(())
 }
 
@@ -255,7 +255,7 @@
         node.state().recency.watched(asked, span(waited));
     }
     if some {
-        node.changed.notify_waiters();
+        node.placement_wake.notify_waiters();
     }
     Ok(some)
 }
@@ -309,7 +309,7 @@
             if feed.has_gap() && !before {
                 slog::info!(node.log, "news missed"; "kind" => kind(node, topic),
                     "revision" => feed.revision(), "since" => news.since, "told_by" => vm.as_str());
-                node.asks.notify_waiters();
+                node.catch_up_wake.notify_waiters();
             }
             changes
         };
@@ -320,7 +320,7 @@
             take_witnesses(node, &mut node.state(), at, news);
         }
         if !changes.is_empty() {
-            node.changed.notify_waiters();
+            node.placement_wake.notify_waiters();
         }
     }
 }
