--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -188,7 +188,7 @@
         return Asked::Unanswered;
     };
     let number = node.number();
-    let waiting = node.leases.register(number);
+    let waiting = node.lease_calls.register(number);
     let ask = wire::LeaseAsk {
         vm: node.settings.vm.to_string(),
         number,
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -58,7 +58,7 @@
         };
         (address, ask)
     };
-    let question = node.places.register(number);
+    let question = node.place_calls.register(number);
     let datagram = wire::Datagram {
         body: Some(Body::PlaceAsk(ask)),
     };
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -44,7 +44,7 @@
         let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
         owner.filter(|vm| b.strain.active(at) && b.members.lives(at, vm))?
     };
-    let granted = node.turns.register(number);
+    let granted = node.turn_calls.register(number);
     let turn = Turn {
         node: node.clone(),
         replica: replica.clone(),
@@ -113,7 +113,7 @@
         };
         for (_, id) in grants {
             if id.vm == node.settings.vm {
-                node.turns.complete(id.number, ());
+                node.turn_calls.complete(id.number, ());
                 continue;
             }
             let grant = wire::TurnGrant { number: id.number };
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -111,11 +111,11 @@
     numbers: Cell<u64>,
     open: Cell<usize>,
     /// Runs that wait for their turn.
-    pub(in crate::serving) turns: PendingCalls<()>,
+    pub(in crate::serving) turn_calls: PendingCalls<()>,
     /// Questions to owners of replicas.
-    pub(in crate::serving) places: PendingCalls<wire::PlaceAnswer>,
+    pub(in crate::serving) place_calls: PendingCalls<wire::PlaceAnswer>,
     /// Questions to the VMs that lend for organisations.
-    pub(in crate::serving) leases: PendingCalls<wire::LeaseAnswer>,
+    pub(in crate::serving) lease_calls: PendingCalls<wire::LeaseAnswer>,
     /// What stands for this VM in what others tell it.
     pub(in crate::serving) reader: u64,
     /// Wakes the task that gives turns.
@@ -153,9 +153,9 @@
             state: RefCell::new(state),
             numbers: Cell::new(0),
             open: Cell::new(0),
-            turns: PendingCalls::default(),
-            places: PendingCalls::default(),
-            leases: PendingCalls::default(),
+            turn_calls: PendingCalls::default(),
+            place_calls: PendingCalls::default(),
+            lease_calls: PendingCalls::default(),
             reader,
             turns_wake: Notify::new(),
         }
