--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -117,7 +117,7 @@
     /// Questions to the VMs that lend for organisations.
     pub(in crate::serving) lease_calls: PendingCalls<wire::LeaseAnswer>,
     /// What stands for this VM in what others tell it.
-    pub(in crate::serving) reader: u64,
+    pub(in crate::serving) reader_id: u64,
     /// Wakes the task that gives turns.
     pub(in crate::serving) turns_wake: Notify,
 }
@@ -156,7 +156,7 @@
             turn_calls: PendingCalls::default(),
             place_calls: PendingCalls::default(),
             lease_calls: PendingCalls::default(),
-            reader,
+            reader_id: reader,
             turns_wake: Notify::new(),
         }
     }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -394,7 +394,7 @@
         return;
     }
     for w in &news.witnesses {
-        if w.reader == node.reader && w.sent_us <= at.0 {
+        if w.reader == node.reader_id && w.sent_us <= at.0 {
             b.recency.witnessed(at, Moment(w.sent_us), w.after_us);
         }
     }
