--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -187,7 +187,7 @@
     let Some(address) = address else {
         return Asked::Unanswered;
     };
-    let number = node.number();
+    let number = node.next_id();
     let waiting = node.lease_calls.register(number);
     let ask = wire::LeaseAsk {
         vm: node.settings.vm.to_string(),
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -83,7 +83,7 @@
 
 impl Run {
     fn begin(node: &Rc<Node>, held: &Held, replica: &ReplicaName) -> Self {
-        let number = node.number();
+        let number = node.next_id();
         let mut b = node.state();
         b.begin(replica, held.target.as_ref(), held.cost);
         let born = b.fleet.born(replica).unwrap_or_default();
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -35,7 +35,7 @@
     let Some(target) = held.target.as_ref().filter(|t| t.adapter.is_some()) else {
         return Word::Go;
     };
-    let number = node.number();
+    let number = node.next_id();
     let (address, ask) = {
         let b = node.state();
         let at = now();
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -60,7 +60,7 @@
     let report = wire::FlightReport {
         vm: node.settings.vm.to_string(),
         incarnation: node.incarnation.0,
-        number: node.number(),
+        number: node.next_id(),
         flights,
         complete,
     };
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -167,7 +167,7 @@
     }
 
     /// A number that is used once.
-    pub(in crate::serving) fn number(&self) -> u64 {
+    pub(in crate::serving) fn next_id(&self) -> u64 {
         self.numbers.set(self.numbers.get() + 1);
         self.numbers.get()
     }
