--- a/lib/src/serving/path/pass.rs
+++ b/lib/src/serving/path/pass.rs
@@ -29,8 +29,8 @@
 use crate::serving::path::serve::again;
 use crate::serving::path::serve::count;
 use crate::serving::path::waiting::has_other_place;
+use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::Open;
 use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
 use crate::upstream::Scanner;
@@ -81,7 +81,7 @@
     /// Cuts a stream into whole events; `None` for other bodies.
     pub(in crate::serving) events: Option<Events>,
     pub(in crate::serving) timing: Timing,
-    pub(in crate::serving) _open: Open,
+    pub(in crate::serving) _open: InFlight,
 }
 
 /// When the parts of an answer came.
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -55,8 +55,8 @@
 use crate::serving::path::pass::whole;
 use crate::serving::path::routes::pick_service;
 use crate::serving::path::waiting::find_place;
+use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::Open;
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
@@ -149,7 +149,7 @@
     request: Request<Incoming>,
     ask: RequestInfo,
     arrived: Moment,
-    open: Open,
+    open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
     if node.phase() == Phase::Closing {
         return Err(Refusal::not_run("stopping", Duration::ZERO));
@@ -303,7 +303,7 @@
     asked: Rc<Asked>,
     held: Held,
     arrived: Moment,
-    open: Open,
+    open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = Tries {
         most_runs: asked.route.max_attempts,
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -177,9 +177,9 @@
     }
 
     /// Counts a request that is under way, until the guard is dropped.
-    pub(in crate::serving) fn enter(self: &std::rc::Rc<Self>) -> Open {
+    pub(in crate::serving) fn enter(self: &std::rc::Rc<Self>) -> InFlight {
         self.open.set(self.open.get() + 1);
-        Open(self.clone())
+        InFlight(self.clone())
     }
 
     /// Requests under way.
@@ -189,9 +189,9 @@
 }
 
 /// A request that is under way.
-pub(in crate::serving) struct Open(std::rc::Rc<Node>);
+pub(in crate::serving) struct InFlight(std::rc::Rc<Node>);
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get().saturating_sub(1));
     }
