--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -86,7 +86,7 @@
     node: Rc<Node>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let open = node.enter();
+    let open = node.track_request();
     let arrived = now();
     let ask = (node.border.parse_request)(request.headers());
     let mut waiting = Waiting {
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -177,13 +177,13 @@
     }
 
     /// Counts a request that is under way, until the guard is dropped.
-    pub(in crate::serving) fn enter(self: &std::rc::Rc<Self>) -> InFlight {
+    pub(in crate::serving) fn track_request(self: &std::rc::Rc<Self>) -> InFlight {
         self.open.set(self.open.get() + 1);
         InFlight(self.clone())
     }
 
     /// Requests under way.
-    pub(in crate::serving) fn open(&self) -> usize {
+    pub(in crate::serving) fn in_flight(&self) -> usize {
         self.open.get()
     }
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -123,7 +123,7 @@
     /// grace of the settings.
     pub async fn stop(&self) {
         let node = &self.node;
-        slog::info!(node.log, "stopping"; "open" => node.open());
+        slog::info!(node.log, "stopping"; "open" => node.in_flight());
         let began = tokio::time::Instant::now();
         let end = began + node.settings.grace.saturating_sub(END_TIME);
         node.phase.send_replace(Phase::Leaving);
@@ -132,7 +132,7 @@
         node.phase.send_replace(Phase::Closing);
         // Connections that are idle are closed first.
         tokio::time::sleep(END_POLL).await;
-        while node.open() > 0 && tokio::time::Instant::now() < end {
+        while node.in_flight() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(END_POLL).await;
         }
         let name = vm_name(node);
@@ -143,7 +143,7 @@
         if let Err(e) = removed.await {
             slog::info!(node.log, "entry not removed"; "error" => %e);
         }
-        slog::info!(node.log, "stopped"; "open" => node.open());
+        slog::info!(node.log, "stopped"; "open" => node.in_flight());
     }
 }
 
