--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -151,7 +151,7 @@
     arrived: Moment,
     open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    if node.phase() == Phase::Closing {
+    if node.phase() == Phase::Draining {
         return Err(Refusal::not_run("stopping", Duration::ZERO));
     }
     let active = {
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -89,7 +89,7 @@
     let served = server.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(served);
     let mut phase = node.phase.subscribe();
-    let closing = phase.wait_for(|p| *p == Phase::Closing);
+    let closing = phase.wait_for(|p| *p == Phase::Draining);
     tokio::select! {
         // Callers break off as they like; their requests end with them.
         _ = &mut served => return,
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -81,9 +81,9 @@
     /// It serves.
     Serving,
     /// It says that it is not ready, and serves what still comes.
-    Leaving,
+    Unready,
     /// It refuses what still comes and sees the rest through.
-    Closing,
+    Draining,
 }
 
 /// One VM of the serving path.
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -83,7 +83,7 @@
 
 /// What is due at each of our replicas.
 fn due(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, Step)> {
-    if node.phase() == Phase::Closing {
+    if node.phase() == Phase::Draining {
         return Vec::new();
     }
     let mut b = node.state();
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -126,10 +126,10 @@
         slog::info!(node.log, "stopping"; "open" => node.in_flight());
         let began = tokio::time::Instant::now();
         let end = began + node.settings.grace.saturating_sub(END_TIME);
-        node.phase.send_replace(Phase::Leaving);
+        node.phase.send_replace(Phase::Unready);
         node.beacon_wake.notify_one();
         tokio::time::sleep(LEAVE_TIME).await;
-        node.phase.send_replace(Phase::Closing);
+        node.phase.send_replace(Phase::Draining);
         // Connections that are idle are closed first.
         tokio::time::sleep(END_POLL).await;
         while node.in_flight() > 0 && tokio::time::Instant::now() < end {
