--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -40,7 +40,7 @@
 use crate::serving::path::model::Target;
 use crate::serving::path::routes::Routes;
 use crate::serving::program::experiment::Mechanism;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_span;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::follow;
 
@@ -122,7 +122,7 @@
 
 impl NodeState {
     pub(in crate::serving) fn new(settings: &ServeSettings, now: Moment) -> Self {
-        let lease = span(settings.lease);
+        let lease = to_span(settings.lease);
         let mut beliefs = Self {
             active: None,
             fleet: Fleet::new(settings.zone.clone()),
@@ -142,8 +142,8 @@
             passing: BTreeMap::new(),
             listed: false,
             key_bounds: Bounds {
-                revoke: settings.revoke.map(span),
-                apply: span(settings.apply),
+                revoke: settings.revoke.map(to_span),
+                apply: to_span(settings.apply),
             },
             recency: Recency::default(),
             witnesses: WitnessQueue::default(),
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -60,7 +60,7 @@
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_span;
 
 /// The longest time that a caller waits who names none.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
@@ -164,7 +164,7 @@
     let organisation = find_caller(node, &active, &asked, &ask)?;
     let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE);
     let time = patience.min(asked.route.timeout);
-    let limit = arrived.after(span(time));
+    let limit = arrived.after(to_span(time));
     let charge = match &organisation {
         Some(organisation) => charge::take(node, organisation, &ask).await?,
         None => None,
--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -22,7 +22,7 @@
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_span;
 
 /// How often a wish for an adapter is repeated: datagrams get lost.
 const WISH_AGAIN: Duration = Duration::from_millis(150);
@@ -65,7 +65,9 @@
     let began = now();
     let left = held.limit.since(began);
     let load_limit = began.after(Span(left.0 / WAIT_PART));
-    let full_limit = began.after(span(asked.route.objective / 4)).min(load_limit);
+    let full_limit = began
+        .after(to_span(asked.route.objective / 4))
+        .min(load_limit);
     let mut wished: Option<Moment> = None;
     let mut stop_limit: Option<Moment> = None;
     let mut why = "";
@@ -93,7 +95,7 @@
                 return Ok(at);
             }
             Place::Load { at: replica } | Place::Coming { at: replica } => {
-                let again = wished.is_none_or(|w| at.since(w) >= span(WISH_AGAIN));
+                let again = wished.is_none_or(|w| at.since(w) >= to_span(WISH_AGAIN));
                 if let (true, Some(target)) = (again, &held.target) {
                     wished = Some(at);
                     beacons::wish(node, &replica, target).await;
@@ -111,7 +113,7 @@
         };
         let stopping = node.phase() != Phase::Serving;
         let limit = match stopping {
-            true => limit.min(*stop_limit.get_or_insert(at.after(span(STOPPING_WAIT)))),
+            true => limit.min(*stop_limit.get_or_insert(at.after(to_span(STOPPING_WAIT)))),
             false => limit,
         };
         if at >= limit {
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -210,7 +210,7 @@
 }
 
 /// A duration as a span of that clock.
-pub(in crate::serving) fn span(d: Duration) -> Span {
+pub(in crate::serving) fn to_span(d: Duration) -> Span {
     Span(u64::try_from(d.as_micros()).unwrap_or(u64::MAX))
 }
 
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -24,7 +24,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_span;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::apply;
 use crate::serving::store::apply::StoreUpdate;
@@ -57,7 +57,7 @@
     let millis = Duration::from_millis;
     match topic {
         Topic::Config => PollPolicy {
-            bound: span(settings.apply),
+            bound: to_span(settings.apply),
             lone_wait: millis(4_500),
             // Less than versions may take to be in force, and more than the
             // pause between them in a storm.
@@ -66,14 +66,14 @@
             removes: false,
         },
         Topic::Replicas => PollPolicy {
-            bound: span(settings.drain),
+            bound: to_span(settings.drain),
             lone_wait: millis(4_000),
             lone_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
             pause: millis(400),
             removes: true,
         },
         Topic::Versions => PollPolicy {
-            bound: span(settings.renew.mul_f64(VERSION_PART)),
+            bound: to_span(settings.renew.mul_f64(VERSION_PART)),
             lone_wait: millis(8_000),
             // They come by the dozen.
             lone_pause: millis(1_000),
@@ -252,7 +252,7 @@
     confirm(node, topic, asked);
     if topic == Topic::Config {
         let waited = if some { Duration::ZERO } else { wait };
-        node.state().recency.watched(asked, span(waited));
+        node.state().recency.watched(asked, to_span(waited));
     }
     if some {
         node.placement_wake.notify_waiters();
