--- a/lib/src/serving/path/pass.rs
+++ b/lib/src/serving/path/pass.rs
@@ -31,8 +31,8 @@
 use crate::serving::path::waiting::has_other_place;
 use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
+use crate::serving::program::node::to_instant;
 use crate::upstream::Scanner;
 
 /// After a silence of so many pauses that the route allows, a stream that may
@@ -136,10 +136,12 @@
                         .max_gap
                         .unwrap_or(self.asked.route.objective);
                     let soon = tokio::time::Instant::now() + pause * PAUSES_BEFORE_LOOK;
-                    let by = instant(self.held.limit).min(soon);
+                    let by = to_instant(self.held.limit).min(soon);
                     tokio::time::timeout_at(by, begun.answer.data()).await
                 }
-                _ => tokio::time::timeout_at(instant(self.held.limit), begun.answer.data()).await,
+                _ => {
+                    tokio::time::timeout_at(to_instant(self.held.limit), begun.answer.data()).await
+                }
             };
             let ended = match piece {
                 Err(_) if now() >= self.held.limit => {
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -58,8 +58,8 @@
 use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
+use crate::serving::program::node::to_instant;
 use crate::serving::program::node::to_span;
 
 /// The longest time that a caller waits who names none.
@@ -245,7 +245,7 @@
     let mut body = Limited::new(body, most);
     let mut pieces = Vec::new();
     loop {
-        let frame = tokio::time::timeout_at(instant(limit), body.frame()).await;
+        let frame = tokio::time::timeout_at(to_instant(limit), body.frame()).await;
         match frame {
             Err(_) => return Err(Refusal::denied(StatusCode::REQUEST_TIMEOUT, "slow_body")),
             Ok(None) => return Ok(pieces),
@@ -399,7 +399,7 @@
 ) -> Result<bool, Ended> {
     let mut read = 0;
     while read < READ_AHEAD {
-        match tokio::time::timeout_at(instant(held.limit), begun.answer.data()).await {
+        match tokio::time::timeout_at(to_instant(held.limit), begun.answer.data()).await {
             Err(_) => return Err(Ended::Overdue),
             Ok(None) => return Ok(true),
             Ok(Some(Err(_))) => return Err(Ended::Broken),
--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -20,8 +20,8 @@
 use crate::serving::peers::beacons;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
+use crate::serving::program::node::to_instant;
 use crate::serving::program::node::to_span;
 
 /// How often a wish for an adapter is repeated: datagrams get lost.
@@ -124,7 +124,7 @@
         let wait = Duration::from_micros(limit.since(at).0).min(WISH_AGAIN);
         // Whether news or the time wakes us, the place is looked for anew.
         tokio::time::timeout(wait, changed).await.ok();
-        tokio::time::sleep_until(instant(at.after(LOOK_PAUSE))).await;
+        tokio::time::sleep_until(to_instant(at.after(LOOK_PAUSE))).await;
     }
 }
 
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -215,7 +215,7 @@
 }
 
 /// The timer's instant for a moment.
-pub(in crate::serving) fn instant(at: Moment) -> Instant {
+pub(in crate::serving) fn to_instant(at: Moment) -> Instant {
     Instant::now() + Duration::from_micros(at.since(now()).0)
 }
 
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -22,8 +22,8 @@
 use crate::serving::peers::compression::decompress;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
+use crate::serving::program::node::to_instant;
 use crate::serving::program::node::to_span;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::apply;
@@ -127,7 +127,8 @@
         let outcome = match next {
             FeedAction::Wait(until) => {
                 let until = until.min(at.after(LOOK));
-                let asked = tokio::time::timeout_at(instant(until), node.catch_up_wake.notified());
+                let asked =
+                    tokio::time::timeout_at(to_instant(until), node.catch_up_wake.notified());
                 asked.await.ok();
                 continue;
             }
