--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -16,7 +16,7 @@
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
-use crate::serving::program::node::until;
+use crate::serving::program::node::time_until;
 
 /// How long the task that gives turns sleeps without any to give.
 const IDLE: Duration = Duration::from_secs(1);
@@ -64,7 +64,7 @@
         tell(node, &owner, Body::TurnAsk(ask)).await;
     }
     let end = at.after(LONGEST_WAIT).min(limit);
-    if granted.wait(until(end)).await.is_none() {
+    if granted.wait(time_until(end)).await.is_none() {
         slog::debug!(node.log, "no turn in time"; "replica" => replica.as_str());
     }
     Some(turn)
@@ -119,7 +119,7 @@
             let grant = wire::TurnGrant { number: id.number };
             tell(&node, &id.vm, Body::TurnGrant(grant)).await;
         }
-        let wait = wake.map_or(IDLE, |w| until(w).max(Duration::from_millis(1)));
+        let wait = wake.map_or(IDLE, |w| time_until(w).max(Duration::from_millis(1)));
         // Woken by news or by time, the turns are looked through anew.
         tokio::time::timeout(wait, node.turns_wake.notified())
             .await
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -220,6 +220,6 @@
 }
 
 /// How long until a moment.
-pub(in crate::serving) fn until(at: Moment) -> Duration {
+pub(in crate::serving) fn time_until(at: Moment) -> Duration {
     Duration::from_micros(at.since(now()).0)
 }
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -20,7 +20,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::now;
-use crate::serving::program::node::until;
+use crate::serving::program::node::time_until;
 use crate::upstream::Parts;
 use crate::upstream::collect;
 
@@ -72,7 +72,7 @@
             tokio::task::spawn_local(carry_out(node.clone(), name, token, step));
         }
         let wake = node.state().books.next_wake(at);
-        let wait = wake.map_or(TICK, |w| until(w).min(TICK));
+        let wait = wake.map_or(TICK, |w| time_until(w).min(TICK));
         // Woken by news or by time, the books are asked anew.
         let wait = wait.max(Duration::from_millis(5));
         tokio::time::timeout(wait, node.orders_wake.notified())
