--- a/cli/src/bin/banyan-serve.rs
+++ b/cli/src/bin/banyan-serve.rs
@@ -53,7 +53,7 @@
         return Ok(());
     }
     let log = stdout_logger("banyan-serve");
-    let store = banyangauge_platform::store(settings.store);
+    let store = banyangauge_platform::store(settings.store_address);
     let border = banyangauge_platform::border();
     let reload = || load_settings(&path).map_err(|e| e.to_string());
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -128,7 +128,7 @@
         sent_us: now.0,
         lends: b.members.lends(now),
         zone: node.settings.zone.to_string(),
-        address: node.settings.peers.to_string(),
+        address: node.settings.peer_address.to_string(),
         ..wire::Beacon::default()
     }
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -94,11 +94,13 @@
         log: slog::Logger,
     ) -> Result<Self, ServeError> {
         let at = |address: SocketAddr| move |e| ServeError::Listen(address, e);
-        let callers = server::listen(settings.callers).map_err(at(settings.callers))?;
-        let readiness = server::listen(settings.readiness).map_err(at(settings.readiness))?;
-        let socket = UdpSocket::bind(settings.peers).await;
-        let socket = socket.map_err(at(settings.peers))?;
-        slog::info!(log, "started"; "zone" => settings.zone.as_str(), "callers" => %settings.callers,
+        let callers =
+            server::listen(settings.caller_address).map_err(at(settings.caller_address))?;
+        let readiness =
+            server::listen(settings.readiness_address).map_err(at(settings.readiness_address))?;
+        let socket = UdpSocket::bind(settings.peer_address).await;
+        let socket = socket.map_err(at(settings.peer_address))?;
+        slog::info!(log, "started"; "zone" => settings.zone.as_str(), "callers" => %settings.caller_address,
             "version" => env!("CARGO_PKG_VERSION"));
         if settings.experiment != Experiment::default() {
             slog::warn!(log, "experiment"; "off" => ?settings.experiment.off);
@@ -186,7 +188,7 @@
 fn log_reload(log: &slog::Logger, old: &ServeSettings, new: Result<ServeSettings, String>) {
     match new {
         Ok(new) => {
-            let same = new.callers == old.callers && new.vm == old.vm;
+            let same = new.caller_address == old.caller_address && new.vm == old.vm;
             slog::info!(log, "settings read again"; "addresses_kept" => same);
         }
         Err(e) => slog::warn!(log, "settings refused"; "error" => e),
@@ -207,7 +209,7 @@
 async fn register(node: Rc<Node>) {
     let entry = VmEntry {
         vm: node.settings.vm.clone(),
-        address: node.settings.peers,
+        address: node.settings.peer_address,
         zone: Some(node.settings.zone.clone()),
     };
     let Ok(spec) = to_raw_value(&entry) else {
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -19,13 +19,13 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the balancer asks whether we are ready.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where datagrams of the other VMs come in.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// How long a leaving replica may still get requests.
