--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -128,7 +128,7 @@
             fleet: Fleet::new(settings.zone.clone()),
             budget: Budget::new(settings.budget),
             members: Members::new(settings.vm.clone(), now),
-            ownership: Ownership::new(settings.vm.clone(), lease, settings.fenced),
+            ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
             books: Books::default(),
             strikes: Strikes::default(),
             strain: Strain::default(),
@@ -142,8 +142,8 @@
             passing: BTreeMap::new(),
             listed: false,
             key_bounds: Bounds {
-                revoke: settings.revoke.map(to_span),
-                apply: to_span(settings.apply),
+                revoke: settings.key_revocation.map(to_span),
+                apply: to_span(settings.config_apply),
             },
             recency: Recency::default(),
             witnesses: WitnessQueue::default(),
@@ -151,7 +151,7 @@
             lender: Lender::new(settings.allowance),
         };
         // An owner whose replicas check no fences must be heard by each VM.
-        if settings.fenced && settings.experiment.runs(Mechanism::ZoneRelays) {
+        if settings.fencing && settings.experiment.runs(Mechanism::ZoneRelays) {
             beliefs.members.allow_relays(settings.zone.clone());
         }
         beliefs.fleet.set_experiment(&settings.experiment);
@@ -168,7 +168,7 @@
         topic: Topic,
     ) -> Option<u64> {
         let shared = settings.experiment.runs(Mechanism::StoreNews)
-            && self.members.shares_news(settings.fenced);
+            && self.members.shares_news(settings.fencing);
         shared.then(|| self.members.rank(now, u64::from(topic.number())))
     }
 
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -31,7 +31,7 @@
 
 /// Asks the store as long as the process lives.
 pub(in crate::serving) async fn renew(node: Rc<Node>) {
-    if node.settings.fenced {
+    if node.settings.fencing {
         return;
     }
     let mut office = Office::default();
@@ -108,7 +108,7 @@
 
 /// What is told a VM of its last beacon.
 pub(in crate::serving) fn echo(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
-    if node.settings.fenced {
+    if node.settings.fencing {
         return None;
     }
     let (incarnation, sent, heard) = b.members.last_heard(vm)?;
@@ -129,7 +129,7 @@
 ) {
     let newer = beacon.owners > 0 && b.ownership.hear(at, vm, beacon.owners);
     // Where replicas check fences the news of the store is soon enough.
-    if newer && !node.settings.fenced {
+    if newer && !node.settings.fencing {
         node.owners_wake.notify_one();
     }
     let Some(echo) = &beacon.echo else {
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -31,16 +31,16 @@
     /// How long a leaving replica may still get requests.
     pub drain: Duration,
     /// Within how long a configuration is in force everywhere.
-    pub apply: Duration,
+    pub config_apply: Duration,
     /// Within how long a new version of an adapter is used everywhere.
-    pub renew: Duration,
+    pub version_apply: Duration,
     /// How long an ownership of a replica outlives its last use.
     pub lease: Duration,
     /// Whether replicas refuse orders with a lower fencing token.
-    pub fenced: bool,
+    pub fencing: bool,
     /// Within how long a key that was taken away must be heeded by every VM,
     /// whether it reaches the store or not; `None` where only VMs that do must.
-    pub revoke: Option<Duration>,
+    pub key_revocation: Option<Duration>,
     /// What may be used beyond organisations' limits.
     pub allowance: Allowance,
     /// How many requests may be sent again.
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -57,7 +57,7 @@
     let millis = Duration::from_millis;
     match topic {
         Topic::Config => PollPolicy {
-            bound: to_span(settings.apply),
+            bound: to_span(settings.config_apply),
             lone_wait: millis(4_500),
             // Less than versions may take to be in force, and more than the
             // pause between them in a storm.
@@ -73,7 +73,7 @@
             removes: true,
         },
         Topic::Versions => PollPolicy {
-            bound: to_span(settings.renew.mul_f64(VERSION_PART)),
+            bound: to_span(settings.version_apply.mul_f64(VERSION_PART)),
             lone_wait: millis(8_000),
             // They come by the dozen.
             lone_pause: millis(1_000),
@@ -178,8 +178,8 @@
     // after a power loss of all that stopped all loads for 3 s. Keys that may
     // have been taken away serve nobody.
     let proves = match topic {
-        Topic::Own => !node.settings.fenced,
-        Topic::Config => node.settings.revoke.is_some(),
+        Topic::Own => !node.settings.fencing,
+        Topic::Config => node.settings.key_revocation.is_some(),
         Topic::Replicas | Topic::Versions => false,
     };
     let may_be_old = first && !proves;
@@ -368,7 +368,7 @@
     let mut all: Vec<_> = Topic::ALL.into_iter().filter_map(said).collect();
     let config = all.iter_mut().find(|n| n.topic == Topic::Config.number());
     if let Some(news) = config
-        && node.settings.revoke.is_some()
+        && node.settings.key_revocation.is_some()
         && node.settings.experiment.runs(Mechanism::KeyWitnesses)
     {
         news.witnesses = witnesses(b, at);
