--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -151,7 +151,7 @@
             lender: Lender::new(settings.allowance),
         };
         // An owner whose replicas check no fences must be heard by each VM.
-        if settings.fencing && settings.experiment.runs(Mechanism::ZoneRelays) {
+        if settings.fencing && settings.experiment.is_enabled(Mechanism::ZoneRelays) {
             beliefs.members.allow_relays(settings.zone.clone());
         }
         beliefs.fleet.set_experiment(&settings.experiment);
@@ -167,7 +167,7 @@
         settings: &ServeSettings,
         topic: Topic,
     ) -> Option<u64> {
-        let shared = settings.experiment.runs(Mechanism::StoreNews)
+        let shared = settings.experiment.is_enabled(Mechanism::StoreNews)
             && self.members.shares_news(settings.fencing);
         shared.then(|| self.members.rank(now, u64::from(topic.number())))
     }
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -172,7 +172,7 @@
             .filter(|(n, r)| self.has_room(now, want, n, r));
         let shared = want
             .shared
-            .filter(|_| self.experiment.runs(Mechanism::KeptPrompts));
+            .filter(|_| self.experiment.is_enabled(Mechanism::KeptPrompts));
         let kept = shared.and_then(|shared| {
             let first = holders
                 .iter()
@@ -205,7 +205,7 @@
         let copy_above = want.objective_ms * COPY_PART;
         if let Some((held, at)) = fit {
             // No replica seems less busy than not at all.
-            if held <= copy_above || !self.experiment.runs(Mechanism::SecondCopies) {
+            if held <= copy_above || !self.experiment.is_enabled(Mechanism::SecondCopies) {
                 return Place::Send { at, copy: None };
             }
             let roomy = roomy();
@@ -215,7 +215,7 @@
             let copy = copy.and_then(|_| self.home(now, want, target, &roomy));
             let waited = want
                 .waited
-                .filter(|_| self.experiment.runs(Mechanism::CopyWaits));
+                .filter(|_| self.experiment.is_enabled(Mechanism::CopyWaits));
             let wait = waited.zip(least);
             let wait = wait.is_some_and(|(waited, least)| is_worth_a_wait(held - least, waited));
             return match copy {
@@ -250,13 +250,13 @@
     /// How busy a replica seems for a request, in milliseconds of its engine.
     fn score(&self, now: Moment, want: &Want<'_>, name: &ReplicaName, r: &Replica) -> f64 {
         let load = self.load(now, name, r);
-        let near = r.listing.zone == self.zone || !self.experiment.runs(Mechanism::NearZone);
+        let near = r.listing.zone == self.zone || !self.experiment.is_enabled(Mechanism::NearZone);
         let far = match near {
             true => 0.0,
             false => FAR_MS + FAR_MS_A_KB * want.body_kb,
         };
         let busy = load.busy_ms();
-        let failing = match self.experiment.runs(Mechanism::FailureWeight) {
+        let failing = match self.experiment.is_enabled(Mechanism::FailureWeight) {
             true => FAILING_MS * r.health.failed,
             false => 0.0,
         };
@@ -313,7 +313,7 @@
         };
         let least = list.iter().map(|(_, _, score)| *score);
         let least = least.min_by(f64::total_cmp)?;
-        let above = match self.experiment.runs(Mechanism::Homes) {
+        let above = match self.experiment.is_enabled(Mechanism::Homes) {
             true => HOME_ABOVE_MS,
             false => 0.0,
         };
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -72,8 +72,8 @@
 impl Pace {
     /// Sets what is switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
-        self.learns = experiment.runs(Mechanism::FetchWidth);
-        self.holds = experiment.runs(Mechanism::FetchPace);
+        self.learns = experiment.is_enabled(Mechanism::FetchWidth);
+        self.holds = experiment.is_enabled(Mechanism::FetchPace);
     }
 
     /// Expects a weight store that fits so many engines, until a fetch has
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -112,7 +112,7 @@
             "after_ms" => after.as_millis(), "by" => why);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
-    let lenders = node.settings.experiment.runs(Mechanism::LimitLenders);
+    let lenders = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
     for place in QUESTIONS.into_iter().filter(|_| lenders) {
         let spend = node.state().borrower.spend(now(), name, weight);
         let question = match spend {
@@ -166,7 +166,7 @@
     place: usize,
     mut question: LeaseAsk,
 ) -> Asked {
-    if !node.settings.experiment.runs(Mechanism::LimitsAhead) {
+    if !node.settings.experiment.is_enabled(Mechanism::LimitsAhead) {
         question.ahead = 0.0;
     }
     let address = {
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -42,7 +42,7 @@
         let owner = b.ownership.owner(replica);
         let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.lives(at, vm));
         let address = owner.and_then(|vm| b.members.address(vm));
-        let asks = node.settings.experiment.runs(Mechanism::PlaceAsks);
+        let asks = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
         let Some(address) = address.filter(|_| asks) else {
             return Word::Go;
         };
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -40,7 +40,7 @@
     let at = now();
     let owner = {
         let b = node.state();
-        let turns = node.settings.experiment.runs(Mechanism::PromptTurns);
+        let turns = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
         let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
         owner.filter(|vm| b.strain.active(at) && b.members.lives(at, vm))?
     };
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -407,7 +407,7 @@
     }
     let held = b.books.held(&name).unwrap_or_default();
     let known = held.here.contains_key(&target) || held.coming.contains(&target);
-    if node.settings.experiment.runs(Mechanism::LoadNews) {
+    if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
         b.audience.ask(now, &vm, &name, known);
     }
     drop(b);
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -33,7 +33,7 @@
 /// until the process ends. What an owner tells all others is then older by its
 /// own beat only, and a burst at one VM is not added to by the others.
 pub(in crate::serving) async fn report(node: Rc<Node>) {
-    if !node.settings.experiment.runs(Mechanism::EarlyReports) {
+    if !node.settings.experiment.is_enabled(Mechanism::EarlyReports) {
         return;
     }
     loop {
--- a/lib/src/serving/program/experiment.rs
+++ b/lib/src/serving/program/experiment.rs
@@ -88,8 +88,8 @@
     /// ```
     /// use banyangauge::serving::{Experiment, Mechanism};
     /// let e = Experiment::parse("[experiment]\noff = [\"homes\"]").unwrap();
-    /// assert!(!e.runs(Mechanism::Homes));
-    /// assert!(e.runs(Mechanism::SecondCopies));
+    /// assert!(!e.is_enabled(Mechanism::Homes));
+    /// assert!(e.is_enabled(Mechanism::SecondCopies));
     /// ```
     ///
     /// # Errors
@@ -102,7 +102,7 @@
     }
 
     /// Whether a mechanism runs.
-    pub fn runs(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 }
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -209,7 +209,7 @@
         return OrderEnd::Refused;
     }
     let unanswered = node.state().books.unanswered(name).min(MOST_DOUBLED);
-    let wait = match node.settings.experiment.runs(Mechanism::OrderRepeats) {
+    let wait = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
         true => (FIRST_ANSWER * (1 << unanswered)).min(LONGEST_ANSWER),
         false => LONGEST_ANSWER,
     };
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -369,7 +369,7 @@
     let config = all.iter_mut().find(|n| n.topic == Topic::Config.number());
     if let Some(news) = config
         && node.settings.key_revocation.is_some()
-        && node.settings.experiment.runs(Mechanism::KeyWitnesses)
+        && node.settings.experiment.is_enabled(Mechanism::KeyWitnesses)
     {
         news.witnesses = witnesses(b, at);
     }
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -25,10 +25,10 @@
 #[case(Mechanism::PlaceAsks, "place_asks")]
 #[case(Mechanism::ZoneRelays, "zone_relays")]
 fn switch_is_off_by_name(#[case] mechanism: Mechanism, #[case] word: &str) {
-    assert!(Experiment::default().runs(mechanism));
+    assert!(Experiment::default().is_enabled(mechanism));
     let text = format!("[experiment]\noff = [\"{word}\"]");
     let named = Experiment::parse(&text).unwrap();
-    assert!(!named.runs(mechanism));
+    assert!(!named.is_enabled(mechanism));
     assert_eq!(named.off.len(), 1);
 }
 
