--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -216,7 +216,7 @@
 }
 
 /// A VM asks for a part of an organisation's limit.
-pub(in crate::serving) async fn take_ask(node: &Node, ask: &wire::LeaseAsk) {
+pub(in crate::serving) async fn handle_lease_ask(node: &Node, ask: &wire::LeaseAsk) {
     let (Ok(name), Ok(vm)) = (
         ask.organisation.parse::<OrganisationName>(),
         ask.vm.parse::<VmName>(),
