--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -88,7 +88,7 @@
 }
 
 /// A VM asks about a replica of ours.
-pub(in crate::serving) async fn take_ask(node: &Node, ask: &wire::PlaceAsk) {
+pub(in crate::serving) async fn handle_place_ask(node: &Node, ask: &wire::PlaceAsk) {
     let (Ok(name), Ok(vm)) = (ask.replica.parse::<ReplicaName>(), ask.vm.parse::<VmName>()) else {
         return;
     };
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -244,7 +244,7 @@
             }
             Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
             Ok(Some(Body::Report(report))) => load_reports::take_report(&node, &report),
-            Ok(Some(Body::PlaceAsk(ask))) => places::take_ask(&node, &ask).await,
+            Ok(Some(Body::PlaceAsk(ask))) => places::handle_place_ask(&node, &ask).await,
             Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
             Ok(Some(Body::LeaseAsk(ask))) => charge::handle_lease_ask(&node, &ask).await,
             Ok(Some(Body::LeaseAnswer(answer))) => node.lease_calls.complete(answer.number, answer),
