--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -128,7 +128,7 @@
 }
 
 /// A VM asks for a turn at one of our replicas.
-pub(in crate::serving) fn take_ask(node: &Node, ask: &wire::TurnAsk) {
+pub(in crate::serving) fn handle_turn_ask(node: &Node, ask: &wire::TurnAsk) {
     let (Ok(vm), Ok(replica)) = (ask.vm.parse(), ask.replica.parse()) else {
         return;
     };
@@ -141,7 +141,7 @@
 }
 
 /// A VM's prompt was read.
-pub(in crate::serving) fn take_end(node: &Node, end: &wire::TurnEnd) {
+pub(in crate::serving) fn handle_turn_end(node: &Node, end: &wire::TurnEnd) {
     let (Ok(vm), Ok(replica)) = (end.vm.parse(), end.replica.parse()) else {
         return;
     };
