--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -47,7 +47,7 @@
 
 impl OwnerTable {
     /// How many replicas have another owner than in an older table.
-    pub fn moved(&self, old: &Self) -> usize {
+    pub fn count_moved(&self, old: &Self) -> usize {
         let same = |name, owner: &Owner| old.owners.get(name).is_some_and(|o| o.vm == owner.vm);
         self.owners.iter().filter(|(n, o)| !same(*n, o)).count()
     }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -292,7 +292,7 @@
         Ok(revision) => {
             let term = table.term.0;
             let mut b = node.state();
-            let moved = table.moved(&b.ownership.table);
+            let moved = table.count_moved(&b.ownership.table);
             b.take_owners(now(), table, revision);
             b.ownership.confirm(asked);
             drop(b);
