--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -264,7 +264,7 @@
     }
 
     /// Our replicas that may get orders now, with their tokens.
-    pub fn active(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
+    pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
         let holds = self.holds(now);
         let terms = self.terms.iter().filter(move |_| holds);
         let usable = terms.filter(move |(name, t)| t.from <= now && !self.is_refused(name, t));
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -339,7 +339,7 @@
 
     /// Brings the books in step with what we own.
     pub(in crate::serving) fn open_books(&mut self, now: Moment) {
-        let active = self.ownership.active(now);
+        let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
             if let Some(listing) = self.fleet.listing(name) {
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -95,7 +95,7 @@
     let engines = b.fleet.engines().count();
     b.books.set_fetches(b.fleet.coming(at), engines);
     b.books.set_news(b.members.news());
-    let active = b.ownership.active(at);
+    let active = b.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
     let mut due = Vec::new();
     for (name, token) in active {
