--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -288,7 +288,7 @@
     }
 
     /// A replica has seen a higher token than ours: no order more with it.
-    pub fn refused(&mut self, name: &ReplicaName, token: Token) {
+    pub fn record_refusal(&mut self, name: &ReplicaName, token: Token) {
         self.refused.insert(name.clone(), token);
     }
 
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -121,7 +121,7 @@
             let mut b = node.state();
             let took = b.books.ended(now(), &name, &step, end);
             if matches!(end, OrderEnd::Fenced) {
-                b.ownership.refused(&name, token);
+                b.ownership.record_refusal(&name, token);
             }
             drop(b);
             log_order(&node, &name, token, &step, end, took);
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -110,7 +110,7 @@
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
     a.take(at(0), table, 1);
     let token = a.token(at(0), &name).unwrap();
-    a.refused(&name, token);
+    a.record_refusal(&name, token);
     assert_eq!(a.token(at(9_000), &name), None);
 }
 
