--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -294,7 +294,7 @@
 
     /// The VM was suspended or cut off: its ownerships are used again only
     /// after the table was read anew.
-    pub fn suspend(&mut self) {
+    pub fn invalidate(&mut self) {
         self.terms.clear();
         self.revision = 0;
         self.confirmed = None;
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -64,7 +64,7 @@
         let at = now();
         if at.since(last) > SUSPENDED {
             slog::warn!(node.log, "was suspended"; "ms" => at.since(last).as_millis());
-            node.state().ownership.suspend();
+            node.state().ownership.invalidate();
             node.owners_wake.notify_one();
         }
         last = at;
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -370,7 +370,7 @@
     assert_eq!(token(4_200), None);
     assert!(token(6_500).is_some());
     let mut own = own.clone();
-    own.suspend();
+    own.invalidate();
     let table = own.table.clone();
     own.take(at(0), table, 7);
     own.hear(at(50), &a, 6);
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -123,7 +123,7 @@
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
     a.take(at(0), table.clone(), 1);
-    a.suspend();
+    a.invalidate();
     assert_eq!(a.token(at(1), &name), None);
     a.take(at(2), table, 1);
     assert!(a.token(at(2), &name).is_some());
