--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -361,7 +361,7 @@
     }
 
     /// A proposal was sent: the next one waits its turn again.
-    pub fn proposed(&mut self, now: Moment) {
+    pub fn record_proposal(&mut self, now: Moment) {
         self.due = Some(now);
     }
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -276,7 +276,7 @@
         let Some(table) = b.ownership.proposal(at, &live, &replicas) else {
             return;
         };
-        b.ownership.proposed(at);
+        b.ownership.record_proposal(at);
         (table, b.ownership.revision, live.len())
     };
     let Ok(spec) = to_raw_value(&table) else {
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -224,7 +224,7 @@
         let Some(table) = vm.own.proposal(at(ms), &live, &all) else {
             return;
         };
-        vm.own.proposed(at(ms));
+        vm.own.record_proposal(at(ms));
         let expected = vm.own.revision;
         if expected == self.revision && self.reaches_store(i) {
             self.revision += 1;
