--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -250,7 +250,13 @@
 
     /// A beacon came; gives whether it is newer than the last one, and whether
     /// the VM was not heard of before.
-    pub fn hear(&mut self, now: Moment, vm: &VmName, stamp: BeaconStamp, stopping: bool) -> bool {
+    pub fn record_beacon(
+        &mut self,
+        now: Moment,
+        vm: &VmName,
+        stamp: BeaconStamp,
+        stopping: bool,
+    ) -> bool {
         let BeaconStamp {
             incarnation,
             number,
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -269,7 +269,7 @@
         number: beacon.number,
         sent: Moment(beacon.sent_us),
     };
-    if !b.members.hear(now, &vm, stamp, beacon.stopping) {
+    if !b.members.record_beacon(now, &vm, stamp, beacon.stopping) {
         return;
     }
     // One that was passed on comes from another VM's address.
--- a/lib/tests/test_serving_members.rs
+++ b/lib/tests/test_serving_members.rs
@@ -57,7 +57,7 @@
         let vm: VmName = format!("vm-{i}").parse().unwrap();
         members.list(vm.clone(), address(i));
         members.set_zone(&vm, format!("z-{}", i % zones).parse().unwrap());
-        members.hear(at(0), &vm, stamp(1, at(0)), false);
+        members.record_beacon(at(0), &vm, stamp(1, at(0)), false);
     }
     members
 }
@@ -95,7 +95,7 @@
     let many: BTreeSet<_> = (0..20).flat_map(|n| members.relay_vms(at(10), n)).collect();
     assert_eq!(many.len(), 20);
     let alive: VmName = "vm-7".parse().unwrap();
-    members.hear(at(9_000), &alive, stamp(2, at(9_000)), false);
+    members.record_beacon(at(9_000), &alive, stamp(2, at(9_000)), false);
     let live: BTreeSet<_> = (0..20)
         .flat_map(|n| members.relay_vms(at(9_010), n))
         .collect();
@@ -137,7 +137,7 @@
             for vm in names.iter().filter(|vm| *vm != own) {
                 members.list(vm.clone(), address(1));
                 if Some(vm) != lost {
-                    members.hear(at(ms), vm, stamp(1, at(ms)), false);
+                    members.record_beacon(at(ms), vm, stamp(1, at(ms)), false);
                 }
             }
             (members.rank(at(ms), 3), own.clone())
@@ -164,10 +164,10 @@
     assert_eq!(members.delay(&vm), None, "one beacon tells nothing");
     for n in 1..=3 {
         let sent = at(400 * n);
-        members.hear(at(400 * n + 2), &vm, stamp(n + 1, sent), false);
+        members.record_beacon(at(400 * n + 2), &vm, stamp(n + 1, sent), false);
     }
     // The first one came at once.
     assert_eq!(members.delay(&vm), Some(Span::from_millis(2)));
-    members.hear(at(9_000), &vm, stamp(9, at(1_600)), false);
+    members.record_beacon(at(9_000), &vm, stamp(9, at(1_600)), false);
     assert_eq!(members.delay(&vm), Some(Span::from_millis(7_400)));
 }
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -179,7 +179,7 @@
                 number,
                 sent: at(ms),
             };
-            to.members.hear(at(ms), &name, stamp, false);
+            to.members.record_beacon(at(ms), &name, stamp, false);
             to.own.hear(at(ms), &name, revision);
             if let Some((_, sent, _)) = heard {
                 to.members.echoed(&name, sent);
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -323,7 +323,7 @@
             let lost = self.draw.random_range(0..100) < self.loss;
             if to != from && self.reach(ms, from, to) && !lost {
                 let members = &mut self.vms[to].members;
-                members.hear(at(ms), &name, stamp, false);
+                members.record_beacon(at(ms), &name, stamp, false);
                 members.set_lends(&name, lends);
             }
         }
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -161,9 +161,9 @@
     let b: VmName = "b".parse().unwrap();
     m.list(b.clone(), ([127, 0, 0, 1], 1).into());
     assert!(!m.may_judge(at(100)), "it has heard nobody yet");
-    assert!(m.hear(at(100), &b, stamp(1, 1), false));
+    assert!(m.record_beacon(at(100), &b, stamp(1, 1), false));
     assert!(
-        !m.hear(at(101), &b, stamp(1, 1), false),
+        !m.record_beacon(at(101), &b, stamp(1, 1), false),
         "a beacon that came twice"
     );
     assert!(m.may_judge(at(200)));
@@ -171,7 +171,7 @@
     assert_eq!(m.live(at(2_200)).len(), 1);
     assert!(!m.may_judge(at(2_200)), "cut off, it judges nobody");
     assert!(m.may_judge(at(7_000)));
-    assert!(m.hear(at(7_000), &b, stamp(2, 1), true));
+    assert!(m.record_beacon(at(7_000), &b, stamp(2, 1), true));
     assert_eq!(
         m.live(at(12_000)).len(),
         2,
