--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -407,7 +407,7 @@
     /// on a small deployment at high load (8 days, no processor time counted):
     /// served in time 0.884 -> 0.901 of what was owed, with 0.54 s in place of
     /// 0.9 s; this is 0.5 s, and 0.32 s served as much.
-    pub fn news(&self) -> Span {
+    pub fn report_delay(&self) -> Span {
         Span(self.beat().0 + NEWS_MARGIN.0)
     }
 
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -94,7 +94,7 @@
     b.books.set_pause(pause.max(WEIGHT_PAUSE));
     let engines = b.fleet.engines().count();
     b.books.set_fetches(b.fleet.coming(at), engines);
-    b.books.set_news(b.members.news());
+    b.books.set_news(b.members.report_delay());
     let active = b.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
     let mut due = Vec::new();
--- a/lib/tests/test_serving_members.rs
+++ b/lib/tests/test_serving_members.rs
@@ -32,7 +32,7 @@
 fn beat_by_the_size_of_the_fleet(#[case] vms: u16, #[case] ms: u64) {
     let members = fleet(vms);
     assert_eq!(members.beat(), Span::from_millis(ms));
-    assert_eq!(members.news(), Span::from_millis(ms + 100));
+    assert_eq!(members.report_delay(), Span::from_millis(ms + 100));
 }
 
 /// Who asks the store: one for all, or each for itself.
