--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -190,7 +190,7 @@
                 .get(vm)
                 .filter(|z| Some(*z) != self.zone.as_ref());
             if let Some(zone) = zone {
-                let lives = self.lives(now, vm) && !self.is_stopping(vm);
+                let lives = self.is_live(now, vm) && !self.is_stopping(vm);
                 zones.entry(zone).or_default().push((lives, address));
             }
         }
@@ -384,7 +384,7 @@
     }
 
     /// Whether a VM's beacons come; this VM always lives.
-    pub fn lives(&self, now: Moment, vm: &VmName) -> bool {
+    pub fn is_live(&self, now: Moment, vm: &VmName) -> bool {
         if *vm == self.own {
             return true;
         }
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -265,7 +265,7 @@
         match self.ownership.owner(name) {
             Some(vm) if vm == own => self.ownership.token(now, name).is_some(),
             // One that waits out the lease before it tells nothing yet.
-            Some(vm) => self.members.lives(now, vm) && self.fleet.has_word(now, name),
+            Some(vm) => self.members.is_live(now, vm) && self.fleet.has_word(now, name),
             None => false,
         }
     }
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -40,7 +40,7 @@
         let b = node.state();
         let at = now();
         let owner = b.ownership.owner(replica);
-        let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.lives(at, vm));
+        let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.is_live(at, vm));
         let address = owner.and_then(|vm| b.members.address(vm));
         let asks = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
         let Some(address) = address.filter(|_| asks) else {
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -42,7 +42,7 @@
         let b = node.state();
         let turns = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
         let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
-        owner.filter(|vm| b.strain.active(at) && b.members.lives(at, vm))?
+        owner.filter(|vm| b.strain.active(at) && b.members.is_live(at, vm))?
     };
     let granted = node.turn_calls.register(number);
     let turn = Turn {
