--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -422,7 +422,7 @@
 
     /// The VMs that keep what they own: those that live, and those that were
     /// stopped as planned a short while ago.
-    pub fn live(&self, now: Moment) -> BTreeSet<VmName> {
+    pub fn live_vms(&self, now: Moment) -> BTreeSet<VmName> {
         let keeps = |h: &Heard| match h.stopping {
             true => now.since(h.at) < STOPPED_KEPT,
             false => now.since(h.at) < self.lost_after(),
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -53,7 +53,7 @@
 fn due(node: &Node) -> bool {
     let b = node.state();
     let at = now();
-    let live = b.members.live(at);
+    let live = b.members.live_vms(at);
     let rank = live.iter().position(|vm| *vm == node.settings.vm);
     b.ownership.asks(at, rank.unwrap_or(0))
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -267,7 +267,7 @@
         if !b.ready() || !b.members.may_judge(at) {
             return;
         }
-        let live = b.members.live(at);
+        let live = b.members.live_vms(at);
         let usable = b
             .fleet
             .listings()
@@ -306,7 +306,7 @@
     }
     let gone = {
         let b = node.state();
-        let first = b.members.live(at).first() == Some(&node.settings.vm);
+        let first = b.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
             true => b.members.silent(at, VM_GONE),
             false => Vec::new(),
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -194,7 +194,7 @@
     fn ask(&mut self, i: usize, ms: u64) {
         let rank = {
             let vm = &self.vms[i];
-            let live = vm.members.live(at(ms));
+            let live = vm.members.live_vms(at(ms));
             live.iter().position(|n| *n == vm.name).unwrap()
         };
         let first = ms == 0;
@@ -219,7 +219,7 @@
         if !vm.members.may_judge(at(ms)) {
             return;
         }
-        let live = vm.members.live(at(ms));
+        let live = vm.members.live_vms(at(ms));
         let all = BTreeSet::from([self.replica.clone()]);
         let Some(table) = vm.own.proposal(at(ms), &live, &all) else {
             return;
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -167,17 +167,17 @@
         "a beacon that came twice"
     );
     assert!(m.may_judge(at(200)));
-    assert_eq!(m.live(at(200)).len(), 2);
-    assert_eq!(m.live(at(2_200)).len(), 1);
+    assert_eq!(m.live_vms(at(200)).len(), 2);
+    assert_eq!(m.live_vms(at(2_200)).len(), 1);
     assert!(!m.may_judge(at(2_200)), "cut off, it judges nobody");
     assert!(m.may_judge(at(7_000)));
     assert!(m.record_beacon(at(7_000), &b, stamp(2, 1), true));
     assert_eq!(
-        m.live(at(12_000)).len(),
+        m.live_vms(at(12_000)).len(),
         2,
         "a restarted VM keeps what it owns"
     );
-    assert_eq!(m.live(at(13_100)).len(), 1);
+    assert_eq!(m.live_vms(at(13_100)).len(), 1);
 }
 
 /// All VMs restarted at once: those that had waited need not wait again.
