--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -434,7 +434,7 @@
 
     /// Whether this VM may judge who is lost: it hears somebody, or has been
     /// alone for so long that it is the only one.
-    pub fn may_judge(&self, now: Moment) -> bool {
+    pub fn can_detect_failures(&self, now: Moment) -> bool {
         let last = self.heard.values().map(|h| h.at).max();
         let quiet = now.since(last.unwrap_or(self.since).max(self.since));
         self.addresses.is_empty()
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -216,7 +216,7 @@
 
     fn repair(&mut self, i: usize, ms: u64) {
         let vm = &mut self.vms[i];
-        if !vm.members.may_judge(at(ms)) {
+        if !vm.members.can_detect_failures(at(ms)) {
             return;
         }
         let live = vm.members.live_vms(at(ms));
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -160,17 +160,20 @@
     let mut m = Members::new("a".parse().unwrap(), at(0));
     let b: VmName = "b".parse().unwrap();
     m.list(b.clone(), ([127, 0, 0, 1], 1).into());
-    assert!(!m.may_judge(at(100)), "it has heard nobody yet");
+    assert!(!m.can_detect_failures(at(100)), "it has heard nobody yet");
     assert!(m.record_beacon(at(100), &b, stamp(1, 1), false));
     assert!(
         !m.record_beacon(at(101), &b, stamp(1, 1), false),
         "a beacon that came twice"
     );
-    assert!(m.may_judge(at(200)));
+    assert!(m.can_detect_failures(at(200)));
     assert_eq!(m.live_vms(at(200)).len(), 2);
     assert_eq!(m.live_vms(at(2_200)).len(), 1);
-    assert!(!m.may_judge(at(2_200)), "cut off, it judges nobody");
-    assert!(m.may_judge(at(7_000)));
+    assert!(
+        !m.can_detect_failures(at(2_200)),
+        "cut off, it judges nobody"
+    );
+    assert!(m.can_detect_failures(at(7_000)));
     assert!(m.record_beacon(at(7_000), &b, stamp(2, 1), true));
     assert_eq!(
         m.live_vms(at(12_000)).len(),
