--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -457,7 +457,7 @@
     }
 
     /// Listed VMs that have been silent for `span`.
-    pub fn silent(&self, now: Moment, span: Span) -> Vec<VmName> {
+    pub fn silent_for(&self, now: Moment, span: Span) -> Vec<VmName> {
         let heard = |vm: &VmName| self.heard.get(vm).map_or(self.since, |h| h.at);
         let listed = self.addresses.keys();
         let silent = listed.filter(|vm| now.since(heard(vm).max(self.since)) >= span);
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -308,7 +308,7 @@
         let b = node.state();
         let first = b.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
-            true => b.members.silent(at, VM_GONE),
+            true => b.members.silent_for(at, VM_GONE),
             false => Vec::new(),
         }
     };
