--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -311,7 +311,7 @@
     }
 
     /// The part of the VMs that this one heard a moment ago, itself among them.
-    pub fn heard_part(&self, now: Moment) -> f64 {
+    pub fn reachable_fraction(&self, now: Moment) -> f64 {
         let recent = self.heard_within(now, Span(self.beat().0 * PART_MISSED));
         let listed = recent.filter(|(vm, ..)| self.addresses.contains_key(*vm));
         (listed.count() + 1) as f64 / self.count() as f64
@@ -323,7 +323,7 @@
         // One that knows nobody yet may be one of many.
         let alone = self.addresses.is_empty() && !self.listed;
         let new = alone && now.since(self.since) < ACQUAINTED;
-        !new && self.heard_part(now) > 0.5
+        !new && self.reachable_fraction(now) > 0.5
     }
 
     /// Who lends, in the order of a hash with this seed: the first one, and
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -202,7 +202,7 @@
         let Some(active) = self.active.clone() else {
             return;
         };
-        let part = self.members.heard_part(now);
+        let part = self.members.reachable_fraction(now);
         let own = self.members.own();
         let first = |name: &OrganisationName| {
             let lenders = self.members.lenders(now, lender_seed(name));
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -146,7 +146,7 @@
         return Ok(Some(charge()));
     }
     slog::info!(node.log, "no lender"; "id" => &ask.id, "organisation" => name.as_str(),
-        "weight" => weight, "heard_part" => node.state().members.heard_part(now()));
+        "weight" => weight, "heard_part" => node.state().members.reachable_fraction(now()));
     Err(Refusal::not_run("no_lender", COME_BACK))
 }
 
@@ -177,7 +177,7 @@
             return Asked::Nobody;
         };
         if *lender == node.settings.vm {
-            let part = b.members.heard_part(now());
+            let part = b.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
             let answer = b.lender.ask(now(), name, limit, part, first, question);
             return Asked::Answer(answer);
@@ -251,6 +251,6 @@
     let limit = *b.active.as_ref()?.use_limits.get(name)?;
     let lenders = b.members.lenders(at, lender_seed(name));
     let place = lenders.iter().position(|vm| **vm == node.settings.vm)?;
-    let part = b.members.heard_part(at);
+    let part = b.members.reachable_fraction(at);
     Some(b.lender.ask(at, name, &limit, part, place == 0, question))
 }
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -332,7 +332,7 @@
     fn part(&self, ms: u64, i: usize) -> f64 {
         match self.guard {
             Guard::Part => 1.0,
-            _ => self.vms[i].members.heard_part(at(ms)),
+            _ => self.vms[i].members.reachable_fraction(at(ms)),
         }
     }
 
