--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -230,7 +230,7 @@
     }
 
     /// A VM's entry in the store, or where its beacon came from.
-    pub fn list(&mut self, vm: VmName, address: SocketAddr) {
+    pub fn set_address(&mut self, vm: VmName, address: SocketAddr) {
         if vm != self.own {
             self.addresses.insert(vm, address);
         }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -274,7 +274,7 @@
     }
     // One that was passed on comes from another VM's address.
     let address = beacon.address.parse().unwrap_or(from);
-    b.members.list(vm.clone(), address);
+    b.members.set_address(vm.clone(), address);
     if let Ok(zone) = beacon.zone.parse() {
         b.members.set_zone(&vm, zone);
     }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -215,7 +215,7 @@
             if let Some(zone) = entry.zone {
                 b.members.set_zone(&entry.vm, zone);
             }
-            b.members.list(entry.vm, entry.address);
+            b.members.set_address(entry.vm, entry.address);
         }
         Err(e) => bad(e),
     }
--- a/lib/tests/test_serving_members.rs
+++ b/lib/tests/test_serving_members.rs
@@ -17,7 +17,7 @@
     let mut members = Members::new("vm-0".parse().unwrap(), Moment(0));
     for i in 1..vms {
         let address = ([127, 0, 0, 1], 1_024 + i).into();
-        members.list(format!("vm-{i}").parse().unwrap(), address);
+        members.set_address(format!("vm-{i}").parse().unwrap(), address);
     }
     members
 }
@@ -55,7 +55,7 @@
     members.allow_relays("z-0".parse().unwrap());
     for i in 1..zones * each {
         let vm: VmName = format!("vm-{i}").parse().unwrap();
-        members.list(vm.clone(), address(i));
+        members.set_address(vm.clone(), address(i));
         members.set_zone(&vm, format!("z-{}", i % zones).parse().unwrap());
         members.record_beacon(at(0), &vm, stamp(1, at(0)), false);
     }
@@ -109,7 +109,7 @@
     members.allow_relays("z-0".parse().unwrap());
     for i in 1..20_u16 {
         let vm: VmName = format!("vm-{i}").parse().unwrap();
-        members.list(vm.clone(), address(i));
+        members.set_address(vm.clone(), address(i));
         members.set_zone(&vm, "z-1".parse().unwrap());
     }
     assert_eq!(members.relay_vms(at(0), 3).len(), 1);
@@ -135,7 +135,7 @@
         let rank = |own: &VmName| {
             let mut members = Members::new(own.clone(), at(0));
             for vm in names.iter().filter(|vm| *vm != own) {
-                members.list(vm.clone(), address(1));
+                members.set_address(vm.clone(), address(1));
                 if Some(vm) != lost {
                     members.record_beacon(at(ms), vm, stamp(1, at(ms)), false);
                 }
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -94,7 +94,7 @@
         let vms = (0..count).map(|i| {
             let mut members = Members::new(name(i), at(0));
             for j in (0..count).filter(|j| *j != i) {
-                members.list(name(j), ([127, 0, 0, 1], j as u16 + 1).into());
+                members.set_address(name(j), ([127, 0, 0, 1], j as u16 + 1).into());
             }
             Vm {
                 name: name(i),
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -422,7 +422,7 @@
     let name = |i: usize| -> VmName { format!("vm-{i}").parse().unwrap() };
     let mut members = Members::new(name(i), at(ms));
     for other in (0..VMS).filter(|o| *o != i) {
-        members.list(name(other), ([127, 0, 0, 1], other as u16).into());
+        members.set_address(name(other), ([127, 0, 0, 1], other as u16).into());
     }
     Vm {
         name: name(i),
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -159,7 +159,7 @@
 fn members_by_beacons() {
     let mut m = Members::new("a".parse().unwrap(), at(0));
     let b: VmName = "b".parse().unwrap();
-    m.list(b.clone(), ([127, 0, 0, 1], 1).into());
+    m.set_address(b.clone(), ([127, 0, 0, 1], 1).into());
     assert!(!m.can_detect_failures(at(100)), "it has heard nobody yet");
     assert!(m.record_beacon(at(100), &b, stamp(1, 1), false));
     assert!(
