--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -181,7 +181,7 @@
     }
 
     /// Whether this VM may serve callers who need a key.
-    pub(in crate::serving) fn keys_hold(&mut self, now: Moment) -> bool {
+    pub(in crate::serving) fn keys_valid(&mut self, now: Moment) -> bool {
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
         let freshness = self.key_freshness(now);
         !needed || self.key_bounds.holds(&freshness)
