--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -198,7 +198,7 @@
     }
 
     /// Takes the time that passed into the limits that this VM lends.
-    pub(in crate::serving) fn keep_limits(&mut self, now: Moment) {
+    pub(in crate::serving) fn update_lender(&mut self, now: Moment) {
         let Some(active) = self.active.clone() else {
             return;
         };
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -252,7 +252,7 @@
     loop {
         tokio::time::sleep(UPKEEP).await;
         follow::drop_lapsed(&node);
-        node.state().keep_limits(now());
+        node.state().update_lender(now());
         if now().since(began) >= SETTLED && node.phase() == Phase::Serving {
             repair(&node).await;
         }
