--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -213,7 +213,7 @@
     }
 
     /// Whether requests can be served.
-    pub(in crate::serving) fn ready(&self) -> bool {
+    pub(in crate::serving) fn is_ready(&self) -> bool {
         self.active.is_some() && self.listed
     }
 
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -103,7 +103,7 @@
 /// known that their keys still hold, so they should come to another VM.
 fn is_ready(node: &Node) -> bool {
     let mut b = node.state();
-    b.ready() && b.keys_valid(now())
+    b.is_ready() && b.keys_valid(now())
 }
 
 /// Answers the balancer until the process ends.
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -264,7 +264,7 @@
     let (table, revision, live) = {
         let mut b = node.state();
         let b = &mut *b;
-        if !b.ready() || !b.members.can_detect_failures(at) {
+        if !b.is_ready() || !b.members.can_detect_failures(at) {
             return;
         }
         let live = b.members.live_vms(at);
