--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -256,7 +256,7 @@
     }
 
     /// Whether somebody can load adapters at a replica now.
-    pub(in crate::serving) fn loadable(
+    pub(in crate::serving) fn can_load(
         &self,
         now: Moment,
         own: &VmName,
--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -162,7 +162,7 @@
         avoid,
     };
     let own = &node.settings.vm;
-    b.fleet.place(at, &want, |name| b.loadable(at, own, name))
+    b.fleet.place(at, &want, |name| b.can_load(at, own, name))
 }
 
 /// Whether another replica could go on with a request at once.
