--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -271,7 +271,7 @@
     }
 
     /// Takes the owner table; gives whether it is news.
-    pub(in crate::serving) fn take_owners(
+    pub(in crate::serving) fn apply_owner_table(
         &mut self,
         now: Moment,
         table: OwnerTable,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -293,7 +293,7 @@
             let term = table.term.0;
             let mut b = node.state();
             let moved = table.count_moved(&b.ownership.table);
-            b.take_owners(now(), table, revision);
+            b.apply_owner_table(now(), table, revision);
             b.ownership.confirm(asked);
             drop(b);
             slog::info!(node.log, "owners changed"; "term" => term, "revision" => revision,
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -200,7 +200,7 @@
         match serde_json::from_str::<OwnerTable>(item.spec.get()) {
             Ok(table) => {
                 let term = table.term.0;
-                if node.state().take_owners(now(), table, item.revision) {
+                if node.state().apply_owner_table(now(), table, item.revision) {
                     slog::info!(node.log, "owners"; "term" => term, "revision" => item.revision);
                     node.orders_wake.notify_one();
                 }
