--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -290,7 +290,7 @@
     }
 
     /// A run begins at a replica.
-    pub(in crate::serving) fn begin(
+    pub(in crate::serving) fn begin_run(
         &mut self,
         name: &ReplicaName,
         target: Option<&Target>,
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -85,7 +85,7 @@
     fn begin(node: &Rc<Node>, held: &Held, replica: &ReplicaName) -> Self {
         let number = node.next_id();
         let mut b = node.state();
-        b.begin(replica, held.target.as_ref(), held.cost);
+        b.begin_run(replica, held.target.as_ref(), held.cost);
         let born = b.fleet.born(replica).unwrap_or_default();
         Self {
             node: node.clone(),
