--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -306,7 +306,12 @@
     }
 
     /// It ended there.
-    pub(in crate::serving) fn end(&mut self, at: &Instance, target: Option<&Target>, cost: Load) {
+    pub(in crate::serving) fn end_run(
+        &mut self,
+        at: &Instance,
+        target: Option<&Target>,
+        cost: Load,
+    ) {
         // A replica that has started anew does not count it.
         if !self.fleet.is_current(at) {
             return;
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -142,7 +142,7 @@
 impl Drop for Run {
     fn drop(&mut self) {
         let mut b = self.node.state();
-        b.end(&self.instance(), self.target.as_ref(), self.cost);
+        b.end_run(&self.instance(), self.target.as_ref(), self.cost);
         if !self.heard {
             b.fleet.heard(now(), &self.replica, self.number, false);
         }
