--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -343,7 +343,7 @@
     }
 
     /// Brings the books in step with what we own.
-    pub(in crate::serving) fn open_books(&mut self, now: Moment) {
+    pub(in crate::serving) fn sync_books(&mut self, now: Moment) {
         let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -87,7 +87,7 @@
         return Vec::new();
     }
     let mut b = node.state();
-    b.open_books(at);
+    b.sync_books(at);
     let b = &mut *b;
     let loads = b.fleet.weight_loads().max(LEAST_LOADS);
     let pause = Span((b.members.count() as f64 / loads * WEIGHT_SHARE * 1e6) as u64);
