--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -103,7 +103,7 @@
     /// Beacons from other availability zones that are to be passed on.
     pub(in crate::serving) passing: BTreeMap<VmName, wire::Beacon>,
     /// Whether the replicas were listed once.
-    pub(in crate::serving) listed: bool,
+    pub(in crate::serving) replicas_listed: bool,
     /// Within how long changes of keys must be heeded.
     pub(in crate::serving) key_bounds: Bounds,
     /// When the configuration was surely the newest.
@@ -140,7 +140,7 @@
             reports: BTreeMap::new(),
             feeds: Feeds::new(|topic| follow::rhythm(settings, topic)),
             passing: BTreeMap::new(),
-            listed: false,
+            replicas_listed: false,
             key_bounds: Bounds {
                 revoke: settings.key_revocation.map(to_span),
                 apply: to_span(settings.config_apply),
@@ -214,7 +214,7 @@
 
     /// Whether requests can be served.
     pub(in crate::serving) fn is_ready(&self) -> bool {
-        self.active.is_some() && self.listed
+        self.active.is_some() && self.replicas_listed
     }
 
     /// Takes a configuration if it is newer than the one in force.
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -156,7 +156,7 @@
     }
     let active = {
         let b = node.state();
-        b.active.clone().filter(|_| b.listed)
+        b.active.clone().filter(|_| b.replicas_listed)
     };
     let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
     let (head, body) = request.into_parts();
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -91,7 +91,7 @@
             slog::info!(node.log, "replicas"; "count" => all.len());
             let mut b = node.state();
             b.relist(at, all);
-            b.listed = true;
+            b.replicas_listed = true;
             true
         }
         StoreUpdate::One(told) if told.lapsed => {
