--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -43,7 +43,7 @@
 
 /// Tells all others what this VM owns and has seen break, and the owners of
 /// replicas what it has under way there.
-pub(in crate::serving) async fn tell(node: Rc<Node>) {
+pub(in crate::serving) async fn send_beacons(node: Rc<Node>) {
     let mut number = 0;
     let mut phase = node.phase();
     loop {
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -109,7 +109,7 @@
         spawn_followers(&node);
         tokio::task::spawn_local(server::callers(node.clone(), callers));
         tokio::task::spawn_local(server::readiness(node.clone(), readiness));
-        tokio::task::spawn_local(beacons::tell(node.clone()));
+        tokio::task::spawn_local(beacons::send_beacons(node.clone()));
         tokio::task::spawn_local(load_reports::report(node.clone()));
         tokio::task::spawn_local(beacons::hear(node.clone()));
         tokio::task::spawn_local(reading::keep(node.clone()));
