--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -224,7 +224,7 @@
 }
 
 /// Takes in datagrams until the process ends.
-pub(in crate::serving) async fn hear(node: Rc<Node>) {
+pub(in crate::serving) async fn receive(node: Rc<Node>) {
     let mut buffer = vec![0; MOST_BYTES];
     loop {
         let (length, from) = match node.socket.recv_from(&mut buffer).await {
