--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -80,7 +80,7 @@
         let (limit, refusal) = match place {
             Place::Send { at, copy } => {
                 if let (Some(copy), Some(target)) = (copy, &held.target) {
-                    beacons::wish(node, &copy, target).await;
+                    beacons::request_load(node, &copy, target).await;
                 }
                 if asks < MOST_ASKS && places::ask(node, held, &at).await == Word::LookAgain {
                     asks += 1;
@@ -98,7 +98,7 @@
                 let again = wished.is_none_or(|w| at.since(w) >= to_span(WISH_AGAIN));
                 if let (true, Some(target)) = (again, &held.target) {
                     wished = Some(at);
-                    beacons::wish(node, &replica, target).await;
+                    beacons::request_load(node, &replica, target).await;
                 }
                 (
                     load_limit,
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -363,7 +363,7 @@
 }
 
 /// Asks the owner of a replica to load an adapter there.
-pub(in crate::serving) async fn wish(node: &Node, replica: &ReplicaName, target: &Target) {
+pub(in crate::serving) async fn request_load(node: &Node, replica: &ReplicaName, target: &Target) {
     let address = {
         let mut b = node.state();
         let Some(owner) = b.ownership.owner(replica).cloned() else {
