--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -32,7 +32,7 @@
 /// Tells the owners of replicas soon what changed there of this VM's requests,
 /// until the process ends. What an owner tells all others is then older by its
 /// own beat only, and a burst at one VM is not added to by the others.
-pub(in crate::serving) async fn report(node: Rc<Node>) {
+pub(in crate::serving) async fn send_reports(node: Rc<Node>) {
     if !node.settings.experiment.is_enabled(Mechanism::EarlyReports) {
         return;
     }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -110,7 +110,7 @@
         tokio::task::spawn_local(server::callers(node.clone(), callers));
         tokio::task::spawn_local(server::readiness(node.clone(), readiness));
         tokio::task::spawn_local(beacons::send_beacons(node.clone()));
-        tokio::task::spawn_local(load_reports::report(node.clone()));
+        tokio::task::spawn_local(load_reports::send_reports(node.clone()));
         tokio::task::spawn_local(beacons::receive(node.clone()));
         tokio::task::spawn_local(reading::keep(node.clone()));
         tokio::task::spawn_local(ordering::order(node.clone()));
