--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -79,7 +79,7 @@
         b.fleet.lacks(now(), replica, target);
     }
     if let Some(load) = &answer.load {
-        load_reports::take_total(&mut b, now(), load);
+        load_reports::apply_total(&mut b, now(), load);
     }
     match answer.granted {
         true => Word::Go,
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -163,12 +163,12 @@
 ) {
     let name = load.replica.parse::<ReplicaName>();
     if name.is_ok_and(|name| b.ownership.owner(&name) == Some(vm)) {
-        take_total(b, now, load);
+        apply_total(b, now, load);
     }
 }
 
 /// The owner of a replica says what all VMs have under way there.
-pub(in crate::serving) fn take_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
+pub(in crate::serving) fn apply_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
     if let Some(name) = current(b, &load.replica, load.born) {
         let total = Load {
             requests: load.requests,
