--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -118,7 +118,7 @@
             number: ask.number,
             granted,
             lacks,
-            load: load_reports::write_load(b, &name, total),
+            load: load_reports::encode_load(b, &name, total),
         };
         (answer, address)
     };
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -127,11 +127,11 @@
     name: &ReplicaName,
 ) -> Option<wire::ReplicaLoad> {
     let load = b.fleet.total(now, name)?;
-    write_load(b, name, load)
+    encode_load(b, name, load)
 }
 
 /// A load at a replica, for other VMs.
-pub(in crate::serving) fn write_load(
+pub(in crate::serving) fn encode_load(
     b: &NodeState,
     name: &ReplicaName,
     load: Load,
