--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -14,7 +14,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::store::apply::StoreUpdate;
-use crate::serving::store::apply::take_own;
+use crate::serving::store::apply::apply_cluster;
 use crate::serving::store::follow;
 use crate::serving::store::follow::with_timeout;
 use crate::serving::store::port::Consistency;
@@ -64,7 +64,7 @@
     let asked = now();
     if *since == 0 {
         let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
-        take_own(node, &StoreUpdate::All(&items));
+        apply_cluster(node, &StoreUpdate::All(&items));
         *since = revision;
     } else {
         let call = (node.store.changes)(kind, *since, NO_WAIT);
@@ -77,7 +77,7 @@
         let revision = answer.revision;
         for c in answer.changes {
             let told = TopicChange::new(c.item, c.removed, false);
-            take_own(node, &StoreUpdate::One(&told));
+            apply_cluster(node, &StoreUpdate::One(&told));
         }
         *since = revision.max(*since);
     }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -29,7 +29,7 @@
 use crate::serving::store::apply::StoreUpdate;
 use crate::serving::store::apply::VM_PREFIX;
 use crate::serving::store::apply::VmEntry;
-use crate::serving::store::apply::take_own;
+use crate::serving::store::apply::apply_cluster;
 use crate::serving::store::follow;
 use crate::serving::store::follow::follow;
 use crate::serving::store::follow::with_timeout;
@@ -235,7 +235,7 @@
             let asked = now();
             match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
-                    take_own(&node, &StoreUpdate::All(&items));
+                    apply_cluster(&node, &StoreUpdate::All(&items));
                     node.state().ownership.confirm(asked);
                     break;
                 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -176,7 +176,7 @@
 }
 
 /// Takes our own objects: VMs and the owner table.
-pub(in crate::serving) fn take_own(node: &Node, news: &StoreUpdate<'_>) -> bool {
+pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
     news.items().iter().for_each(|i| take_own_item(node, i));
     if matches!(news, StoreUpdate::All(_)) {
         node.state().members.set_listed();
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -107,7 +107,7 @@
         Topic::Config => apply::take_config(node, news),
         Topic::Replicas => apply::take_replicas(node, news),
         Topic::Versions => apply::take_versions(node, news),
-        Topic::Own => apply::take_own(node, news),
+        Topic::Own => apply::apply_cluster(node, news),
     }
 }
 
