--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -237,7 +237,7 @@
     let answer = with_timeout(wait + CALL_MARGIN, call).await;
     count_call(kind, answer.is_ok());
     let answer = answer?;
-    log_unread(node, kind, answer.unread);
+    log_unread(node, kind, answer.unreadable);
     let changes = answer.changes.into_iter().map(|c| (c.item, c.removed));
     let changes: Vec<_> = changes.collect();
     let some = !changes.is_empty();
@@ -436,7 +436,7 @@
     let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
     count_call(kind, page.is_ok());
     let page = page?;
-    log_unread(node, kind, page.unread);
+    log_unread(node, kind, page.unreadable);
     Ok(page)
 }
 
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -39,7 +39,7 @@
     /// The objects, in the order of their names.
     pub items: Vec<Item>,
     /// Objects that could not be read.
-    pub unread: usize,
+    pub unreadable: usize,
     /// Whether more follow the last name.
     pub more: bool,
     /// The revision of the list, to watch from.
@@ -52,7 +52,7 @@
     /// them in that part would be missed.
     pub fn join(&mut self, next: Self) {
         self.items.extend(next.items);
-        self.unread += next.unread;
+        self.unreadable += next.unreadable;
         self.more = next.more;
         self.revision = self.revision.min(next.revision);
     }
@@ -73,7 +73,7 @@
     /// The changes, in order.
     pub changes: Vec<Change>,
     /// Changes that could not be read.
-    pub unread: usize,
+    pub unreadable: usize,
     /// The revision to watch from next.
     pub revision: u64,
 }
--- a/lib/tests/test_serving_port.rs
+++ b/lib/tests/test_serving_port.rs
@@ -7,7 +7,7 @@
 fn page(revision: u64, names: &[&str], more: bool) -> Page {
     Page {
         items: names.iter().map(|n| Item::empty(n)).collect(),
-        unread: 1,
+        unreadable: 1,
         more,
         revision,
     }
@@ -28,7 +28,7 @@
     let names: Vec<_> = list.items.iter().map(|i| i.name.as_str()).collect();
     assert_eq!(names, ["a", "b"]);
     assert_eq!(
-        (list.revision, list.more, list.unread),
+        (list.revision, list.more, list.unreadable),
         (expected, false, 2)
     );
 }
