--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -419,7 +419,7 @@
         let after = list.items.last().map(|i| i.name.clone());
         let page = list_page(node, kind, after.as_deref(), freshness).await?;
         let empty = page.items.is_empty();
-        list.join(page);
+        list.append(page);
         if empty {
             break;
         }
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -50,7 +50,7 @@
     /// Adds the next part of the list. Parts that may be old are of different
     /// ages: the list is followed on from the oldest, or what changed between
     /// them in that part would be missed.
-    pub fn join(&mut self, next: Self) {
+    pub fn append(&mut self, next: Self) {
         self.items.extend(next.items);
         self.unreadable += next.unreadable;
         self.more = next.more;
--- a/lib/tests/test_serving_port.rs
+++ b/lib/tests/test_serving_port.rs
@@ -24,7 +24,7 @@
     #[case] expected: u64,
 ) {
     let mut list = page(first, &["a"], true);
-    list.join(page(second, &["b"], false));
+    list.append(page(second, &["b"], false));
     let names: Vec<_> = list.items.iter().map(|i| i.name.as_str()).collect();
     assert_eq!(names, ["a", "b"]);
     assert_eq!(
