--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -67,7 +67,7 @@
         apply_cluster(node, &StoreUpdate::All(&items));
         *since = revision;
     } else {
-        let call = (node.store.changes)(kind, *since, NO_WAIT);
+        let call = (node.store.watch)(kind, *since, NO_WAIT);
         let answer = with_timeout(follow::CALL_TIMEOUT, call).await;
         follow::count_call(kind, answer.is_ok());
         if answer.is_err() {
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -233,7 +233,7 @@
     };
     // The store waits a whole number of milliseconds, and at least one.
     let wait = Duration::from_millis(wait.as_millis().max(1) as u64);
-    let call = (node.store.changes)(kind, revision, wait);
+    let call = (node.store.watch)(kind, revision, wait);
     let answer = with_timeout(wait + CALL_MARGIN, call).await;
     count_call(kind, answer.is_ok());
     let answer = answer?;
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -108,7 +108,7 @@
     /// Lists objects.
     pub list: List,
     /// Follows changes.
-    pub changes: Watch,
+    pub watch: Watch,
     /// Creates an object.
     pub create: Create,
     /// Replaces an object.
