--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -64,7 +64,7 @@
     let asked = now();
     if *since == 0 {
         let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
-        apply_cluster(node, &StoreUpdate::All(&items));
+        apply_cluster(node, &StoreUpdate::List(&items));
         *since = revision;
     } else {
         let call = (node.store.watch)(kind, *since, NO_WAIT);
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -235,7 +235,7 @@
             let asked = now();
             match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
-                    apply_cluster(&node, &StoreUpdate::All(&items));
+                    apply_cluster(&node, &StoreUpdate::List(&items));
                     node.state().ownership.confirm(asked);
                     break;
                 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -35,7 +35,7 @@
 /// What a follower hears of the store.
 pub(in crate::serving) enum StoreUpdate<'a> {
     /// All objects of a topic.
-    All(&'a [Item]),
+    List(&'a [Item]),
     /// One object changed, or was removed.
     One(&'a TopicChange),
 }
@@ -44,7 +44,7 @@
     /// The objects that are there, as far as this tells.
     fn items(&self) -> &[Item] {
         match self {
-            Self::All(items) => items,
+            Self::List(items) => items,
             Self::One(told) if told.removed => &[],
             Self::One(told) => std::slice::from_ref(&told.item),
         }
@@ -86,7 +86,7 @@
         })
     };
     match news {
-        StoreUpdate::All(items) => {
+        StoreUpdate::List(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas"; "count" => all.len());
             let mut b = node.state();
@@ -178,7 +178,7 @@
 /// Takes our own objects: VMs and the owner table.
 pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
     news.items().iter().for_each(|i| take_own_item(node, i));
-    if matches!(news, StoreUpdate::All(_)) {
+    if matches!(news, StoreUpdate::List(_)) {
         node.state().members.set_listed();
     }
     if let StoreUpdate::One(told) = news
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -199,7 +199,7 @@
         "revision" => revision, "newest" => newest, "first" => first);
     log_regained(node, topic, out, revision);
     if first {
-        take(node, topic, &StoreUpdate::All(&items));
+        take(node, topic, &StoreUpdate::List(&items));
     }
     take_changes(node, topic, changes);
     if freshness == Consistency::Latest {
