--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -116,18 +116,18 @@
     }
 
     /// Whether the store failed to answer this VM last.
-    pub fn is_out(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.outage
     }
 
     /// Whether a call failed a moment ago, so that the next one waits.
-    pub fn rests(&self, now: Moment) -> bool {
+    pub fn is_backing_off(&self, now: Moment) -> bool {
         self.retry.is_some_and(|at| at > now)
     }
 
     /// What the VM at place `rank` in the order of asking does next; `None`
     /// where each VM asks for itself.
-    pub fn next(&self, now: Moment, rank: Option<u64>) -> FeedAction {
+    pub fn next_action(&self, now: Moment, rank: Option<u64>) -> FeedAction {
         if let Some(retry) = self.retry.filter(|at| *at > now) {
             return FeedAction::Wait(retry);
         }
@@ -135,14 +135,14 @@
             return FeedAction::List;
         };
         let Some(rank) = rank else {
-            return FeedAction::Watch(self.rhythm.alone());
+            return FeedAction::Watch(self.rhythm.solo_wait());
         };
         if rank == 0 {
-            return FeedAction::Watch(self.rhythm.wait());
+            return FeedAction::Watch(self.rhythm.shared_wait());
         }
-        let spread = self.rhythm.spread(rank);
+        let spread = self.rhythm.stagger(rank);
         let gap = self.gap.map(|at| at.after(Span(spread.0 / 2)));
-        let due = known.as_of.after(self.rhythm.limit(rank));
+        let due = known.as_of.after(self.rhythm.max_age(rank));
         let due = gap.map_or(due, |gap| gap.min(due));
         match due <= now {
             true => FeedAction::Watch(Duration::ZERO),
@@ -153,14 +153,14 @@
     /// The pause after an answer with changes.
     pub fn pause(&self, rank: Option<u64>) -> Duration {
         match rank {
-            None => self.rhythm.lone_pause,
-            Some(_) => self.rhythm.pause,
+            None => self.rhythm.solo_pause,
+            Some(_) => self.rhythm.shared_pause,
         }
     }
 
     /// The whole topic, asked for at `asked`. Gives what changed since what was
     /// known; the first time there is nothing that it could follow on from.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Moment,
         asked: Moment,
@@ -171,7 +171,7 @@
         let Some(known) = self.known else {
             let newest = items.iter().map(|i| i.revision).max().unwrap_or(0);
             // What was removed before is not known.
-            self.since = match self.rhythm.removes {
+            self.since = match self.rhythm.has_removals {
                 true => revision,
                 false => newest,
             };
@@ -198,7 +198,7 @@
         });
         let changes = self.admit(present.chain(gone).collect());
         // What is never removed cannot have come and gone in between.
-        if self.rhythm.removes {
+        if self.rhythm.has_removals {
             self.step_over(SkippedRange {
                 from: known.revision,
                 to: revision,
@@ -209,18 +209,18 @@
     }
 
     fn step_over(&mut self, blind: SkippedRange) {
-        self.blind = Some(self.blind.map_or(blind, |b| b.join(blind)));
+        self.blind = Some(self.blind.map_or(blind, |b| b.merge(blind)));
     }
 
     /// The part of the history that is told over which a list stepped.
-    pub fn blind(&self) -> Option<SkippedRange> {
+    pub fn skipped(&self) -> Option<SkippedRange> {
         self.blind.filter(|b| b.to > self.since)
     }
 
     /// What changed, asked for at `asked` by a question that waited at least
     /// `waited`: an answer without changes says that there were none so long.
     /// Gives the changes, with what is to be told of each.
-    pub fn changed(
+    pub fn apply_changes(
         &mut self,
         now: Moment,
         asked: Moment,
@@ -304,9 +304,9 @@
     }
 
     /// A change is worth telling the other VMs.
-    pub fn keep(&mut self, now: Moment, mut change: TopicChange) {
-        if change.packed.is_empty() {
-            change.packed = compress(change.item.spec.get());
+    pub fn share(&mut self, now: Moment, mut change: TopicChange) {
+        if change.compressed.is_empty() {
+            change.compressed = compress(change.item.spec.get());
         }
         let until = now.after(TOLD_FOR);
         self.recent
@@ -314,15 +314,15 @@
     }
 
     /// The store did not answer, or with a failure.
-    pub fn failed(&mut self, now: Moment, rank: Option<u64>) {
+    pub fn record_failure(&mut self, now: Moment, rank: Option<u64>) {
         self.outage = true;
-        let pause = self.rhythm.retry_pause(rank, self.failures);
+        let pause = self.rhythm.retry_backoff(rank, self.failures);
         self.failures += 1;
         self.retry = Some(now.after(pause));
     }
 
     /// The store forgot what changed since our revision: all is read anew.
-    pub fn expired(&mut self) {
+    pub fn mark_expired(&mut self) {
         self.expired = true;
     }
 
@@ -332,7 +332,7 @@
     /// content of an object holds whatever was missed. A VM that the store
     /// turns away is not left on an old configuration that way, though only the
     /// store can fill its gap.
-    pub fn hear(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
+    pub fn apply_update(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
         let Some(known) = &mut self.known else {
             return Vec::new();
         };
@@ -343,7 +343,7 @@
         let follows = said.since <= known.revision;
         let changes = self.admit(said.changes);
         for c in &changes {
-            self.keep(now, c.clone());
+            self.share(now, c.clone());
         }
         if follows {
             self.advance(said.revision, said.as_of);
@@ -358,17 +358,17 @@
 
     /// The same where the other VM stepped over a part of the history: within
     /// that, an object may have come that this VM knows of, and gone again.
-    pub fn hear_over(
+    pub fn apply_update_over(
         &mut self,
         now: Moment,
         mut said: TopicUpdate,
         blind: SkippedRange,
     ) -> Vec<TopicChange> {
-        if blind.hides(self.revision()) {
+        if blind.contains(self.revision()) {
             said.since = said.revision;
         }
         let to = said.revision;
-        let changes = self.hear(now, said);
+        let changes = self.apply_update(now, said);
         if self.revision() == to {
             self.step_over(blind);
         }
@@ -377,7 +377,7 @@
 
     /// What this VM tells the others: nothing unless it is one of the first to
     /// ask, and had an answer lately.
-    pub fn tell(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
+    pub fn outgoing_update(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
         let known = self.known?;
         let over = |(until, _): &(Moment, TopicChange)| *until <= now;
         for (_, (_, change)) in self.recent.extract_if(.., |_, kept| over(kept)) {
@@ -385,7 +385,7 @@
         }
         let answered = self.answered?;
         let tells = rank.is_some_and(|rank| rank < TELLERS);
-        if !tells || now.since(answered) >= self.rhythm.bound {
+        if !tells || now.since(answered) >= self.rhythm.max_staleness {
             return None;
         }
         let mut newest: Vec<_> = self.recent.values().map(|(_, c)| c).collect();
@@ -394,7 +394,7 @@
         let mut bytes = 0;
         let mut changes = Vec::new();
         for change in newest {
-            bytes += change.item.name.len() + change.packed.len();
+            bytes += change.item.name.len() + change.compressed.len();
             if bytes > MOST_TOLD {
                 since = since.max(change.item.revision);
                 break;
@@ -428,7 +428,7 @@
             config: feed(Topic::Config),
             replicas: feed(Topic::Replicas),
             versions: feed(Topic::Versions),
-            own: feed(Topic::Own),
+            own: feed(Topic::Cluster),
         }
     }
 
@@ -438,7 +438,7 @@
             Topic::Config => &mut self.config,
             Topic::Replicas => &mut self.replicas,
             Topic::Versions => &mut self.versions,
-            Topic::Own => &mut self.own,
+            Topic::Cluster => &mut self.own,
         }
     }
 }
--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -143,12 +143,12 @@
     }
 
     /// This VM.
-    pub fn own(&self) -> &VmName {
+    pub fn local(&self) -> &VmName {
         &self.own
     }
 
     /// Lets beacons be relayed between availability zones; ours is this one.
-    pub fn allow_relays(&mut self, zone: ZoneName) {
+    pub fn enable_relays(&mut self, zone: ZoneName) {
         self.zone = Some(zone);
     }
 
@@ -165,13 +165,13 @@
     /// to all, four fifths of the beacons of five zones cross between them, and
     /// a VM wakes for each. One relay a zone and beat passes them on within it,
     /// together with its own: they cross once for each zone.
-    pub fn relays(&self) -> bool {
+    pub fn uses_relays(&self) -> bool {
         self.zone.is_some() && self.count() >= RELAYED_FLEET
     }
 
     /// The VMs that get our beacons themselves: those of our zone, and those
     /// whose zone is not known yet.
-    pub fn mates(&self) -> impl Iterator<Item = (&VmName, SocketAddr)> {
+    pub fn direct_peers(&self) -> impl Iterator<Item = (&VmName, SocketAddr)> {
         let near = |vm: &VmName| {
             self.zones
                 .get(vm)
@@ -182,7 +182,7 @@
 
     /// Who passes our beacon of this number on, one VM in each other zone: each
     /// time another one, so that one that is lost costs one beacon.
-    pub fn relay_vms(&self, now: Moment, number: u64) -> Vec<SocketAddr> {
+    pub fn relay_targets(&self, now: Moment, number: u64) -> Vec<SocketAddr> {
         let mut zones: BTreeMap<&ZoneName, Vec<(bool, SocketAddr)>> = BTreeMap::new();
         for (vm, address) in self.peers() {
             let zone = self
@@ -213,7 +213,7 @@
     pub fn rank(&self, now: Moment, seed: u64) -> u64 {
         let own = order(&self.own, seed);
         let before = self.heard.iter().filter(|(vm, h)| {
-            !h.stopping && now.since(h.at) < self.lost_after() && order(vm, seed) < own
+            !h.stopping && now.since(h.at) < self.failure_timeout() && order(vm, seed) < own
         });
         let before = before.count() as u64;
         let new = !self.addresses.is_empty() && now.since(self.since) < ACQUAINTED;
@@ -223,7 +223,7 @@
     /// How much longer the last beacon of a VM was on its way than the quickest
     /// one; `None` while too few came to tell. One that was read long after it
     /// came, as this VM was suspended, shows here.
-    pub fn delay(&self, vm: &VmName) -> Option<Span> {
+    pub fn beacon_delay(&self, vm: &VmName) -> Option<Span> {
         let heard = self.heard.get(vm).filter(|h| h.count >= TIMED)?;
         let late = heard.way().saturating_sub(heard.least);
         Some(Span(late.unsigned_abs()))
@@ -237,12 +237,12 @@
     }
 
     /// The store said which VMs there are.
-    pub fn set_listed(&mut self) {
+    pub fn mark_listed(&mut self) {
         self.listed = true;
     }
 
     /// A VM's entry was removed.
-    pub fn unlist(&mut self, vm: &VmName) {
+    pub fn remove(&mut self, vm: &VmName) {
         self.addresses.remove(vm);
         self.zones.remove(vm);
         self.echoes.remove(vm);
@@ -284,14 +284,14 @@
 
     /// What was heard of a VM last: its incarnation, when that was sent on its
     /// clock, and when it came.
-    pub fn last_heard(&self, vm: &VmName) -> Option<(Incarnation, Moment, Moment)> {
+    pub fn last_beacon(&self, vm: &VmName) -> Option<(Incarnation, Moment, Moment)> {
         let heard = self.heard.get(vm)?;
         Some((heard.incarnation, heard.sent, heard.at))
     }
 
     /// All VMs that were heard within `span`: the incarnation of each, when its
     /// last beacon was sent on its clock, and when that came.
-    pub fn heard_within(
+    pub fn recent_beacons(
         &self,
         now: Moment,
         span: Span,
@@ -312,7 +312,7 @@
 
     /// The part of the VMs that this one heard a moment ago, itself among them.
     pub fn reachable_fraction(&self, now: Moment) -> f64 {
-        let recent = self.heard_within(now, Span(self.beat().0 * PART_MISSED));
+        let recent = self.recent_beacons(now, Span(self.beacon_interval().0 * PART_MISSED));
         let listed = recent.filter(|(vm, ..)| self.addresses.contains_key(*vm));
         (listed.count() + 1) as f64 / self.count() as f64
     }
@@ -342,11 +342,11 @@
     /// How long a VM that is silent is still asked to lend: each request of an
     /// organisation waits for it in vain meanwhile.
     fn lender_kept(&self) -> Span {
-        Span(self.beat().0 * LENDER_MISSED)
+        Span(self.beacon_interval().0 * LENDER_MISSED)
     }
 
     /// A VM heard our beacon that was sent at `sent`.
-    pub fn echoed(&mut self, vm: &VmName, sent: Moment) {
+    pub fn record_echo(&mut self, vm: &VmName, sent: Moment) {
         let echo = self.echoes.entry(vm.clone()).or_insert(sent);
         *echo = sent.max(*echo);
     }
@@ -354,7 +354,7 @@
     /// Until when none of the `members` takes this VM for lost: each heard it,
     /// and judges nobody whom it heard that lately, or was stopped as planned.
     /// `None` if one of them has not said so.
-    pub fn vouched(&self, members: &BTreeSet<VmName>) -> Option<Moment> {
+    pub fn acknowledged_until(&self, members: &BTreeSet<VmName>) -> Option<Moment> {
         if !members.contains(&self.own) {
             return None;
         }
@@ -369,7 +369,7 @@
         let stopped = self.heard.get(vm).filter(|h| h.stopping);
         match stopped {
             Some(heard) => Some(heard.at.after(STOPPED_VOUCHES)),
-            None => Some(self.echoes.get(vm)?.after(self.lost_after())),
+            None => Some(self.echoes.get(vm)?.after(self.failure_timeout())),
         }
     }
 
@@ -389,12 +389,12 @@
             return true;
         }
         let heard = self.heard.get(vm);
-        heard.is_some_and(|h| now.since(h.at) < self.lost_after())
+        heard.is_some_and(|h| now.since(h.at) < self.failure_timeout())
     }
 
     /// The pause between two beacons of a VM.
-    pub fn beat(&self) -> Span {
-        let small = match self.relays() {
+    pub fn beacon_interval(&self) -> Span {
+        let small = match self.uses_relays() {
             true => RELAYED_SMALL,
             false => SMALL_FLEET,
         };
@@ -408,16 +408,16 @@
     /// served in time 0.884 -> 0.901 of what was owed, with 0.54 s in place of
     /// 0.9 s; this is 0.5 s, and 0.32 s served as much.
     pub fn report_delay(&self) -> Span {
-        Span(self.beat().0 + NEWS_MARGIN.0)
+        Span(self.beacon_interval().0 + NEWS_MARGIN.0)
     }
 
     /// A VM that was silent for so long is lost.
-    pub fn lost_after(&self) -> Span {
-        let missed = match self.relays() {
+    pub fn failure_timeout(&self) -> Span {
+        let missed = match self.uses_relays() {
             true => MISSED_RELAYED,
             false => MISSED,
         };
-        Span(self.beat().0 * missed)
+        Span(self.beacon_interval().0 * missed)
     }
 
     /// The VMs that keep what they own: those that live, and those that were
@@ -425,7 +425,7 @@
     pub fn live_vms(&self, now: Moment) -> BTreeSet<VmName> {
         let keeps = |h: &Heard| match h.stopping {
             true => now.since(h.at) < STOPPED_KEPT,
-            false => now.since(h.at) < self.lost_after(),
+            false => now.since(h.at) < self.failure_timeout(),
         };
         let others = self.heard.iter().filter(|(_, h)| keeps(h));
         let others = others.map(|(vm, _)| vm.clone());
@@ -438,7 +438,7 @@
         let last = self.heard.values().map(|h| h.at).max();
         let quiet = now.since(last.unwrap_or(self.since).max(self.since));
         self.addresses.is_empty()
-            || quiet < self.lost_after() && last.is_some()
+            || quiet < self.failure_timeout() && last.is_some()
             || quiet >= ALONE_AFTER
     }
 
@@ -446,7 +446,7 @@
     /// asking for itself. In a small fleet whose replicas check no fences each
     /// asks: its calls cost little, and its callers are served better so under
     /// high load.
-    pub fn shares_news(&self, fenced: bool) -> bool {
+    pub fn shares_updates(&self, fenced: bool) -> bool {
         let least = if fenced { 2 } else { NEWS_FLEET };
         self.count() >= least
     }
--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -56,7 +56,7 @@
     /// nothing is to change. Replicas of live owners stay where they are: each
     /// change of owner stops loads there for a lease. So do those of owners
     /// that may not be judged yet, which get no others.
-    pub fn repaired(
+    pub fn reassigned(
         &self,
         live: &BTreeSet<VmName>,
         unjudged: &BTreeSet<VmName>,
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -119,7 +119,7 @@
     }
 
     /// Takes the table as the store has it; older revisions are dropped.
-    pub fn take(&mut self, now: Moment, table: OwnerTable, revision: u64) -> bool {
+    pub fn apply_table(&mut self, now: Moment, table: OwnerTable, revision: u64) -> bool {
         if revision <= self.revision {
             return false;
         }
@@ -168,7 +168,7 @@
 
     /// How many microseconds after another VM's beacon was heard the table was
     /// last known to be the newest; before it if negative. It is told that VM.
-    pub fn confirmed_after(&self, heard: Moment) -> Option<i64> {
+    pub fn confirmation_offset(&self, heard: Moment) -> Option<i64> {
         let confirmed = i64::try_from(self.confirmed?.0).ok()?;
         confirmed.checked_sub_unsigned(heard.0)
     }
@@ -179,7 +179,7 @@
     /// It heard that after we sent it. So what it knew some time after it heard
     /// it was so at least as long after we sent it, however long either
     /// datagram was on its way.
-    pub fn confirmed_by(&mut self, revision: u64, sent: Moment, after: i64) {
+    pub fn confirm_from_peer(&mut self, revision: u64, sent: Moment, after: i64) {
         let at = sent.0.checked_add_signed(after);
         if let Some(at) = at.filter(|_| revision <= self.revision) {
             self.confirm(Moment(at));
@@ -193,7 +193,7 @@
 
     /// Whether this VM, the `rank`th by name, is to ask the store now whether
     /// the table is the newest.
-    pub fn asks(&self, now: Moment, rank: usize) -> bool {
+    pub fn should_confirm(&self, now: Moment, rank: usize) -> bool {
         let Some(confirmed) = self.confirmed.filter(|_| !self.fenced) else {
             return false;
         };
@@ -209,13 +209,13 @@
     /// Until `until` no other VM can take this one for lost. Once that was
     /// over, or another VM could have for a moment, only the store's word
     /// brings this VM back into office.
-    pub fn vouch(&mut self, now: Moment, until: Option<Moment>) {
-        self.vouched = until.filter(|_| self.holds(now));
+    pub fn set_acknowledged_until(&mut self, now: Moment, until: Option<Moment>) {
+        self.vouched = until.filter(|_| self.is_valid(now));
     }
 
     /// The members that this VM may not take for lost yet: those that have not
     /// told that they know it for a member, and so do not ask to be heard by it.
-    pub fn unjudged(&self, now: Moment) -> BTreeSet<VmName> {
+    pub fn protected_members(&self, now: Moment) -> BTreeSet<VmName> {
         if self.fenced {
             return BTreeSet::new();
         }
@@ -232,7 +232,7 @@
 
     /// A VM told which table it holds: those before it that lost a replica to
     /// us know it. Gives whether its table is newer than ours.
-    pub fn hear(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
+    pub fn record_peer_revision(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
         self.told = self.told.max(revision);
         let told = self.told_by.entry(vm.clone()).or_default();
         *told = revision.max(*told);
@@ -252,7 +252,7 @@
     /// than [`OWNERSHIP_TTL`]. While the store is away for all it cannot be changed
     /// either: the VM then stays as long as each VM that could propose it
     /// hears this one, and so does not take it for lost.
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn is_valid(&self, now: Moment) -> bool {
         if self.fenced {
             return true;
         }
@@ -265,7 +265,7 @@
 
     /// Our replicas that may get orders now, with their tokens.
     pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
-        let holds = self.holds(now);
+        let holds = self.is_valid(now);
         let terms = self.terms.iter().filter(move |_| holds);
         let usable = terms.filter(move |(name, t)| t.from <= now && !self.is_refused(name, t));
         usable.map(|(name, t)| (name, t.token))
@@ -283,7 +283,7 @@
     /// Our token for a replica, if it may get orders now.
     pub fn token(&self, now: Moment, name: &ReplicaName) -> Option<Token> {
         let term = self.terms.get(name)?;
-        let usable = self.holds(now) && term.from <= now && !self.is_refused(name, term);
+        let usable = self.is_valid(now) && term.from <= now && !self.is_refused(name, term);
         usable.then_some(term.token)
     }
 
@@ -333,15 +333,15 @@
         replicas: &BTreeSet<ReplicaName>,
     ) -> Option<OwnerTable> {
         if self.fenced {
-            return self.table.repaired(live, &BTreeSet::new(), replicas);
+            return self.table.reassigned(live, &BTreeSet::new(), replicas);
         }
         let mut table = self.table.clone();
         if self.revision > 0 && !table.members.contains(&self.vm) {
             table.members.insert(self.vm.clone());
             return Some(table);
         }
-        let unjudged = self.unjudged(now);
-        if let Some(repaired) = table.repaired(live, &unjudged, replicas) {
+        let unjudged = self.protected_members(now);
+        if let Some(repaired) = table.reassigned(live, &unjudged, replicas) {
             table = repaired;
         }
         table.members = live.union(&unjudged).cloned().collect();
--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -44,20 +44,20 @@
 
 impl Recency {
     /// The store was read at `asked`, and what it held is known.
-    pub fn listed(&mut self, asked: Moment) {
+    pub fn confirm_list(&mut self, asked: Moment) {
         self.prove(asked);
     }
 
     /// The store was asked at `asked` to wait for changes, and named none that
     /// are not known for at least `waited`.
-    pub fn watched(&mut self, asked: Moment, waited: Span) {
+    pub fn confirm_watch(&mut self, asked: Moment, waited: Span) {
         let until = asked.after(waited);
         self.prove(Moment(until.0.saturating_sub(DEAF.0)));
     }
 
     /// Another VM got our beacon of the moment `sent`, and last knew our
     /// configuration to be the newest `after` microseconds after that.
-    pub fn witnessed(&mut self, now: Moment, sent: Moment, after: i64) {
+    pub fn confirm_witness(&mut self, now: Moment, sent: Moment, after: i64) {
         let at = sent.0.saturating_add_signed(after);
         // It cannot know of what is to come.
         self.prove(Moment(at.min(now.0)));
@@ -68,7 +68,7 @@
     }
 
     /// Whether the newest configuration that came could be read.
-    pub fn read(&mut self, done: bool) {
+    pub fn set_readable(&mut self, done: bool) {
         self.unread = !done;
     }
 
@@ -102,7 +102,7 @@
     /// When its last beacon that came was sent.
     pub sent: Moment,
     /// When the configuration was the newest, in microseconds after it came.
-    pub after: i64,
+    pub after_us: i64,
 }
 
 /// What stands for a VM and its incarnation in a [`Witness`].
@@ -119,7 +119,7 @@
 impl WitnessQueue {
     /// Those to tell now. Of each VM that was heard: its incarnation, when its
     /// last beacon was sent by its clock, and when that came.
-    pub fn take<'a>(
+    pub fn next_batch<'a>(
         &mut self,
         recency: &Recency,
         heard: impl Iterator<Item = (&'a VmName, Incarnation, Moment, Moment)>,
@@ -129,7 +129,7 @@
                 Some(Witness {
                     reader: reader_id(vm, incarnation),
                     sent,
-                    after: recency.after(at)?,
+                    after_us: recency.after(at)?,
                 })
             })
             .collect();
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::serving) struct LocalUse {
     pub(in crate::serving) running: u32,
-    pub(in crate::serving) begun: u32,
+    pub(in crate::serving) started: u32,
 }
 
 /// The beliefs of one VM; tasks take them for a moment at a time.
@@ -89,19 +89,19 @@
     pub(in crate::serving) strikes: Strikes,
     pub(in crate::serving) strain: Strain,
     pub(in crate::serving) turns: Turns,
-    pub(in crate::serving) uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
+    pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted a moment ago.
     pub(in crate::serving) reserved: Reserved,
     /// Leaving replicas that the other VMs are to be told of.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
     /// Who waits for news of which of our replicas.
-    pub(in crate::serving) audience: Subscriptions,
+    pub(in crate::serving) subscriptions: Subscriptions,
     /// The newest report of each VM on its requests.
-    pub(in crate::serving) reports: BTreeMap<VmName, (Incarnation, u64)>,
+    pub(in crate::serving) last_reports: BTreeMap<VmName, (Incarnation, u64)>,
     /// What is known of the store.
     pub(in crate::serving) feeds: Feeds,
     /// Beacons from other availability zones that are to be passed on.
-    pub(in crate::serving) passing: BTreeMap<VmName, wire::Beacon>,
+    pub(in crate::serving) relay_queue: BTreeMap<VmName, wire::Beacon>,
     /// Whether the replicas were listed once.
     pub(in crate::serving) replicas_listed: bool,
     /// Within how long changes of keys must be heeded.
@@ -133,13 +133,13 @@
             strikes: Strikes::default(),
             strain: Strain::default(),
             turns: Turns::default(),
-            uses: BTreeMap::new(),
+            local_uses: BTreeMap::new(),
             reserved: Reserved::default(),
             leaving: BTreeSet::new(),
-            audience: Subscriptions::default(),
-            reports: BTreeMap::new(),
-            feeds: Feeds::new(|topic| follow::rhythm(settings, topic)),
-            passing: BTreeMap::new(),
+            subscriptions: Subscriptions::default(),
+            last_reports: BTreeMap::new(),
+            feeds: Feeds::new(|topic| follow::poll_policy(settings, topic)),
+            relay_queue: BTreeMap::new(),
             replicas_listed: false,
             key_bounds: Bounds {
                 revoke: settings.key_revocation.map(to_span),
@@ -152,7 +152,7 @@
         };
         // An owner whose replicas check no fences must be heard by each VM.
         if settings.fencing && settings.experiment.is_enabled(Mechanism::ZoneRelays) {
-            beliefs.members.allow_relays(settings.zone.clone());
+            beliefs.members.enable_relays(settings.zone.clone());
         }
         beliefs.fleet.set_experiment(&settings.experiment);
         beliefs.books.set_experiment(&settings.experiment);
@@ -161,14 +161,14 @@
 
     /// Our place in the order in which VMs ask the store about a topic; `None`
     /// where each asks for itself.
-    pub(in crate::serving) fn asking_rank(
+    pub(in crate::serving) fn poll_rank(
         &self,
         now: Moment,
         settings: &ServeSettings,
         topic: Topic,
     ) -> Option<u64> {
         let shared = settings.experiment.is_enabled(Mechanism::StoreNews)
-            && self.members.shares_news(settings.fencing);
+            && self.members.shares_updates(settings.fencing);
         shared.then(|| self.members.rank(now, u64::from(topic.number())))
     }
 
@@ -193,7 +193,7 @@
             return false;
         };
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
-        let rests = self.feeds.get(Topic::Config).rests(now);
+        let rests = self.feeds.get(Topic::Config).is_backing_off(now);
         needed && !rests && self.recency.is_due(now, revoke, rank.unwrap_or(0))
     }
 
@@ -203,7 +203,7 @@
             return;
         };
         let part = self.members.reachable_fraction(now);
-        let own = self.members.own();
+        let own = self.members.local();
         let first = |name: &OrganisationName| {
             let lenders = self.members.lenders(now, lender_seed(name));
             lenders.first() == Some(&own)
@@ -218,7 +218,7 @@
     }
 
     /// Takes a configuration if it is newer than the one in force.
-    pub(in crate::serving) fn configure(&mut self, config: Config) -> bool {
+    pub(in crate::serving) fn apply_config(&mut self, config: Config) -> bool {
         let old = self.active.as_ref().map_or(0, |a| a.config.version);
         if config.version <= old {
             return false;
@@ -233,23 +233,23 @@
 
     /// Takes a replica's entry in the store; gives whether it changed what
     /// requests may use.
-    pub(in crate::serving) fn take_listing(&mut self, listing: ReplicaInfo) -> bool {
+    pub(in crate::serving) fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
         let (name, born) = (listing.name.clone(), listing.started_ms);
         if self.fleet.born(&name).is_some_and(|old| old != born) {
-            self.uses.remove(&name);
+            self.local_uses.remove(&name);
         }
         self.fleet.list(listing)
     }
 
     /// Takes the whole list of replicas.
-    pub(in crate::serving) fn relist(&mut self, now: Moment, all: Vec<ReplicaInfo>) {
+    pub(in crate::serving) fn apply_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>) {
         for l in &all {
             if self
                 .fleet
                 .born(&l.name)
                 .is_some_and(|old| old != l.started_ms)
             {
-                self.uses.remove(&l.name);
+                self.local_uses.remove(&l.name);
             }
         }
         self.fleet.relist(now, all, false);
@@ -278,7 +278,7 @@
         revision: u64,
     ) -> bool {
         let old = self.ownership.table.owners.clone();
-        if !self.ownership.take(now, table, revision) {
+        if !self.ownership.apply_table(now, table, revision) {
             return false;
         }
         for (name, owner) in &self.ownership.table.owners {
@@ -298,10 +298,10 @@
     ) {
         self.fleet.begin(name, cost);
         if let Some(target) = target.filter(|t| t.adapter.is_some()) {
-            let uses = self.uses.entry(name.clone()).or_default();
+            let uses = self.local_uses.entry(name.clone()).or_default();
             let entry = uses.entry(target.clone()).or_default();
             entry.running += 1;
-            entry.begun += 1;
+            entry.started += 1;
         }
     }
 
@@ -319,7 +319,7 @@
         let name = &at.name;
         self.fleet.end(name, cost);
         let target = target.filter(|t| t.adapter.is_some());
-        let uses = target.and_then(|t| self.uses.get_mut(name)?.get_mut(t));
+        let uses = target.and_then(|t| self.local_uses.get_mut(name)?.get_mut(t));
         if let Some(entry) = uses {
             entry.running = entry.running.saturating_sub(1);
         }
@@ -330,14 +330,14 @@
         &mut self,
         name: &ReplicaName,
     ) -> BTreeMap<Target, LocalUse> {
-        let Some(uses) = self.uses.get_mut(name) else {
+        let Some(uses) = self.local_uses.get_mut(name) else {
             return BTreeMap::new();
         };
         let told = uses.clone();
         uses.retain(|_, u| u.running > 0);
-        uses.values_mut().for_each(|u| u.begun = 0);
+        uses.values_mut().for_each(|u| u.started = 0);
         if uses.is_empty() {
-            self.uses.remove(name);
+            self.local_uses.remove(name);
         }
         told
     }
--- a/lib/src/serving/cluster/subscriptions.rs
+++ b/lib/src/serving/cluster/subscriptions.rs
@@ -27,7 +27,7 @@
 impl Subscriptions {
     /// A VM wishes for something at a replica; `known` says that it is there
     /// already, so that the VM's picture is old.
-    pub fn ask(&mut self, now: Moment, vm: &VmName, replica: &ReplicaName, known: bool) {
+    pub fn subscribe(&mut self, now: Moment, vm: &VmName, replica: &ReplicaName, known: bool) {
         let asked = self.asked.entry(replica.clone()).or_default();
         asked.insert(vm.clone(), now);
         if known {
@@ -36,7 +36,7 @@
     }
 
     /// What a replica holds changed.
-    pub fn changed(&mut self, now: Moment, replica: &ReplicaName) {
+    pub fn record_change(&mut self, now: Moment, replica: &ReplicaName) {
         let Some(asked) = self.asked.get_mut(replica) else {
             return;
         };
@@ -54,7 +54,7 @@
     }
 
     /// Whom to tell of which replicas; each is told once.
-    pub fn take_owed(&mut self) -> BTreeMap<VmName, BTreeSet<ReplicaName>> {
+    pub fn take_pending(&mut self) -> BTreeMap<VmName, BTreeSet<ReplicaName>> {
         std::mem::take(&mut self.owed)
     }
 }
--- a/lib/src/serving/cluster/topic.rs
+++ b/lib/src/serving/cluster/topic.rs
@@ -14,12 +14,12 @@
     /// Announced adapter versions.
     Versions,
     /// Our own objects: VMs and the owner table.
-    Own,
+    Cluster,
 }
 
 impl Topic {
     /// All of them.
-    pub const ALL: [Self; 4] = [Self::Config, Self::Replicas, Self::Versions, Self::Own];
+    pub const ALL: [Self; 4] = [Self::Config, Self::Replicas, Self::Versions, Self::Cluster];
 
     /// Its number between VMs, and the seed of the order in which they ask.
     pub fn number(self) -> u32 {
@@ -27,7 +27,7 @@
     }
 
     /// The topic of a number.
-    pub fn of_number(number: u32) -> Option<Self> {
+    pub fn from_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|t| t.number() == number)
     }
 }
@@ -36,17 +36,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PollPolicy {
     /// Within how long a change is to be known everywhere.
-    pub bound: Span,
+    pub max_staleness: Span,
     /// The longest that a question of a VM that asks for itself alone waits for
     /// a change; less where the bound asks for it.
-    pub lone_wait: Duration,
+    pub max_solo_wait: Duration,
     /// The pause after an answer with changes, of such a VM: changes in quick
     /// succession cost one call.
-    pub lone_pause: Duration,
+    pub solo_pause: Duration,
     /// The same, of a VM that asks for all.
-    pub pause: Duration,
+    pub shared_pause: Duration,
     /// Whether objects are ever removed.
-    pub removes: bool,
+    pub has_removals: bool,
 }
 
 /// How much longer than it should a call may take; the store answers in
@@ -95,37 +95,39 @@
 
 impl PollPolicy {
     /// How long a question of the VM that asks for all waits for a change.
-    pub(super) fn wait(&self) -> Duration {
-        Duration::from_micros(self.part(WAIT_PART).0)
+    pub(super) fn shared_wait(&self) -> Duration {
+        Duration::from_micros(self.fraction(WAIT_PART).0)
     }
 
     /// How long a question of a VM that asks for itself waits: one that went
     /// into a silent connection is given up and asked again within the bound.
-    pub(super) fn alone(&self) -> Duration {
+    pub(super) fn solo_wait(&self) -> Duration {
         let reserve = CALL_MARGIN + REPEAT_TIME;
-        let most = Duration::from_micros(self.bound.0).saturating_sub(reserve);
-        self.lone_wait.min(most.max(self.wait()))
+        let most = Duration::from_micros(self.max_staleness.0).saturating_sub(reserve);
+        self.max_solo_wait.min(most.max(self.shared_wait()))
     }
 
     /// How old its knowledge is when the VM at this place in the order asks.
-    pub(super) fn limit(&self, rank: u64) -> Span {
-        Span(self.part(LIMIT_PART).0 + self.spread(rank).0)
+    pub(super) fn max_age(&self, rank: u64) -> Span {
+        Span(self.fraction(LIMIT_PART).0 + self.stagger(rank).0)
     }
 
     /// How much later than the first ones a VM asks.
-    pub(super) fn spread(&self, rank: u64) -> Span {
-        Span(self.part(SPREAD_PART).0 * rank.min(MOST_RANKS) / MOST_RANKS)
+    pub(super) fn stagger(&self, rank: u64) -> Span {
+        Span(self.fraction(SPREAD_PART).0 * rank.min(MOST_RANKS) / MOST_RANKS)
     }
 
     /// The pause after the last of so many failed calls in a row.
-    pub(super) fn retry_pause(&self, rank: Option<u64>, failures: u32) -> Span {
+    pub(super) fn retry_backoff(&self, rank: Option<u64>, failures: u32) -> Span {
         match rank {
-            Some(rank) if rank >= WATCHERS => Span(self.part(OTHERS_PART).0 + self.spread(rank).0),
+            Some(rank) if rank >= WATCHERS => {
+                Span(self.fraction(OTHERS_PART).0 + self.stagger(rank).0)
+            }
             _ => Span((FIRST_PAUSE.0 << failures.min(MOST_DOUBLED)).min(LONGEST_PAUSE.0)),
         }
     }
 
-    fn part(&self, part: f64) -> Span {
-        Span((self.bound.0 as f64 * part) as u64)
+    fn fraction(&self, part: f64) -> Span {
+        Span((self.max_staleness.0 as f64 * part) as u64)
     }
 }
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -13,7 +13,7 @@
     /// Whether that may be so because the store was away: it may come back.
     pub lapsed: bool,
     /// Its content as it is told, once it is kept to be told.
-    pub packed: Vec<u8>,
+    pub compressed: Vec<u8>,
 }
 
 impl TopicChange {
@@ -23,7 +23,7 @@
             item,
             removed,
             lapsed,
-            packed: Vec::new(),
+            compressed: Vec::new(),
         }
     }
 }
@@ -54,12 +54,12 @@
 
 impl SkippedRange {
     /// Whether a revision lies within it.
-    pub(super) fn hides(self, revision: u64) -> bool {
+    pub(super) fn contains(self, revision: u64) -> bool {
         self.from < revision && revision < self.to
     }
 
     /// Both, and what lies between them.
-    pub(super) fn join(self, other: Self) -> Self {
+    pub(super) fn merge(self, other: Self) -> Self {
         Self {
             from: self.from.min(other.from),
             to: self.to.max(other.to),
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -50,7 +50,7 @@
         number += 1;
         let (sendings, beat) = {
             let mut b = node.state();
-            let beat = Duration::from_micros(b.members.beat().0);
+            let beat = Duration::from_micros(b.members.beacon_interval().0);
             (complete(&node, &mut b, number), beat)
         };
         for (bytes, address) in sendings {
@@ -77,13 +77,13 @@
         let b = &mut *b;
         let now = now();
         for name in b.books.take_changed() {
-            b.audience.changed(now, &name);
+            b.subscriptions.record_change(now, &name);
             // This VM believes it as well.
             if let Some(held) = b.books.held(&name) {
                 b.fleet.hear_book(now, &name, held);
             }
         }
-        for (vm, names) in b.audience.take_owed() {
+        for (vm, names) in b.subscriptions.take_pending() {
             if let Some(address) = b.members.address(&vm) {
                 *number += 1;
                 let mut told = beacon(node, b, *number);
@@ -167,7 +167,7 @@
 fn complete(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
     let told = common(node, b, now, number);
-    if b.members.relays() {
+    if b.members.uses_relays() {
         let mut sendings = relay::sendings(b, now, told);
         sendings.extend(load_reports::all_reports(node, b, now));
         return sendings;
@@ -176,7 +176,7 @@
     told.complete = true;
     let peers = b.members.peers();
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
-    let names = b.uses.keys().chain(b.fleet.to_report());
+    let names = b.local_uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
     let mut flights = load_reports::by_owner(node, b, now, names);
     // What is the same for all is encoded once; each receiver's own part
@@ -262,7 +262,7 @@
     };
     let now = now();
     let mut b = node.state();
-    let kept = b.members.lost_after();
+    let kept = b.members.failure_timeout();
     b.fleet.set_word_kept(kept);
     let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
@@ -408,7 +408,7 @@
     let held = b.books.held(&name).unwrap_or_default();
     let known = held.here.contains_key(&target) || held.coming.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
-        b.audience.ask(now, &vm, &name, known);
+        b.subscriptions.subscribe(now, &vm, &name, known);
     }
     drop(b);
     node.orders_wake.notify_one();
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -77,7 +77,7 @@
     b: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let names = b.uses.keys().chain(b.fleet.to_report());
+    let names = b.local_uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
     let flights = by_owner(node, b, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
@@ -104,7 +104,7 @@
         let load = b.fleet.report(&name);
         if owner == *own {
             for (target, u) in uses {
-                b.books.used(now, &name, own, &target, u.running, u.begun);
+                b.books.used(now, &name, own, &target, u.running, u.started);
             }
             continue;
         }
@@ -149,7 +149,7 @@
     let uses = uses.iter().map(|(t, u)| wire::AdapterUse {
         target: t.to_string(),
         running: u.running,
-        begun: u.begun,
+        begun: u.started,
     });
     uses.collect()
 }
@@ -187,10 +187,10 @@
     let now = now();
     let mut b = node.state();
     let stamp = (Incarnation(report.incarnation), report.number);
-    if b.reports.get(&vm).is_some_and(|old| *old >= stamp) {
+    if b.last_reports.get(&vm).is_some_and(|old| *old >= stamp) {
         return;
     }
-    b.reports.insert(vm.clone(), stamp);
+    b.last_reports.insert(vm.clone(), stamp);
     if report.complete {
         take_all(&mut b, now, &vm, &report.flights);
         return;
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -22,7 +22,7 @@
     let mut crossing = told.clone();
     crossing.pass_on = true;
     let crossing = encode(crossing);
-    let passed = std::mem::take(&mut b.passing).into_values();
+    let passed = std::mem::take(&mut b.relay_queue).into_values();
     let bundle = wire::Bundle {
         beacons: std::iter::once(told).chain(passed).collect(),
     };
@@ -30,8 +30,8 @@
         body: Some(Body::Bundle(bundle)),
     };
     let bundle = bundle.encode_to_vec();
-    let near = b.members.mates().map(|(_, at)| (bundle.clone(), at));
-    let far = b.members.relay_vms(now, number).into_iter();
+    let near = b.members.direct_peers().map(|(_, at)| (bundle.clone(), at));
+    let far = b.members.relay_targets(now, number).into_iter();
     near.chain(far.map(|at| (crossing.clone(), at))).collect()
 }
 
@@ -39,5 +39,5 @@
 /// takes its place.
 pub(in crate::serving) fn keep(b: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
     beacon.pass_on = false;
-    b.passing.insert(vm, beacon);
+    b.relay_queue.insert(vm, beacon);
 }
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -55,7 +55,7 @@
     let at = now();
     let live = b.members.live_vms(at);
     let rank = live.iter().position(|vm| *vm == node.settings.vm);
-    b.ownership.asks(at, rank.unwrap_or(0))
+    b.ownership.should_confirm(at, rank.unwrap_or(0))
 }
 
 /// Asks for what changed since the last answer.
@@ -94,9 +94,9 @@
     fn look(&mut self, node: &Node) {
         let mut b = node.state();
         let at = now();
-        let vouched = b.members.vouched(&b.ownership.table.members);
-        b.ownership.vouch(at, vouched);
-        let holds = b.ownership.holds(at);
+        let vouched = b.members.acknowledged_until(&b.ownership.table.members);
+        b.ownership.set_acknowledged_until(at, vouched);
+        let holds = b.ownership.is_valid(at);
         if std::mem::replace(&mut self.0, holds) != holds {
             let age = b.ownership.confirmed().map(|c| at.since(c).as_millis());
             let vouched = vouched.map(|until| until.since(at).as_millis());
@@ -111,11 +111,11 @@
     if node.settings.fencing {
         return None;
     }
-    let (incarnation, sent, heard) = b.members.last_heard(vm)?;
+    let (incarnation, sent, heard) = b.members.last_beacon(vm)?;
     Some(wire::Echo {
         incarnation: incarnation.0,
         sent_us: sent.0,
-        confirmed_us: b.ownership.confirmed_after(heard),
+        confirmed_us: b.ownership.confirmation_offset(heard),
     })
 }
 
@@ -127,7 +127,7 @@
     vm: &VmName,
     beacon: &wire::Beacon,
 ) {
-    let newer = beacon.owners > 0 && b.ownership.hear(at, vm, beacon.owners);
+    let newer = beacon.owners > 0 && b.ownership.record_peer_revision(at, vm, beacon.owners);
     // Where replicas check fences the news of the store is soon enough.
     if newer && !node.settings.fencing {
         node.owners_wake.notify_one();
@@ -139,8 +139,8 @@
         return;
     }
     let sent = Moment(echo.sent_us);
-    b.members.echoed(vm, sent);
+    b.members.record_echo(vm, sent);
     if let Some(after) = echo.confirmed_us {
-        b.ownership.confirmed_by(beacon.owners, sent, after);
+        b.ownership.confirm_from_peer(beacon.owners, sent, after);
     }
 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -58,8 +58,8 @@
             Ok(config) => {
                 let version = config.version;
                 let mut b = node.state();
-                b.recency.read(true);
-                let taken = b.configure(config);
+                b.recency.set_readable(true);
+                let taken = b.apply_config(config);
                 drop(b);
                 slog::info!(node.log, "configuration"; "version" => version,
                     "bytes" => item.spec.get().len(),
@@ -67,7 +67,7 @@
             }
             Err(e) => {
                 // Keys that it takes away are not known.
-                node.state().recency.read(false);
+                node.state().recency.set_readable(false);
                 slog::error!(node.log, "bad configuration"; "error" => %e);
             }
         }
@@ -90,7 +90,7 @@
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas"; "count" => all.len());
             let mut b = node.state();
-            b.relist(at, all);
+            b.apply_listings(at, all);
             b.replicas_listed = true;
             true
         }
@@ -121,7 +121,7 @@
     let (name, draining) = (listing.name.clone(), listing.draining);
     let born = listing.started_ms;
     let news = node.state().fleet.is_news(&listing);
-    let changed = node.state().take_listing(listing);
+    let changed = node.state().apply_listing(listing);
     if changed {
         slog::info!(node.log, "replica"; "replica" => name.as_str(),
                         "draining" => draining, "born" => born, "revision" => item.revision);
@@ -179,14 +179,14 @@
 pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
     news.items().iter().for_each(|i| take_own_item(node, i));
     if matches!(news, StoreUpdate::List(_)) {
-        node.state().members.set_listed();
+        node.state().members.mark_listed();
     }
     if let StoreUpdate::One(told) = news
         && told.removed
         && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
     {
-        node.state().members.unlist(&vm);
+        node.state().members.remove(&vm);
         slog::info!(node.log, "vm gone"; "vm" => vm.as_str());
     }
     true
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -53,39 +53,39 @@
 const WITNESSED: Span = Span::from_millis(4_000);
 
 /// How a topic is asked about.
-pub(in crate::serving) fn rhythm(settings: &ServeSettings, topic: Topic) -> PollPolicy {
+pub(in crate::serving) fn poll_policy(settings: &ServeSettings, topic: Topic) -> PollPolicy {
     let millis = Duration::from_millis;
     match topic {
         Topic::Config => PollPolicy {
-            bound: to_span(settings.config_apply),
-            lone_wait: millis(4_500),
+            max_staleness: to_span(settings.config_apply),
+            max_solo_wait: millis(4_500),
             // Less than versions may take to be in force, and more than the
             // pause between them in a storm.
-            lone_pause: millis(250),
-            pause: millis(150),
-            removes: false,
+            solo_pause: millis(250),
+            shared_pause: millis(150),
+            has_removals: false,
         },
         Topic::Replicas => PollPolicy {
-            bound: to_span(settings.drain),
-            lone_wait: millis(4_000),
-            lone_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
-            pause: millis(400),
-            removes: true,
+            max_staleness: to_span(settings.drain),
+            max_solo_wait: millis(4_000),
+            solo_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
+            shared_pause: millis(400),
+            has_removals: true,
         },
         Topic::Versions => PollPolicy {
-            bound: to_span(settings.version_apply.mul_f64(VERSION_PART)),
-            lone_wait: millis(8_000),
+            max_staleness: to_span(settings.version_apply.mul_f64(VERSION_PART)),
+            max_solo_wait: millis(8_000),
             // They come by the dozen.
-            lone_pause: millis(1_000),
-            pause: millis(250),
-            removes: false,
+            solo_pause: millis(1_000),
+            shared_pause: millis(250),
+            has_removals: false,
         },
-        Topic::Own => PollPolicy {
-            bound: OWN_BOUND,
-            lone_wait: millis(15_000),
-            lone_pause: millis(600),
-            pause: millis(300),
-            removes: true,
+        Topic::Cluster => PollPolicy {
+            max_staleness: OWN_BOUND,
+            max_solo_wait: millis(15_000),
+            solo_pause: millis(600),
+            shared_pause: millis(300),
+            has_removals: true,
         },
     }
 }
@@ -97,7 +97,7 @@
         Topic::Config => kinds.config,
         Topic::Replicas => kinds.replicas,
         Topic::Versions => kinds.versions,
-        Topic::Own => kinds.internal,
+        Topic::Cluster => kinds.internal,
     }
 }
 
@@ -107,7 +107,7 @@
         Topic::Config => apply::take_config(node, news),
         Topic::Replicas => apply::take_replicas(node, news),
         Topic::Versions => apply::take_versions(node, news),
-        Topic::Own => apply::apply_cluster(node, news),
+        Topic::Cluster => apply::apply_cluster(node, news),
     }
 }
 
@@ -117,9 +117,9 @@
         let at = now();
         let (next, rank) = {
             let mut b = node.state();
-            let rank = b.asking_rank(at, &node.settings, topic);
+            let rank = b.poll_rank(at, &node.settings, topic);
             let proof = topic == Topic::Config && b.proof_due(at, rank);
-            match b.feeds.get(topic).next(at, rank) {
+            match b.feeds.get(topic).next_action(at, rank) {
                 FeedAction::Wait(_) if proof => (FeedAction::List, rank),
                 next => (next, rank),
             }
@@ -150,16 +150,16 @@
     let mut b = node.state();
     let feed = b.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
-        feed.expired();
+        feed.mark_expired();
         slog::info!(node.log, "history gone"; "kind" => kind(node, topic),
             "revision" => feed.revision());
         return;
     }
-    if !feed.is_out() {
+    if !feed.is_failing() {
         slog::warn!(node.log, "store lost"; "kind" => kind(node, topic), "error" => %e,
             "revision" => feed.revision(), "rank" => rank);
     }
-    feed.failed(now(), rank);
+    feed.record_failure(now(), rank);
 }
 
 fn log_regained(node: &Node, topic: Topic, out: bool, revision: u64) {
@@ -178,7 +178,7 @@
     // after a power loss of all that stopped all loads for 3 s. Keys that may
     // have been taken away serve nobody.
     let proves = match topic {
-        Topic::Own => !node.settings.fencing,
+        Topic::Cluster => !node.settings.fencing,
         Topic::Config => node.settings.key_revocation.is_some(),
         Topic::Replicas | Topic::Versions => false,
     };
@@ -191,8 +191,8 @@
     let (out, changes) = {
         let mut b = node.state();
         let feed = b.feeds.get(topic);
-        let out = feed.is_out();
-        (out, feed.listed(now(), asked, revision, &items))
+        let out = feed.is_failing();
+        (out, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
     slog::info!(node.log, "listed"; "kind" => kind(node, topic), "count" => items.len(),
@@ -205,7 +205,7 @@
     if freshness == Consistency::Latest {
         confirm(node, topic, asked);
         if topic == Topic::Config {
-            node.state().recency.listed(asked);
+            node.state().recency.confirm_list(asked);
         }
     }
     node.placement_wake.notify_waiters();
@@ -244,16 +244,19 @@
     let (out, changes) = {
         let mut b = node.state();
         let feed = b.feeds.get(topic);
-        let out = feed.is_out();
+        let out = feed.is_failing();
         let revision = answer.revision;
-        (out, feed.changed(now(), asked, wait, revision, changes))
+        (
+            out,
+            feed.apply_changes(now(), asked, wait, revision, changes),
+        )
     };
     log_regained(node, topic, out, answer.revision);
     take_changes(node, topic, changes);
     confirm(node, topic, asked);
     if topic == Topic::Config {
         let waited = if some { Duration::ZERO } else { wait };
-        node.state().recency.watched(asked, to_span(waited));
+        node.state().recency.confirm_watch(asked, to_span(waited));
     }
     if some {
         node.placement_wake.notify_waiters();
@@ -273,7 +276,7 @@
             if !change.removed && topic == Topic::Replicas {
                 apply::tell_leaving(node, &change);
             }
-            node.state().feeds.get(topic).keep(now(), change);
+            node.state().feeds.get(topic).share(now(), change);
         }
     }
 }
@@ -281,13 +284,13 @@
 /// Takes what another VM tells of the store in its beacon.
 pub(in crate::serving) fn hear(node: &Node, at: Moment, told: &[wire::StoreNews], vm: &VmName) {
     for news in told {
-        let Some(topic) = Topic::of_number(news.topic) else {
+        let Some(topic) = Topic::from_number(news.topic) else {
             continue;
         };
         let changes = {
             let mut b = node.state();
             // Without a measure of its way it may be of any age.
-            let delay = b.members.delay(vm);
+            let delay = b.members.beacon_delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
             let changes: Option<Vec<_>> = news.changes.iter().map(read_change).collect();
             let said = TopicUpdate {
@@ -304,8 +307,8 @@
                 to: news.blind_to,
             };
             let changes = match news.blind_to {
-                0 => feed.hear(at, said),
-                _ => feed.hear_over(at, said, blind),
+                0 => feed.apply_update(at, said),
+                _ => feed.apply_update_over(at, said, blind),
             };
             if feed.has_gap() && !before {
                 slog::info!(node.log, "news missed"; "kind" => kind(node, topic),
@@ -336,21 +339,21 @@
         },
         removed: change.removed,
         lapsed: change.lapsed,
-        packed: change.spec.to_vec(),
+        compressed: change.spec.to_vec(),
     })
 }
 
 /// What this VM tells the others of the store.
 pub(in crate::serving) fn tell(node: &Node, b: &mut NodeState, at: Moment) -> Vec<wire::StoreNews> {
     let said = |topic: Topic| {
-        let rank = b.asking_rank(at, &node.settings, topic);
+        let rank = b.poll_rank(at, &node.settings, topic);
         let feed = b.feeds.get(topic);
-        let said = feed.tell(at, rank)?;
-        let blind = feed.blind();
+        let said = feed.outgoing_update(at, rank)?;
+        let blind = feed.skipped();
         let changes = said.changes.into_iter().map(|c| wire::StoreChange {
             name: c.item.name,
             revision: c.item.revision,
-            spec: c.packed.into(),
+            spec: c.compressed.into(),
             removed: c.removed,
             lapsed: c.lapsed,
         });
@@ -378,12 +381,12 @@
 
 /// What this VM tells the others of when the configuration was the newest.
 fn witnesses(b: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
-    let heard = b.members.heard_within(at, WITNESSED);
-    let told = b.witnesses.take(&b.recency, heard).into_iter();
+    let heard = b.members.recent_beacons(at, WITNESSED);
+    let told = b.witnesses.next_batch(&b.recency, heard).into_iter();
     told.map(|w| wire::Witness {
         reader: w.reader,
         sent_us: w.sent.0,
-        after_us: w.after,
+        after_us: w.after_us,
     })
     .collect()
 }
@@ -396,14 +399,14 @@
     }
     for w in &news.witnesses {
         if w.reader == node.reader_id && w.sent_us <= at.0 {
-            b.recency.witnessed(at, Moment(w.sent_us), w.after_us);
+            b.recency.confirm_witness(at, Moment(w.sent_us), w.after_us);
         }
     }
 }
 
 /// All that was in the store of a topic when it was asked is known now.
 fn confirm(node: &Node, topic: Topic, asked: Moment) {
-    if topic == Topic::Own {
+    if topic == Topic::Cluster {
         node.state().ownership.confirm(asked);
     }
 }
--- a/lib/tests/test_serving_audience.rs
+++ b/lib/tests/test_serving_audience.rs
@@ -20,7 +20,7 @@
 
 /// Who is told of which replicas, as text.
 fn owed(audience: &mut Subscriptions) -> String {
-    let owed = audience.take_owed();
+    let owed = audience.take_pending();
     let lines = owed.iter().map(|(vm, names)| {
         let names: Vec<_> = names.iter().map(ReplicaName::as_str).collect();
         format!("{}: {}", vm.as_str(), names.join(" "))
@@ -31,11 +31,11 @@
 #[test]
 fn changed_is_told_to_those_who_wait() {
     let mut a = Subscriptions::default();
-    a.ask(at(0), &vm("vm-1"), &replica("i-1"), false);
-    a.ask(at(0), &vm("vm-2"), &replica("i-2"), false);
+    a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
+    a.subscribe(at(0), &vm("vm-2"), &replica("i-2"), false);
     assert_eq!(owed(&mut a), "");
-    a.changed(at(200), &replica("i-1"));
-    a.changed(at(200), &replica("i-3"));
+    a.record_change(at(200), &replica("i-1"));
+    a.record_change(at(200), &replica("i-3"));
     assert_eq!(owed(&mut a), "vm-1: i-1");
     assert_eq!(owed(&mut a), "");
 }
@@ -44,15 +44,15 @@
 #[test]
 fn ask_for_what_is_there_is_answered() {
     let mut a = Subscriptions::default();
-    a.ask(at(0), &vm("vm-1"), &replica("i-1"), true);
+    a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), true);
     assert_eq!(owed(&mut a), "vm-1: i-1");
 }
 
 #[test]
 fn ask_lapses_unless_renewed() {
     let mut a = Subscriptions::default();
-    a.ask(at(0), &vm("vm-1"), &replica("i-1"), false);
-    a.ask(at(900), &vm("vm-2"), &replica("i-1"), false);
-    a.changed(at(1_200), &replica("i-1"));
+    a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
+    a.subscribe(at(900), &vm("vm-2"), &replica("i-1"), false);
+    a.record_change(at(1_200), &replica("i-1"));
     assert_eq!(owed(&mut a), "vm-2: i-1");
 }
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -20,11 +20,11 @@
 
 fn rhythm() -> PollPolicy {
     PollPolicy {
-        bound: Span::from_millis(BOUND),
-        lone_wait: Duration::from_millis(4_500),
-        lone_pause: Duration::from_millis(250),
-        pause: Duration::from_millis(150),
-        removes: true,
+        max_staleness: Span::from_millis(BOUND),
+        max_solo_wait: Duration::from_millis(4_500),
+        solo_pause: Duration::from_millis(250),
+        shared_pause: Duration::from_millis(150),
+        has_removals: true,
     }
 }
 
@@ -47,7 +47,7 @@
 fn listed(ms: u64, revision: u64, names: &[&str]) -> Feed {
     let mut feed = Feed::new(rhythm());
     let items: Vec<_> = names.iter().map(|n| item(n, revision)).collect();
-    feed.listed(at(ms), at(ms), revision, &items);
+    feed.apply_list(at(ms), at(ms), revision, &items);
     feed
 }
 
@@ -117,7 +117,7 @@
                 if vm.quiet_until > ms {
                     continue;
                 }
-                if let FeedAction::Watch(wait) = vm.feed.next(at(ms), rank) {
+                if let FeedAction::Watch(wait) = vm.feed.next_action(at(ms), rank) {
                     vm.asked = Some((ms, wait.as_millis() as u64));
                     self.calls += 1;
                 }
@@ -125,7 +125,7 @@
             };
             if self.down {
                 vm.asked = None;
-                vm.feed.failed(at(ms), rank);
+                vm.feed.record_failure(at(ms), rank);
                 continue;
             }
             let known = vm.feed.revision();
@@ -138,8 +138,11 @@
                 .collect();
             let some = !new.is_empty();
             let waited = Duration::from_millis(wait);
-            for change in vm.feed.changed(at(ms), at(asked), waited, revision, new) {
-                vm.feed.keep(at(ms), change);
+            for change in vm
+                .feed
+                .apply_changes(at(ms), at(asked), waited, revision, new)
+            {
+                vm.feed.share(at(ms), change);
             }
             if some {
                 vm.quiet_until = ms + vm.feed.pause(rank).as_millis() as u64;
@@ -153,11 +156,11 @@
             .iter_mut()
             .filter(|vm| !vm.frozen)
             .enumerate()
-            .filter_map(|(rank, vm)| vm.feed.tell(at(ms), Some(rank as u64)))
+            .filter_map(|(rank, vm)| vm.feed.outgoing_update(at(ms), Some(rank as u64)))
             .collect();
         for vm in self.vms.iter_mut().filter(|vm| !vm.frozen) {
             for s in &said {
-                vm.feed.hear(at(ms), s.clone());
+                vm.feed.apply_update(at(ms), s.clone());
             }
         }
     }
@@ -231,21 +234,21 @@
     for revision in [2, 3] {
         let ms = revision * 1_000;
         let new = vec![(item("a", revision), false)];
-        let changes = teller.changed(at(ms), at(ms), Duration::ZERO, revision, new);
-        changes.into_iter().for_each(|c| teller.keep(at(ms), c));
+        let changes = teller.apply_changes(at(ms), at(ms), Duration::ZERO, revision, new);
+        changes.into_iter().for_each(|c| teller.share(at(ms), c));
     }
-    let said = teller.tell(at(4_000), Some(0)).unwrap();
+    let said = teller.outgoing_update(at(4_000), Some(0)).unwrap();
     assert_eq!(said.changes.len(), 1, "the newest of an object is told");
-    assert!(feed.hear(at(4_000), said).len() == 1);
+    assert!(feed.apply_update(at(4_000), said).len() == 1);
     // Later the teller has forgotten it.
-    let late = teller.tell(at(5_000), Some(0)).unwrap();
+    let late = teller.outgoing_update(at(5_000), Some(0)).unwrap();
     assert_eq!((late.since, late.changes.len()), (3, 0));
     let mut other = listed(0, 1, &[]);
-    assert!(other.hear(at(5_000), late).is_empty());
+    assert!(other.apply_update(at(5_000), late).is_empty());
     assert_eq!(other.revision(), 1);
     assert!(other.has_gap());
     assert_eq!(
-        other.next(at(6_000), Some(9)),
+        other.next_action(at(6_000), Some(9)),
         FeedAction::Watch(Duration::ZERO)
     );
 }
@@ -262,9 +265,9 @@
     let mut large = told("a", 2);
     large.item.spec = serde_json::value::RawValue::from_string(text).unwrap();
     let new = vec![(large.item.clone(), false)];
-    teller.changed(at(0), at(0), Duration::ZERO, 2, new);
-    teller.keep(at(0), large);
-    let said = teller.tell(at(10), Some(0)).unwrap();
+    teller.apply_changes(at(0), at(0), Duration::ZERO, 2, new);
+    teller.share(at(0), large);
+    let said = teller.outgoing_update(at(10), Some(0)).unwrap();
     assert_eq!((said.since, said.changes.len()), (2, 0));
 }
 
@@ -278,7 +281,7 @@
         since: 1,
         changes: vec![told("a", 4)],
     };
-    assert!(feed.hear(at(2_000), said).is_empty());
+    assert!(feed.apply_update(at(2_000), said).is_empty());
     assert_eq!(feed.revision(), 5);
     assert_eq!(feed.age(at(2_000)), Some(Span::from_millis(1_000)));
 }
@@ -291,13 +294,13 @@
 fn removal_after_an_outage_is_a_lapse(#[case] outage: bool) {
     let mut feed = listed(0, 1, &["a"]);
     if outage {
-        feed.failed(at(1_000), Some(0));
+        feed.record_failure(at(1_000), Some(0));
     }
     let gone = vec![(item("a", 2), true)];
-    let changes = feed.changed(at(2_000), at(2_000), Duration::ZERO, 2, gone);
+    let changes = feed.apply_changes(at(2_000), at(2_000), Duration::ZERO, 2, gone);
     assert_eq!(changes[0].lapsed, outage);
     let again = vec![(item("b", 3), true)];
-    let changes = feed.changed(at(3_000), at(3_000), Duration::ZERO, 3, again);
+    let changes = feed.apply_changes(at(3_000), at(3_000), Duration::ZERO, 3, again);
     assert!(!changes[0].lapsed);
 }
 
@@ -306,18 +309,18 @@
 #[test]
 fn forgotten_history_is_made_good() {
     let mut feed = listed(0, 1, &["a", "b"]);
-    feed.expired();
-    assert_eq!(feed.next(at(100), Some(9)), FeedAction::List);
+    feed.mark_expired();
+    assert_eq!(feed.next_action(at(100), Some(9)), FeedAction::List);
     let items = [item("b", 1), item("c", 7)];
-    let changes = feed.listed(at(200), at(150), 9, &items);
+    let changes = feed.apply_list(at(200), at(150), 9, &items);
     let seen: Vec<_> = changes
         .iter()
         .map(|c| (c.item.name.as_str(), c.removed))
         .collect();
     assert_eq!(seen, [("c", false), ("a", true)]);
-    changes.into_iter().for_each(|c| feed.keep(at(200), c));
+    changes.into_iter().for_each(|c| feed.share(at(200), c));
     let mut other = listed(0, 1, &["a", "b"]);
-    let heard = other.hear(at(300), feed.tell(at(300), Some(0)).unwrap());
+    let heard = other.apply_update(at(300), feed.outgoing_update(at(300), Some(0)).unwrap());
     assert_eq!(heard.len(), 2);
     assert_eq!(other.revision(), 9);
 }
@@ -328,8 +331,8 @@
 #[case::later(9, false)]
 fn only_the_first_tell(#[case] rank: u64, #[case] tells: bool) {
     let mut feed = listed(0, 1, &[]);
-    feed.changed(at(10), at(10), Duration::ZERO, 1, Vec::new());
-    assert_eq!(feed.tell(at(20), Some(rank)).is_some(), tells);
+    feed.apply_changes(at(10), at(10), Duration::ZERO, 1, Vec::new());
+    assert_eq!(feed.outgoing_update(at(20), Some(rank)).is_some(), tells);
 }
 
 /// The store may give an object that is gone with the revision of its content,
@@ -338,11 +341,11 @@
 fn removal_is_told_to_the_others() {
     let mut teller = listed(0, 1, &["a"]);
     let gone = vec![(item("a", 1), true)];
-    for change in teller.changed(at(100), at(90), Duration::ZERO, 5, gone) {
-        teller.keep(at(100), change);
+    for change in teller.apply_changes(at(100), at(90), Duration::ZERO, 5, gone) {
+        teller.share(at(100), change);
     }
     let mut other = listed(0, 1, &["a"]);
-    let news = other.hear(at(200), teller.tell(at(200), Some(0)).unwrap());
+    let news = other.apply_update(at(200), teller.outgoing_update(at(200), Some(0)).unwrap());
     assert!(news.iter().any(|c| c.removed), "the removal is lost");
 }
 
@@ -352,7 +355,7 @@
 fn object_that_came_again_is_there() {
     let mut feed = listed(0, 1, &["a"]);
     let mut other = listed(0, 1, &["a"]);
-    other.changed(
+    other.apply_changes(
         at(50),
         at(40),
         Duration::ZERO,
@@ -360,10 +363,10 @@
         vec![(item("a", 1), true)],
     );
     let events = vec![(item("a", 1), true), (item("a", 4), false)];
-    let changes = feed.changed(at(100), at(90), Duration::ZERO, 5, events);
+    let changes = feed.apply_changes(at(100), at(90), Duration::ZERO, 5, events);
     let seen: Vec<_> = changes.iter().map(|c| c.removed).collect();
     assert_eq!(seen, [true, false]);
-    changes.into_iter().for_each(|c| feed.keep(at(100), c));
-    let news = other.hear(at(200), feed.tell(at(200), Some(0)).unwrap());
+    changes.into_iter().for_each(|c| feed.share(at(100), c));
+    let news = other.apply_update(at(200), feed.outgoing_update(at(200), Some(0)).unwrap());
     assert!(news.last().is_some_and(|c| !c.removed), "it is not back");
 }
--- a/lib/tests/test_serving_feed_late.rs
+++ b/lib/tests/test_serving_feed_late.rs
@@ -31,14 +31,14 @@
 
 fn listed(removes: bool, revision: u64, names: &[&str]) -> Feed {
     let mut feed = Feed::new(PollPolicy {
-        bound: Span::from_millis(4_000),
-        lone_wait: Duration::from_millis(4_500),
-        lone_pause: Duration::from_millis(250),
-        pause: Duration::from_millis(150),
-        removes,
+        max_staleness: Span::from_millis(4_000),
+        max_solo_wait: Duration::from_millis(4_500),
+        solo_pause: Duration::from_millis(250),
+        shared_pause: Duration::from_millis(150),
+        has_removals: removes,
     });
     let items: Vec<_> = names.iter().map(|n| item(n, revision)).collect();
-    feed.listed(at(0), at(0), revision, &items);
+    feed.apply_list(at(0), at(0), revision, &items);
     feed
 }
 
@@ -60,17 +60,19 @@
 #[test]
 fn tell_after_a_late_answer_holds_the_newest_change() {
     let mut teller = listed(false, 1, &["config"]);
-    teller.hear(at(100), said(14, 100, 1, &[("config", 14)]));
+    teller.apply_update(at(100), said(14, 100, 1, &[("config", 14)]));
     let late = vec![(item("config", 2), false)];
-    for change in teller.changed(at(200), at(50), Duration::ZERO, 2, late) {
-        teller.keep(at(200), change);
+    for change in teller.apply_changes(at(200), at(50), Duration::ZERO, 2, late) {
+        teller.share(at(200), change);
     }
-    let told = teller.tell(at(210), Some(0)).expect("it had an answer");
+    let told = teller
+        .outgoing_update(at(210), Some(0))
+        .expect("it had an answer");
     assert_eq!(told.revision, 14);
 
     let mut other = listed(false, 1, &["config"]);
-    other.hear(at(60), said(2, 60, 1, &[("config", 2)]));
-    let news = other.hear(at(220), told);
+    other.apply_update(at(60), said(2, 60, 1, &[("config", 2)]));
+    let news = other.apply_update(at(220), told);
     assert_eq!(other.revision(), 14);
     assert!(
         news.iter().any(|c| c.item.revision == 14),
@@ -83,8 +85,8 @@
 #[test]
 fn listed_after_newer_news_removes_nothing() {
     let mut feed = listed(true, 1, &["a"]);
-    feed.expired();
-    feed.hear(at(100), said(5, 100, 1, &[("b", 5)]));
-    let changes = feed.listed(at(200), at(50), 3, &[item("a", 1)]);
+    feed.mark_expired();
+    feed.apply_update(at(100), said(5, 100, 1, &[("b", 5)]));
+    let changes = feed.apply_list(at(200), at(50), 3, &[item("a", 1)]);
     assert!(changes.iter().all(|c| !c.removed), "b was called removed");
 }
--- a/lib/tests/test_serving_feed_outage.rs
+++ b/lib/tests/test_serving_feed_outage.rs
@@ -31,13 +31,13 @@
 
 fn listed() -> Feed {
     let mut feed = Feed::new(PollPolicy {
-        bound: BOUND,
-        lone_wait: Duration::from_millis(4_500),
-        lone_pause: Duration::from_millis(250),
-        pause: Duration::from_millis(150),
-        removes: false,
+        max_staleness: BOUND,
+        max_solo_wait: Duration::from_millis(4_500),
+        solo_pause: Duration::from_millis(250),
+        shared_pause: Duration::from_millis(150),
+        has_removals: false,
     });
-    feed.listed(at(0), at(0), 1, &[item("config", 1)]);
+    feed.apply_list(at(0), at(0), 1, &[item("config", 1)]);
     feed
 }
 
@@ -55,7 +55,7 @@
 /// When the next question goes out, looked at from a moment on.
 fn asks(feed: &Feed, from: Moment, rank: Option<u64>) -> Moment {
     let mut now = from;
-    while let FeedAction::Wait(until) = feed.next(now, rank) {
+    while let FeedAction::Wait(until) = feed.next_action(now, rank) {
         now = until;
     }
     now
@@ -74,9 +74,9 @@
     let mut feed = listed();
     for n in 0..10 {
         let now = at(10_000 + 700 * n);
-        feed.failed(now, rank);
+        feed.record_failure(now, rank);
         if gap {
-            feed.hear(now, said(14, 10_000 + 700 * n, 9, &[]));
+            feed.apply_update(now, said(14, 10_000 + 700 * n, 9, &[]));
             assert!(feed.has_gap());
         }
         let next = asks(&feed, now, rank);
@@ -95,14 +95,14 @@
 #[test]
 fn change_behind_a_gap_is_taken() {
     let mut feed = listed();
-    let news = feed.hear(at(1_000), said(14, 1_000, 9, &[("config", 14)]));
+    let news = feed.apply_update(at(1_000), said(14, 1_000, 9, &[("config", 14)]));
     assert_eq!(news.len(), 1, "the configuration is not taken");
     assert!(feed.has_gap());
     assert_eq!(feed.revision(), 1, "other objects were missed");
-    let again = feed.hear(at(1_400), said(14, 1_400, 9, &[("config", 14)]));
+    let again = feed.apply_update(at(1_400), said(14, 1_400, 9, &[("config", 14)]));
     assert!(again.is_empty(), "it is no news any more");
     let missed = vec![(item("config", 5), false), (item("other", 6), false)];
-    let changes = feed.changed(at(1_500), at(1_450), Duration::ZERO, 7, missed);
+    let changes = feed.apply_changes(at(1_500), at(1_450), Duration::ZERO, 7, missed);
     let names: Vec<_> = changes.iter().map(|c| c.item.name.as_str()).collect();
     assert_eq!(names, ["other"]);
 }
@@ -111,8 +111,8 @@
 #[test]
 fn change_behind_a_gap_is_told() {
     let mut feed = listed();
-    feed.hear(at(1_000), said(14, 1_000, 9, &[("config", 14)]));
-    let changes = feed.changed(
+    feed.apply_update(at(1_000), said(14, 1_000, 9, &[("config", 14)]));
+    let changes = feed.apply_changes(
         at(1_100),
         at(1_050),
         Duration::ZERO,
@@ -121,7 +121,7 @@
     );
     assert!(changes.is_empty());
     let mut other = listed();
-    let news = other.hear(at(1_200), feed.tell(at(1_200), Some(0)).unwrap());
+    let news = other.apply_update(at(1_200), feed.outgoing_update(at(1_200), Some(0)).unwrap());
     assert_eq!(other.revision(), 14);
     assert!(
         news.iter().any(|c| c.item.revision == 14),
@@ -134,7 +134,7 @@
 #[test]
 fn silent_question_ends_within_its_bound() {
     let feed = listed();
-    let FeedAction::Watch(wait) = feed.next(at(100), None) else {
+    let FeedAction::Watch(wait) = feed.next_action(at(100), None) else {
         panic!("it asks");
     };
     let wait = Span(wait.as_micros() as u64);
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -145,11 +145,11 @@
 impl Vm {
     fn new() -> Self {
         let feed = Feed::new(PollPolicy {
-            bound: Span::from_millis(3_000),
-            lone_wait: Duration::from_millis(4_500),
-            lone_pause: Duration::from_millis(250),
-            pause: Duration::from_millis(150),
-            removes: true,
+            max_staleness: Span::from_millis(3_000),
+            max_solo_wait: Duration::from_millis(4_500),
+            solo_pause: Duration::from_millis(250),
+            shared_pause: Duration::from_millis(150),
+            has_removals: true,
         });
         Self {
             feed,
@@ -171,7 +171,7 @@
     fn answer(&mut self, now: Moment, asked: Moment, answer: Answer) {
         let changes = match answer {
             Answer::Forgotten => {
-                self.feed.expired();
+                self.feed.mark_expired();
                 return;
             }
             Answer::List(revision, items) => {
@@ -180,24 +180,24 @@
                         self.beliefs.insert(i.name.clone(), content(i));
                     }
                 }
-                self.feed.listed(now, asked, revision, &items)
+                self.feed.apply_list(now, asked, revision, &items)
             }
             Answer::Changes(revision, changes) => {
                 self.feed
-                    .changed(now, asked, Duration::ZERO, revision, changes)
+                    .apply_changes(now, asked, Duration::ZERO, revision, changes)
             }
         };
         for change in changes {
             if self.take(&change) {
-                self.feed.keep(now, change);
+                self.feed.share(now, change);
             }
         }
     }
 
     fn hear(&mut self, now: Moment, said: TopicUpdate, blind: Option<SkippedRange>) {
         let changes = match blind {
-            None => self.feed.hear(now, said),
-            Some(blind) => self.feed.hear_over(now, said, blind),
+            None => self.feed.apply_update(now, said),
+            Some(blind) => self.feed.apply_update_over(now, said, blind),
         };
         for change in changes {
             self.take(&change);
@@ -255,7 +255,7 @@
         vm.question = Some(Question {
             asked: self.now,
             since: vm.feed.revision(),
-            list: vm.feed.next(self.now, None) == FeedAction::List,
+            list: vm.feed.next_action(self.now, None) == FeedAction::List,
             answer: None,
         });
     }
@@ -297,8 +297,8 @@
     }
 
     fn tell(&mut self, n: usize) {
-        if let Some(said) = self.vms[n].feed.tell(self.now, Some(0)) {
-            let blind = self.vms[n].feed.blind();
+        if let Some(said) = self.vms[n].feed.outgoing_update(self.now, Some(0)) {
+            let blind = self.vms[n].feed.skipped();
             let others = (0..VMS).filter(|other| *other != n);
             self.said
                 .extend(others.map(|other| (other, said.clone(), blind)));
--- a/lib/tests/test_serving_members.rs
+++ b/lib/tests/test_serving_members.rs
@@ -31,7 +31,7 @@
 #[case::largest(700, 3_200)]
 fn beat_by_the_size_of_the_fleet(#[case] vms: u16, #[case] ms: u64) {
     let members = fleet(vms);
-    assert_eq!(members.beat(), Span::from_millis(ms));
+    assert_eq!(members.beacon_interval(), Span::from_millis(ms));
     assert_eq!(members.report_delay(), Span::from_millis(ms + 100));
 }
 
@@ -42,7 +42,7 @@
 #[case::small(8, false, false)]
 #[case::grown(89, false, true)]
 fn shares_news_by_the_fleet(#[case] vms: u16, #[case] fenced: bool, #[case] shares: bool) {
-    assert_eq!(fleet(vms).shares_news(fenced), shares);
+    assert_eq!(fleet(vms).shares_updates(fenced), shares);
 }
 
 fn at(ms: u64) -> Moment {
@@ -52,7 +52,7 @@
 /// A VM of zone z-0 in a fleet of zones, all of them heard at the start.
 fn zoned(zones: u16, each: u16) -> Members {
     let mut members = Members::new("vm-0".parse().unwrap(), at(0));
-    members.allow_relays("z-0".parse().unwrap());
+    members.enable_relays("z-0".parse().unwrap());
     for i in 1..zones * each {
         let vm: VmName = format!("vm-{i}").parse().unwrap();
         members.set_address(vm.clone(), address(i));
@@ -82,9 +82,9 @@
 #[case::large(5, 39, true)]
 fn beacons_cross_once_a_zone(#[case] zones: u16, #[case] each: u16, #[case] relays: bool) {
     let members = zoned(zones, each);
-    assert_eq!(members.relays(), relays);
-    assert_eq!(members.mates().count(), usize::from(each - 1));
-    let crossing = members.relay_vms(at(10), 1);
+    assert_eq!(members.uses_relays(), relays);
+    assert_eq!(members.direct_peers().count(), usize::from(each - 1));
+    let crossing = members.relay_targets(at(10), 1);
     assert_eq!(crossing.len(), usize::from(zones - 1));
 }
 
@@ -92,12 +92,14 @@
 #[test]
 fn relays_take_turns() {
     let mut members = zoned(2, 20);
-    let many: BTreeSet<_> = (0..20).flat_map(|n| members.relay_vms(at(10), n)).collect();
+    let many: BTreeSet<_> = (0..20)
+        .flat_map(|n| members.relay_targets(at(10), n))
+        .collect();
     assert_eq!(many.len(), 20);
     let alive: VmName = "vm-7".parse().unwrap();
     members.record_beacon(at(9_000), &alive, stamp(2, at(9_000)), false);
     let live: BTreeSet<_> = (0..20)
-        .flat_map(|n| members.relay_vms(at(9_010), n))
+        .flat_map(|n| members.relay_targets(at(9_010), n))
         .collect();
     assert_eq!(live, BTreeSet::from([address(7)]));
 }
@@ -106,13 +108,13 @@
 #[test]
 fn relays_before_anybody_is_heard() {
     let mut members = Members::new("vm-0".parse().unwrap(), at(0));
-    members.allow_relays("z-0".parse().unwrap());
+    members.enable_relays("z-0".parse().unwrap());
     for i in 1..20_u16 {
         let vm: VmName = format!("vm-{i}").parse().unwrap();
         members.set_address(vm.clone(), address(i));
         members.set_zone(&vm, "z-1".parse().unwrap());
     }
-    assert_eq!(members.relay_vms(at(0), 3).len(), 1);
+    assert_eq!(members.relay_targets(at(0), 3).len(), 1);
 }
 
 /// A relayed fleet's picture is as young at 195 VMs as at 40.
@@ -121,7 +123,7 @@
 #[case::large(195, 400)]
 #[case::larger(300, 800)]
 fn beat_where_beacons_are_relayed(#[case] vms: u16, #[case] ms: u64) {
-    assert_eq!(zoned(5, vms / 5).beat(), Span::from_millis(ms));
+    assert_eq!(zoned(5, vms / 5).beacon_interval(), Span::from_millis(ms));
 }
 
 /// Just one VM is the first in an order, and the next one follows when it is
@@ -161,13 +163,13 @@
 fn delay_of_a_late_datagram() {
     let mut members = zoned(2, 2);
     let vm: VmName = "vm-1".parse().unwrap();
-    assert_eq!(members.delay(&vm), None, "one beacon tells nothing");
+    assert_eq!(members.beacon_delay(&vm), None, "one beacon tells nothing");
     for n in 1..=3 {
         let sent = at(400 * n);
         members.record_beacon(at(400 * n + 2), &vm, stamp(n + 1, sent), false);
     }
     // The first one came at once.
-    assert_eq!(members.delay(&vm), Some(Span::from_millis(2)));
+    assert_eq!(members.beacon_delay(&vm), Some(Span::from_millis(2)));
     members.record_beacon(at(9_000), &vm, stamp(9, at(1_600)), false);
-    assert_eq!(members.delay(&vm), Some(Span::from_millis(7_400)));
+    assert_eq!(members.beacon_delay(&vm), Some(Span::from_millis(7_400)));
 }
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -114,7 +114,7 @@
             table: OwnerTable {
                 members: (0..guards.members).map(name).collect(),
                 ..OwnerTable::default()
-                    .repaired(&first, &BTreeSet::new(), &all)
+                    .reassigned(&first, &BTreeSet::new(), &all)
                     .unwrap()
             },
             revision: 1,
@@ -158,7 +158,7 @@
         vm.answers = later;
         let due: Vec<(u64, Moment, OwnerTable, u64)> = due;
         for (_, asked, table, revision) in due {
-            vm.own.take(at(ms), table, revision);
+            vm.own.apply_table(at(ms), table, revision);
             vm.own.confirm(asked);
         }
     }
@@ -171,8 +171,8 @@
             if !self.reaches(i, j) {
                 continue;
             }
-            let heard = self.vms[i].members.last_heard(&self.vms[j].name);
-            let after = heard.and_then(|(_, _, h)| self.vms[i].own.confirmed_after(h));
+            let heard = self.vms[i].members.last_beacon(&self.vms[j].name);
+            let after = heard.and_then(|(_, _, h)| self.vms[i].own.confirmation_offset(h));
             let to = &mut self.vms[j];
             let stamp = BeaconStamp {
                 incarnation: Incarnation(1),
@@ -180,11 +180,11 @@
                 sent: at(ms),
             };
             to.members.record_beacon(at(ms), &name, stamp, false);
-            to.own.hear(at(ms), &name, revision);
+            to.own.record_peer_revision(at(ms), &name, revision);
             if let Some((_, sent, _)) = heard {
-                to.members.echoed(&name, sent);
+                to.members.record_echo(&name, sent);
                 if let Some(after) = after {
-                    to.own.confirmed_by(revision, sent, after);
+                    to.own.confirm_from_peer(revision, sent, after);
                 }
             }
         }
@@ -198,7 +198,7 @@
             live.iter().position(|n| *n == vm.name).unwrap()
         };
         let first = ms == 0;
-        let asks = self.vms[i].own.asks(at(ms), rank);
+        let asks = self.vms[i].own.should_confirm(at(ms), rank);
         let news = ms.is_multiple_of(500) && self.vms[i].own.revision < self.revision;
         let waits = !self.vms[i].answers.is_empty();
         if !(first || asks || news) || waits || !self.reaches_store(i) {
@@ -230,7 +230,7 @@
             self.revision += 1;
             self.table = table.clone();
             let vm = &mut self.vms[i];
-            vm.own.take(at(ms), table, self.revision);
+            vm.own.apply_table(at(ms), table, self.revision);
             vm.own.confirm(at(ms));
         }
     }
@@ -239,12 +239,12 @@
         let vouched = match self.guards.echoes {
             true => {
                 let vm = &self.vms[i];
-                vm.members.vouched(&vm.own.table.members)
+                vm.members.acknowledged_until(&vm.own.table.members)
             }
             false => Some(at(u64::MAX / 2_000_000)),
         };
         let vm = &mut self.vms[i];
-        vm.own.vouch(at(ms), vouched);
+        vm.own.set_acknowledged_until(at(ms), vouched);
         if ms >= vm.woke + THAW && vm.own.token(at(ms), &self.replica).is_some() {
             self.orders.push((ms, i));
         }
@@ -355,14 +355,14 @@
     let all = BTreeSet::from(["i-1".parse::<ReplicaName>().unwrap()]);
     let none = BTreeSet::new();
     let (a, b): (VmName, VmName) = ("a".parse().unwrap(), "b".parse().unwrap());
-    let table = OwnerTable::default().repaired(&[a.clone()].into(), &none, &all);
+    let table = OwnerTable::default().reassigned(&[a.clone()].into(), &none, &all);
     let table = table
         .unwrap()
-        .repaired(&[b.clone()].into(), &none, &all)
+        .reassigned(&[b.clone()].into(), &none, &all)
         .unwrap();
     let name = all.first().unwrap();
     let mut own = Ownership::new(b, LEASE, false);
-    own.take(at(0), table, 7);
+    own.apply_table(at(0), table, 7);
     let mut token = |ms: u64| {
         own.confirm(at(ms));
         own.token(at(ms), name)
@@ -372,11 +372,11 @@
     let mut own = own.clone();
     own.invalidate();
     let table = own.table.clone();
-    own.take(at(0), table, 7);
-    own.hear(at(50), &a, 6);
+    own.apply_table(at(0), table, 7);
+    own.record_peer_revision(at(50), &a, 6);
     own.confirm(at(4_200));
     assert_eq!(own.token(at(4_200), name), None, "its table is older");
-    own.hear(at(60), &a, 7);
+    own.record_peer_revision(at(60), &a, 7);
     assert!(own.token(at(4_200), name).is_some());
 }
 
@@ -387,22 +387,22 @@
     let all = BTreeSet::from(["i-1".parse::<ReplicaName>().unwrap()]);
     let none = BTreeSet::new();
     let (a, b): (VmName, VmName) = ("a".parse().unwrap(), "b".parse().unwrap());
-    let table = OwnerTable::default().repaired(&[a.clone()].into(), &none, &all);
+    let table = OwnerTable::default().reassigned(&[a.clone()].into(), &none, &all);
     let first = OwnerTable {
         members: [a.clone()].into(),
         ..table.unwrap()
     };
     let mut own = Ownership::new(b.clone(), LEASE, false);
-    own.take(at(0), first, 1);
+    own.apply_table(at(0), first, 1);
     let live: BTreeSet<VmName> = [b.clone()].into();
     let joined = own.proposal(at(0), &live, &all).unwrap();
     assert_eq!(joined.members, [a.clone(), b.clone()].into());
     assert_eq!(joined.owners, own.table.owners);
-    own.take(at(10), joined, 2);
+    own.apply_table(at(10), joined, 2);
     assert_eq!(own.proposal(at(19_000), &live, &all), None);
     let lost = own.proposal(at(20_100), &live, &all).unwrap();
     assert_eq!(lost.owners.values().next().unwrap().vm, b);
-    own.hear(at(11), &a, 2);
+    own.record_peer_revision(at(11), &a, 2);
     let lost = own.proposal(at(5_000), &live, &all).unwrap();
     assert_eq!(lost.members, live, "it knows of us, and is silent");
 }
--- a/lib/tests/test_serving_recency.rs
+++ b/lib/tests/test_serving_recency.rs
@@ -251,7 +251,7 @@
             let heard = heard
                 .iter()
                 .map(|(i, (incarnation, sent, at))| (&names[*i], *incarnation, *sent, *at));
-            let witnesses = me.witnesses.take(&me.recency, heard);
+            let witnesses = me.witnesses.next_batch(&me.recency, heard);
             let beacon = Message::Beacon {
                 from: vm,
                 incarnation: me.incarnation,
@@ -315,7 +315,7 @@
                 }
                 if guard == Guard::OwnBeacon {
                     if let Some(age) = age {
-                        me.recency.listed(Moment(now.0 - age.0));
+                        me.recency.confirm_list(Moment(now.0 - age.0));
                     }
                     return;
                 }
@@ -327,7 +327,7 @@
                     w.sent <= now && (w.reader == own || any && all.clone().any(former))
                 };
                 for w in witnesses.iter().filter(|w| mine(w)) {
-                    me.recency.witnessed(now, w.sent, w.after);
+                    me.recency.confirm_witness(now, w.sent, w.after_us);
                 }
             }
         }
@@ -389,8 +389,10 @@
             _ => asked,
         };
         match list || guard == Guard::DeafWatch {
-            true => me.recency.listed(from.after(Span::from_millis(waited))),
-            false => me.recency.watched(from, Span::from_millis(waited)),
+            true => me
+                .recency
+                .confirm_list(from.after(Span::from_millis(waited))),
+            false => me.recency.confirm_watch(from, Span::from_millis(waited)),
         }
     }
 
@@ -443,9 +445,9 @@
 fn recency_unread_configuration_proves_nothing() {
     let now = Moment(5_000_000);
     let mut recency = Recency::default();
-    recency.listed(now);
-    recency.read(false);
+    recency.confirm_list(now);
+    recency.set_readable(false);
     assert_eq!(recency.age(now), None);
-    recency.read(true);
+    recency.set_readable(true);
     assert_eq!(recency.age(now), Some(Span(0)));
 }
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -38,7 +38,7 @@
 #[test]
 fn table_spreads_and_keeps() {
     let first = OwnerTable::default()
-        .repaired(
+        .reassigned(
             &vms(&["a", "b"]),
             &vms(&[]),
             &replicas(&["1", "2", "3", "4"]),
@@ -53,7 +53,7 @@
     };
     assert_eq!((count("a"), count("b")), (2, 2));
     assert_eq!(
-        first.repaired(
+        first.reassigned(
             &vms(&["a", "b"]),
             &vms(&[]),
             &replicas(&["1", "2", "3", "4"])
@@ -61,7 +61,7 @@
         None
     );
     let lost = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1", "2", "3", "4"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1", "2", "3", "4"]))
         .unwrap();
     for (name, owner) in &lost.owners {
         let old = &first.owners[name];
@@ -81,21 +81,21 @@
 #[test]
 fn new_owner_waits_out_the_lease() {
     let first = OwnerTable::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
     let mut b = Ownership::new("b".parse().unwrap(), LEASE, true);
-    assert!(a.take(at(0), first, 1));
+    assert!(a.apply_table(at(0), first, 1));
     assert!(
         a.token(at(0), &name).is_some(),
         "a new replica needs no wait"
     );
-    assert!(a.take(at(10), second.clone(), 2));
-    assert!(b.take(at(10), second, 2));
+    assert!(a.apply_table(at(10), second.clone(), 2));
+    assert!(b.apply_table(at(10), second, 2));
     assert_eq!(a.token(at(10), &name), None);
     assert_eq!(b.token(at(3_010), &name), None);
     assert!(b.token(at(5_000), &name).is_some());
@@ -104,11 +104,11 @@
 #[test]
 fn refused_token_is_used_no_more() {
     let table = OwnerTable::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
-    a.take(at(0), table, 1);
+    a.apply_table(at(0), table, 1);
     let token = a.token(at(0), &name).unwrap();
     a.record_refusal(&name, token);
     assert_eq!(a.token(at(9_000), &name), None);
@@ -118,28 +118,28 @@
 #[test]
 fn suspended_owner_orders_nothing() {
     let table = OwnerTable::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
-    a.take(at(0), table.clone(), 1);
+    a.apply_table(at(0), table.clone(), 1);
     a.invalidate();
     assert_eq!(a.token(at(1), &name), None);
-    a.take(at(2), table, 1);
+    a.apply_table(at(2), table, 1);
     assert!(a.token(at(2), &name).is_some());
 }
 
 #[test]
 fn older_table_is_dropped() {
     let first = OwnerTable::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
-    assert!(a.take(at(0), second, 2));
-    assert!(!a.take(at(1), first, 1));
+    assert!(a.apply_table(at(0), second, 2));
+    assert!(!a.apply_table(at(1), first, 1));
 }
 
 /// The first live VM repairs at once, the next one a step later.
@@ -187,20 +187,20 @@
 #[test]
 fn restarted_owner_does_not_wait_twice() {
     let first = OwnerTable::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let (live, all) = (vms(&["b"]), replicas(&["1"]));
     let mut b = Ownership::new("b".parse().unwrap(), LEASE, true);
-    b.take(at(0), second.clone(), 2);
+    b.apply_table(at(0), second.clone(), 2);
     assert_eq!(b.proposal(at(4_000), &live, &all), None);
     let settled = b.proposal(at(5_000), &live, &all).unwrap();
     assert_eq!(settled.owners[&name].token, second.owners[&name].token);
     let mut again = Ownership::new("b".parse().unwrap(), LEASE, true);
-    again.take(at(60_000), settled, 3);
+    again.apply_table(at(60_000), settled, 3);
     assert!(again.token(at(60_000), &name).is_some());
 }
 
@@ -210,15 +210,15 @@
 fn owners_of_replicas_that_left_are_remembered() {
     let none = vms(&[]);
     let first = OwnerTable::default();
-    let first = first.repaired(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
+    let first = first.reassigned(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
     let first = first.unwrap();
-    let left = first.repaired(&vms(&["a", "b"]), &none, &replicas(&["2"]));
+    let left = first.reassigned(&vms(&["a", "b"]), &none, &replicas(&["2"]));
     let left = left.unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     assert_eq!(left.owners.get(&name), None);
-    let back = left.repaired(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
+    let back = left.reassigned(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
     assert_eq!(back.unwrap().owners[&name], first.owners[&name]);
-    let lost = left.repaired(&vms(&["b"]), &none, &replicas(&["1", "2"]));
+    let lost = left.reassigned(&vms(&["b"]), &none, &replicas(&["1", "2"]));
     assert_eq!(lost.unwrap().owners[&name].former, vms(&["a"]));
 }
 
@@ -227,9 +227,12 @@
 fn former_owners_add_up() {
     let none = vms(&[]);
     let all = replicas(&["1"]);
-    let table = OwnerTable::default().repaired(&vms(&["a"]), &none, &all);
-    let table = table.unwrap().repaired(&vms(&["b"]), &none, &all);
-    let table = table.unwrap().repaired(&vms(&["c"]), &none, &all).unwrap();
+    let table = OwnerTable::default().reassigned(&vms(&["a"]), &none, &all);
+    let table = table.unwrap().reassigned(&vms(&["b"]), &none, &all);
+    let table = table
+        .unwrap()
+        .reassigned(&vms(&["c"]), &none, &all)
+        .unwrap();
     let owner = table.owners.values().next().unwrap();
     assert_eq!(owner.former, vms(&["a", "b"]));
 }
@@ -238,9 +241,9 @@
 #[test]
 fn unjudged_owner_keeps_and_gets_nothing() {
     let none = vms(&[]);
-    let table = OwnerTable::default().repaired(&vms(&["a"]), &none, &replicas(&["1"]));
+    let table = OwnerTable::default().reassigned(&vms(&["a"]), &none, &replicas(&["1"]));
     let table = table.unwrap();
-    let next = table.repaired(&vms(&["b"]), &vms(&["a"]), &replicas(&["1", "2", "3"]));
+    let next = table.reassigned(&vms(&["b"]), &vms(&["a"]), &replicas(&["1", "2", "3"]));
     let next = next.unwrap();
     let owner = |name: &str| next.owners[name].vm.to_string();
     assert_eq!([owner("1"), owner("2"), owner("3")], ["a", "b", "b"]);
