--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -148,9 +148,9 @@
     }
     let owned = b.ownership.owned();
     told.loads = owned
-        .filter_map(|n| load_reports::load(b, now, n))
+        .filter_map(|n| load_reports::total_load(b, now, n))
         .collect();
-    told.store = follow::tell(node, b, now);
+    told.store = follow::outgoing_updates(node, b, now);
     let strikes = b.strikes.recent(now, STRIKES_TOLD);
     told.strikes = strikes
         .iter()
@@ -168,8 +168,8 @@
     let now = now();
     let told = common(node, b, now, number);
     if b.members.uses_relays() {
-        let mut sendings = relay::sendings(b, now, told);
-        sendings.extend(load_reports::all_reports(node, b, now));
+        let mut sendings = relay::relay_datagrams(b, now, told);
+        sendings.extend(load_reports::full_reports(node, b, now));
         return sendings;
     }
     let mut told = told;
@@ -178,7 +178,7 @@
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
     let names = b.local_uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
-    let mut flights = load_reports::by_owner(node, b, now, names);
+    let mut flights = load_reports::flights_by_owner(node, b, now, names);
     // What is the same for all is encoded once; each receiver's own part
     // follows it, as messages can be joined.
     let common = encode(told);
@@ -187,7 +187,7 @@
         let mut bytes = common.clone();
         bytes.extend(encode(wire::Beacon {
             flights: flights.remove(&vm).unwrap_or_default(),
-            echo: renewal::echo(node, b, &vm),
+            echo: renewal::echo_for(node, b, &vm),
             ..wire::Beacon::default()
         }));
         sendings.push((bytes, address));
@@ -243,7 +243,7 @@
                 beacons.for_each(|beacon| take_beacon(&node, beacon, from));
             }
             Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
-            Ok(Some(Body::Report(report))) => load_reports::take_report(&node, &report),
+            Ok(Some(Body::Report(report))) => load_reports::handle_report(&node, &report),
             Ok(Some(Body::PlaceAsk(ask))) => places::handle_place_ask(&node, &ask).await,
             Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
             Ok(Some(Body::LeaseAsk(ask))) => charge::handle_lease_ask(&node, &ask).await,
@@ -279,12 +279,12 @@
         b.members.set_zone(&vm, zone);
     }
     b.members.set_lends(&vm, beacon.lends);
-    renewal::take(node, &mut b, now, &vm, &beacon);
+    renewal::handle_beacon(node, &mut b, now, &vm, &beacon);
     for book in &beacon.books {
         take_book(&mut b, now, &vm, book);
     }
     for l in &beacon.leaving {
-        if let Some(replica) = instance(&l.replica, l.born)
+        if let Some(replica) = parse_instance(&l.replica, l.born)
             && b.fleet.leave(&replica)
         {
             slog::info!(node.log, "replica"; "replica" => &l.replica, "draining" => true,
@@ -295,23 +295,23 @@
         b.strain.told(now, Span::from_millis(beacon.turns_ms));
     }
     for note in &beacon.strikes {
-        if let Some(replica) = instance(&note.replica, note.born) {
+        if let Some(replica) = parse_instance(&note.replica, note.born) {
             b.strikes.hear(now, Fingerprint(note.fingerprint), &replica);
         }
     }
     if beacon.complete {
-        load_reports::take_all(&mut b, now, &vm, &beacon.flights);
+        load_reports::apply_counts(&mut b, now, &vm, &beacon.flights);
     }
     for load in &beacon.loads {
-        load_reports::take_load(&mut b, now, &vm, load);
+        load_reports::handle_load(&mut b, now, &vm, load);
     }
     drop(b);
-    follow::hear(node, now, &beacon.store, &vm);
+    follow::apply_updates(node, now, &beacon.store, &vm);
     if !beacon.books.is_empty() {
         node.placement_wake.notify_waiters();
     }
     if beacon.pass_on {
-        relay::keep(&mut node.state(), vm, beacon);
+        relay::enqueue(&mut node.state(), vm, beacon);
     }
 }
 
@@ -323,7 +323,7 @@
 }
 
 /// A start of a replica by its parts; `None` if that is no name.
-pub(in crate::serving) fn instance(name: &str, born: u64) -> Option<Instance> {
+pub(in crate::serving) fn parse_instance(name: &str, born: u64) -> Option<Instance> {
     let name = name.parse().ok()?;
     Some(Instance {
         name,
@@ -332,13 +332,17 @@
 }
 
 /// The replica that a word is about, if it has not started anew since.
-pub(in crate::serving) fn current(b: &NodeState, name: &str, born: u64) -> Option<ReplicaName> {
-    let replica = instance(name, born)?;
+pub(in crate::serving) fn current_replica(
+    b: &NodeState,
+    name: &str,
+    born: u64,
+) -> Option<ReplicaName> {
+    let replica = parse_instance(name, born)?;
     b.fleet.is_current(&replica).then_some(replica.name)
 }
 
 fn take_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
-    let Some(name) = current(b, &book.replica, book.born) else {
+    let Some(name) = current_replica(b, &book.replica, book.born) else {
         return;
     };
     // One that lost the replica and has not heard of it speaks no more for it.
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -19,7 +19,7 @@
 use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::model::Target;
-use crate::serving::peers::beacons::current;
+use crate::serving::peers::beacons::current_replica;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -43,7 +43,7 @@
             let mut b = node.state();
             let b = &mut *b;
             let names: BTreeSet<_> = b.fleet.unreported().cloned().collect();
-            for (vm, flights) in by_owner(&node, b, now(), names) {
+            for (vm, flights) in flights_by_owner(&node, b, now(), names) {
                 if let Some(address) = b.members.address(&vm) {
                     sendings.push((write_report(&node, flights, false), address));
                 }
@@ -72,14 +72,14 @@
 
 /// All that this VM has under way, for each owner that it concerns; the counts
 /// of others lapse there.
-pub(in crate::serving) fn all_reports(
+pub(in crate::serving) fn full_reports(
     node: &Node,
     b: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
     let names = b.local_uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
-    let flights = by_owner(node, b, now, names);
+    let flights = flights_by_owner(node, b, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
         let address = b.members.address(&vm)?;
         Some((write_report(node, flights, true), address))
@@ -88,7 +88,7 @@
 }
 
 /// What this VM has under way at some replicas, by their owners.
-pub(in crate::serving) fn by_owner(
+pub(in crate::serving) fn flights_by_owner(
     node: &Node,
     b: &mut NodeState,
     now: Moment,
@@ -121,7 +121,7 @@
 }
 
 /// What all VMs have under way at a replica of ours.
-pub(in crate::serving) fn load(
+pub(in crate::serving) fn total_load(
     b: &NodeState,
     now: Moment,
     name: &ReplicaName,
@@ -155,7 +155,7 @@
 }
 
 /// An owner tells what all VMs have under way at its replica.
-pub(in crate::serving) fn take_load(
+pub(in crate::serving) fn handle_load(
     b: &mut NodeState,
     now: Moment,
     vm: &VmName,
@@ -169,7 +169,7 @@
 
 /// The owner of a replica says what all VMs have under way there.
 pub(in crate::serving) fn apply_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
-    if let Some(name) = current(b, &load.replica, load.born) {
+    if let Some(name) = current_replica(b, &load.replica, load.born) {
         let total = Load {
             requests: load.requests,
             tokens: load.tokens,
@@ -180,7 +180,7 @@
 }
 
 /// A VM tells what changed of its requests at replicas of ours.
-pub(in crate::serving) fn take_report(node: &Node, report: &wire::FlightReport) {
+pub(in crate::serving) fn handle_report(node: &Node, report: &wire::FlightReport) {
     let Ok(vm) = report.vm.parse::<VmName>() else {
         return;
     };
@@ -192,7 +192,7 @@
     }
     b.last_reports.insert(vm.clone(), stamp);
     if report.complete {
-        take_all(&mut b, now, &vm, &report.flights);
+        apply_counts(&mut b, now, &vm, &report.flights);
         return;
     }
     for (name, load) in read_flights(&mut b, now, &vm, &report.flights) {
@@ -201,7 +201,7 @@
 }
 
 /// A VM tells all that it has under way at replicas of ours.
-pub(in crate::serving) fn take_all(
+pub(in crate::serving) fn apply_counts(
     b: &mut NodeState,
     now: Moment,
     vm: &VmName,
@@ -220,7 +220,7 @@
 ) -> BTreeMap<ReplicaName, Load> {
     let mut counts = BTreeMap::new();
     for flight in flights {
-        let Some(name) = current(b, &flight.replica, flight.born) else {
+        let Some(name) = current_replica(b, &flight.replica, flight.born) else {
             continue;
         };
         for u in &flight.uses {
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -13,7 +13,7 @@
 
 /// The datagrams of a beat: what this VM tells goes to each VM of its zone,
 /// with what is to be passed on there, and to one VM in each other zone.
-pub(in crate::serving) fn sendings(
+pub(in crate::serving) fn relay_datagrams(
     b: &mut NodeState,
     now: Moment,
     told: wire::Beacon,
@@ -37,7 +37,7 @@
 
 /// A beacon is to be passed on with our next beat; a newer one of the same VM
 /// takes its place.
-pub(in crate::serving) fn keep(b: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
+pub(in crate::serving) fn enqueue(b: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
     beacon.pass_on = false;
     b.relay_queue.insert(vm, beacon);
 }
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -77,7 +77,7 @@
         let revision = answer.revision;
         for c in answer.changes {
             let told = TopicChange::new(c.item, c.removed, false);
-            apply_cluster(node, &StoreUpdate::One(&told));
+            apply_cluster(node, &StoreUpdate::Change(&told));
         }
         *since = revision.max(*since);
     }
@@ -107,7 +107,7 @@
 }
 
 /// What is told a VM of its last beacon.
-pub(in crate::serving) fn echo(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
+pub(in crate::serving) fn echo_for(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
     if node.settings.fencing {
         return None;
     }
@@ -120,7 +120,7 @@
 }
 
 /// Takes what a beacon says of the owner table and of our own beacons.
-pub(in crate::serving) fn take(
+pub(in crate::serving) fn handle_beacon(
     node: &Node,
     b: &mut NodeState,
     at: Moment,
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -37,7 +37,7 @@
     /// All objects of a topic.
     List(&'a [Item]),
     /// One object changed, or was removed.
-    One(&'a TopicChange),
+    Change(&'a TopicChange),
 }
 
 impl StoreUpdate<'_> {
@@ -45,8 +45,8 @@
     fn items(&self) -> &[Item] {
         match self {
             Self::List(items) => items,
-            Self::One(told) if told.removed => &[],
-            Self::One(told) => std::slice::from_ref(&told.item),
+            Self::Change(told) if told.removed => &[],
+            Self::Change(told) => std::slice::from_ref(&told.item),
         }
     }
 }
@@ -94,7 +94,7 @@
             b.replicas_listed = true;
             true
         }
-        StoreUpdate::One(told) if told.lapsed => {
+        StoreUpdate::Change(told) if told.lapsed => {
             if let Ok(name) = told.item.name.parse::<ReplicaName>() {
                 node.state().fleet.lapse(at, &name);
                 slog::info!(node.log, "replica lapsed"; "replica" => name.as_str(),
@@ -102,11 +102,11 @@
             }
             true
         }
-        StoreUpdate::One(told) if told.removed => {
+        StoreUpdate::Change(told) if told.removed => {
             unlist(node, &told.item, "removed");
             true
         }
-        StoreUpdate::One(told) => match read(&told.item) {
+        StoreUpdate::Change(told) => match read(&told.item) {
             Ok(listing) => take_replica(node, &told.item, listing),
             // It names no replica to use, whatever it named before.
             Err(()) => {
@@ -181,7 +181,7 @@
     if matches!(news, StoreUpdate::List(_)) {
         node.state().members.mark_listed();
     }
-    if let StoreUpdate::One(told) = news
+    if let StoreUpdate::Change(told) = news
         && told.removed
         && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -271,7 +271,7 @@
         if change.removed && !change.lapsed && topic == Topic::Replicas {
             apply::tell_leaving(node, &change);
         }
-        let news = StoreUpdate::One(&change);
+        let news = StoreUpdate::Change(&change);
         if take(node, topic, &news) {
             if !change.removed && topic == Topic::Replicas {
                 apply::tell_leaving(node, &change);
@@ -282,7 +282,12 @@
 }
 
 /// Takes what another VM tells of the store in its beacon.
-pub(in crate::serving) fn hear(node: &Node, at: Moment, told: &[wire::StoreNews], vm: &VmName) {
+pub(in crate::serving) fn apply_updates(
+    node: &Node,
+    at: Moment,
+    told: &[wire::StoreNews],
+    vm: &VmName,
+) {
     for news in told {
         let Some(topic) = Topic::from_number(news.topic) else {
             continue;
@@ -318,7 +323,7 @@
             changes
         };
         for change in &changes {
-            take(node, topic, &StoreUpdate::One(change));
+            take(node, topic, &StoreUpdate::Change(change));
         }
         if topic == Topic::Config {
             take_witnesses(node, &mut node.state(), at, news);
@@ -344,7 +349,11 @@
 }
 
 /// What this VM tells the others of the store.
-pub(in crate::serving) fn tell(node: &Node, b: &mut NodeState, at: Moment) -> Vec<wire::StoreNews> {
+pub(in crate::serving) fn outgoing_updates(
+    node: &Node,
+    b: &mut NodeState,
+    at: Moment,
+) -> Vec<wire::StoreNews> {
     let said = |topic: Topic| {
         let rank = b.poll_rank(at, &node.settings, topic);
         let feed = b.feeds.get(topic);
