--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -52,7 +52,7 @@
 }
 
 /// Takes a configuration; the operator replaces it and never takes it away.
-pub(in crate::serving) fn take_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
+pub(in crate::serving) fn apply_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
         match (node.border.parse_config)(item) {
             Ok(config) => {
@@ -77,7 +77,7 @@
 
 /// Takes entries of replicas; gives whether one says more than which adapters
 /// it holds.
-pub(in crate::serving) fn take_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
+pub(in crate::serving) fn apply_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
         let listing = (node.border.parse_replica)(item);
@@ -140,7 +140,7 @@
 }
 
 /// The other VMs hear at once of a replica that this VM read to be leaving.
-pub(in crate::serving) fn tell_leaving(node: &Node, told: &TopicChange) {
+pub(in crate::serving) fn announce_leaving(node: &Node, told: &TopicChange) {
     let Ok(name) = told.item.name.parse::<ReplicaName>() else {
         return;
     };
@@ -159,7 +159,7 @@
 }
 
 /// Takes announced versions.
-pub(in crate::serving) fn take_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
+pub(in crate::serving) fn apply_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
         match (node.border.parse_version)(item) {
             Ok(a) => {
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -104,9 +104,9 @@
 /// What news of a topic changes; gives whether others should hear of it.
 fn take(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
     match topic {
-        Topic::Config => apply::take_config(node, news),
-        Topic::Replicas => apply::take_replicas(node, news),
-        Topic::Versions => apply::take_versions(node, news),
+        Topic::Config => apply::apply_config(node, news),
+        Topic::Replicas => apply::apply_replicas(node, news),
+        Topic::Versions => apply::apply_versions(node, news),
         Topic::Cluster => apply::apply_cluster(node, news),
     }
 }
@@ -269,12 +269,12 @@
 fn take_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
-            apply::tell_leaving(node, &change);
+            apply::announce_leaving(node, &change);
         }
         let news = StoreUpdate::Change(&change);
         if take(node, topic, &news) {
             if !change.removed && topic == Topic::Replicas {
-                apply::tell_leaving(node, &change);
+                apply::announce_leaving(node, &change);
             }
             node.state().feeds.get(topic).share(now(), change);
         }
