--- a/bench/benches/decision.rs
+++ b/bench/benches/decision.rs
@@ -78,7 +78,7 @@
     /// Makes every adapter known, as after days of work.
     fn ask_for_all(&mut self) {
         let thaw = self.now.after(Span(self.adapters.len() as u64 * 200));
-        self.pool.freeze(thaw);
+        self.pool.freeze_slots(thaw);
         for i in self.loaded..self.adapters.len() {
             let ticket = self.offer(i);
             self.pool.abandon(self.now, ticket);
@@ -96,8 +96,8 @@
             adapter: Some(self.adapters[adapter].clone()),
             class: Class::Interactive,
             deadline: self.now.after(Span::from_millis(3_600_000)),
-            prompt: 200,
-            output: 200,
+            prompt_tokens: 200,
+            max_tokens: 200,
             prefix: self.serial % 5_000,
             idempotent: true,
             fingerprint: Fingerprint(self.serial),
@@ -132,11 +132,11 @@
     fn turn(&mut self) {
         self.offer_loaded();
         if let Some(ticket) = self.running.pop_front() {
-            let finish = Finish {
+            let finish = DispatchEnd {
                 ticket,
                 outcome: Outcome::Answered,
                 tokens: 100,
-                first: Span::from_millis(50),
+                first_byte: Span::from_millis(50),
                 total: Span::from_millis(900),
             };
             self.pool.finish(self.now, finish);
--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -33,11 +33,11 @@
 fn config(service: &ServiceName, model: &ModelName) -> Config {
     let engine = Engine {
         slots: 64,
-        memory: 265_000,
-        adapters: ADAPTERS as u32,
-        stride: 8,
+        kv_tokens: 265_000,
+        adapter_slots: ADAPTERS as u32,
+        event_tokens: 8,
         models: BTreeMap::from([(model.clone(), 10_000)]),
-        loads: 40.0,
+        load_rate: 40.0,
     };
     let service = Service {
         name: service.clone(),
@@ -49,10 +49,10 @@
         routes: Vec::new(),
         services: BTreeMap::from([(service.name.clone(), service)]),
         limits: Limits {
-            head: 1,
-            body: 1,
-            head_time: Duration::ZERO,
-            idle: Duration::ZERO,
+            header_bytes: 1,
+            body_bytes: 1,
+            header_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         },
         organisations: None,
     }
@@ -66,9 +66,9 @@
             let target = Target::parse(&format!("{model}/a{}", i * ADAPTERS + a))?;
             Some((target, 1))
         });
-        fleet.list(Listing {
+        fleet.list(ReplicaInfo {
             name: name(i)?,
-            born: 0,
+            started_ms: 0,
             service: service.clone(),
             address: ([127, 0, 0, 1], 1_024 + i as u16).into(),
             zone: format!("z-{}", i % 4).parse().ok()?,
--- a/bench/src/capacity/decisions.rs
+++ b/bench/src/capacity/decisions.rs
@@ -11,7 +11,7 @@
 use banyangauge::pool::Arrival;
 use banyangauge::pool::Class;
 use banyangauge::pool::Command;
-use banyangauge::pool::Finish;
+use banyangauge::pool::DispatchEnd;
 use banyangauge::pool::LoadReport;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Outcome;
@@ -45,8 +45,8 @@
         adapter: Some(adapter.clone()),
         class: Class::Interactive,
         deadline: now.after(Span::from_millis(30_000)),
-        prompt: 20,
-        output: 100,
+        prompt_tokens: 20,
+        max_tokens: 100,
         prefix: number % 50,
         idempotent: true,
         fingerprint: Fingerprint(number),
@@ -89,7 +89,7 @@
         return 0.0;
     };
     // Every adapter has been asked for once.
-    pool.freeze(Moment(u64::MAX / 2));
+    pool.freeze_slots(Moment(u64::MAX / 2));
     for (i, a) in known.iter().enumerate() {
         now = now.after(Span(100));
         pool.offer(now, arrival(i as u64, now, a, &team));
@@ -116,11 +116,11 @@
             let total = Span::from_millis(500);
             pool.finish(
                 now,
-                Finish {
+                DispatchEnd {
                     ticket,
                     outcome: Outcome::Answered,
                     tokens: 100,
-                    first: Span::from_millis(20),
+                    first_byte: Span::from_millis(20),
                     total,
                 },
             );
--- a/bench/src/policy/sim.rs
+++ b/bench/src/policy/sim.rs
@@ -65,7 +65,7 @@
         to_both!(self, p => p.offer(now, a))
     }
 
-    fn finish(&mut self, now: Moment, f: Finish) {
+    fn finish(&mut self, now: Moment, f: DispatchEnd) {
         to_both!(self, p => p.finish(now, f))
     }
 
@@ -250,8 +250,8 @@
             adapter: Some(self.jobs.adapters[j.adapter].clone()),
             class: j.class,
             deadline: j.deadline,
-            prompt: j.prompt,
-            output: j.limit,
+            prompt_tokens: j.prompt,
+            max_tokens: j.limit,
             prefix: j.prefix,
             idempotent: true,
             fingerprint: Fingerprint(job as u64),
@@ -337,11 +337,11 @@
 
     fn finish(&mut self, ticket: Ticket, outcome: Outcome, tokens: u32, granted: Moment) {
         let total = self.now.since(granted);
-        let finish = Finish {
+        let finish = DispatchEnd {
             ticket,
             outcome,
             tokens,
-            first: Span(total.0 / u64::from(tokens.max(1))),
+            first_byte: Span(total.0 / u64::from(tokens.max(1))),
             total,
         };
         self.policy.finish(self.now, finish);
@@ -439,7 +439,7 @@
                 adapter,
                 evict,
             } => self.order(order, &replica, incarnation, adapter, evict),
-            Command::Convict { .. } => {}
+            Command::Block { .. } => {}
         }
     }
 
--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -4,20 +4,20 @@
 use std::collections::BTreeSet;
 
 use crate::claims::ClaimKey;
+use crate::claims::ClaimResult;
+use crate::claims::Claimant;
+use crate::claims::Durability;
 use crate::claims::Limits;
-use crate::claims::Record;
 use crate::claims::Segment;
 use crate::claims::State;
-use crate::claims::Verdict;
-use crate::claims::Who;
 use crate::claims::Write;
-use crate::claims::WriteEnd;
+use crate::claims::WriteOutcome;
 use crate::ids::Token;
 use crate::pool::Moment;
 
 #[derive(Clone, Debug)]
 struct Claim {
-    who: Option<Who>,
+    who: Option<Claimant>,
     state: State,
     // The segment that holds it, once it is recorded.
     place: Option<u64>,
@@ -43,7 +43,7 @@
     head: u64,
     pending: BTreeSet<ClaimKey>,
     // The segment that is being written and the claims that are new in it.
-    flying: Option<(u64, BTreeMap<ClaimKey, Option<Who>>)>,
+    flying: Option<(u64, BTreeMap<ClaimKey, Option<Claimant>>)>,
     last: Moment,
     orders: u64,
     ready: bool,
@@ -123,7 +123,7 @@
     }
 
     /// The writes of [`Journal::seal`] are done, with these versions in order.
-    pub fn sealed(&mut self, versions: &[String]) {
+    pub fn seal_done(&mut self, versions: &[String]) {
         let old = versions.len().saturating_sub(1);
         if let Some(version) = versions.first().filter(|_| old > 0)
             && let Some(place) = self.places.get_mut(&self.head)
@@ -151,14 +151,14 @@
 
     /// A request with a key arrives. A fresh key is the request's from now on,
     /// in memory only; nothing was written.
-    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Who) -> Verdict {
+    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Claimant) -> ClaimResult {
         match self.claims.get(key) {
             Some(claim) if claim.who.as_ref() == Some(who) => match claim.touched {
-                false => Verdict::Fresh,
-                true => Verdict::Seen(State::Unknown),
+                false => ClaimResult::Claimed,
+                true => ClaimResult::Duplicate(State::Unknown),
             },
-            Some(claim) => Verdict::Seen(claim.state),
-            None if self.is_full() => Verdict::Full,
+            Some(claim) => ClaimResult::Duplicate(claim.state),
+            None if self.is_full() => ClaimResult::Full,
             None => {
                 let claim = Claim {
                     who: Some(who.clone()),
@@ -168,27 +168,27 @@
                     at: now,
                 };
                 self.claims.insert(key.clone(), claim);
-                Verdict::Fresh
+                ClaimResult::Claimed
             }
         }
     }
 
-    /// The pool granted the request. `Recorded` when its claim is durable
+    /// The pool granted the request. `Durable` when its claim is durable
     /// already (a second try of the same request); otherwise it waits for a
     /// commit.
-    pub fn record(&mut self, key: &ClaimKey) -> Record {
+    pub fn record(&mut self, key: &ClaimKey) -> Durability {
         match self.claims.get(key) {
-            Some(claim) if claim.place.is_some() => Record::Recorded,
+            Some(claim) if claim.place.is_some() => Durability::Durable,
             Some(_) => {
                 self.pending.insert(key.clone());
-                Record::Waits
+                Durability::Pending
             }
-            None => Record::Lost,
+            None => Durability::Missing,
         }
     }
 
     /// A dispatch of the request may have run.
-    pub fn touch(&mut self, key: &ClaimKey) {
+    pub fn mark_started(&mut self, key: &ClaimKey) {
         if let Some(claim) = self.claims.get_mut(key) {
             claim.touched = true;
         }
@@ -199,7 +199,7 @@
     pub fn free(&mut self, now: Moment, key: &ClaimKey) {
         self.pending.remove(key);
         if self.claims.get(key).is_some_and(|c| c.touched) {
-            self.end(now, key, State::Unknown);
+            self.set_outcome(now, key, State::Unknown);
             return;
         }
         if let Some(claim) = self.claims.remove(key) {
@@ -208,7 +208,7 @@
     }
 
     /// The request ended.
-    pub fn end(&mut self, now: Moment, key: &ClaimKey, state: State) {
+    pub fn set_outcome(&mut self, now: Moment, key: &ClaimKey, state: State) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
@@ -219,9 +219,12 @@
         self.soil(now, place);
     }
 
-    /// The next write, when one is due. Its end goes to [`Journal::written`].
+    /// The next write, when one is due. Its end goes to [`Journal::write_done`].
     pub fn next_write(&mut self, now: Moment) -> Option<Write> {
-        if !self.is_ready() || self.flying.is_some() || now < self.last.after(self.limits.gap) {
+        if !self.is_ready()
+            || self.flying.is_some()
+            || now < self.last.after(self.limits.write_interval)
+        {
             return None;
         }
         let number = match self.pending.is_empty() {
@@ -245,30 +248,30 @@
         if !self.is_ready() || self.flying.is_some() {
             return None;
         }
-        let paced = self.last.after(self.limits.gap);
+        let paced = self.last.after(self.limits.write_interval);
         if !self.pending.is_empty() {
             return Some(paced);
         }
         let oldest = self.places.values().filter_map(|p| p.dirty).min()?;
-        Some(oldest.after(self.limits.lazy).max(paced))
+        Some(oldest.after(self.limits.outcome_delay).max(paced))
     }
 
     /// A write ended: the keys it was to record, and whether it did.
     ///
     /// Those that it did not record are free again; should the lost write take
     /// effect later, the next write to the segment leaves them out.
-    pub fn written(&mut self, now: Moment, end: WriteEnd) -> (Vec<ClaimKey>, bool) {
+    pub fn write_done(&mut self, now: Moment, end: WriteOutcome) -> (Vec<ClaimKey>, bool) {
         let Some((number, keys)) = self.flying.take() else {
             return (Vec::new(), false);
         };
         let done = match end {
-            WriteEnd::Done(version) => {
+            WriteOutcome::Done(version) => {
                 let place = self.places.entry(number).or_default();
                 place.version = Some(version);
                 place.dirty = None;
                 true
             }
-            WriteEnd::Open(found) => {
+            WriteOutcome::Unconfirmed(found) => {
                 self.adopt(number, found);
                 false
             }
@@ -309,7 +312,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.claims.len() >= self.limits.segment * self.limits.segments
+        self.claims.len() >= self.limits.segment_size * self.limits.max_segments
     }
 
     fn soil(&mut self, now: Moment, place: Option<u64>) {
@@ -325,7 +328,7 @@
 
     // The segment for new claims; a full one gives way to the next.
     fn place_pending(&mut self) -> u64 {
-        if self.count(self.head) >= self.limits.segment {
+        if self.count(self.head) >= self.limits.segment_size {
             self.head += 1;
             self.places.insert(self.head, Place::default());
         }
@@ -337,7 +340,7 @@
             .iter()
             .filter_map(|(n, p)| Some((p.dirty?, *n)))
             .min()
-            .filter(|(at, _)| now >= at.after(self.limits.lazy))
+            .filter(|(at, _)| now >= at.after(self.limits.outcome_delay))
             .map(|(_, n)| n)
     }
 
@@ -345,7 +348,7 @@
         if number != self.head {
             return BTreeSet::new();
         }
-        let room = self.limits.segment.saturating_sub(self.count(number));
+        let room = self.limits.segment_size.saturating_sub(self.count(number));
         let keys: BTreeSet<_> = self.pending.iter().take(room).cloned().collect();
         self.pending.retain(|k| !keys.contains(k));
         keys
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -11,32 +11,32 @@
     pub retention: Span,
     /// Claims in one segment. Each commit rewrites one segment, about 40 bytes
     /// a claim: 1,000 keep a commit near 40 KB, far below the megabyte.
-    pub segment: usize,
-    /// Segments; with `segment` this bounds memory and what a takeover reads.
+    pub segment_size: usize,
+    /// Segments; with `segment_size` this bounds memory and what a takeover reads.
     /// 64,000 claims in 10 minutes are 106 keyed calls a second.
-    pub segments: usize,
+    pub max_segments: usize,
     /// The shortest time between two writes: ten a second at the most, whatever
     /// the rate of keyed calls.
-    pub gap: Span,
+    pub write_interval: Span,
     /// How long an outcome may wait for a commit to travel with.
-    pub lazy: Span,
+    pub outcome_delay: Span,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             retention: Span::from_millis(600_000),
-            segment: 1_000,
-            segments: 64,
-            gap: Span::from_millis(100),
-            lazy: Span::from_millis(1_000),
+            segment_size: 1_000,
+            max_segments: 64,
+            write_interval: Span::from_millis(100),
+            outcome_delay: Span::from_millis(1_000),
         }
     }
 }
 
 /// The request that claims a key: an entry's own number for it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Who {
+pub struct Claimant {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
     /// Its number for the request.
@@ -45,24 +45,24 @@
 
 /// What the journal says of a request with a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ClaimResult {
     /// The key is this request's; it may be granted once it is recorded.
-    Fresh,
+    Claimed,
     /// Another request had the key.
-    Seen(State),
+    Duplicate(State),
     /// The journal is full.
     Full,
 }
 
 /// Whether a claim is durable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Record {
+pub enum Durability {
     /// It is.
-    Recorded,
+    Durable,
     /// The next commit makes it so.
-    Waits,
+    Pending,
     /// The journal does not hold it: the request may not be granted.
-    Lost,
+    Missing,
 }
 
 /// A write to the platform that the journal wants.
@@ -76,9 +76,9 @@
 
 /// How a write, with its reading back where that was needed, ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// Done; the new version.
     Done(String),
     /// Not done, or not known. What the platform holds now, when it was read.
-    Open(Option<(Segment, String)>),
+    Unconfirmed(Option<(Segment, String)>),
 }
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -13,11 +13,11 @@
 use crate::control::members;
 use crate::ids::PoolName;
 use crate::lease::Candidate;
-use crate::lease::Contest;
+use crate::lease::Elector;
+use crate::lease::HeldLease;
 use crate::lease::Record;
 use crate::lease::Step;
-use crate::lease::Tenure;
-use crate::lease::WriteEnd;
+use crate::lease::WriteOutcome;
 use crate::lease::rank;
 use crate::platform::List;
 use crate::platform::Platform;
@@ -44,7 +44,7 @@
     Changed(String, Option<(Record, String)>),
     WatchBroke,
     Read(PoolName, Result<Option<(Record, String)>, PlatformError>),
-    Written(PoolName, WriteEnd),
+    Written(PoolName, WriteOutcome),
 }
 
 fn object_name(pool: &PoolName) -> String {
@@ -55,7 +55,7 @@
     shared: Shared,
     local: Arc<Local>,
     events: mpsc::Sender<Event>,
-    contests: BTreeMap<PoolName, Contest>,
+    contests: BTreeMap<PoolName, Elector>,
     watching: bool,
 }
 
@@ -95,7 +95,7 @@
                 for (pool, contest) in &mut self.contests {
                     let name = object_name(pool);
                     let found = records.iter().find(|(n, _, _)| *n == name);
-                    contest.resume(now);
+                    contest.restart_ttl(now);
                     contest.observe(now, found.map(|(_, r, v)| (r.clone(), v.clone())));
                 }
             }
@@ -113,16 +113,16 @@
                 if let Some(contest) = self.contests.get_mut(&pool) {
                     match answer {
                         Ok(object) => {
-                            contest.read();
+                            contest.read_done();
                             contest.observe(now, object);
                         }
-                        Err(_) => contest.unread(now),
+                        Err(_) => contest.read_failed(now),
                     }
                 }
             }
             Event::Written(pool, end) => {
                 if let Some(contest) = self.contests.get_mut(&pool) {
-                    contest.written(now, end);
+                    contest.write_done(now, end);
                 }
             }
         }
@@ -141,7 +141,7 @@
         for (pool, contest) in &mut self.contests {
             settled.get(pool).inspect(|t| contest.set_settled(**t));
             deposed.get(pool).inspect(|t| contest.resign(**t));
-            if contest.tenure().is_none() && (!self.watching || stopping) {
+            if contest.lease().is_none() && (!self.watching || stopping) {
                 continue;
             }
             let stop = drained.get(pool).filter(|_| stopping);
@@ -169,7 +169,7 @@
                     address: self.shared.address,
                     incarnation: self.shared.incarnation,
                 };
-                Contest::new(me, self.local.settings.times())
+                Elector::new(me, self.local.settings.lease_timing())
             });
         }
     }
@@ -202,23 +202,23 @@
     }
 
     fn publish(&self) {
-        let held: BTreeMap<PoolName, Tenure> = self
+        let held: BTreeMap<PoolName, HeldLease> = self
             .contests
             .iter()
-            .filter_map(|(p, c)| Some((p.clone(), c.tenure()?.clone())))
+            .filter_map(|(p, c)| Some((p.clone(), c.lease()?.clone())))
             .collect();
-        let before = self.local.tenures.borrow().clone();
+        let before = self.local.leases.borrow().clone();
         if before != held {
             self.note_changes(&before, &held);
-            self.local.tenures.send_replace(held);
+            self.local.leases.send_replace(held);
         }
         self.publish_owners();
     }
 
     fn note_changes(
         &self,
-        before: &BTreeMap<PoolName, Tenure>,
-        after: &BTreeMap<PoolName, Tenure>,
+        before: &BTreeMap<PoolName, HeldLease>,
+        after: &BTreeMap<PoolName, HeldLease>,
     ) {
         let lost = before.iter().filter(|(p, t)| is_new(after, p, t));
         let gained = after.iter().filter(|(p, t)| is_new(before, p, t));
@@ -229,7 +229,7 @@
             metrics::counter!("lease_changes_total", "event" => kind.word()).increment(1);
             let about = About {
                 pool: pool.to_string(),
-                detail: format!("token {}, former {:?}", tenure.token.0, tenure.former),
+                detail: format!("token {}, former {:?}", tenure.token.0, tenure.predecessor),
                 ..About::default()
             };
             self.shared.recorder.record(kind, about);
@@ -259,11 +259,11 @@
     }
 
     fn is_over(&self) -> bool {
-        *self.shared.board.stopping.borrow() && self.contests.values().all(|c| c.tenure().is_none())
+        *self.shared.board.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
     }
 }
 
-fn is_new(other: &BTreeMap<PoolName, Tenure>, pool: &PoolName, tenure: &Tenure) -> bool {
+fn is_new(other: &BTreeMap<PoolName, HeldLease>, pool: &PoolName, tenure: &HeldLease) -> bool {
     other.get(pool).is_none_or(|t| t.token != tenure.token)
 }
 
@@ -283,12 +283,12 @@
     }
 }
 
-fn write_end(answer: Result<String, PlatformError>) -> WriteEnd {
+fn write_end(answer: Result<String, PlatformError>) -> WriteOutcome {
     match answer {
-        Ok(version) => WriteEnd::Done(version),
-        Err(PlatformError::Conflict | PlatformError::NotFound) => WriteEnd::Conflict,
-        Err(PlatformError::Lost(_) | PlatformError::Malformed(_)) => WriteEnd::Lost,
-        Err(_) => WriteEnd::Nothing,
+        Ok(version) => WriteOutcome::Done(version),
+        Err(PlatformError::Conflict | PlatformError::NotFound) => WriteOutcome::Conflict,
+        Err(PlatformError::Lost(_) | PlatformError::Malformed(_)) => WriteOutcome::Unknown,
+        Err(_) => WriteOutcome::NotApplied,
     }
 }
 
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -1,5 +1,5 @@
 //! The owner of one pool: an actor that feeds the pool and carries out what it
-//! decides. Its parts stand in `entries`, `dispatch` and `replicas`.
+//! decides. Its parts stand in `sessions`, `dispatch` and `replicas`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,25 +17,25 @@
 use crate::claims::ClaimKey;
 use crate::claims::Journal;
 use crate::claims::Segment;
-use crate::claims::WriteEnd;
+use crate::claims::WriteOutcome;
 use crate::control::Shared;
 use crate::control::clock;
 use crate::control::local::Local;
-use crate::control::owner::Book;
-use crate::control::owner::Facts;
-use crate::control::owner::Safety;
+use crate::control::owner::ExternalState;
+use crate::control::owner::RequestTable;
+use crate::control::owner::SafetyRules;
 use crate::control::owner::SessionId;
-use crate::control::owner::entries::message;
-use crate::control::owner::upkeep::AHEAD;
+use crate::control::owner::maintenance::AHEAD;
+use crate::control::owner::sessions::message;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
 use crate::ids::ReplicaName;
 use crate::ids::Token;
-use crate::lease::Tenure;
+use crate::lease::HeldLease;
 use crate::platform::PlatformError;
 use crate::pool::Health;
-use crate::pool::Held;
+use crate::pool::InheritedDispatch;
 use crate::pool::Moment;
 use crate::pool::OrderEnd;
 use crate::pool::OrderId;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// An entry opened a stream.
-    Open {
+    SessionOpened {
         /// The stream.
         session: SessionId,
         /// Its first message.
@@ -66,16 +66,16 @@
         out: mpsc::Sender<Result<wire::OwnerMessage, tonic::Status>>,
     },
     /// An entry says something.
-    Say {
+    EntryMessage {
         /// On which stream.
         session: SessionId,
         /// What.
         body: wire::entry_message::Body,
     },
     /// A stream ended.
-    Closed(SessionId),
+    SessionClosed(SessionId),
     /// A load report came, or none.
-    Reported {
+    LoadReport {
         /// Which replica.
         replica: ReplicaName,
         /// Where it was asked.
@@ -84,7 +84,7 @@
         report: Result<Report, OrderError>,
     },
     /// An engine was asked for its fence.
-    Fenced {
+    FenceAnswer {
         /// Which replica.
         replica: ReplicaName,
         /// Where it was asked.
@@ -97,7 +97,7 @@
         report: Report,
     },
     /// An order ended.
-    Ordered {
+    OrderEnded {
         /// Its number.
         order: OrderId,
         /// How it ended.
@@ -110,9 +110,9 @@
     /// The earlier owner was shut out of the journal, or not.
     JournalSealed(Result<Vec<String>, PlatformError>),
     /// A commit to the journal ended.
-    Committed(WriteEnd),
+    Committed(WriteOutcome),
     /// The lease is over: refuse what waits and end.
-    Ended,
+    LeaseEnded,
     /// Time passes.
     Tick,
 }
@@ -149,13 +149,13 @@
     pub(super) spec: PoolSpec,
     pub(super) catalog: Arc<Catalog>,
     pub(super) pool: Pool,
-    pub(super) book: Book,
-    pub(super) safety: Safety,
-    pub(super) facts: Facts,
+    pub(super) requests: RequestTable,
+    pub(super) safety: SafetyRules,
+    pub(super) facts: ExternalState,
     pub(super) journal: Journal,
     pub(super) held: BTreeMap<ClaimKey, (Ticket, wire::Grant)>,
     // Grants on replicas that the catalog here does not name yet.
-    pub(super) orphans: Vec<Held>,
+    pub(super) orphans: Vec<InheritedDispatch>,
     pub(super) outboxes: BTreeMap<SessionId, Outbox>,
     pub(super) replicas: BTreeMap<ReplicaName, Watched>,
     pub(super) orders: Orders,
@@ -192,7 +192,12 @@
 
 impl OwnerActor {
     /// An owner that knows nothing of its replicas yet.
-    pub fn new(shared: Shared, local: Arc<Local>, name: PoolName, tenure: Tenure) -> Option<Self> {
+    pub fn new(
+        shared: Shared,
+        local: Arc<Local>,
+        name: PoolName,
+        tenure: HeldLease,
+    ) -> Option<Self> {
         let catalog = shared.board.catalog.borrow().clone();
         let spec = catalog.pools.get(&name)?.clone();
         let honours = match &spec.kind {
@@ -207,18 +212,18 @@
         let reports = Orders::new(std::time::Duration::from_millis(times.report_ms));
         let limits = local.settings.claim_limits();
         let mut pool = new_pool(&catalog, &spec);
-        pool.freeze(clock::now().after(AHEAD));
+        pool.freeze_slots(clock::now().after(AHEAD));
         Some(Self {
             pool,
-            book: Book::new(tenure.token),
+            requests: RequestTable::new(tenure.token),
             journal: Journal::new(tenure.token, limits),
-            safety: Safety::new(honours, tenure, margin, quarantine),
+            safety: SafetyRules::new(honours, tenure, margin, quarantine),
             spec: PoolSpec {
                 replicas: Vec::new(),
                 ..spec
             },
             catalog: Arc::default(),
-            facts: Facts::default(),
+            facts: ExternalState::default(),
             held: BTreeMap::new(),
             orphans: Vec::new(),
             outboxes: BTreeMap::new(),
@@ -249,7 +254,7 @@
     }
 
     pub(super) fn token(&self) -> Token {
-        self.safety.tenure().token
+        self.safety.lease().token
     }
 
     /// Sends an event to this owner from a task of its own.
@@ -322,7 +327,7 @@
             step_us,
             ..
         } => PoolSettings::builder()
-            .weighing(*weighing)
+            .objective(*weighing)
             .loads_per_s(*loads_per_s)
             .step_us(*step_us)
             .shares(shares)
@@ -343,34 +348,34 @@
 
     async fn handle(&mut self, event: Event, ctx: &mut Context<Self>) {
         let now = clock::now();
-        let last = matches!(event, Event::Ended);
+        let last = matches!(event, Event::LeaseEnded);
         match event {
-            Event::Open {
+            Event::SessionOpened {
                 session,
                 hello,
                 out,
             } => self.open(now, session, &hello, out),
-            Event::Say { session, body } => self.say(now, session, body),
-            Event::Closed(session) => self.close(now, session),
-            Event::Reported {
+            Event::EntryMessage { session, body } => self.say(now, session, body),
+            Event::SessionClosed(session) => self.close(now, session),
+            Event::LoadReport {
                 replica,
                 address,
                 report,
             } => self.reported(now, &replica, address, report),
-            Event::Fenced {
+            Event::FenceAnswer {
                 replica,
                 address,
                 asked,
                 answer,
                 report,
             } => self.fenced(now, &replica, address, asked, answer, &report),
-            Event::Ordered { order, end } => self.ordered(now, order, end),
+            Event::OrderEnded { order, end } => self.ordered(now, order, end),
             Event::Unloading(true) => self.unloading += 1,
             Event::Unloading(false) => self.unloading = self.unloading.saturating_sub(1),
             Event::JournalRead(read) => self.journal_read(now, read),
             Event::JournalSealed(sealed) => self.journal_sealed(now, sealed),
             Event::Committed(end) => self.committed(now, end),
-            Event::Ended => self.depose(),
+            Event::LeaseEnded => self.depose(),
             Event::Tick => self.tick(now),
         }
         self.carry_out(now);
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -6,7 +6,7 @@
 use banyangauge_proto as wire;
 use wire::owner_message::Body as Answer;
 
-use crate::claims::Record;
+use crate::claims::Durability;
 use crate::control::clock;
 use crate::control::local::Local;
 use crate::control::owner::Event;
@@ -67,7 +67,7 @@
                 ticket,
                 reason,
                 retry_after,
-            } => self.refuse(now, ticket, reason.word(), retry_after),
+            } => self.refuse(now, ticket, reason.as_str(), retry_after),
             Command::Load {
                 order,
                 replica,
@@ -75,7 +75,7 @@
                 adapter,
                 evict,
             } => self.load(now, order, &replica, incarnation, adapter, evict),
-            Command::Convict { fingerprint, hold } => {
+            Command::Block { fingerprint, hold } => {
                 slog::warn!(self.shared.log, "convicted"; "pool" => %self.name,
                     "fingerprint" => fingerprint.0);
                 self.note(Kind::Convicted, None, "", &fingerprint.0.to_string());
@@ -95,10 +95,10 @@
         let address = self.replicas.get(replica).map(|r| r.address);
         let allowed = !self.deposed && self.safety.may_grant(now, replica, &self.facts);
         let Some(address) = address.filter(|_| allowed) else {
-            return self.take_back(now, ticket, Reason::Draining.word());
+            return self.take_back(now, ticket, Reason::Draining.as_str());
         };
-        let Some(item) = self.book.item(ticket) else {
-            return self.take_back(now, ticket, Reason::Draining.word());
+        let Some(item) = self.requests.get(ticket) else {
+            return self.take_back(now, ticket, Reason::Draining.as_str());
         };
         let grant = wire::Grant {
             request: item.request,
@@ -121,20 +121,20 @@
         };
         // The claim is durable before anybody can act on the grant.
         match self.journal.record(&key) {
-            Record::Recorded => self.send_grant(now, ticket, grant),
-            Record::Waits => {
+            Durability::Durable => self.send_grant(now, ticket, grant),
+            Durability::Pending => {
                 self.held.insert(key, (ticket, grant));
             }
-            Record::Lost => self.take_back(now, ticket, "platform_down"),
+            Durability::Missing => self.take_back(now, ticket, "platform_down"),
         }
     }
 
     /// Sends a grant; it counts as in use from here on.
     pub(super) fn send_grant(&mut self, now: Moment, ticket: Ticket, grant: wire::Grant) {
         let session = self
-            .book
-            .item(ticket)
-            .and_then(|i| self.book.session_of(&i.entry));
+            .requests
+            .get(ticket)
+            .and_then(|i| self.requests.session_of(&i.entry));
         // A commit takes time: whether to grant is asked again.
         let replica = ReplicaName::new(&grant.replica).ok();
         let allowed = !self.deposed
@@ -145,10 +145,11 @@
             None => false,
         };
         if !sent {
-            return self.take_back(now, ticket, Reason::Draining.word());
+            return self.take_back(now, ticket, Reason::Draining.as_str());
         }
         metrics::counter!("granted_total").increment(1);
-        self.book.grant(ticket, grant, now.after(self.grant_ttl()));
+        self.requests
+            .mark_granted(ticket, grant, now.after(self.grant_ttl()));
     }
 
     fn load(
@@ -204,7 +205,10 @@
                 Ok(()) => order_end(load_one(&load).await),
                 Err(e) => order_end(Err(e)),
             };
-            let _ = address.send(Event::Ordered { order, end }).detach().await;
+            let _ = address
+                .send(Event::OrderEnded { order, end })
+                .detach()
+                .await;
         });
     }
 
@@ -254,10 +258,10 @@
 // this still the owner? What is left is the time from here to the send.
 fn check(load: &Load) -> Result<(), OrderError> {
     let now = clock::now();
-    let tenures = load.local.tenures.borrow();
-    let tenure = tenures.get(&load.pool).filter(|t| t.token == load.token);
+    let leases = load.local.leases.borrow();
+    let tenure = leases.get(&load.pool).filter(|t| t.token == load.token);
     match tenure {
-        Some(t) if load.honours || now < t.until => Ok(()),
+        Some(t) if load.honours || now < t.valid_until => Ok(()),
         _ => Err(OrderError::Unreachable("the lease is over".to_owned())),
     }
 }
--- a/lib/src/control/owner/upkeep.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeSet;
 
 use crate::control::clock;
-use crate::control::owner::Facts;
+use crate::control::owner::ExternalState;
 use crate::control::owner::OwnerActor;
 use crate::control::uptime_ms;
-use crate::lease::Former;
+use crate::lease::Predecessor;
 use crate::pool::Moment;
 use crate::pool::Span;
 
@@ -17,14 +17,14 @@
 
 impl OwnerActor {
     pub(super) fn learn_facts(&mut self, now: Moment) {
-        let left = match &self.safety.tenure().former {
-            Former::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
+        let left = match &self.safety.lease().predecessor {
+            Predecessor::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
             _ => false,
         };
-        self.facts = Facts {
+        self.facts = ExternalState {
             majority: self.local.majority(now),
             former_left: left,
-            helloed: self.book.helloed().clone(),
+            synced: self.requests.synced().clone(),
         };
     }
 
@@ -33,9 +33,9 @@
     pub(super) fn follow_tenure(&mut self) {
         let token = self.token();
         let until = {
-            let tenures = self.local.tenures.borrow();
-            let tenure = tenures.get(&self.name).filter(|t| t.token == token);
-            tenure.map(|t| t.until)
+            let leases = self.local.leases.borrow();
+            let tenure = leases.get(&self.name).filter(|t| t.token == token);
+            tenure.map(|t| t.valid_until)
         };
         let higher = {
             let owners = self.shared.board.owners.borrow();
@@ -70,7 +70,7 @@
         for (fingerprint, until) in &board {
             if self.verdicts.get(fingerprint) != Some(until) {
                 let left = Span::from_millis(until.saturating_sub(uptime));
-                self.pool.convict(now, *fingerprint, left);
+                self.pool.block(now, *fingerprint, left);
             }
         }
         self.verdicts = board;
@@ -96,7 +96,7 @@
             });
         }
         if self.frozen {
-            self.pool.freeze(now.after(AHEAD));
+            self.pool.freeze_slots(now.after(AHEAD));
         }
         if self.keeping {
             self.pool.freeze_evictions(now.after(AHEAD));
@@ -119,7 +119,7 @@
             return;
         }
         // An earlier owner's grants may be out that nobody here knows of.
-        let entries = self.settled.then(|| self.book.entries());
+        let entries = self.settled.then(|| self.requests.entries());
         self.local.drained.send_if_modified(|drained| {
             let new = !drained.contains_key(&self.name);
             drained.insert(self.name.clone(), entries);
--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -1,29 +1,29 @@
 //! Owners of pools: each drives one [`Pool`](crate::pool::Pool).
 //!
-//! [`book`](Book) and [`safety`](Safety) are plain state; the actor carries
+//! [`requests`](RequestTable) and [`safety`](SafetyRules) are plain state; the actor carries
 //! out what they and the pool decide.
 
 mod actor;
-mod book;
 mod dispatch;
-mod duty;
-mod entries;
 mod journal;
-mod polling;
+mod maintenance;
+mod probes;
 mod replicas;
+mod requests;
 mod safety;
 mod service;
-mod upkeep;
+mod sessions;
+mod supervisor;
 
 pub use actor::Event;
 pub use actor::OwnerActor;
-pub use book::Book;
-pub use book::Item;
-pub use book::Opened;
-pub use book::SessionId;
-pub use duty::Registry;
-pub use duty::run;
-pub use safety::Facts;
-pub use safety::HEARD;
-pub use safety::Safety;
+pub use requests::RequestTable;
+pub use requests::SessionId;
+pub use requests::Superseded;
+pub use requests::TrackedRequest;
+pub use safety::ExternalState;
+pub use safety::MAJORITY_MAX_AGE;
+pub use safety::SafetyRules;
 pub use service::GrantsService;
+pub use supervisor::Registry;
+pub use supervisor::run;
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -11,41 +11,41 @@
 
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
-use crate::lease::Former;
-use crate::lease::Tenure;
+use crate::lease::HeldLease;
+use crate::lease::Predecessor;
 use crate::pool::Moment;
 use crate::pool::Span;
 
 /// How long an owner past its lease grants on a replica after the engine's
 /// last word that it has seen no higher token. Four polls; a successor adds it
 /// to its wait.
-pub(super) const CONFIRMED: Span = Span::from_millis(1_000);
+pub(super) const FENCE_MAX_AGE: Span = Span::from_millis(1_000);
 
 /// How recently a majority of peers must have answered for an owner past its
 /// lease to go on granting at engines that ignore tokens.
-pub const HEARD: Span = Span::from_millis(2_000);
+pub const MAJORITY_MAX_AGE: Span = Span::from_millis(2_000);
 
 /// Between the publication of a tenure and its being on every digest that
 /// this process sends.
-pub(super) const PUBLISHED: Span = Span::from_millis(100);
+pub(super) const PUBLISH_DELAY: Span = Span::from_millis(100);
 
 /// What the owner knows from outside at one moment.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct ExternalState {
     /// A majority of the configured peers has answered exchanges begun at this
     /// moment or later.
     pub majority: Moment,
     /// Whether the former owner's VM has left the platform's VM list.
     pub former_left: bool,
     /// Entries that have told which grants they hold.
-    pub helloed: BTreeSet<String>,
+    pub synced: BTreeSet<String>,
 }
 
 /// One owner's rules for its pool.
 #[derive(Clone, Debug)]
-pub struct Safety {
+pub struct SafetyRules {
     honours: bool,
-    tenure: Tenure,
+    tenure: HeldLease,
     margin: Span,
     quarantine: Span,
     // The incarnation that was fenced, first and last time.
@@ -54,9 +54,9 @@
     open: bool,
 }
 
-impl Safety {
+impl SafetyRules {
     /// Rules for a pool whose engines honour tokens, or ignore them.
-    pub fn new(honours: bool, tenure: Tenure, margin: Span, quarantine: Span) -> Self {
+    pub fn new(honours: bool, tenure: HeldLease, margin: Span, quarantine: Span) -> Self {
         Self {
             honours,
             tenure,
@@ -70,11 +70,11 @@
 
     /// The lease was renewed.
     pub fn renew(&mut self, until: Moment) {
-        self.tenure.until = until;
+        self.tenure.valid_until = until;
     }
 
     /// The tenure.
-    pub fn tenure(&self) -> &Tenure {
+    pub fn lease(&self) -> &HeldLease {
         &self.tenure
     }
 
@@ -110,12 +110,12 @@
             return true;
         };
         // Half of the limit, so that a slow answer does not interrupt grants.
-        *fenced != incarnation || (self.is_past(now) && now.since(*last).0 > CONFIRMED.0 / 2)
+        *fenced != incarnation || (self.is_past(now) && now.since(*last).0 > FENCE_MAX_AGE.0 / 2)
     }
 
     /// Whether the lease is past its end, as this process counts.
     pub fn is_past(&self, now: Moment) -> bool {
-        now >= self.tenure.until
+        now >= self.tenure.valid_until
     }
 
     /// Whether to grant or prolong on a replica.
@@ -124,14 +124,14 @@
     /// orders. Past it, which takes an outage of the platform, only while no
     /// successor can be about to change slots: engines that honour tokens say
     /// so themselves; for the others a majority of the peers does.
-    pub fn may_grant(&self, now: Moment, replica: &ReplicaName, facts: &Facts) -> bool {
+    pub fn may_grant(&self, now: Moment, replica: &ReplicaName, facts: &ExternalState) -> bool {
         if !self.honours {
-            return !self.is_past(now) || now <= facts.majority.after(HEARD);
+            return !self.is_past(now) || now <= facts.majority.after(MAJORITY_MAX_AGE);
         }
         let Some((_, _, last)) = self.fenced.get(replica) else {
             return false;
         };
-        !self.is_past(now) || now.since(*last) <= CONFIRMED
+        !self.is_past(now) || now.since(*last) <= FENCE_MAX_AGE
     }
 
     /// Whether to send an order now; asked immediately before each.
@@ -159,7 +159,7 @@
         &mut self,
         now: Moment,
         replicas: &BTreeSet<ReplicaName>,
-        facts: &Facts,
+        facts: &ExternalState,
     ) -> bool {
         if self.open {
             return false;
@@ -170,25 +170,33 @@
 
     // Whether an earlier owner may be alive and past its lease.
     fn former_may_grant(&self) -> bool {
-        matches!(self.tenure.former, Former::Lapsed(_) | Former::Unsettled)
+        matches!(
+            self.tenure.predecessor,
+            Predecessor::Lapsed(_) | Predecessor::Unsettled
+        )
     }
 
     fn grant_wait(&self) -> Span {
-        Span(self.tenure.former_ttl.0 + self.margin.0)
+        Span(self.tenure.predecessor_ttl.0 + self.margin.0)
     }
 
     fn fence_wait(&self) -> Span {
-        Span(CONFIRMED.0 + self.grant_wait().0)
+        Span(FENCE_MAX_AGE.0 + self.grant_wait().0)
     }
 
-    fn is_open(&mut self, now: Moment, replicas: &BTreeSet<ReplicaName>, facts: &Facts) -> bool {
-        let waited = now >= self.tenure.since.after(self.grant_wait());
-        match &self.tenure.former {
-            Former::None => true,
+    fn is_open(
+        &mut self,
+        now: Moment,
+        replicas: &BTreeSet<ReplicaName>,
+        facts: &ExternalState,
+    ) -> bool {
+        let waited = now >= self.tenure.acquired_at.after(self.grant_wait());
+        match &self.tenure.predecessor {
+            Predecessor::None => true,
             // Its last grant was sent before it ended.
-            Former::Ended | Former::Released(None) => waited,
-            Former::Released(Some(entries)) => waited || entries.is_subset(&facts.helloed),
-            Former::Lapsed(_) | Former::Unsettled if self.honours => {
+            Predecessor::Ended | Predecessor::Released(None) => waited,
+            Predecessor::Released(Some(entries)) => waited || entries.is_subset(&facts.synced),
+            Predecessor::Lapsed(_) | Predecessor::Unsettled if self.honours => {
                 // Unreachable replicas get nothing until they are fenced, and
                 // then are held by `may_evict`.
                 let last = replicas
@@ -198,9 +206,9 @@
                     .max();
                 last.is_some_and(|at| now >= at.after(self.fence_wait()))
             }
-            Former::Lapsed(_) if facts.former_left => waited,
-            Former::Lapsed(_) | Former::Unsettled => {
-                let told = facts.majority >= self.tenure.since.after(PUBLISHED);
+            Predecessor::Lapsed(_) if facts.former_left => waited,
+            Predecessor::Lapsed(_) | Predecessor::Unsettled => {
+                let told = facts.majority >= self.tenure.acquired_at.after(PUBLISH_DELAY);
                 if self.told.is_none() && told {
                     self.told = Some(now);
                 }
--- a/lib/src/control/owner/entries.rs
+++ b/lib/src/control/owner/sessions.rs
@@ -7,9 +7,9 @@
 use wire::owner_message::Body as Answer;
 
 use crate::claims::ClaimKey;
+use crate::claims::ClaimResult;
+use crate::claims::Claimant;
 use crate::claims::State;
-use crate::claims::Verdict;
-use crate::claims::Who;
 use crate::control::owner::OwnerActor;
 use crate::control::owner::SessionId;
 use crate::control::owner::actor::Outbox;
@@ -20,8 +20,8 @@
 use crate::ids::TeamName;
 use crate::pool::Arrival;
 use crate::pool::Class;
-use crate::pool::Finish;
-use crate::pool::Held;
+use crate::pool::DispatchEnd;
+use crate::pool::InheritedDispatch;
 use crate::pool::Moment;
 use crate::pool::Outcome;
 use crate::pool::Reason;
@@ -50,7 +50,7 @@
         let entry = format!("{}/{}", hello.entry, hello.incarnation);
         let numbers: BTreeSet<u64> = hello.held.iter().map(|g| g.grant).collect();
         self.outboxes.insert(session, out);
-        let opened = self.book.open(session, &entry, &numbers);
+        let opened = self.requests.open(session, &entry, &numbers);
         for ticket in opened.unused {
             self.finish(now, ticket, Outcome::NotRun);
         }
@@ -69,13 +69,13 @@
 
     pub(super) fn close(&mut self, now: Moment, session: SessionId) {
         self.outboxes.remove(&session);
-        for ticket in self.book.close(session) {
+        for ticket in self.requests.close(session) {
             self.forget(now, ticket);
         }
     }
 
     pub(super) fn say(&mut self, now: Moment, session: SessionId, said: Said) {
-        let Some(entry) = self.book.speaker(session).map(str::to_owned) else {
+        let Some(entry) = self.requests.entry_of(session).map(str::to_owned) else {
             return;
         };
         match said {
@@ -83,7 +83,7 @@
             Said::Hello(_) | Said::Revoked(_) => {}
             Said::Acquire(acquire) => self.acquire(now, session, &entry, acquire),
             Said::Abandon(abandon) => {
-                if let Some(ticket) = self.book.waiting(&entry, abandon.request) {
+                if let Some(ticket) = self.requests.waiting(&entry, abandon.request) {
                     self.forget(now, ticket);
                 }
             }
@@ -100,17 +100,17 @@
         let Ok(team) = TeamName::new(&grant.team) else {
             return;
         };
-        if grant.token > self.token().0 || !self.book.adopt(entry, grant, until) {
+        if grant.token > self.token().0 || !self.requests.adopt(entry, grant, until) {
             return;
         }
-        let held = Held {
+        let held = InheritedDispatch {
             ticket: Ticket(grant.grant),
             replica,
             incarnation: Incarnation(grant.incarnation),
             adapter: adapter_of(&grant.adapter, grant.version),
             team,
             class: class_of(grant.class),
-            output: grant.max_tokens,
+            max_tokens: grant.max_tokens,
             fingerprint: Fingerprint(grant.fingerprint),
         };
         match self.replicas.contains_key(&held.replica) {
@@ -122,7 +122,7 @@
     /// Counts grants on replicas that the catalog names only now.
     pub(super) fn adopt_orphans(&mut self, now: Moment) {
         for held in std::mem::take(&mut self.orphans) {
-            if self.book.item(held.ticket).is_none() {
+            if self.requests.get(held.ticket).is_none() {
                 continue;
             }
             match self.replicas.contains_key(&held.replica) {
@@ -135,31 +135,31 @@
     fn acquire(&mut self, now: Moment, session: SessionId, entry: &str, acquire: wire::Acquire) {
         let request = acquire.request;
         let Ok(team) = TeamName::new(&acquire.team) else {
-            return self.tell_refusal(session, request, Reason::NoReplica.word(), "");
+            return self.tell_refusal(session, request, Reason::NoReplica.as_str(), "");
         };
         if self.deposed || self.draining {
-            return self.tell_refusal(session, request, Reason::Draining.word(), "");
+            return self.tell_refusal(session, request, Reason::Draining.as_str(), "");
         }
         // Dispatched once: nothing tells whether the first try ran.
         if !acquire.idempotent && acquire.claim.is_empty() && acquire.attempt > 0 {
-            return self.tell_refusal(session, request, Reason::RetryBudget.word(), "");
+            return self.tell_refusal(session, request, Reason::RetryBudget.as_str(), "");
         }
-        if let Some(ticket) = self.book.waiting(entry, request) {
+        if let Some(ticket) = self.requests.waiting(entry, request) {
             self.forget(now, ticket);
         }
         let claim = match self.claim(now, entry, &acquire) {
             Ok(claim) => claim,
             Err((reason, state)) => return self.tell_refusal(session, request, reason, state),
         };
-        let ticket = self.book.enter(entry, acquire.clone(), claim);
+        let ticket = self.requests.enqueue(entry, acquire.clone(), claim);
         let arrival = Arrival {
             ticket,
             team,
             adapter: adapter_of(&acquire.adapter, acquire.version),
             class: class_of(acquire.class),
             deadline: now.after(Span::from_millis(acquire.deadline_ms)),
-            prompt: acquire.prompt_tokens,
-            output: acquire.max_tokens,
+            prompt_tokens: acquire.prompt_tokens,
+            max_tokens: acquire.max_tokens,
             prefix: acquire.prefix,
             idempotent: acquire.idempotent,
             fingerprint: Fingerprint(acquire.fingerprint),
@@ -188,20 +188,20 @@
             return Err(("platform_down", ""));
         }
         let key = ClaimKey::new(&acquire.claim);
-        let who = Who {
+        let who = Claimant {
             entry: entry.to_owned(),
             request: acquire.request,
         };
         match self.journal.claim(now, &key, &who) {
-            Verdict::Fresh => Ok(Some(key)),
-            Verdict::Seen(state) => Err(("claim", state.word())),
-            Verdict::Full => Err((Reason::QueueFull.word(), "")),
+            ClaimResult::Claimed => Ok(Some(key)),
+            ClaimResult::Duplicate(state) => Err(("claim", state.as_str())),
+            ClaimResult::Full => Err((Reason::QueueFull.as_str(), "")),
         }
     }
 
     fn release(&mut self, now: Moment, entry: &str, release: &wire::Release) {
         let ticket = Ticket(release.grant);
-        let Some(item) = self.book.item(ticket).filter(|i| i.entry == entry) else {
+        let Some(item) = self.requests.get(ticket).filter(|i| i.entry == entry) else {
             return;
         };
         let outcome = outcome_of(release.outcome);
@@ -212,14 +212,14 @@
         if let Some(key) = claim {
             self.end_claim(now, &key, outcome, &release.claim_outcome);
         }
-        self.book.remove(ticket);
+        self.requests.remove(ticket);
         self.pool.finish(
             now,
-            Finish {
+            DispatchEnd {
                 ticket,
                 outcome,
                 tokens: release.tokens,
-                first: Span::from_millis(release.first_ms),
+                first_byte: Span::from_millis(release.first_ms),
                 total: Span::from_millis(release.total_ms),
             },
         );
@@ -228,12 +228,12 @@
     fn end_claim(&mut self, now: Moment, key: &ClaimKey, outcome: Outcome, told: &str) {
         match (told, outcome) {
             ("answered", _) | ("", Outcome::Answered) => {
-                self.journal.end(now, key, State::Answered);
+                self.journal.set_outcome(now, key, State::Answered);
             }
             ("", Outcome::NotRun) => self.journal.free(now, key),
             // The entry may still settle it by resuming.
-            ("", Outcome::BrokenEarly | Outcome::BrokenLate) => self.journal.touch(key),
-            _ => self.journal.end(now, key, State::Unknown),
+            ("", Outcome::BrokenEarly | Outcome::BrokenLate) => self.journal.mark_started(key),
+            _ => self.journal.set_outcome(now, key, State::Unknown),
         }
     }
 
@@ -242,8 +242,8 @@
         let mut renewed = wire::Renewed::default();
         for number in &renew.grants {
             let replica = self
-                .book
-                .item(Ticket(*number))
+                .requests
+                .get(Ticket(*number))
                 .and_then(|i| i.grant.as_ref())
                 .and_then(|g| ReplicaName::new(&g.replica).ok());
             let Some(replica) = replica else {
@@ -254,7 +254,7 @@
                 // Neither prolonged nor unknown: the entry asks again.
                 continue;
             }
-            match self.book.renew(entry, *number, until) {
+            match self.requests.renew(entry, *number, until) {
                 true => renewed.grants.push(*number),
                 false => renewed.unknown.push(*number),
             }
@@ -265,7 +265,7 @@
     // A request that waits is no longer wanted.
     fn forget(&mut self, now: Moment, ticket: Ticket) {
         self.pool.abandon(now, ticket);
-        if let Some(key) = self.book.remove(ticket).and_then(|i| i.claim) {
+        if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
             self.unhold(now, ticket, &key);
             self.journal.free(now, &key);
         }
@@ -282,17 +282,17 @@
     /// Ends grants that lapsed: nobody uses them any more.
     pub(super) fn end_lapsed(&mut self, now: Moment) {
         let margin = Span::from_millis(self.local.settings.grants.margin_ms);
-        for ticket in self.book.lapsed(now, margin) {
+        for ticket in self.requests.expired(now, margin) {
             self.finish(now, ticket, Outcome::Cancelled);
         }
     }
 
     /// Ends a dispatch without word from its entry.
     pub(super) fn finish(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
-        if let Some(key) = self.book.remove(ticket).and_then(|i| i.claim) {
+        if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
             self.end_claim(now, &key, outcome, "");
         }
-        let finish = Finish {
+        let finish = DispatchEnd {
             outcome,
             ..not_run(ticket)
         };
@@ -307,14 +307,14 @@
 
     /// Tells the entry that a request did not run, and frees its key.
     pub(super) fn refuse(&mut self, now: Moment, ticket: Ticket, reason: &str, retry: Span) {
-        let Some(item) = self.book.remove(ticket) else {
+        let Some(item) = self.requests.remove(ticket) else {
             return;
         };
         if let Some(key) = &item.claim {
             self.journal.free(now, key);
         }
         metrics::counter!("refused_total", "reason" => reason.to_owned()).increment(1);
-        if let Some(session) = self.book.session_of(&item.entry) {
+        if let Some(session) = self.requests.session_of(&item.entry) {
             let refusal = wire::Refusal {
                 request: item.request,
                 reason: reason.to_owned(),
@@ -358,12 +358,12 @@
     wire::OwnerMessage { body: Some(answer) }
 }
 
-fn not_run(ticket: Ticket) -> Finish {
-    Finish {
+fn not_run(ticket: Ticket) -> DispatchEnd {
+    DispatchEnd {
         ticket,
         outcome: Outcome::NotRun,
         tokens: 0,
-        first: Span(0),
+        first_byte: Span(0),
         total: Span(0),
     }
 }
--- a/lib/src/lease/contest.rs
+++ b/lib/src/lease/elector.rs
@@ -5,12 +5,12 @@
 
 use crate::ids::Token;
 use crate::lease::Candidate;
-use crate::lease::Former;
+use crate::lease::HeldLease;
+use crate::lease::Predecessor;
 use crate::lease::Record;
 use crate::lease::Step;
-use crate::lease::Tenure;
-use crate::lease::Times;
-use crate::lease::WriteEnd;
+use crate::lease::Timing;
+use crate::lease::WriteOutcome;
 use crate::pool::Moment;
 use crate::pool::Span;
 
@@ -27,9 +27,9 @@
 
 /// One process's view of one lease.
 #[derive(Clone, Debug)]
-pub struct Contest {
+pub struct Elector {
     me: Candidate,
-    times: Times,
+    timing: Timing,
     known: bool,
     since: Moment,
     seen: Option<Seen>,
@@ -40,18 +40,18 @@
     order: u64,
     last: Moment,
     retry_at: Moment,
-    tenure: Option<Tenure>,
-    past: Option<(Former, Span)>,
+    tenure: Option<HeldLease>,
+    past: Option<(Predecessor, Span)>,
     settled: bool,
     resigned: Option<Token>,
 }
 
-impl Contest {
+impl Elector {
     /// A contest of which nothing is known yet.
-    pub fn new(me: Candidate, times: Times) -> Self {
+    pub fn new(me: Candidate, timing: Timing) -> Self {
         Self {
             me,
-            times,
+            timing,
             known: false,
             since: Moment(0),
             seen: None,
@@ -71,7 +71,7 @@
 
     /// The lease held, if it is; whether it is past its end is for the caller
     /// to compare.
-    pub fn tenure(&self) -> Option<&Tenure> {
+    pub fn lease(&self) -> Option<&HeldLease> {
         self.tenure.as_ref()
     }
 
@@ -134,7 +134,7 @@
     /// The platform is back after it could not be followed: the holder could
     /// not renew either, and gets a whole `ttl` to do so. Without this every
     /// pool would change its owner at the end of each outage.
-    pub fn resume(&mut self, now: Moment) {
+    pub fn restart_ttl(&mut self, now: Moment) {
         if let Some(seen) = &mut self.seen {
             seen.since = now;
         }
@@ -165,21 +165,21 @@
     }
 
     /// A read ended without an answer.
-    pub fn unread(&mut self, now: Moment) {
+    pub fn read_failed(&mut self, now: Moment) {
         self.busy = false;
-        self.retry_at = now.after(self.times.retry);
+        self.retry_at = now.after(self.timing.retry_delay);
     }
 
     /// A read ended with an answer, which is then passed to `observe`.
-    pub fn read(&mut self) {
+    pub fn read_done(&mut self) {
         self.busy = false;
     }
 
     /// The write of the last step ended.
-    pub fn written(&mut self, now: Moment, end: WriteEnd) {
+    pub fn write_done(&mut self, now: Moment, end: WriteOutcome) {
         self.busy = false;
         match end {
-            WriteEnd::Done(version) => {
+            WriteOutcome::Done(version) => {
                 if let Some(record) = self.attempt.take() {
                     self.settle(now, &record);
                     self.seen = Some(Seen {
@@ -189,14 +189,14 @@
                     });
                 }
             }
-            WriteEnd::Nothing => {
+            WriteOutcome::NotApplied => {
                 self.attempt = None;
-                self.retry_at = now.after(self.times.retry);
+                self.retry_at = now.after(self.timing.retry_delay);
             }
-            WriteEnd::Conflict | WriteEnd::Lost => {
+            WriteOutcome::Conflict | WriteOutcome::Unknown => {
                 self.known = false;
                 self.retry_at = match end {
-                    WriteEnd::Lost => now.after(self.times.retry),
+                    WriteOutcome::Unknown => now.after(self.timing.retry_delay),
                     _ => now,
                 };
             }
@@ -213,35 +213,35 @@
         // An own write of unknown date holds nothing until it is renewed.
         let sent = self.sent.get(&record.operation).copied();
         let until = sent.map_or(Moment(0), |s| {
-            Moment(s.0 + self.times.ttl.0 - self.margin())
+            Moment(s.0 + self.timing.ttl.0 - self.margin())
         });
         match &mut self.tenure {
-            Some(t) if t.token == record.token => t.until = t.until.max(until),
+            Some(t) if t.token == record.token => t.valid_until = t.valid_until.max(until),
             _ => {
                 let past = self.past.take();
-                let (former, former_ttl) =
-                    past.unwrap_or((Former::Unsettled, self.times.grant_ttl));
-                self.settled = former == Former::None;
-                self.tenure = Some(Tenure {
+                let (predecessor, predecessor_ttl) =
+                    past.unwrap_or((Predecessor::Unsettled, self.timing.grant_ttl));
+                self.settled = predecessor == Predecessor::None;
+                self.tenure = Some(HeldLease {
                     token: record.token,
-                    until,
-                    since: now,
-                    former,
-                    former_ttl,
+                    valid_until: until,
+                    acquired_at: now,
+                    predecessor,
+                    predecessor_ttl,
                 });
             }
         }
     }
 
     fn margin(&self) -> u64 {
-        self.times.margin.0.min(self.times.ttl.0)
+        self.timing.margin.0.min(self.timing.ttl.0)
     }
 
     fn step_holding(&mut self, now: Moment, stop: Option<&Option<BTreeSet<String>>>) -> Step {
         let Some(seen) = self.seen.clone() else {
             return Step::Wait;
         };
-        if stop.is_none() && now < self.last.after(self.times.renew) {
+        if stop.is_none() && now < self.last.after(self.timing.renew_interval) {
             return Step::Wait;
         }
         let mut record = seen.record;
@@ -252,7 +252,7 @@
     }
 
     fn step_contending(&mut self, now: Moment, rank: impl FnOnce() -> u64) -> Step {
-        let step = self.times.stagger.0;
+        let step = self.timing.stagger.0;
         let stagger = || Span(step * rank());
         let Some(seen) = self.seen.clone() else {
             if now < self.since.after(stagger()) {
@@ -262,17 +262,17 @@
         };
         let old = &seen.record;
         let ended = !old.released && old.is_of_predecessor(&self.me);
-        let (wait, former) = if old.released {
-            (Span(0), Former::Released(old.entries.clone()))
+        let (wait, predecessor) = if old.released {
+            (Span(0), Predecessor::Released(old.entries.clone()))
         } else if ended {
-            (Span(0), Former::Ended)
+            (Span(0), Predecessor::Ended)
         } else {
             let ttl = Span::from_millis(old.ttl_ms);
-            (ttl, Former::Lapsed(old.holder.clone()))
+            (ttl, Predecessor::Lapsed(old.holder.clone()))
         };
-        let former = match old.unsettled {
-            true => Former::Unsettled,
-            false => former,
+        let predecessor = match old.unsettled {
+            true => Predecessor::Unsettled,
+            false => predecessor,
         };
         let due = seen.since.after(wait);
         if now < due || !ended && now < due.after(stagger()) {
@@ -280,24 +280,24 @@
         }
         let ttl = Span::from_millis(old.granted_ttl);
         let record = self.fresh(Token(old.token.0 + 1));
-        self.send(now, Some(seen.version), record, Some((former, ttl)))
+        self.send(now, Some(seen.version), record, Some((predecessor, ttl)))
     }
 
     // Tokens go on rising after somebody deleted the object, as far as this
     // process knows; engines would refuse a lower one.
     fn send_first(&mut self, now: Moment) -> Step {
         let (token, past) = match &self.deleted {
-            None => (Token(1), (Former::None, Span(0))),
+            None => (Token(1), (Predecessor::None, Span(0))),
             Some(old) => (
                 Token(old.token.0 + 1),
                 (
-                    Former::Lapsed(old.holder.clone()),
+                    Predecessor::Lapsed(old.holder.clone()),
                     Span::from_millis(old.granted_ttl),
                 ),
             ),
         };
         let mut record = self.fresh(token);
-        record.unsettled = past.0 != Former::None;
+        record.unsettled = past.0 != Predecessor::None;
         self.send(now, None, record, Some(past))
     }
 
@@ -307,9 +307,9 @@
             address: self.me.address,
             incarnation: self.me.incarnation,
             token,
-            ttl_ms: self.times.ttl.as_millis(),
+            ttl_ms: self.timing.ttl.as_millis(),
             released: false,
-            granted_ttl: self.times.grant_ttl.as_millis(),
+            granted_ttl: self.timing.grant_ttl.as_millis(),
             unsettled: true,
             operation: String::new(),
             entries: None,
@@ -321,7 +321,7 @@
         now: Moment,
         version: Option<String>,
         mut record: Record,
-        past: Option<(Former, Span)>,
+        past: Option<(Predecessor, Span)>,
     ) -> Step {
         self.order += 1;
         record.operation = format!("{}-{:x}-{}", self.me.vm, self.me.incarnation.0, self.order);
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -1,6 +1,6 @@
 //! Ownership by lease: the arithmetic, apart from input and output.
 //!
-//! A [`Contest`] is one control process's view of one lease object. It is fed
+//! A [`Elector`] is one control process's view of one lease object. It is fed
 //! with what the platform said and asked what to do next; time is an argument
 //! and is read from a clock that also runs while the machine is suspended.
 //!
@@ -13,17 +13,17 @@
 //! different rates (200 parts per million over 3 s are 0.6 ms) and for the
 //! time from the check to the send of an order.
 
-mod contest;
+mod elector;
 mod rank;
 mod record;
 mod types;
 
-pub use contest::Contest;
+pub use elector::Elector;
 pub use rank::rank;
 pub use record::Candidate;
 pub use record::Record;
-pub use types::Former;
+pub use types::HeldLease;
+pub use types::Predecessor;
 pub use types::Step;
-pub use types::Tenure;
-pub use types::Times;
-pub use types::WriteEnd;
+pub use types::Timing;
+pub use types::WriteOutcome;
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -190,7 +190,7 @@
     }
 
     /// What the end of a dispatch teaches.
-    pub(super) fn learn(&mut self, now: Moment, f: &Finish, run: &Running) {
+    pub(super) fn learn(&mut self, now: Moment, f: &DispatchEnd, run: &Running) {
         match f.outcome {
             Outcome::Answered => self.learn_answer(f, run),
             Outcome::BrokenEarly | Outcome::BrokenLate => self.learn_break(now, run),
@@ -204,7 +204,7 @@
         }
     }
 
-    fn learn_answer(&mut self, f: &Finish, run: &Running) {
+    fn learn_answer(&mut self, f: &DispatchEnd, run: &Running) {
         self.budget.earn(self.settings.retry_share);
         self.verdicts.clear(run.fingerprint);
         self.service.learn(run.lane, f.tokens, f.total);
@@ -223,12 +223,12 @@
     /// the next crash convicts exactly it.
     fn learn_break(&mut self, now: Moment, run: &Running) {
         if run.solo {
-            let hold = self.settings.verdict;
-            self.commands.push(Command::Convict {
+            let hold = self.settings.block_for;
+            self.commands.push(Command::Block {
                 fingerprint: run.fingerprint,
                 hold,
             });
-            self.convict(now, run.fingerprint, hold);
+            self.block(now, run.fingerprint, hold);
         } else {
             self.verdicts
                 .suspect(now, run.fingerprint, &run.replica, run.incarnation);
--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -6,36 +6,36 @@
 //!
 //! | module | decides |
 //! |---|---|
-//! | `admit` | who may wait, who is refused and when to come back |
+//! | `admission` | who may wait, who is refused and when to come back |
 //! | `queue` | whose turn it is |
 //! | `dispatch` | where a request runs, what a replica runs next |
-//! | `gather` | when long work starts |
+//! | `batching` | when long work starts |
 //! | `loads` | which adapter is loaded next |
-//! | `evict` | where, and what gives up its slot |
-//! | `ahead` | what is loaded before it is asked for |
+//! | `eviction` | where, and what gives up its slot |
+//! | `prefetch` | what is loaded before it is asked for |
 //! | `health` | what reports and ends of dispatches mean |
-//! | `solo`, `verdicts` | which request crashes its upstream |
+//! | `isolation`, `poison` | which request crashes its upstream |
 
 mod adapter;
-mod admit;
-mod ahead;
-mod budget;
+mod admission;
+mod batching;
 mod demand;
 mod dispatch;
-mod evict;
-mod gather;
+mod eviction;
 mod health;
+mod isolation;
 mod loads;
+mod poison;
+mod prefetch;
 mod prefix;
 mod queue;
 mod replica;
-mod service;
+mod retry_budget;
+mod service_time;
 mod settings;
 mod slots;
-mod solo;
 mod state;
 mod types;
-mod verdicts;
 
 pub(crate) use demand::Demand;
 pub use settings::PoolSettings;
--- a/lib/src/pool/ahead.rs
+++ b/lib/src/pool/prefetch.rs
@@ -22,14 +22,14 @@
     /// comes is asked for much more than what goes; else near equals would
     /// chase each other out, and each such load holds up the next real one.
     pub(super) fn load_ahead(&mut self, now: Moment) {
-        if !self.settings.ahead || self.open.is_empty() {
+        if !self.settings.prefetch || self.open.is_empty() {
             return;
         }
         let half = self.half_life();
         let outlook = |a: &AdapterVersion| {
             let e = self.adapters.get(&Some(a.clone()))?;
             let known = e.backoff <= now && e.loading == 0 && e.demand.due(half) > now;
-            known.then(|| e.demand.outlook(now, half, SILENCE))
+            known.then(|| e.demand.expected_rate(now, half, SILENCE))
         };
         let missed = self.adapters.missed().take(LOADS_PROBED);
         let best = missed.filter_map(|a| Some((outlook(a)?, a)));
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -4,30 +4,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use super::types::Objective;
 use super::types::Shares;
 use super::types::Span;
-use super::types::Weighing;
 use crate::settings::BadValue;
 
 /// What an operator sets for a pool; the rest follows from the load.
 ///
 /// ```
 /// use banyangauge::pool::PoolSettings;
-/// use banyangauge::pool::Weighing;
+/// use banyangauge::pool::Objective;
 /// let s = PoolSettings::builder()
-///     .weighing(Weighing::Batch)
+///     .objective(Objective::Batch)
 ///     .loads_per_s(2.0)
 ///     .step_us(3_500)
 ///     .build();
 /// assert!(s.check().is_ok());
-/// assert_eq!(s.queue, PoolSettings::default().queue);
+/// assert_eq!(s.queue_limit, PoolSettings::default().queue_limit);
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolSettings {
     /// What the deployment weighs more.
-    #[builder(default = Weighing::Stalls)]
-    pub weighing: Weighing,
+    #[builder(default = Objective::Stalls)]
+    #[serde(rename = "weighing")]
+    pub objective: Objective,
     /// Loads a second that the weight store gives at full speed.
     #[builder(default = 3.0)]
     pub loads_per_s: f64,
@@ -39,7 +40,8 @@
     pub shares: Shares,
     /// The most requests of one team and class that may wait.
     #[builder(default = 256)]
-    pub queue: u32,
+    #[serde(rename = "queue")]
+    pub queue_limit: u32,
     /// The part of each replica's batch, in hundredths, that long work may
     /// hold; 0 is by the weighing: 75 for stalls, 100 for batch.
     #[builder(default)]
@@ -56,11 +58,13 @@
     /// long work must fill with what runs to be started at once; 0 starts it
     /// always.
     #[builder(default = 60)]
-    pub gather: u32,
+    #[serde(rename = "gather")]
+    pub batch_fill: u32,
     /// The longest that long work waits for company, in microseconds; never
     /// more than a tenth of the time to its deadline.
     #[builder(default = Span::from_millis(10_000))]
-    pub gather_for: Span,
+    #[serde(rename = "gather_for")]
+    pub batch_delay: Span,
     /// Retries allowed, in hundredths of the answers.
     #[builder(default = 10)]
     pub retry_share: u32,
@@ -71,7 +75,8 @@
     /// Whether adapters are loaded ahead of requests while nothing waits for a
     /// load.
     #[builder(default = true)]
-    pub ahead: bool,
+    #[serde(rename = "ahead")]
+    pub prefetch: bool,
     /// How many times a request must have run where an upstream broke before
     /// it is run alone. With 1 a request that crashes its upstream takes one
     /// batch of others down; with 2 it takes two, but what an engine loses
@@ -81,7 +86,8 @@
     /// How long a request stays convicted of crashing its upstream, in
     /// microseconds.
     #[builder(default = Span::from_millis(600_000))]
-    pub verdict: Span,
+    #[serde(rename = "verdict")]
+    pub block_for: Span,
 }
 
 impl Default for PoolSettings {
@@ -97,9 +103,9 @@
     /// are asked for once in a minute. Long work can wait for a load, so the
     /// second counts for more where full steps do.
     pub(super) fn half_life_us(&self) -> f64 {
-        match (self.half_life.0, self.weighing) {
-            (0, Weighing::Stalls) => 80e6,
-            (0, Weighing::Batch) => 200e6,
+        match (self.half_life.0, self.objective) {
+            (0, Objective::Stalls) => 80e6,
+            (0, Objective::Batch) => 200e6,
             (us, _) => us as f64,
         }
     }
@@ -111,9 +117,9 @@
     /// when the next place frees, which in a full batch of long work takes a
     /// fraction of a second.
     pub(super) fn long_part(&self) -> u32 {
-        match (self.long_cap, self.weighing) {
-            (0, Weighing::Stalls) => 75,
-            (0, Weighing::Batch) => 100,
+        match (self.long_cap, self.objective) {
+            (0, Objective::Stalls) => 75,
+            (0, Objective::Batch) => 100,
             (cap, _) => cap,
         }
     }
@@ -137,8 +143,8 @@
         if !(1..=10_000_000).contains(&self.step_us) {
             return bad("step_us", self.step_us.to_string(), "1 to 10000000");
         }
-        if self.queue == 0 {
-            return bad("queue", self.queue.to_string(), "1 or more");
+        if self.queue_limit == 0 {
+            return bad("queue", self.queue_limit.to_string(), "1 or more");
         }
         if self.long_cap > 100 {
             return bad("long_cap", self.long_cap.to_string(), "0 to 100");
@@ -149,8 +155,8 @@
         if self.strikes == 0 {
             return bad("strikes", self.strikes.to_string(), "1 or more");
         }
-        if self.gather > 100 {
-            return bad("gather", self.gather.to_string(), "0 to 100");
+        if self.batch_fill > 100 {
+            return bad("gather", self.batch_fill.to_string(), "0 to 100");
         }
         if self.long_floor > self.long_part() {
             return bad("long_floor", self.long_floor.to_string(), "0 to long_cap");
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -5,16 +5,16 @@
 
 use super::adapter::Adapters;
 use super::adapter::Target;
-use super::budget::RetryBudget;
+use super::poison::Verdicts;
 use super::prefix::Prefixes;
 use super::queue::Fair;
 use super::queue::Lane;
 use super::queue::Queue;
 use super::replica::Replica;
-use super::service::Service;
+use super::retry_budget::RetryBudget;
+use super::service_time::Service;
 use super::settings::PoolSettings;
 use super::types::*;
-use super::verdicts::Verdicts;
 use crate::ids::AdapterVersion;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
@@ -174,7 +174,7 @@
     }
 
     /// A dispatch ended, or its grant lapsed.
-    pub fn finish(&mut self, now: Moment, finish: Finish) {
+    pub fn finish(&mut self, now: Moment, finish: DispatchEnd) {
         if let Some(run) = self.running.remove(&finish.ticket) {
             self.learn(now, &finish, &run);
             let name = run.replica.clone();
@@ -186,7 +186,7 @@
     }
 
     /// A new owner learns of a dispatch under an earlier owner's grant.
-    pub fn adopt(&mut self, now: Moment, held: Held) {
+    pub fn adopt(&mut self, now: Moment, held: InheritedDispatch) {
         let lane = Lane::of(held.class);
         let run = Running {
             replica: held.replica,
@@ -200,7 +200,7 @@
     }
 
     /// Another process found that a request crashes its upstream.
-    pub fn convict(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
+    pub fn block(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
         self.verdicts.convict(now, fingerprint, now.after(hold));
         for ticket in self.queue.matching(|a| a.fingerprint == fingerprint) {
             self.turn_away(now, ticket, Reason::Convicted, hold);
@@ -210,7 +210,7 @@
 
     /// No slot changes before `until`: a new owner's quarantine at engines that
     /// ignore fencing tokens, where an earlier owner may still give orders.
-    pub fn freeze(&mut self, until: Moment) {
+    pub fn freeze_slots(&mut self, until: Moment) {
         self.frozen = self.frozen.max(until);
     }
 
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -82,9 +82,9 @@
     /// When its caller no longer wants the answer.
     pub deadline: Moment,
     /// Tokens in the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The most tokens it may generate.
-    pub output: u32,
+    pub max_tokens: u32,
     /// Hash of the prompt's head; 0 is none.
     pub prefix: u64,
     /// Whether it may run more than once.
@@ -119,7 +119,7 @@
 
 impl Reason {
     /// The word for it in error bodies and on the wire.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Deadline => "deadline",
             Self::QueueFull => "queue_full",
@@ -151,7 +151,7 @@
 
 /// The end of a dispatch.
 #[derive(Clone, Debug)]
-pub struct Finish {
+pub struct DispatchEnd {
     /// Which request.
     pub ticket: Ticket,
     /// How it ended.
@@ -159,14 +159,14 @@
     /// Tokens that were passed on.
     pub tokens: u32,
     /// From dispatch to the first byte; zero when there was none.
-    pub first: Span,
+    pub first_byte: Span,
     /// From dispatch to the end.
     pub total: Span,
 }
 
 /// A dispatch that a new owner learns of from an entry.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct InheritedDispatch {
     /// The owner's number for it.
     pub ticket: Ticket,
     /// Where it runs.
@@ -180,7 +180,7 @@
     /// Its class.
     pub class: Class,
     /// The most tokens it may generate.
-    pub output: u32,
+    pub max_tokens: u32,
     /// Hash of the whole request.
     pub fingerprint: Fingerprint,
 }
@@ -263,7 +263,7 @@
         evict: Option<AdapterVersion>,
     },
     /// The request crashes its upstream: refuse it everywhere until then.
-    Convict {
+    Block {
         /// Hash of the request.
         fingerprint: Fingerprint,
         /// How long the verdict holds.
@@ -287,7 +287,7 @@
 /// What a deployment weighs more.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Weighing {
+pub enum Objective {
     /// Requests that wait for their adapter (Tavuki).
     Stalls,
     /// Fullness of each engine step (Rezago).
--- a/lib/src/serving/beliefs/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -7,12 +7,12 @@
 
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::told::Blind;
-use crate::serving::beliefs::told::Said;
-use crate::serving::beliefs::told::Told;
-use crate::serving::beliefs::topic::Rhythm;
-use crate::serving::beliefs::topic::Topic;
-use crate::serving::peers::pack::pack;
+use crate::serving::cluster::topic::PollPolicy;
+use crate::serving::cluster::topic::Topic;
+use crate::serving::cluster::update::SkippedRange;
+use crate::serving::cluster::update::TopicChange;
+use crate::serving::cluster::update::TopicUpdate;
+use crate::serving::peers::compression::compress;
 use crate::serving::store::port::Item;
 
 /// How long a change is told: three beacons.
@@ -30,7 +30,7 @@
 
 /// What to do next about a topic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum FeedAction {
     /// Nothing before this moment.
     Wait(Moment),
     /// Read all of it.
@@ -55,16 +55,16 @@
 /// off VM keeps a change from another. The store stays the only truth.
 #[derive(Debug)]
 pub struct Feed {
-    rhythm: Rhythm,
+    rhythm: PollPolicy,
     known: Option<Known>,
     /// The objects that are there.
     names: BTreeSet<String>,
     /// The newest change of each object, with the time until which it is told.
-    recent: BTreeMap<String, (Moment, Told)>,
+    recent: BTreeMap<String, (Moment, TopicChange)>,
     /// All changes after this revision are among the recent ones.
     since: u64,
     /// The part of that over which a list stepped.
-    blind: Option<Blind>,
+    blind: Option<SkippedRange>,
     /// When this VM last had an answer.
     answered: Option<Moment>,
     /// Since when changes are missing that others know of.
@@ -82,7 +82,7 @@
 
 impl Feed {
     /// Nothing is known yet.
-    pub fn new(rhythm: Rhythm) -> Self {
+    pub fn new(rhythm: PollPolicy) -> Self {
         Self {
             rhythm,
             known: None,
@@ -116,62 +116,62 @@
     }
 
     /// Whether the store failed to answer this VM last.
-    pub fn is_out(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.outage
     }
 
     /// Whether a call failed a moment ago, so that the next one waits.
-    pub fn rests(&self, now: Moment) -> bool {
+    pub fn is_backing_off(&self, now: Moment) -> bool {
         self.retry.is_some_and(|at| at > now)
     }
 
     /// What the VM at place `rank` in the order of asking does next; `None`
     /// where each VM asks for itself.
-    pub fn next(&self, now: Moment, rank: Option<u64>) -> Next {
+    pub fn next_action(&self, now: Moment, rank: Option<u64>) -> FeedAction {
         if let Some(retry) = self.retry.filter(|at| *at > now) {
-            return Next::Wait(retry);
+            return FeedAction::Wait(retry);
         }
         let Some(known) = self.known.filter(|_| !self.expired) else {
-            return Next::List;
+            return FeedAction::List;
         };
         let Some(rank) = rank else {
-            return Next::Watch(self.rhythm.alone());
+            return FeedAction::Watch(self.rhythm.solo_wait());
         };
         if rank == 0 {
-            return Next::Watch(self.rhythm.wait());
+            return FeedAction::Watch(self.rhythm.shared_wait());
         }
-        let spread = self.rhythm.spread(rank);
+        let spread = self.rhythm.stagger(rank);
         let gap = self.gap.map(|at| at.after(Span(spread.0 / 2)));
-        let due = known.as_of.after(self.rhythm.limit(rank));
+        let due = known.as_of.after(self.rhythm.max_age(rank));
         let due = gap.map_or(due, |gap| gap.min(due));
         match due <= now {
-            true => Next::Watch(Duration::ZERO),
-            false => Next::Wait(due),
+            true => FeedAction::Watch(Duration::ZERO),
+            false => FeedAction::Wait(due),
         }
     }
 
     /// The pause after an answer with changes.
     pub fn pause(&self, rank: Option<u64>) -> Duration {
         match rank {
-            None => self.rhythm.lone_pause,
-            Some(_) => self.rhythm.pause,
+            None => self.rhythm.solo_pause,
+            Some(_) => self.rhythm.shared_pause,
         }
     }
 
     /// The whole topic, asked for at `asked`. Gives what changed since what was
     /// known; the first time there is nothing that it could follow on from.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Moment,
         asked: Moment,
         revision: u64,
         items: &[Item],
-    ) -> Vec<Told> {
+    ) -> Vec<TopicChange> {
         let names: BTreeSet<_> = items.iter().map(|i| i.name.clone()).collect();
         let Some(known) = self.known else {
             let newest = items.iter().map(|i| i.revision).max().unwrap_or(0);
             // What was removed before is not known.
-            self.since = match self.rhythm.removes {
+            self.since = match self.rhythm.has_removals {
                 true => revision,
                 false => newest,
             };
@@ -190,16 +190,16 @@
         }
         let present = items
             .iter()
-            .map(|item| Told::new(item.clone(), false, false));
+            .map(|item| TopicChange::new(item.clone(), false, false));
         let gone = self.names.difference(&names).map(|name| {
             let mut item = Item::empty(name);
             item.revision = revision;
-            Told::new(item, true, self.outage)
+            TopicChange::new(item, true, self.outage)
         });
         let changes = self.admit(present.chain(gone).collect());
         // What is never removed cannot have come and gone in between.
-        if self.rhythm.removes {
-            self.step_over(Blind {
+        if self.rhythm.has_removals {
+            self.step_over(SkippedRange {
                 from: known.revision,
                 to: revision,
             });
@@ -208,26 +208,26 @@
         changes
     }
 
-    fn step_over(&mut self, blind: Blind) {
-        self.blind = Some(self.blind.map_or(blind, |b| b.join(blind)));
+    fn step_over(&mut self, blind: SkippedRange) {
+        self.blind = Some(self.blind.map_or(blind, |b| b.merge(blind)));
     }
 
     /// The part of the history that is told over which a list stepped.
-    pub fn blind(&self) -> Option<Blind> {
+    pub fn skipped(&self) -> Option<SkippedRange> {
         self.blind.filter(|b| b.to > self.since)
     }
 
     /// What changed, asked for at `asked` by a question that waited at least
     /// `waited`: an answer without changes says that there were none so long.
     /// Gives the changes, with what is to be told of each.
-    pub fn changed(
+    pub fn apply_changes(
         &mut self,
         now: Moment,
         asked: Moment,
         waited: Duration,
         revision: u64,
         changes: Vec<(Item, bool)>,
-    ) -> Vec<Told> {
+    ) -> Vec<TopicChange> {
         let as_of = match changes.is_empty() {
             true => asked
                 .after(Span(u64::try_from(waited.as_micros()).unwrap_or(0)))
@@ -243,7 +243,7 @@
     /// The changes of an answer as they are told. The revision of an object that
     /// is gone may be that of its content: it is gone as of the answer, or until
     /// its next change.
-    fn dated(&self, revision: u64, changes: Vec<(Item, bool)>) -> Vec<Told> {
+    fn dated(&self, revision: u64, changes: Vec<(Item, bool)>) -> Vec<TopicChange> {
         let mut next = BTreeMap::new();
         let mut told = Vec::new();
         for (mut item, removed) in changes.into_iter().rev() {
@@ -252,14 +252,14 @@
                 item.revision = after - 1;
             }
             next.insert(item.name.clone(), item.revision);
-            told.push(Told::new(item, removed, removed && self.outage));
+            told.push(TopicChange::new(item, removed, removed && self.outage));
         }
         told.reverse();
         told
     }
 
     /// Those changes that are news, which are known from now on.
-    fn admit(&mut self, changes: Vec<Told>) -> Vec<Told> {
+    fn admit(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
         let changes: Vec<_> = changes.into_iter().filter(|c| self.is_new(c)).collect();
         for c in &changes {
             let name = c.item.name.clone();
@@ -276,7 +276,7 @@
     /// may be answered after another VM told of something newer: taken late, an
     /// older change would be told on in place of the newer one, and whoever
     /// knows the older one would believe that it knows all.
-    fn is_new(&self, change: &Told) -> bool {
+    fn is_new(&self, change: &TopicChange) -> bool {
         let revision = change.item.revision;
         let ahead = self.ahead.get(&change.item.name);
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
@@ -304,9 +304,9 @@
     }
 
     /// A change is worth telling the other VMs.
-    pub fn keep(&mut self, now: Moment, mut change: Told) {
-        if change.packed.is_empty() {
-            change.packed = pack(change.item.spec.get());
+    pub fn share(&mut self, now: Moment, mut change: TopicChange) {
+        if change.compressed.is_empty() {
+            change.compressed = compress(change.item.spec.get());
         }
         let until = now.after(TOLD_FOR);
         self.recent
@@ -314,15 +314,15 @@
     }
 
     /// The store did not answer, or with a failure.
-    pub fn failed(&mut self, now: Moment, rank: Option<u64>) {
+    pub fn record_failure(&mut self, now: Moment, rank: Option<u64>) {
         self.outage = true;
-        let pause = self.rhythm.retry_pause(rank, self.failures);
+        let pause = self.rhythm.retry_backoff(rank, self.failures);
         self.failures += 1;
         self.retry = Some(now.after(pause));
     }
 
     /// The store forgot what changed since our revision: all is read anew.
-    pub fn expired(&mut self) {
+    pub fn mark_expired(&mut self) {
         self.expired = true;
     }
 
@@ -332,7 +332,7 @@
     /// content of an object holds whatever was missed. A VM that the store
     /// turns away is not left on an old configuration that way, though only the
     /// store can fill its gap.
-    pub fn hear(&mut self, now: Moment, said: Said) -> Vec<Told> {
+    pub fn apply_update(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
         let Some(known) = &mut self.known else {
             return Vec::new();
         };
@@ -343,7 +343,7 @@
         let follows = said.since <= known.revision;
         let changes = self.admit(said.changes);
         for c in &changes {
-            self.keep(now, c.clone());
+            self.share(now, c.clone());
         }
         if follows {
             self.advance(said.revision, said.as_of);
@@ -358,12 +358,17 @@
 
     /// The same where the other VM stepped over a part of the history: within
     /// that, an object may have come that this VM knows of, and gone again.
-    pub fn hear_over(&mut self, now: Moment, mut said: Said, blind: Blind) -> Vec<Told> {
-        if blind.hides(self.revision()) {
+    pub fn apply_update_over(
+        &mut self,
+        now: Moment,
+        mut said: TopicUpdate,
+        blind: SkippedRange,
+    ) -> Vec<TopicChange> {
+        if blind.contains(self.revision()) {
             said.since = said.revision;
         }
         let to = said.revision;
-        let changes = self.hear(now, said);
+        let changes = self.apply_update(now, said);
         if self.revision() == to {
             self.step_over(blind);
         }
@@ -372,15 +377,15 @@
 
     /// What this VM tells the others: nothing unless it is one of the first to
     /// ask, and had an answer lately.
-    pub fn tell(&mut self, now: Moment, rank: Option<u64>) -> Option<Said> {
+    pub fn outgoing_update(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
         let known = self.known?;
-        let over = |(until, _): &(Moment, Told)| *until <= now;
+        let over = |(until, _): &(Moment, TopicChange)| *until <= now;
         for (_, (_, change)) in self.recent.extract_if(.., |_, kept| over(kept)) {
             self.since = self.since.max(change.item.revision);
         }
         let answered = self.answered?;
         let tells = rank.is_some_and(|rank| rank < TELLERS);
-        if !tells || now.since(answered) >= self.rhythm.bound {
+        if !tells || now.since(answered) >= self.rhythm.max_staleness {
             return None;
         }
         let mut newest: Vec<_> = self.recent.values().map(|(_, c)| c).collect();
@@ -389,7 +394,7 @@
         let mut bytes = 0;
         let mut changes = Vec::new();
         for change in newest {
-            bytes += change.item.name.len() + change.packed.len();
+            bytes += change.item.name.len() + change.compressed.len();
             if bytes > MOST_TOLD {
                 since = since.max(change.item.revision);
                 break;
@@ -397,7 +402,7 @@
             changes.push(change.clone());
         }
         changes.reverse();
-        Some(Said {
+        Some(TopicUpdate {
             revision: known.revision,
             as_of: known.as_of,
             since,
@@ -417,13 +422,13 @@
 
 impl Feeds {
     /// Nothing is known yet of any.
-    pub fn new(rhythm: impl Fn(Topic) -> Rhythm) -> Self {
+    pub fn new(rhythm: impl Fn(Topic) -> PollPolicy) -> Self {
         let feed = |topic| Feed::new(rhythm(topic));
         Self {
             config: feed(Topic::Config),
             replicas: feed(Topic::Replicas),
             versions: feed(Topic::Versions),
-            own: feed(Topic::Own),
+            own: feed(Topic::Cluster),
         }
     }
 
@@ -433,7 +438,7 @@
             Topic::Config => &mut self.config,
             Topic::Replicas => &mut self.replicas,
             Topic::Versions => &mut self.versions,
-            Topic::Own => &mut self.own,
+            Topic::Cluster => &mut self.own,
         }
     }
 }
--- a/lib/src/serving/beliefs/table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -31,7 +31,7 @@
 
 /// All owners, as kept in the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Table {
+pub struct OwnerTable {
     /// The highest token that was given; it only rises.
     pub term: Token,
     /// The owners.
@@ -45,9 +45,9 @@
     pub gone: BTreeMap<ReplicaName, Owner>,
 }
 
-impl Table {
+impl OwnerTable {
     /// How many replicas have another owner than in an older table.
-    pub fn moved(&self, old: &Self) -> usize {
+    pub fn count_moved(&self, old: &Self) -> usize {
         let same = |name, owner: &Owner| old.owners.get(name).is_some_and(|o| o.vm == owner.vm);
         self.owners.iter().filter(|(n, o)| !same(*n, o)).count()
     }
@@ -56,7 +56,7 @@
     /// nothing is to change. Replicas of live owners stay where they are: each
     /// change of owner stops loads there for a lease. So do those of owners
     /// that may not be judged yet, which get no others.
-    pub fn repaired(
+    pub fn reassigned(
         &self,
         live: &BTreeSet<VmName>,
         unjudged: &BTreeSet<VmName>,
--- a/lib/src/serving/beliefs/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -8,7 +8,7 @@
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::table::Table;
+use crate::serving::cluster::owner_table::OwnerTable;
 
 /// How much later each further VM proposes a change than the one before it by
 /// name: a proposal is in force everywhere within about a second.
@@ -21,7 +21,7 @@
 /// How long a VM owns its replicas after the table was known to be the newest.
 /// It is confirmed each 0.6 s by one VM and told with the beacons, each 0.4 s:
 /// two lost beacons in a row leave it in office.
-pub const HOLD: Span = Span::from_millis(2_400);
+pub const OWNERSHIP_TTL: Span = Span::from_millis(2_400);
 
 /// How old the first VM by name lets the confirmation become: with a beat and
 /// one lost beacon on top, the others still learn of it in time.
@@ -69,7 +69,7 @@
 /// Made for VMs that are killed, frozen or cut off while they own replicas. A
 /// replica's orders must come from one VM at a time, with a lease between two.
 /// Where replicas check fences, a VM that lost one is stopped by the replica.
-/// Elsewhere the ownership ends by itself, [`HOLD`] after the store was last
+/// Elsewhere the ownership ends by itself, [`OWNERSHIP_TTL`] after the store was last
 /// known to hold no newer table, and a new owner waits until that is over and
 /// a lease has passed, or until the ones before it say that they know.
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
     lease: Span,
     fenced: bool,
     /// The table and its revision in the store.
-    pub table: Table,
+    pub table: OwnerTable,
     /// The revision; 0 while there is no table.
     pub revision: u64,
     terms: BTreeMap<ReplicaName, Term>,
@@ -105,7 +105,7 @@
             vm,
             lease,
             fenced,
-            table: Table::default(),
+            table: OwnerTable::default(),
             revision: 0,
             terms: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// Takes the table as the store has it; older revisions are dropped.
-    pub fn take(&mut self, now: Moment, table: Table, revision: u64) -> bool {
+    pub fn apply_table(&mut self, now: Moment, table: OwnerTable, revision: u64) -> bool {
         if revision <= self.revision {
             return false;
         }
@@ -154,7 +154,7 @@
     fn longest_wait(&self) -> Span {
         match self.fenced {
             true => Span(self.lease.0 + NEWS_LAG.0),
-            false => Span(HOLD.0 + self.lease.0 + ORDER_REACH.0),
+            false => Span(OWNERSHIP_TTL.0 + self.lease.0 + ORDER_REACH.0),
         }
     }
 
@@ -168,7 +168,7 @@
 
     /// How many microseconds after another VM's beacon was heard the table was
     /// last known to be the newest; before it if negative. It is told that VM.
-    pub fn confirmed_after(&self, heard: Moment) -> Option<i64> {
+    pub fn confirmation_offset(&self, heard: Moment) -> Option<i64> {
         let confirmed = i64::try_from(self.confirmed?.0).ok()?;
         confirmed.checked_sub_unsigned(heard.0)
     }
@@ -179,7 +179,7 @@
     /// It heard that after we sent it. So what it knew some time after it heard
     /// it was so at least as long after we sent it, however long either
     /// datagram was on its way.
-    pub fn confirmed_by(&mut self, revision: u64, sent: Moment, after: i64) {
+    pub fn confirm_from_peer(&mut self, revision: u64, sent: Moment, after: i64) {
         let at = sent.0.checked_add_signed(after);
         if let Some(at) = at.filter(|_| revision <= self.revision) {
             self.confirm(Moment(at));
@@ -193,7 +193,7 @@
 
     /// Whether this VM, the `rank`th by name, is to ask the store now whether
     /// the table is the newest.
-    pub fn asks(&self, now: Moment, rank: usize) -> bool {
+    pub fn should_confirm(&self, now: Moment, rank: usize) -> bool {
         let Some(confirmed) = self.confirmed.filter(|_| !self.fenced) else {
             return false;
         };
@@ -209,13 +209,13 @@
     /// Until `until` no other VM can take this one for lost. Once that was
     /// over, or another VM could have for a moment, only the store's word
     /// brings this VM back into office.
-    pub fn vouch(&mut self, now: Moment, until: Option<Moment>) {
-        self.vouched = until.filter(|_| self.holds(now));
+    pub fn set_acknowledged_until(&mut self, now: Moment, until: Option<Moment>) {
+        self.vouched = until.filter(|_| self.is_valid(now));
     }
 
     /// The members that this VM may not take for lost yet: those that have not
     /// told that they know it for a member, and so do not ask to be heard by it.
-    pub fn unjudged(&self, now: Moment) -> BTreeSet<VmName> {
+    pub fn protected_members(&self, now: Moment) -> BTreeSet<VmName> {
         if self.fenced {
             return BTreeSet::new();
         }
@@ -232,7 +232,7 @@
 
     /// A VM told which table it holds: those before it that lost a replica to
     /// us know it. Gives whether its table is newer than ours.
-    pub fn hear(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
+    pub fn record_peer_revision(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
         self.told = self.told.max(revision);
         let told = self.told_by.entry(vm.clone()).or_default();
         *told = revision.max(*told);
@@ -249,10 +249,10 @@
     /// Whether this VM is still in office.
     ///
     /// It is as long as the table is known to be the newest not longer ago
-    /// than [`HOLD`]. While the store is away for all it cannot be changed
+    /// than [`OWNERSHIP_TTL`]. While the store is away for all it cannot be changed
     /// either: the VM then stays as long as each VM that could propose it
     /// hears this one, and so does not take it for lost.
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn is_valid(&self, now: Moment) -> bool {
         if self.fenced {
             return true;
         }
@@ -260,12 +260,12 @@
             return false;
         };
         let vouched = self.vouched.unwrap_or(Moment(0));
-        now < confirmed.after(HOLD) || now < vouched.min(confirmed.after(MOST_VOUCHED))
+        now < confirmed.after(OWNERSHIP_TTL) || now < vouched.min(confirmed.after(MOST_VOUCHED))
     }
 
     /// Our replicas that may get orders now, with their tokens.
-    pub fn active(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
-        let holds = self.holds(now);
+    pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
+        let holds = self.is_valid(now);
         let terms = self.terms.iter().filter(move |_| holds);
         let usable = terms.filter(move |(name, t)| t.from <= now && !self.is_refused(name, t));
         usable.map(|(name, t)| (name, t.token))
@@ -283,18 +283,18 @@
     /// Our token for a replica, if it may get orders now.
     pub fn token(&self, now: Moment, name: &ReplicaName) -> Option<Token> {
         let term = self.terms.get(name)?;
-        let usable = self.holds(now) && term.from <= now && !self.is_refused(name, term);
+        let usable = self.is_valid(now) && term.from <= now && !self.is_refused(name, term);
         usable.then_some(term.token)
     }
 
     /// A replica has seen a higher token than ours: no order more with it.
-    pub fn refused(&mut self, name: &ReplicaName, token: Token) {
+    pub fn record_refusal(&mut self, name: &ReplicaName, token: Token) {
         self.refused.insert(name.clone(), token);
     }
 
     /// The VM was suspended or cut off: its ownerships are used again only
     /// after the table was read anew.
-    pub fn suspend(&mut self) {
+    pub fn invalidate(&mut self) {
         self.terms.clear();
         self.revision = 0;
         self.confirmed = None;
@@ -314,7 +314,7 @@
         now: Moment,
         live: &BTreeSet<VmName>,
         replicas: &BTreeSet<ReplicaName>,
-    ) -> Option<Table> {
+    ) -> Option<OwnerTable> {
         let Some(table) = self.repaired(now, live, replicas) else {
             self.due = None;
             return self.settled(now);
@@ -331,17 +331,17 @@
         now: Moment,
         live: &BTreeSet<VmName>,
         replicas: &BTreeSet<ReplicaName>,
-    ) -> Option<Table> {
+    ) -> Option<OwnerTable> {
         if self.fenced {
-            return self.table.repaired(live, &BTreeSet::new(), replicas);
+            return self.table.reassigned(live, &BTreeSet::new(), replicas);
         }
         let mut table = self.table.clone();
         if self.revision > 0 && !table.members.contains(&self.vm) {
             table.members.insert(self.vm.clone());
             return Some(table);
         }
-        let unjudged = self.unjudged(now);
-        if let Some(repaired) = table.repaired(live, &unjudged, replicas) {
+        let unjudged = self.protected_members(now);
+        if let Some(repaired) = table.reassigned(live, &unjudged, replicas) {
             table = repaired;
         }
         table.members = live.union(&unjudged).cloned().collect();
@@ -349,7 +349,7 @@
     }
 
     /// The table with the waits of our replicas that are over.
-    fn settled(&self, now: Moment) -> Option<Table> {
+    fn settled(&self, now: Moment) -> Option<OwnerTable> {
         let mut table = self.table.clone();
         let over = |name: &ReplicaName| self.terms.get(name).is_some_and(|t| t.from <= now);
         for (name, owner) in &mut table.owners {
@@ -361,7 +361,7 @@
     }
 
     /// A proposal was sent: the next one waits its turn again.
-    pub fn proposed(&mut self, now: Moment) {
+    pub fn record_proposal(&mut self, now: Moment) {
         self.due = Some(now);
     }
 }
--- a/lib/src/serving/beliefs/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -12,14 +12,14 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::beliefs::audience::Audience;
-use crate::serving::beliefs::feed::Feeds;
-use crate::serving::beliefs::members::Members;
-use crate::serving::beliefs::ownership::Ownership;
-use crate::serving::beliefs::recency::Recency;
-use crate::serving::beliefs::recency::Witnesses;
-use crate::serving::beliefs::table::Table;
-use crate::serving::beliefs::topic::Topic;
+use crate::serving::cluster::feed::Feeds;
+use crate::serving::cluster::members::Members;
+use crate::serving::cluster::owner_table::OwnerTable;
+use crate::serving::cluster::ownership::Ownership;
+use crate::serving::cluster::recency::Recency;
+use crate::serving::cluster::recency::WitnessQueue;
+use crate::serving::cluster::subscriptions::Subscriptions;
+use crate::serving::cluster::topic::Topic;
 use crate::serving::decisions::access::Bounds;
 use crate::serving::decisions::access::Freshness;
 use crate::serving::decisions::access::Keys;
@@ -35,27 +35,27 @@
 use crate::serving::decisions::turns::Turns;
 use crate::serving::path::model::Config;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::RateLimit;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::Target;
-use crate::serving::path::model::UseLimit;
 use crate::serving::path::routes::Routes;
 use crate::serving::program::experiment::Mechanism;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_span;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::follow;
 
 /// A configuration that is in force.
 #[derive(Debug)]
-pub(in crate::serving) struct Active {
+pub(in crate::serving) struct ActiveConfig {
     pub(in crate::serving) config: Config,
     pub(in crate::serving) routes: Routes,
     /// Who calls with which key; `None` where callers need none.
     pub(in crate::serving) keys: Option<Keys>,
     /// The limits of organisations that have one.
-    pub(in crate::serving) use_limits: BTreeMap<OrganisationName, UseLimit>,
+    pub(in crate::serving) use_limits: BTreeMap<OrganisationName, RateLimit>,
 }
 
-impl Active {
+impl ActiveConfig {
     fn new(config: Config) -> Self {
         let routes = Routes::new(&config.routes);
         let all = config.organisations.as_deref();
@@ -72,15 +72,15 @@
 
 /// Runs of one adapter at one replica, of this VM's requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub(in crate::serving) struct OwnUse {
+pub(in crate::serving) struct LocalUse {
     pub(in crate::serving) running: u32,
-    pub(in crate::serving) begun: u32,
+    pub(in crate::serving) started: u32,
 }
 
 /// The beliefs of one VM; tasks take them for a moment at a time.
 #[derive(Debug)]
-pub(in crate::serving) struct Beliefs {
-    pub(in crate::serving) active: Option<Rc<Active>>,
+pub(in crate::serving) struct NodeState {
+    pub(in crate::serving) active: Option<Rc<ActiveConfig>>,
     pub(in crate::serving) fleet: Fleet,
     pub(in crate::serving) budget: Budget,
     pub(in crate::serving) members: Members,
@@ -89,26 +89,26 @@
     pub(in crate::serving) strikes: Strikes,
     pub(in crate::serving) strain: Strain,
     pub(in crate::serving) turns: Turns,
-    pub(in crate::serving) uses: BTreeMap<ReplicaName, BTreeMap<Target, OwnUse>>,
+    pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted a moment ago.
     pub(in crate::serving) reserved: Reserved,
     /// Leaving replicas that the other VMs are to be told of.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
     /// Who waits for news of which of our replicas.
-    pub(in crate::serving) audience: Audience,
+    pub(in crate::serving) subscriptions: Subscriptions,
     /// The newest report of each VM on its requests.
-    pub(in crate::serving) reports: BTreeMap<VmName, (Incarnation, u64)>,
+    pub(in crate::serving) last_reports: BTreeMap<VmName, (Incarnation, u64)>,
     /// What is known of the store.
     pub(in crate::serving) feeds: Feeds,
     /// Beacons from other availability zones that are to be passed on.
-    pub(in crate::serving) passing: BTreeMap<VmName, wire::Beacon>,
+    pub(in crate::serving) relay_queue: BTreeMap<VmName, wire::Beacon>,
     /// Whether the replicas were listed once.
-    pub(in crate::serving) listed: bool,
+    pub(in crate::serving) replicas_listed: bool,
     /// Within how long changes of keys must be heeded.
     pub(in crate::serving) key_bounds: Bounds,
     /// When the configuration was surely the newest.
     pub(in crate::serving) recency: Recency,
-    pub(in crate::serving) witnesses: Witnesses,
+    pub(in crate::serving) witnesses: WitnessQueue,
     /// What this VM was lent of organisations' limits.
     pub(in crate::serving) borrower: Borrower,
     /// What it lends of them.
@@ -120,39 +120,39 @@
     xxh3_64(name.as_str().as_bytes())
 }
 
-impl Beliefs {
+impl NodeState {
     pub(in crate::serving) fn new(settings: &ServeSettings, now: Moment) -> Self {
-        let lease = span(settings.lease);
+        let lease = to_span(settings.lease);
         let mut beliefs = Self {
             active: None,
             fleet: Fleet::new(settings.zone.clone()),
             budget: Budget::new(settings.budget),
             members: Members::new(settings.vm.clone(), now),
-            ownership: Ownership::new(settings.vm.clone(), lease, settings.fenced),
+            ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
             books: Books::default(),
             strikes: Strikes::default(),
             strain: Strain::default(),
             turns: Turns::default(),
-            uses: BTreeMap::new(),
+            local_uses: BTreeMap::new(),
             reserved: Reserved::default(),
             leaving: BTreeSet::new(),
-            audience: Audience::default(),
-            reports: BTreeMap::new(),
-            feeds: Feeds::new(|topic| follow::rhythm(settings, topic)),
-            passing: BTreeMap::new(),
-            listed: false,
+            subscriptions: Subscriptions::default(),
+            last_reports: BTreeMap::new(),
+            feeds: Feeds::new(|topic| follow::poll_policy(settings, topic)),
+            relay_queue: BTreeMap::new(),
+            replicas_listed: false,
             key_bounds: Bounds {
-                revoke: settings.revoke.map(span),
-                apply: span(settings.apply),
+                revoke: settings.key_revocation.map(to_span),
+                apply: to_span(settings.config_apply),
             },
             recency: Recency::default(),
-            witnesses: Witnesses::default(),
+            witnesses: WitnessQueue::default(),
             borrower: Borrower::default(),
             lender: Lender::new(settings.allowance),
         };
         // An owner whose replicas check no fences must be heard by each VM.
-        if settings.fenced && settings.experiment.runs(Mechanism::ZoneRelays) {
-            beliefs.members.allow_relays(settings.zone.clone());
+        if settings.fencing && settings.experiment.is_enabled(Mechanism::ZoneRelays) {
+            beliefs.members.enable_relays(settings.zone.clone());
         }
         beliefs.fleet.set_experiment(&settings.experiment);
         beliefs.books.set_experiment(&settings.experiment);
@@ -161,14 +161,14 @@
 
     /// Our place in the order in which VMs ask the store about a topic; `None`
     /// where each asks for itself.
-    pub(in crate::serving) fn asking_rank(
+    pub(in crate::serving) fn poll_rank(
         &self,
         now: Moment,
         settings: &ServeSettings,
         topic: Topic,
     ) -> Option<u64> {
-        let shared = settings.experiment.runs(Mechanism::StoreNews)
-            && self.members.shares_news(settings.fenced);
+        let shared = settings.experiment.is_enabled(Mechanism::StoreNews)
+            && self.members.shares_updates(settings.fencing);
         shared.then(|| self.members.rank(now, u64::from(topic.number())))
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Whether this VM may serve callers who need a key.
-    pub(in crate::serving) fn keys_hold(&mut self, now: Moment) -> bool {
+    pub(in crate::serving) fn keys_valid(&mut self, now: Moment) -> bool {
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
         let freshness = self.key_freshness(now);
         !needed || self.key_bounds.holds(&freshness)
@@ -193,17 +193,17 @@
             return false;
         };
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
-        let rests = self.feeds.get(Topic::Config).rests(now);
+        let rests = self.feeds.get(Topic::Config).is_backing_off(now);
         needed && !rests && self.recency.is_due(now, revoke, rank.unwrap_or(0))
     }
 
     /// Takes the time that passed into the limits that this VM lends.
-    pub(in crate::serving) fn keep_limits(&mut self, now: Moment) {
+    pub(in crate::serving) fn update_lender(&mut self, now: Moment) {
         let Some(active) = self.active.clone() else {
             return;
         };
-        let part = self.members.heard_part(now);
-        let own = self.members.own();
+        let part = self.members.reachable_fraction(now);
+        let own = self.members.local();
         let first = |name: &OrganisationName| {
             let lenders = self.members.lenders(now, lender_seed(name));
             lenders.first() == Some(&own)
@@ -213,18 +213,18 @@
     }
 
     /// Whether requests can be served.
-    pub(in crate::serving) fn ready(&self) -> bool {
-        self.active.is_some() && self.listed
+    pub(in crate::serving) fn is_ready(&self) -> bool {
+        self.active.is_some() && self.replicas_listed
     }
 
     /// Takes a configuration if it is newer than the one in force.
-    pub(in crate::serving) fn configure(&mut self, config: Config) -> bool {
+    pub(in crate::serving) fn apply_config(&mut self, config: Config) -> bool {
         let old = self.active.as_ref().map_or(0, |a| a.config.version);
         if config.version <= old {
             return false;
         }
         self.fleet.configure(&config);
-        let active = Active::new(config);
+        let active = ActiveConfig::new(config);
         self.borrower
             .retain(|name| active.use_limits.contains_key(name));
         self.active = Some(Rc::new(active));
@@ -233,26 +233,30 @@
 
     /// Takes a replica's entry in the store; gives whether it changed what
     /// requests may use.
-    pub(in crate::serving) fn take_listing(&mut self, listing: Listing) -> bool {
-        let (name, born) = (listing.name.clone(), listing.born);
+    pub(in crate::serving) fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
+        let (name, born) = (listing.name.clone(), listing.started_ms);
         if self.fleet.born(&name).is_some_and(|old| old != born) {
-            self.uses.remove(&name);
+            self.local_uses.remove(&name);
         }
         self.fleet.list(listing)
     }
 
     /// Takes the whole list of replicas.
-    pub(in crate::serving) fn relist(&mut self, now: Moment, all: Vec<Listing>) {
+    pub(in crate::serving) fn apply_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>) {
         for l in &all {
-            if self.fleet.born(&l.name).is_some_and(|old| old != l.born) {
-                self.uses.remove(&l.name);
+            if self
+                .fleet
+                .born(&l.name)
+                .is_some_and(|old| old != l.started_ms)
+            {
+                self.local_uses.remove(&l.name);
             }
         }
         self.fleet.relist(now, all, false);
     }
 
     /// Whether somebody can load adapters at a replica now.
-    pub(in crate::serving) fn loadable(
+    pub(in crate::serving) fn can_load(
         &self,
         now: Moment,
         own: &VmName,
@@ -261,20 +265,20 @@
         match self.ownership.owner(name) {
             Some(vm) if vm == own => self.ownership.token(now, name).is_some(),
             // One that waits out the lease before it tells nothing yet.
-            Some(vm) => self.members.lives(now, vm) && self.fleet.has_word(now, name),
+            Some(vm) => self.members.is_live(now, vm) && self.fleet.has_word(now, name),
             None => false,
         }
     }
 
     /// Takes the owner table; gives whether it is news.
-    pub(in crate::serving) fn take_owners(
+    pub(in crate::serving) fn apply_owner_table(
         &mut self,
         now: Moment,
-        table: Table,
+        table: OwnerTable,
         revision: u64,
     ) -> bool {
         let old = self.ownership.table.owners.clone();
-        if !self.ownership.take(now, table, revision) {
+        if !self.ownership.apply_table(now, table, revision) {
             return false;
         }
         for (name, owner) in &self.ownership.table.owners {
@@ -286,7 +290,7 @@
     }
 
     /// A run begins at a replica.
-    pub(in crate::serving) fn begin(
+    pub(in crate::serving) fn begin_run(
         &mut self,
         name: &ReplicaName,
         target: Option<&Target>,
@@ -294,15 +298,20 @@
     ) {
         self.fleet.begin(name, cost);
         if let Some(target) = target.filter(|t| t.adapter.is_some()) {
-            let uses = self.uses.entry(name.clone()).or_default();
+            let uses = self.local_uses.entry(name.clone()).or_default();
             let entry = uses.entry(target.clone()).or_default();
             entry.running += 1;
-            entry.begun += 1;
+            entry.started += 1;
         }
     }
 
     /// It ended there.
-    pub(in crate::serving) fn end(&mut self, at: &Instance, target: Option<&Target>, cost: Load) {
+    pub(in crate::serving) fn end_run(
+        &mut self,
+        at: &Instance,
+        target: Option<&Target>,
+        cost: Load,
+    ) {
         // A replica that has started anew does not count it.
         if !self.fleet.is_current(at) {
             return;
@@ -310,29 +319,32 @@
         let name = &at.name;
         self.fleet.end(name, cost);
         let target = target.filter(|t| t.adapter.is_some());
-        let uses = target.and_then(|t| self.uses.get_mut(name)?.get_mut(t));
+        let uses = target.and_then(|t| self.local_uses.get_mut(name)?.get_mut(t));
         if let Some(entry) = uses {
             entry.running = entry.running.saturating_sub(1);
         }
     }
 
     /// The uses at a replica to tell its owner; what was begun is told once.
-    pub(in crate::serving) fn take_uses(&mut self, name: &ReplicaName) -> BTreeMap<Target, OwnUse> {
-        let Some(uses) = self.uses.get_mut(name) else {
+    pub(in crate::serving) fn take_uses(
+        &mut self,
+        name: &ReplicaName,
+    ) -> BTreeMap<Target, LocalUse> {
+        let Some(uses) = self.local_uses.get_mut(name) else {
             return BTreeMap::new();
         };
         let told = uses.clone();
         uses.retain(|_, u| u.running > 0);
-        uses.values_mut().for_each(|u| u.begun = 0);
+        uses.values_mut().for_each(|u| u.started = 0);
         if uses.is_empty() {
-            self.uses.remove(name);
+            self.local_uses.remove(name);
         }
         told
     }
 
     /// Brings the books in step with what we own.
-    pub(in crate::serving) fn open_books(&mut self, now: Moment) {
-        let active = self.ownership.active(now);
+    pub(in crate::serving) fn sync_books(&mut self, now: Moment) {
+        let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
             if let Some(listing) = self.fleet.listing(name) {
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -14,7 +14,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::decisions::fleet::Versions;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::path::model::Target;
 
 /// Adapters that may be on their way to one replica at a time; the replica
@@ -158,14 +158,14 @@
 }
 
 impl Book {
-    pub(super) fn new(now: Moment, listing: &Listing) -> Self {
+    pub(super) fn new(now: Moment, listing: &ReplicaInfo) -> Self {
         let here = listing.adapters.iter();
         let here = here.map(|(t, v)| (t.clone(), Slot::here(*v)));
         let models = listing.models.iter().map(|m| (m.target(), Slot::here(0)));
         Self {
             most: 0,
-            born: listing.born,
-            listed: listing.born,
+            born: listing.started_ms,
+            listed: listing.started_ms,
             accepted: None,
             look_from: now,
             slots: here.chain(models).collect(),
@@ -190,7 +190,7 @@
         let entry = self.use_of(t);
         if begun > 0 || running > 0 {
             let weight = f64::from(begun) + RUNNING_WEIGHT;
-            entry.demand.count(now, DEMAND_HALF, weight);
+            entry.demand.record(now, DEMAND_HALF, weight);
         }
         entry.running.insert(vm.clone(), (now, running));
     }
@@ -390,8 +390,11 @@
         }
         let here = self.adapters_here();
         let idle = here.filter(|(t, _)| !self.wishes.contains_key(*t) && self.idle(now, t));
-        let least =
-            idle.min_by_key(|(t, _)| self.uses.get(*t).map_or(i64::MIN, |u| u.demand.key(1)));
+        let least = idle.min_by_key(|(t, _)| {
+            self.uses
+                .get(*t)
+                .map_or(i64::MIN, |u| u.demand.order_key(1))
+        });
         least.map(|(t, _)| t.clone())
     }
 
@@ -402,7 +405,7 @@
         let kept = Span(self.news.0 * RUNS_KEPT);
         let running = uses.running.values();
         let mut running = running.filter(|(heard, n)| *n > 0 && now.since(*heard) < kept);
-        running.next().is_none() && now.since(uses.demand.last) >= self.news
+        running.next().is_none() && now.since(uses.demand.last_request) >= self.news
     }
 
     pub(super) fn next_wake(&self, now: Moment) -> Option<Moment> {
@@ -537,7 +540,7 @@
                 };
                 slot.phase = Phase::Here;
                 slot.version = version.unwrap_or(slot.version);
-                self.use_of(target).demand.count(now, DEMAND_HALF, 1.0);
+                self.use_of(target).demand.record(now, DEMAND_HALF, 1.0);
                 if target.adapter.is_some() {
                     self.note_near(target);
                 }
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -4,40 +4,40 @@
 //! |---|---|
 //! | `path` | the path of a request; start at `path/serve.rs` |
 //! | `decisions` | what is decided, without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed try), [`Budget`] (how often), [`Books`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (whose request it is), [`quota`] (whether its organisation may use more) |
-//! | `beliefs` | what is believed: [`Feed`] (of the store), [`Members`] (of the VMs), [`Ownership`] (of who may order what) |
+//! | `cluster` | what is believed: [`Feed`] (of the store), [`Members`] (of the VMs), [`Ownership`] (of who may order what) |
 //! | `peers` | what VMs tell each other |
 //! | `store` | the store's port, and who follows it |
 //! | `program` | settings, start and stop |
 //!
-//! How requests, replicas and the store speak is a [`Border`]'s and a
+//! How requests, replicas and the store speak is a [`Codec`]'s and a
 //! [`Store`]'s matter.
 
-mod beliefs;
+mod cluster;
 mod decisions;
 mod path;
 mod peers;
 mod program;
 mod store;
 
-pub use beliefs::audience::Audience;
-pub use beliefs::feed::Feed;
-pub use beliefs::feed::Feeds;
-pub use beliefs::feed::Next;
-pub use beliefs::members::Members;
-pub use beliefs::members::Stamp;
-pub use beliefs::ownership::HOLD;
-pub use beliefs::ownership::Ownership;
-pub use beliefs::recency::Recency;
-pub use beliefs::recency::Witness;
-pub use beliefs::recency::Witnesses;
-pub use beliefs::recency::reader;
-pub use beliefs::table::Owner;
-pub use beliefs::table::Table;
-pub use beliefs::told::Blind;
-pub use beliefs::told::Said;
-pub use beliefs::told::Told;
-pub use beliefs::topic::Rhythm;
-pub use beliefs::topic::Topic;
+pub use cluster::feed::Feed;
+pub use cluster::feed::FeedAction;
+pub use cluster::feed::Feeds;
+pub use cluster::members::BeaconStamp;
+pub use cluster::members::Members;
+pub use cluster::owner_table::Owner;
+pub use cluster::owner_table::OwnerTable;
+pub use cluster::ownership::OWNERSHIP_TTL;
+pub use cluster::ownership::Ownership;
+pub use cluster::recency::Recency;
+pub use cluster::recency::Witness;
+pub use cluster::recency::WitnessQueue;
+pub use cluster::recency::reader_id;
+pub use cluster::subscriptions::Subscriptions;
+pub use cluster::topic::PollPolicy;
+pub use cluster::topic::Topic;
+pub use cluster::update::SkippedRange;
+pub use cluster::update::TopicChange;
+pub use cluster::update::TopicUpdate;
 pub use decisions::access;
 pub use decisions::books::Books;
 pub use decisions::books::OrderEnd;
@@ -57,29 +57,29 @@
 pub use decisions::turns::TurnId;
 pub use decisions::turns::Turns;
 pub use path::border::BadRecord;
-pub use path::border::Border;
-pub use path::border::Kinds;
+pub use path::border::Codec;
+pub use path::border::ForwardHeaders;
 pub use path::border::NotRun;
+pub use path::border::ObjectKinds;
 pub use path::border::Order;
 pub use path::border::Reply;
-pub use path::border::Sending;
 pub use path::model::*;
 pub use path::routes::Routes;
 pub use path::routes::pick_service;
-pub use peers::pack::pack;
-pub use peers::pack::unpack;
+pub use peers::compression::compress;
+pub use peers::compression::decompress;
 pub use program::experiment::BadExperiment;
 pub use program::experiment::Experiment;
 pub use program::experiment::Mechanism;
-pub use program::run::Program;
 pub use program::run::ServeError;
+pub use program::run::Server;
 pub use program::run::run;
 pub use program::settings::ServeSettings;
 pub use store::port::Change;
 pub use store::port::Changes;
+pub use store::port::Consistency;
 pub use store::port::Create;
 pub use store::port::Delete;
-pub use store::port::Freshness;
 pub use store::port::Item;
 pub use store::port::List;
 pub use store::port::Page;
--- a/lib/src/serving/path/border.rs
+++ b/lib/src/serving/path/border.rs
@@ -13,10 +13,10 @@
 use crate::ids::VmName;
 use crate::serving::decisions::books::OrderEnd;
 use crate::serving::decisions::books::Report;
-use crate::serving::path::model::Announced;
-use crate::serving::path::model::Ask;
+use crate::serving::path::model::AnnouncedVersion;
 use crate::serving::path::model::Config;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
+use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::Target;
 use crate::serving::store::port::Item;
 use crate::upstream::Parts;
@@ -35,7 +35,7 @@
 
 /// The kinds of objects in the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Kinds {
+pub struct ObjectKinds {
     /// The configuration.
     pub config: &'static str,
     /// The replicas.
@@ -43,20 +43,20 @@
     /// Announced versions of adapters.
     pub versions: &'static str,
     /// Our own: VMs and owners.
-    pub own: &'static str,
+    pub internal: &'static str,
 }
 
 /// What we set on a request that goes to a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct ForwardHeaders<'a> {
     /// How long the answer is worth waiting for.
-    pub left: Duration,
+    pub timeout: Duration,
     /// The replica that it is meant for.
     pub replica: &'a ReplicaName,
     /// The version of the adapter that it must begin on.
     pub version: Option<u32>,
     /// The event after which a broken stream goes on.
-    pub resume_at: Option<u64>,
+    pub resume_after: Option<u64>,
     /// On whose behalf it is sent; the caller's key is never passed on.
     pub organisation: Option<&'a OrganisationName>,
 }
@@ -67,7 +67,7 @@
     /// Another replica has the address now.
     Gone,
     /// It does not hold the adapter, or not in this version.
-    Lacks,
+    NotLoaded,
     /// It is full, or leaving.
     Full,
 }
@@ -82,7 +82,7 @@
     /// The replica did not run it and will not.
     NotRun(NotRun),
     /// Another request's answer, or not an answer that may be passed on.
-    Spoilt(&'static str),
+    Invalid(&'static str),
 }
 
 /// An order to a replica.
@@ -106,30 +106,30 @@
 
 /// The functions of a border. None of them waits, repeats or chooses.
 #[derive(Clone, Copy)]
-pub struct Border {
+pub struct Codec {
     /// Kinds of objects.
-    pub kinds: Kinds,
+    pub kinds: ObjectKinds,
     /// The path on which the balancer asks whether we are ready.
     pub ready_path: &'static str,
     /// Reads what a caller's request says of itself.
-    pub read_ask: fn(&HeaderMap) -> Ask,
+    pub parse_request: fn(&HeaderMap) -> RequestInfo,
     /// Takes out what only we may set, and sets it.
-    pub write_head: fn(&mut HeaderMap, &Sending<'_>),
+    pub set_headers: fn(&mut HeaderMap, &ForwardHeaders<'_>),
     /// Reads the head of an answer to the request with this id from this
     /// replica.
-    pub read_reply: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
+    pub classify_response: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
     /// Reads the configuration.
-    pub read_config: fn(&Item) -> Result<Config, BadRecord>,
+    pub parse_config: fn(&Item) -> Result<Config, BadRecord>,
     /// Reads a replica's entry.
-    pub read_listing: fn(&Item) -> Result<Listing, BadRecord>,
+    pub parse_replica: fn(&Item) -> Result<ReplicaInfo, BadRecord>,
     /// Reads an announced version.
-    pub read_announced: fn(&Item) -> Result<Announced, BadRecord>,
+    pub parse_version: fn(&Item) -> Result<AnnouncedVersion, BadRecord>,
     /// Writes an order.
-    pub write_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
+    pub encode_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
     /// Reads its answer.
-    pub read_order: fn(StatusCode) -> OrderEnd,
+    pub parse_order_end: fn(StatusCode) -> OrderEnd,
     /// Asks for a report.
-    pub write_look: fn() -> Result<Request<Parts>, BadRecord>,
+    pub encode_report_request: fn() -> Result<Request<Parts>, BadRecord>,
     /// Reads a report.
-    pub read_report: fn(&[u8]) -> Result<Report, BadRecord>,
+    pub parse_report: fn(&[u8]) -> Result<Report, BadRecord>,
 }
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -11,15 +11,15 @@
 use crate::ids::OrganisationName;
 use crate::ids::VmName;
 use crate::pool::Span;
-use crate::serving::beliefs::state::lender_seed;
+use crate::serving::cluster::state::lender_seed;
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::quota::Answer;
 use crate::serving::decisions::quota::Ask as LeaseAsk;
 use crate::serving::decisions::quota::Spend;
-use crate::serving::path::model::Ask;
 use crate::serving::path::model::Organisation;
-use crate::serving::path::model::UseLimit;
+use crate::serving::path::model::RateLimit;
+use crate::serving::path::model::RequestInfo;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -75,7 +75,7 @@
         let outcome = if self.ran.get() { "ran" } else { "not_run" };
         count(&self.organisation, outcome, self.weight);
         if !self.ran.get() {
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             b.borrower.give_back(now(), &self.organisation, self.weight);
         }
     }
@@ -92,7 +92,7 @@
 pub(in crate::serving) async fn take(
     node: &Rc<Node>,
     organisation: &Organisation,
-    ask: &Ask,
+    ask: &RequestInfo,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(limit) = &organisation.limit else {
         return Ok(None);
@@ -112,9 +112,9 @@
             "after_ms" => after.as_millis(), "by" => why);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
-    let lenders = node.settings.experiment.runs(Mechanism::LimitLenders);
+    let lenders = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
     for place in QUESTIONS.into_iter().filter(|_| lenders) {
-        let spend = node.beliefs().borrower.spend(now(), name, weight);
+        let spend = node.state().borrower.spend(now(), name, weight);
         let question = match spend {
             Spend::Spent => return Ok(Some(charge())),
             Spend::Short(after) => return Err(over(after, "told")),
@@ -128,7 +128,7 @@
                 continue;
             }
         };
-        let mut b = node.beliefs();
+        let mut b = node.state();
         if b.borrower.answered(now(), name, weight, answer) {
             return Ok(Some(charge()));
         }
@@ -138,7 +138,7 @@
         }
     }
     let own = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let vms = b.members.count();
         b.borrower.spend_own(now(), name, limit, vms, weight)
     };
@@ -146,7 +146,7 @@
         return Ok(Some(charge()));
     }
     slog::info!(node.log, "no lender"; "id" => &ask.id, "organisation" => name.as_str(),
-        "weight" => weight, "heard_part" => node.beliefs().members.heard_part(now()));
+        "weight" => weight, "heard_part" => node.state().members.reachable_fraction(now()));
     Err(Refusal::not_run("no_lender", COME_BACK))
 }
 
@@ -162,22 +162,22 @@
 async fn ask_lender(
     node: &Node,
     name: &OrganisationName,
-    limit: &UseLimit,
+    limit: &RateLimit,
     place: usize,
     mut question: LeaseAsk,
 ) -> Asked {
-    if !node.settings.experiment.runs(Mechanism::LimitsAhead) {
+    if !node.settings.experiment.is_enabled(Mechanism::LimitsAhead) {
         question.ahead = 0.0;
     }
     let address = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         let lenders = b.members.lenders(now(), lender_seed(name));
         let Some(lender) = lenders.get(place).or(lenders.first()).copied() else {
             return Asked::Nobody;
         };
         if *lender == node.settings.vm {
-            let part = b.members.heard_part(now());
+            let part = b.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
             let answer = b.lender.ask(now(), name, limit, part, first, question);
             return Asked::Answer(answer);
@@ -187,8 +187,8 @@
     let Some(address) = address else {
         return Asked::Unanswered;
     };
-    let number = node.number();
-    let waiting = node.leases.ask(number);
+    let number = node.next_id();
+    let waiting = node.lease_calls.register(number);
     let ask = wire::LeaseAsk {
         vm: node.settings.vm.to_string(),
         number,
@@ -197,7 +197,7 @@
         ahead: question.ahead,
     };
     tell(node, Body::LeaseAsk(ask), address).await;
-    let (outcome, asked) = match waiting.within(ANSWER_WAIT).await {
+    let (outcome, asked) = match waiting.wait(ANSWER_WAIT).await {
         Some(answer) if answer.declined => ("declined", Asked::Unanswered),
         Some(answer) if answer.lent > 0.0 => ("lent", Asked::Answer(Answer::Lent(answer.lent))),
         Some(answer) => {
@@ -216,14 +216,14 @@
 }
 
 /// A VM asks for a part of an organisation's limit.
-pub(in crate::serving) async fn take_ask(node: &Node, ask: &wire::LeaseAsk) {
+pub(in crate::serving) async fn handle_lease_ask(node: &Node, ask: &wire::LeaseAsk) {
     let (Ok(name), Ok(vm)) = (
         ask.organisation.parse::<OrganisationName>(),
         ask.vm.parse::<VmName>(),
     ) else {
         return;
     };
-    let address = node.beliefs().members.address(&vm);
+    let address = node.state().members.address(&vm);
     let Some(address) = address else {
         return;
     };
@@ -245,12 +245,12 @@
 
 /// `None` where this VM does not lend for the organisation.
 fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<Answer> {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let b = &mut *b;
     let at = now();
     let limit = *b.active.as_ref()?.use_limits.get(name)?;
     let lenders = b.members.lenders(at, lender_seed(name));
     let place = lenders.iter().position(|vm| **vm == node.settings.vm)?;
-    let part = b.members.heard_part(at);
+    let part = b.members.reachable_fraction(at);
     Some(b.lender.ask(at, name, &limit, part, place == 0, question))
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -24,12 +24,12 @@
 use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::turns::LONG_PROMPT;
+use crate::serving::path::border::ForwardHeaders;
 use crate::serving::path::border::Reply;
-use crate::serving::path::border::Sending;
 use crate::serving::path::charge::Charge;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::KeyDigest;
-use crate::serving::path::model::Shared;
+use crate::serving::path::model::SharedPrefix;
 use crate::serving::path::model::Target;
 use crate::serving::path::reading::Turn;
 use crate::serving::path::reading::take_turn;
@@ -50,7 +50,7 @@
     pub(in crate::serving) target: Option<Target>,
     /// What it is expected to hold at a replica.
     pub(in crate::serving) cost: Load,
-    pub(in crate::serving) shared: Option<Shared>,
+    pub(in crate::serving) shared: Option<SharedPrefix>,
     pub(in crate::serving) fingerprint: Fingerprint,
     /// On whose behalf it runs.
     pub(in crate::serving) caller: Caller,
@@ -83,9 +83,9 @@
 
 impl Run {
     fn begin(node: &Rc<Node>, held: &Held, replica: &ReplicaName) -> Self {
-        let number = node.number();
-        let mut b = node.beliefs();
-        b.begin(replica, held.target.as_ref(), held.cost);
+        let number = node.next_id();
+        let mut b = node.state();
+        b.begin_run(replica, held.target.as_ref(), held.cost);
         let born = b.fleet.born(replica).unwrap_or_default();
         Self {
             node: node.clone(),
@@ -106,7 +106,7 @@
             let turn = take_turn(&node, &self.replica, self.number, self.cost.unread, limit);
             self.turn = turn.await;
         }
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         b.fleet.await_first(now(), &self.replica, self.number);
     }
 
@@ -114,7 +114,7 @@
     pub(in crate::serving) fn heard(&mut self) {
         self.heard = true;
         self.turn = None;
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.read(&self.replica, self.cost.unread);
             b.fleet.heard(now(), &self.replica, self.number, true);
@@ -124,7 +124,7 @@
 
     /// The run ended so.
     pub(in crate::serving) fn learn(&self, end: End) {
-        let mut b = self.node.beliefs();
+        let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.learn(now(), &self.replica, end);
         }
@@ -134,20 +134,20 @@
     pub(in crate::serving) fn instance(&self) -> Instance {
         Instance {
             name: self.replica.clone(),
-            born: self.born,
+            started_ms: self.born,
         }
     }
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let mut b = self.node.beliefs();
-        b.end(&self.instance(), self.target.as_ref(), self.cost);
+        let mut b = self.node.state();
+        b.end_run(&self.instance(), self.target.as_ref(), self.cost);
         if !self.heard {
             b.fleet.heard(now(), &self.replica, self.number, false);
         }
         drop(b);
-        self.node.changed.notify_waiters();
+        self.node.placement_wake.notify_waiters();
     }
 }
 
@@ -167,7 +167,7 @@
     resume_at: Option<u64>,
 ) -> Result<Begun, Ended> {
     let address = {
-        let b = node.beliefs();
+        let b = node.state();
         let listing = b.fleet.listing(replica).ok_or(Ended::NotSent)?;
         listing.address
     };
@@ -195,7 +195,7 @@
         Ok(Ok(answer)) => answer,
     };
     run.heard();
-    let read = node.border.read_reply;
+    let read = node.border.classify_response;
     match read(answer.head.status, &answer.head.headers, &held.id, replica) {
         Reply::Answer => Ok(Begun {
             answer,
@@ -212,7 +212,7 @@
             refused(node, held, &run, why);
             Err(Ended::NotRun(why))
         }
-        Reply::Spoilt(what) => {
+        Reply::Invalid(what) => {
             run.learn(End::Broken);
             Err(Ended::Spoilt(what))
         }
@@ -225,7 +225,7 @@
     let Some(key) = &held.caller.key else {
         return Ok(());
     };
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let freshness = b.key_freshness(now());
     let keys = b.active.as_ref().and_then(|a| a.keys.as_ref());
     let admitted = b.key_bounds.admit(keys, false, Some(key), &freshness);
@@ -237,9 +237,9 @@
     match why {
         NotRun::Gone => run.learn(End::Gone),
         NotRun::Full => run.learn(End::Full),
-        NotRun::Lacks => {
+        NotRun::NotLoaded => {
             if let Some(target) = &held.target {
-                let mut b = node.beliefs();
+                let mut b = node.state();
                 b.fleet.lacks(now(), &run.replica, target);
             }
         }
@@ -248,12 +248,9 @@
 
 /// Notes that an upstream broke while it ran this request.
 pub(in crate::serving) fn strike(node: &Node, held: &Held, replica: &Instance) {
-    let news = node
-        .beliefs()
-        .strikes
-        .note(now(), held.fingerprint, replica);
+    let news = node.state().strikes.note(now(), held.fingerprint, replica);
     if news {
-        node.news.notify_one();
+        node.beacon_wake.notify_one();
     }
 }
 
@@ -268,20 +265,20 @@
     *request.uri_mut() = held.path.clone();
     let now = now();
     let version = {
-        let b = node.beliefs();
+        let b = node.state();
         let target = held.target.as_ref();
         target.and_then(|t| b.fleet.expected_version(now, replica, t))
     };
     let headers = request.headers_mut();
     *headers = held.headers.clone();
-    let sending = Sending {
-        left: Duration::from_micros(held.limit.since(now).0),
+    let sending = ForwardHeaders {
+        timeout: Duration::from_micros(held.limit.since(now).0),
         replica,
         version,
-        resume_at,
+        resume_after: resume_at,
         organisation: held.caller.organisation.as_ref(),
     };
-    (node.border.write_head)(headers, &sending);
+    (node.border.set_headers)(headers, &sending);
     request
 }
 
--- a/lib/src/serving/path/model.rs
+++ b/lib/src/serving/path/model.rs
@@ -65,7 +65,7 @@
 
 /// The beginning of a prompt that other requests have as well.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Shared {
+pub struct SharedPrefix {
     /// Tells it from others.
     pub key: u64,
     /// Its tokens.
@@ -74,28 +74,28 @@
 
 /// What a caller's request says of itself.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The caller's id of this attempt; empty if it sent none.
     pub id: String,
     /// The model or adapter; `None` for a plain service.
     pub target: Option<Target>,
     /// Tokens in the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The most tokens that it may generate.
-    pub output: u32,
+    pub max_tokens: u32,
     /// The beginning of the prompt that it shares with others.
-    pub shared: Option<Shared>,
+    pub shared: Option<SharedPrefix>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The last event that the caller has already.
-    pub resume_at: Option<u64>,
+    pub resume_after: Option<u64>,
     /// The key that it bears, if it bears one that can be read.
     pub key: Option<KeyDigest>,
 }
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum RouteKind {
     /// It may run more than once.
     Safe,
     /// It runs at most once.
@@ -114,21 +114,21 @@
     /// How the path begins; it ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time until the final answer.
     pub timeout: Duration,
     /// The latency objective.
     pub objective: Duration,
     /// Replicas that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank; 0 is the most urgent.
-    pub rank: u32,
+    pub priority: u32,
     /// The services and their weights.
     pub services: Vec<(ServiceName, u32)>,
     /// Whether a stream may go on at another replica.
     pub resumable: bool,
     /// The longest pause between events that is in time.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Whether callers need no key.
     pub public: bool,
 }
@@ -137,9 +137,9 @@
     /// Whether a request may run more than once.
     pub fn idempotent(&self) -> bool {
         match self.kind {
-            Kind::Safe => true,
-            Kind::Unsafe => false,
-            Kind::Stream => self.resumable,
+            RouteKind::Safe => true,
+            RouteKind::Unsafe => false,
+            RouteKind::Stream => self.resumable,
         }
     }
 }
@@ -150,16 +150,16 @@
     /// Requests in a batch.
     pub slots: u32,
     /// Tokens that the KV memory holds.
-    pub memory: u64,
+    pub kv_tokens: u64,
     /// Adapters that a replica holds.
-    pub adapters: u32,
+    pub adapter_slots: u32,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub event_tokens: u32,
     /// The models, with the number of their adapters.
     pub models: BTreeMap<ModelName, u32>,
     /// Loads of weights a second that the weight store allows, over all
     /// replicas.
-    pub loads: f64,
+    pub load_rate: f64,
 }
 
 /// A service as the operator configured it.
@@ -177,13 +177,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub header_bytes: usize,
     /// Bytes of its body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Time for the head to come.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What stands for a caller's key: keys themselves are kept nowhere, so that
@@ -219,12 +219,12 @@
     /// The keys that its callers bear.
     pub keys: BTreeSet<KeyDigest>,
     /// What it may use; `None` for any amount.
-    pub limit: Option<UseLimit>,
+    pub limit: Option<RateLimit>,
 }
 
 /// How much an organisation may use, over all VMs: a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UseLimit {
+pub struct RateLimit {
     /// What flows into the bucket a second.
     pub rate: f64,
     /// What the bucket holds.
@@ -233,7 +233,7 @@
     pub weight: Weight,
 }
 
-impl Eq for UseLimit {}
+impl Eq for RateLimit {}
 
 /// What a request takes out of its organisation's bucket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -244,7 +244,7 @@
     /// where it names none.
     Tokens {
         /// For a request that names no tokens.
-        plain: u32,
+        default: u32,
     },
 }
 
@@ -252,18 +252,20 @@
     /// What this request takes.
     ///
     /// ```
-    /// use banyangauge::serving::{Ask, Weight};
-    /// let ask = Ask { prompt: 90, output: 10, ..Ask::default() };
-    /// let tokens = Weight::Tokens { plain: 7 };
+    /// use banyangauge::serving::{RequestInfo, Weight};
+    /// let ask = RequestInfo { prompt_tokens: 90, max_tokens: 10, ..RequestInfo::default() };
+    /// let tokens = Weight::Tokens { default: 7 };
     /// assert_eq!(tokens.of(&ask), 100.0);
-    /// assert_eq!(tokens.of(&Ask::default()), 7.0);
+    /// assert_eq!(tokens.of(&RequestInfo::default()), 7.0);
     /// assert_eq!(Weight::Request.of(&ask), 1.0);
     /// ```
-    pub fn of(self, ask: &Ask) -> f64 {
+    pub fn of(self, ask: &RequestInfo) -> f64 {
         match self {
             Self::Request => 1.0,
-            Self::Tokens { plain } if ask.prompt == 0 && ask.output == 0 => f64::from(plain),
-            Self::Tokens { .. } => f64::from(ask.prompt) + f64::from(ask.output),
+            Self::Tokens { default: plain } if ask.prompt_tokens == 0 && ask.max_tokens == 0 => {
+                f64::from(plain)
+            }
+            Self::Tokens { .. } => f64::from(ask.prompt_tokens) + f64::from(ask.max_tokens),
         }
     }
 }
@@ -290,16 +292,16 @@
     /// The name of the replica.
     pub name: ReplicaName,
     /// When it started, in Unix milliseconds; 0 where replicas do not say.
-    pub born: u64,
+    pub started_ms: u64,
 }
 
 /// A replica as it is listed in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listing {
+pub struct ReplicaInfo {
     /// Its name; a restarted replica may have another.
     pub name: ReplicaName,
     /// When it started, in Unix milliseconds; 0 where replicas do not say.
-    pub born: u64,
+    pub started_ms: u64,
     /// What it serves.
     pub service: ServiceName,
     /// Where it listens.
@@ -318,7 +320,7 @@
 
 /// An adapter and a version of it that was announced.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Announced {
+pub struct AnnouncedVersion {
     /// The adapter.
     pub target: Target,
     /// Its version.
--- a/lib/src/serving/path/pass.rs
+++ b/lib/src/serving/path/pass.rs
@@ -29,10 +29,10 @@
 use crate::serving::path::serve::again;
 use crate::serving::path::serve::count;
 use crate::serving::path::waiting::has_other_place;
+use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::Open;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
+use crate::serving::program::node::to_instant;
 use crate::upstream::Scanner;
 
 /// After a silence of so many pauses that the route allows, a stream that may
@@ -81,7 +81,7 @@
     /// Cuts a stream into whole events; `None` for other bodies.
     pub(in crate::serving) events: Option<Events>,
     pub(in crate::serving) timing: Timing,
-    pub(in crate::serving) _open: Open,
+    pub(in crate::serving) _open: InFlight,
 }
 
 /// When the parts of an answer came.
@@ -130,12 +130,18 @@
             let begun = self.begun.as_mut()?;
             let piece = match self.events {
                 Some(_) if self.tries.idempotent => {
-                    let pause = self.asked.route.pause.unwrap_or(self.asked.route.objective);
+                    let pause = self
+                        .asked
+                        .route
+                        .max_gap
+                        .unwrap_or(self.asked.route.objective);
                     let soon = tokio::time::Instant::now() + pause * PAUSES_BEFORE_LOOK;
-                    let by = instant(self.held.limit).min(soon);
+                    let by = to_instant(self.held.limit).min(soon);
                     tokio::time::timeout_at(by, begun.answer.data()).await
                 }
-                _ => tokio::time::timeout_at(instant(self.held.limit), begun.answer.data()).await,
+                _ => {
+                    tokio::time::timeout_at(to_instant(self.held.limit), begun.answer.data()).await
+                }
             };
             let ended = match piece {
                 Err(_) if now() >= self.held.limit => {
@@ -174,7 +180,7 @@
             return false;
         };
         let replica = &begun.run.replica;
-        if !self.node.beliefs().fleet.silent(now(), replica) {
+        if !self.node.state().fleet.silent(now(), replica) {
             return false;
         }
         let mut avoid = self.avoid.clone();
@@ -227,7 +233,7 @@
                 false => End::Answered,
             };
             begun.run.learn(end);
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             b.strikes.clear(self.held.fingerprint);
         }
         Ok(rest)
@@ -276,9 +282,9 @@
     fn log_late(&self) {
         let route = &self.asked.route;
         let late = |span: Span, most: Duration| u128::from(span.0) > most.as_micros();
-        let pause = route.pause.is_some_and(|p| late(self.timing.longest, p));
+        let pause = route.max_gap.is_some_and(|p| late(self.timing.longest, p));
         if self.events.is_some() {
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             let steps = b.fleet.event_steps(&self.asked.service);
             let reason = b.strain.ended(now(), steps, pause);
             drop(b);
--- a/lib/src/serving/path/places.rs
+++ b/lib/src/serving/path/places.rs
@@ -11,7 +11,7 @@
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::forward::Held;
 use crate::serving::peers::beacons::send;
-use crate::serving::peers::flights;
+use crate::serving::peers::load_reports;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
@@ -35,14 +35,14 @@
     let Some(target) = held.target.as_ref().filter(|t| t.adapter.is_some()) else {
         return Word::Go;
     };
-    let number = node.number();
+    let number = node.next_id();
     let (address, ask) = {
-        let b = node.beliefs();
+        let b = node.state();
         let at = now();
         let owner = b.ownership.owner(replica);
-        let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.lives(at, vm));
+        let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.is_live(at, vm));
         let address = owner.and_then(|vm| b.members.address(vm));
-        let asks = node.settings.experiment.runs(Mechanism::PlaceAsks);
+        let asks = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
         let Some(address) = address.filter(|_| asks) else {
             return Word::Go;
         };
@@ -58,12 +58,12 @@
         };
         (address, ask)
     };
-    let question = node.places.ask(number);
+    let question = node.place_calls.register(number);
     let datagram = wire::Datagram {
         body: Some(Body::PlaceAsk(ask)),
     };
     send(node, &datagram.encode_to_vec(), address).await;
-    let answer = question.within(ANSWER_WAIT).await;
+    let answer = question.wait(ANSWER_WAIT).await;
     let outcome = match &answer {
         Some(answer) if answer.granted => "granted",
         Some(answer) if answer.lacks => "lacks",
@@ -74,12 +74,12 @@
     let Some(answer) = answer else {
         return Word::Go;
     };
-    let mut b = node.beliefs();
+    let mut b = node.state();
     if answer.lacks {
         b.fleet.lacks(now(), replica, target);
     }
     if let Some(load) = &answer.load {
-        flights::take_total(&mut b, now(), load);
+        load_reports::apply_total(&mut b, now(), load);
     }
     match answer.granted {
         true => Word::Go,
@@ -88,12 +88,12 @@
 }
 
 /// A VM asks about a replica of ours.
-pub(in crate::serving) async fn take_ask(node: &Node, ask: &wire::PlaceAsk) {
+pub(in crate::serving) async fn handle_place_ask(node: &Node, ask: &wire::PlaceAsk) {
     let (Ok(name), Ok(vm)) = (ask.replica.parse::<ReplicaName>(), ask.vm.parse::<VmName>()) else {
         return;
     };
     let (answer, address) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         let at = now();
         let Some(address) = b.members.address(&vm) else {
@@ -118,7 +118,7 @@
             number: ask.number,
             granted,
             lacks,
-            load: flights::write_load(b, &name, total),
+            load: load_reports::encode_load(b, &name, total),
         };
         (answer, address)
     };
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/reading.rs
@@ -16,7 +16,7 @@
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
-use crate::serving::program::node::until;
+use crate::serving::program::node::time_until;
 
 /// How long the task that gives turns sleeps without any to give.
 const IDLE: Duration = Duration::from_secs(1);
@@ -39,12 +39,12 @@
 ) -> Option<Turn> {
     let at = now();
     let owner = {
-        let b = node.beliefs();
-        let turns = node.settings.experiment.runs(Mechanism::PromptTurns);
+        let b = node.state();
+        let turns = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
         let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
-        owner.filter(|vm| b.strain.active(at) && b.members.lives(at, vm))?
+        owner.filter(|vm| b.strain.active(at) && b.members.is_live(at, vm))?
     };
-    let granted = node.turns.ask(number);
+    let granted = node.turn_calls.register(number);
     let turn = Turn {
         node: node.clone(),
         replica: replica.clone(),
@@ -52,8 +52,8 @@
     };
     if owner == node.settings.vm {
         let id = TurnId { vm: owner, number };
-        node.beliefs().turns.ask(at, replica, id, tokens);
-        node.turn_news.notify_one();
+        node.state().turns.ask(at, replica, id, tokens);
+        node.turns_wake.notify_one();
     } else {
         let ask = wire::TurnAsk {
             vm: node.settings.vm.to_string(),
@@ -64,7 +64,7 @@
         tell(node, &owner, Body::TurnAsk(ask)).await;
     }
     let end = at.after(LONGEST_WAIT).min(limit);
-    if granted.within(until(end)).await.is_none() {
+    if granted.wait(time_until(end)).await.is_none() {
         slog::debug!(node.log, "no turn in time"; "replica" => replica.as_str());
     }
     Some(turn)
@@ -73,17 +73,17 @@
 impl Drop for Turn {
     fn drop(&mut self) {
         let vm = self.node.settings.vm.clone();
-        let owner = self.node.beliefs().ownership.owner(&self.replica).cloned();
+        let owner = self.node.state().ownership.owner(&self.replica).cloned();
         let Some(owner) = owner else {
             return;
         };
         let number = self.number;
         if owner == vm {
             let id = TurnId { vm, number };
-            let mut b = self.node.beliefs();
+            let mut b = self.node.state();
             b.turns.end(now(), &self.replica, &id);
             drop(b);
-            self.node.turn_news.notify_one();
+            self.node.turns_wake.notify_one();
             return;
         }
         let end = wire::TurnEnd {
@@ -97,7 +97,7 @@
 }
 
 async fn tell(node: &Node, vm: &VmName, body: Body) {
-    let Some(address) = node.beliefs().members.address(vm) else {
+    let Some(address) = node.state().members.address(vm) else {
         return;
     };
     let datagram = wire::Datagram { body: Some(body) };
@@ -108,27 +108,27 @@
 pub(in crate::serving) async fn keep(node: Rc<Node>) {
     loop {
         let (grants, wake) = {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             (b.turns.grants(now()), b.turns.next_wake())
         };
         for (_, id) in grants {
             if id.vm == node.settings.vm {
-                node.turns.answer(id.number, ());
+                node.turn_calls.complete(id.number, ());
                 continue;
             }
             let grant = wire::TurnGrant { number: id.number };
             tell(&node, &id.vm, Body::TurnGrant(grant)).await;
         }
-        let wait = wake.map_or(IDLE, |w| until(w).max(Duration::from_millis(1)));
+        let wait = wake.map_or(IDLE, |w| time_until(w).max(Duration::from_millis(1)));
         // Woken by news or by time, the turns are looked through anew.
-        tokio::time::timeout(wait, node.turn_news.notified())
+        tokio::time::timeout(wait, node.turns_wake.notified())
             .await
             .ok();
     }
 }
 
 /// A VM asks for a turn at one of our replicas.
-pub(in crate::serving) fn take_ask(node: &Node, ask: &wire::TurnAsk) {
+pub(in crate::serving) fn handle_turn_ask(node: &Node, ask: &wire::TurnAsk) {
     let (Ok(vm), Ok(replica)) = (ask.vm.parse(), ask.replica.parse()) else {
         return;
     };
@@ -136,12 +136,12 @@
         vm,
         number: ask.number,
     };
-    node.beliefs().turns.ask(now(), &replica, id, ask.tokens);
-    node.turn_news.notify_one();
+    node.state().turns.ask(now(), &replica, id, ask.tokens);
+    node.turns_wake.notify_one();
 }
 
 /// A VM's prompt was read.
-pub(in crate::serving) fn take_end(node: &Node, end: &wire::TurnEnd) {
+pub(in crate::serving) fn handle_turn_end(node: &Node, end: &wire::TurnEnd) {
     let (Ok(vm), Ok(replica)) = (end.vm.parse(), end.replica.parse()) else {
         return;
     };
@@ -149,6 +149,6 @@
         vm,
         number: end.number,
     };
-    node.beliefs().turns.end(now(), &replica, &id);
-    node.turn_news.notify_one();
+    node.state().turns.end(now(), &replica, &id);
+    node.turns_wake.notify_one();
 }
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -28,7 +28,7 @@
 use crate::ids::ServiceName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::state::Active;
+use crate::serving::cluster::state::ActiveConfig;
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Ended;
 use crate::serving::decisions::decide::Refusal;
@@ -42,11 +42,11 @@
 use crate::serving::path::forward::forward;
 use crate::serving::path::forward::strip_hop;
 use crate::serving::path::forward::strip_request;
-use crate::serving::path::model::Ask;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Kind;
 use crate::serving::path::model::Organisation;
+use crate::serving::path::model::RequestInfo;
 use crate::serving::path::model::Route;
+use crate::serving::path::model::RouteKind;
 use crate::serving::path::pass::AnswerBody;
 use crate::serving::path::pass::Events;
 use crate::serving::path::pass::Passing;
@@ -55,12 +55,12 @@
 use crate::serving::path::pass::whole;
 use crate::serving::path::routes::pick_service;
 use crate::serving::path::waiting::find_place;
+use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::Open;
 use crate::serving::program::node::Phase;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_instant;
+use crate::serving::program::node::to_span;
 
 /// The longest time that a caller waits who names none.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
@@ -86,9 +86,9 @@
     node: Rc<Node>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let open = node.enter();
+    let open = node.track_request();
     let arrived = now();
-    let ask = (node.border.read_ask)(request.headers());
+    let ask = (node.border.parse_request)(request.headers());
     let mut waiting = Waiting {
         node: node.clone(),
         id: ask.id.clone(),
@@ -127,7 +127,7 @@
 }
 
 fn refuse(node: &Node, id: &str, arrived: Moment, refusal: &Refusal) -> Response<AnswerBody> {
-    let config = node.beliefs().active.as_ref().map(|a| a.config.version);
+    let config = node.state().active.as_ref().map(|a| a.config.version);
     let after = refusal.retry_after.map(|after| after.as_millis());
     slog::info!(node.log, "refused"; "id" => id, "why" => refusal.reason,
         "status" => refusal.status.as_u16(), "retry_after_ms" => after,
@@ -147,29 +147,29 @@
 async fn answer(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    ask: Ask,
+    ask: RequestInfo,
     arrived: Moment,
-    open: Open,
+    open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    if node.phase() == Phase::Closing {
+    if node.phase() == Phase::Draining {
         return Err(Refusal::not_run("stopping", Duration::ZERO));
     }
     let active = {
-        let b = node.beliefs();
-        b.active.clone().filter(|_| b.listed)
+        let b = node.state();
+        b.active.clone().filter(|_| b.replicas_listed)
     };
     let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
     let (head, body) = request.into_parts();
     let asked = find_route(&active, &head.uri, &head.headers, &ask)?;
     let organisation = find_caller(node, &active, &asked, &ask)?;
-    let patience = ask.patience.unwrap_or(DEFAULT_PATIENCE);
+    let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE);
     let time = patience.min(asked.route.timeout);
-    let limit = arrived.after(span(time));
+    let limit = arrived.after(to_span(time));
     let charge = match &organisation {
         Some(organisation) => charge::take(node, organisation, &ask).await?,
         None => None,
     };
-    let body = read_body(body, active.config.limits.body, limit).await?;
+    let body = read_body(body, active.config.limits.body_bytes, limit).await?;
     let mut headers = head.headers;
     strip_request(&mut headers);
     let held = Held {
@@ -197,10 +197,10 @@
 
 /// The route of a request and the service that it goes to.
 fn find_route(
-    active: &Active,
+    active: &ActiveConfig,
     uri: &Uri,
     headers: &HeaderMap,
-    ask: &Ask,
+    ask: &RequestInfo,
 ) -> Result<Asked, Refusal> {
     let host = headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(uri.host()).unwrap_or_default();
@@ -217,12 +217,12 @@
 /// The organisation on whose behalf a request runs.
 fn find_caller(
     node: &Node,
-    active: &Active,
+    active: &ActiveConfig,
     asked: &Asked,
-    ask: &Ask,
+    ask: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
     let (freshness, bounds) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         (b.key_freshness(now()), b.key_bounds)
     };
     let (keys, public) = (active.keys.as_ref(), asked.route.public);
@@ -245,7 +245,7 @@
     let mut body = Limited::new(body, most);
     let mut pieces = Vec::new();
     loop {
-        let frame = tokio::time::timeout_at(instant(limit), body.frame()).await;
+        let frame = tokio::time::timeout_at(to_instant(limit), body.frame()).await;
         match frame {
             Err(_) => return Err(Refusal::denied(StatusCode::REQUEST_TIMEOUT, "slow_body")),
             Ok(None) => return Ok(pieces),
@@ -271,21 +271,25 @@
 }
 
 /// What a request is expected to hold of an engine's memory.
-fn cost(active: &Active, service: &ServiceName, ask: &Ask) -> Load {
+fn cost(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
-        Some(_) => u64::from(ask.prompt) + (f64::from(ask.output) * OUTPUT_PART) as u64,
+        Some(_) => u64::from(ask.prompt_tokens) + (f64::from(ask.max_tokens) * OUTPUT_PART) as u64,
         None => 0,
     };
     Load {
         requests: 1,
         tokens,
-        unread: if tokens > 0 { u64::from(ask.prompt) } else { 0 },
+        unread: if tokens > 0 {
+            u64::from(ask.prompt_tokens)
+        } else {
+            0
+        },
     }
 }
 
 fn check_convicted(node: &Node, held: &Held) -> Result<(), Refusal> {
-    let b = node.beliefs();
+    let b = node.state();
     let now = now();
     let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.standing(now, &r.name) != "live";
     match b.strikes.convicted(now, held.fingerprint, down) {
@@ -299,19 +303,19 @@
     asked: Rc<Asked>,
     held: Held,
     arrived: Moment,
-    open: Open,
+    open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = Tries {
-        most_runs: asked.route.attempts,
+        most_runs: asked.route.max_attempts,
         idempotent: asked.route.idempotent(),
         ..Tries::default()
     };
     let mut avoid = BTreeSet::new();
-    node.beliefs().budget.first(now(), &asked.service);
+    node.state().budget.first(now(), &asked.service);
     let mut begun = first(node, &asked, &held, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
-    let stream = asked.route.kind == Kind::Stream;
+    let stream = asked.route.kind == RouteKind::Stream;
     while !stream || begun.failed {
         match read_ahead(&mut begun, &held, &mut ahead).await {
             Ok(read) if begun.failed && tries.idempotent => {
@@ -395,7 +399,7 @@
 ) -> Result<bool, Ended> {
     let mut read = 0;
     while read < READ_AHEAD {
-        match tokio::time::timeout_at(instant(held.limit), begun.answer.data()).await {
+        match tokio::time::timeout_at(to_instant(held.limit), begun.answer.data()).await {
             Err(_) => return Err(Ended::Overdue),
             Ok(None) => return Ok(true),
             Ok(Some(Err(_))) => return Err(Ended::Broken),
@@ -443,7 +447,7 @@
         if !tries.again(ended) {
             return Err(Refusal::after(tries, ended));
         }
-        if ended == Ended::NotRun(crate::serving::path::border::NotRun::Lacks) {
+        if ended == Ended::NotRun(crate::serving::path::border::NotRun::NotLoaded) {
             // Only a replica's word on an adapter was wrong, not the replica.
             avoid.clear();
         }
@@ -471,13 +475,13 @@
 }
 
 fn spend(node: &Node, asked: &Asked) -> bool {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let vms = b.members.count();
     b.budget.spend(now(), &asked.service, vms)
 }
 
 fn log_try(node: &Node, held: &Held, at: &ReplicaName, tries: &Tries, ended: Ended) {
-    let standing = node.beliefs().fleet.standing(now(), at);
+    let standing = node.state().fleet.standing(now(), at);
     slog::info!(node.log, "try ended"; "id" => &held.id, "replica" => at.as_str(),
         "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
         "runs" => tries.runs, "left_ms" => held.limit.since(now()).as_millis());
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -72,10 +72,10 @@
     if let Err(e) = stream.set_nodelay(true) {
         slog::debug!(node.log, "no nodelay"; "error" => %e);
     }
-    let limits = node.beliefs().active.as_ref().map(|a| a.config.limits);
+    let limits = node.state().active.as_ref().map(|a| a.config.limits);
     // One timer serves for the head and for the idle time before it.
-    let head_time = limits.map_or(HEAD_TIME, |l| l.head_time.max(l.idle));
-    let head_bytes = limits.map_or(HEAD_BYTES, |l| l.head * 2);
+    let head_time = limits.map_or(HEAD_TIME, |l| l.header_timeout.max(l.idle_timeout));
+    let head_bytes = limits.map_or(HEAD_BYTES, |l| l.header_bytes * 2);
     let shared = node.clone();
     let service = service_fn(move |request| {
         let node = shared.clone();
@@ -89,7 +89,7 @@
     let served = server.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(served);
     let mut phase = node.phase.subscribe();
-    let closing = phase.wait_for(|p| *p == Phase::Closing);
+    let closing = phase.wait_for(|p| *p == Phase::Draining);
     tokio::select! {
         // Callers break off as they like; their requests end with them.
         _ = &mut served => return,
@@ -102,8 +102,8 @@
 /// Whether callers are served; those with keys are refused where it is not
 /// known that their keys still hold, so they should come to another VM.
 fn is_ready(node: &Node) -> bool {
-    let mut b = node.beliefs();
-    b.ready() && b.keys_hold(now())
+    let mut b = node.state();
+    b.is_ready() && b.keys_valid(now())
 }
 
 /// Answers the balancer until the process ends.
--- a/lib/src/serving/path/waiting.rs
+++ b/lib/src/serving/path/waiting.rs
@@ -20,9 +20,9 @@
 use crate::serving::peers::beacons;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_instant;
+use crate::serving::program::node::to_span;
 
 /// How often a wish for an adapter is repeated: datagrams get lost.
 const WISH_AGAIN: Duration = Duration::from_millis(150);
@@ -65,20 +65,22 @@
     let began = now();
     let left = held.limit.since(began);
     let load_limit = began.after(Span(left.0 / WAIT_PART));
-    let full_limit = began.after(span(asked.route.objective / 4)).min(load_limit);
+    let full_limit = began
+        .after(to_span(asked.route.objective / 4))
+        .min(load_limit);
     let mut wished: Option<Moment> = None;
     let mut stop_limit: Option<Moment> = None;
     let mut why = "";
     let mut asks = 0;
     loop {
         let at = now();
-        let changed = node.changed.notified();
+        let changed = node.placement_wake.notified();
         let waited = (at < load_limit).then(|| at.since(began));
         let place = place(node, asked, held, avoid, waited, at);
         let (limit, refusal) = match place {
             Place::Send { at, copy } => {
                 if let (Some(copy), Some(target)) = (copy, &held.target) {
-                    beacons::wish(node, &copy, target).await;
+                    beacons::request_load(node, &copy, target).await;
                 }
                 if asks < MOST_ASKS && places::ask(node, held, &at).await == Word::LookAgain {
                     asks += 1;
@@ -93,10 +95,10 @@
                 return Ok(at);
             }
             Place::Load { at: replica } | Place::Coming { at: replica } => {
-                let again = wished.is_none_or(|w| at.since(w) >= span(WISH_AGAIN));
+                let again = wished.is_none_or(|w| at.since(w) >= to_span(WISH_AGAIN));
                 if let (true, Some(target)) = (again, &held.target) {
                     wished = Some(at);
-                    beacons::wish(node, &replica, target).await;
+                    beacons::request_load(node, &replica, target).await;
                 }
                 (
                     load_limit,
@@ -111,7 +113,7 @@
         };
         let stopping = node.phase() != Phase::Serving;
         let limit = match stopping {
-            true => limit.min(*stop_limit.get_or_insert(at.after(span(STOPPING_WAIT)))),
+            true => limit.min(*stop_limit.get_or_insert(at.after(to_span(STOPPING_WAIT)))),
             false => limit,
         };
         if at >= limit {
@@ -122,13 +124,13 @@
         let wait = Duration::from_micros(limit.since(at).0).min(WISH_AGAIN);
         // Whether news or the time wakes us, the place is looked for anew.
         tokio::time::timeout(wait, changed).await.ok();
-        tokio::time::sleep_until(instant(at.after(LOOK_PAUSE))).await;
+        tokio::time::sleep_until(to_instant(at.after(LOOK_PAUSE))).await;
     }
 }
 
 fn log_no_place(node: &Node, asked: &Asked, held: &Held, why: &'static str, waited: Span) {
     let at = now();
-    let b = node.beliefs();
+    let b = node.state();
     let seen = b.fleet.survey(at, &asked.service, held.target.as_ref());
     slog::info!(node.log, "no place"; "id" => &held.id, "why" => why,
         "target" => held.target.as_ref().map(ToString::to_string),
@@ -148,7 +150,7 @@
     at: Moment,
 ) -> Place {
     let bytes: usize = held.body.iter().map(Bytes::len).sum();
-    let b = node.beliefs();
+    let b = node.state();
     let want = Want {
         service: &asked.service,
         target: held.target.as_ref(),
@@ -160,7 +162,7 @@
         avoid,
     };
     let own = &node.settings.vm;
-    b.fleet.place(at, &want, |name| b.loadable(at, own, name))
+    b.fleet.place(at, &want, |name| b.can_load(at, own, name))
 }
 
 /// Whether another replica could go on with a request at once.
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the VMs: beacons and wishes; [`crate::serving::peers::flights`] has what
+//! Datagrams between the VMs: beacons and wishes; [`crate::serving::peers::load_reports`] has what
 //! they say of requests under way.
 
 use std::net::SocketAddr;
@@ -15,15 +15,15 @@
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::members::Stamp;
-use crate::serving::beliefs::state::Beliefs;
+use crate::serving::cluster::members::BeaconStamp;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::path::charge;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::Target;
 use crate::serving::path::places;
 use crate::serving::path::reading;
-use crate::serving::peers::flights;
+use crate::serving::peers::load_reports;
 use crate::serving::peers::relay;
 use crate::serving::peers::renewal;
 use crate::serving::program::experiment::Mechanism;
@@ -43,21 +43,21 @@
 
 /// Tells all others what this VM owns and has seen break, and the owners of
 /// replicas what it has under way there.
-pub(in crate::serving) async fn tell(node: Rc<Node>) {
+pub(in crate::serving) async fn send_beacons(node: Rc<Node>) {
     let mut number = 0;
     let mut phase = node.phase();
     loop {
         number += 1;
         let (sendings, beat) = {
-            let mut b = node.beliefs();
-            let beat = Duration::from_micros(b.members.beat().0);
+            let mut b = node.state();
+            let beat = Duration::from_micros(b.members.beacon_interval().0);
             (complete(&node, &mut b, number), beat)
         };
         for (bytes, address) in sendings {
             send(&node, &bytes, address).await;
         }
         let next = tokio::time::Instant::now() + beat;
-        while tokio::time::timeout_at(next, node.news.notified())
+        while tokio::time::timeout_at(next, node.beacon_wake.notified())
             .await
             .is_ok()
         {
@@ -73,17 +73,17 @@
 async fn tell_news(node: &Node, number: &mut u64, stops: bool) {
     let mut sendings = Vec::new();
     {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
         let now = now();
         for name in b.books.take_changed() {
-            b.audience.changed(now, &name);
+            b.subscriptions.record_change(now, &name);
             // This VM believes it as well.
             if let Some(held) = b.books.held(&name) {
                 b.fleet.hear_book(now, &name, held);
             }
         }
-        for (vm, names) in b.audience.take_owed() {
+        for (vm, names) in b.subscriptions.take_pending() {
             if let Some(address) = b.members.address(&vm) {
                 *number += 1;
                 let mut told = beacon(node, b, *number);
@@ -118,7 +118,7 @@
     }
 }
 
-fn beacon(node: &Node, b: &Beliefs, number: u64) -> wire::Beacon {
+fn beacon(node: &Node, b: &NodeState, number: u64) -> wire::Beacon {
     let now = now();
     wire::Beacon {
         vm: node.settings.vm.to_string(),
@@ -128,13 +128,13 @@
         sent_us: now.0,
         lends: b.members.lends(now),
         zone: node.settings.zone.to_string(),
-        address: node.settings.peers.to_string(),
+        address: node.settings.peer_address.to_string(),
         ..wire::Beacon::default()
     }
 }
 
 /// What every VM is told in one beat.
-fn common(node: &Node, b: &mut Beliefs, now: Moment, number: u64) -> wire::Beacon {
+fn common(node: &Node, b: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
     let names: Vec<_> = b.books.names().cloned().collect();
     b.books.take_changed();
     let mut told = beacon(node, b, number);
@@ -147,36 +147,38 @@
         }
     }
     let owned = b.ownership.owned();
-    told.loads = owned.filter_map(|n| flights::load(b, now, n)).collect();
-    told.store = follow::tell(node, b, now);
+    told.loads = owned
+        .filter_map(|n| load_reports::total_load(b, now, n))
+        .collect();
+    told.store = follow::outgoing_updates(node, b, now);
     let strikes = b.strikes.recent(now, STRIKES_TOLD);
     told.strikes = strikes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
             fingerprint: f.0,
             replica: replica.name.to_string(),
-            born: replica.born,
+            born: replica.started_ms,
         })
         .collect();
     told
 }
 
 /// The datagrams of one beat.
-fn complete(node: &Node, b: &mut Beliefs, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
+fn complete(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
     let told = common(node, b, now, number);
-    if b.members.relays() {
-        let mut sendings = relay::sendings(b, now, told);
-        sendings.extend(flights::all_reports(node, b, now));
+    if b.members.uses_relays() {
+        let mut sendings = relay::relay_datagrams(b, now, told);
+        sendings.extend(load_reports::full_reports(node, b, now));
         return sendings;
     }
     let mut told = told;
     told.complete = true;
     let peers = b.members.peers();
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
-    let names = b.uses.keys().chain(b.fleet.to_report());
+    let names = b.local_uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
-    let mut flights = flights::by_owner(node, b, now, names);
+    let mut flights = load_reports::flights_by_owner(node, b, now, names);
     // What is the same for all is encoded once; each receiver's own part
     // follows it, as messages can be joined.
     let common = encode(told);
@@ -185,7 +187,7 @@
         let mut bytes = common.clone();
         bytes.extend(encode(wire::Beacon {
             flights: flights.remove(&vm).unwrap_or_default(),
-            echo: renewal::echo(node, b, &vm),
+            echo: renewal::echo_for(node, b, &vm),
             ..wire::Beacon::default()
         }));
         sendings.push((bytes, address));
@@ -201,7 +203,7 @@
 }
 
 /// What a replica of ours holds.
-fn book(b: &Beliefs, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
+fn book(b: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
     let held = b.books.held(name)?;
     let token = b.ownership.token(now, name)?;
     let here = held.here.iter().map(|(t, v)| (t, *v, false));
@@ -222,7 +224,7 @@
 }
 
 /// Takes in datagrams until the process ends.
-pub(in crate::serving) async fn hear(node: Rc<Node>) {
+pub(in crate::serving) async fn receive(node: Rc<Node>) {
     let mut buffer = vec![0; MOST_BYTES];
     loop {
         let (length, from) = match node.socket.recv_from(&mut buffer).await {
@@ -241,14 +243,14 @@
                 beacons.for_each(|beacon| take_beacon(&node, beacon, from));
             }
             Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
-            Ok(Some(Body::Report(report))) => flights::take_report(&node, &report),
-            Ok(Some(Body::PlaceAsk(ask))) => places::take_ask(&node, &ask).await,
-            Ok(Some(Body::PlaceAnswer(answer))) => node.places.answer(answer.number, answer),
-            Ok(Some(Body::LeaseAsk(ask))) => charge::take_ask(&node, &ask).await,
-            Ok(Some(Body::LeaseAnswer(answer))) => node.leases.answer(answer.number, answer),
-            Ok(Some(Body::TurnAsk(ask))) => reading::take_ask(&node, &ask),
-            Ok(Some(Body::TurnGrant(grant))) => node.turns.answer(grant.number, ()),
-            Ok(Some(Body::TurnEnd(end))) => reading::take_end(&node, &end),
+            Ok(Some(Body::Report(report))) => load_reports::handle_report(&node, &report),
+            Ok(Some(Body::PlaceAsk(ask))) => places::handle_place_ask(&node, &ask).await,
+            Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
+            Ok(Some(Body::LeaseAsk(ask))) => charge::handle_lease_ask(&node, &ask).await,
+            Ok(Some(Body::LeaseAnswer(answer))) => node.lease_calls.complete(answer.number, answer),
+            Ok(Some(Body::TurnAsk(ask))) => reading::handle_turn_ask(&node, &ask),
+            Ok(Some(Body::TurnGrant(grant))) => node.turn_calls.complete(grant.number, ()),
+            Ok(Some(Body::TurnEnd(end))) => reading::handle_turn_end(&node, &end),
             Ok(None) | Err(_) => slog::debug!(node.log, "unknown datagram"; "from" => %from),
         }
     }
@@ -259,30 +261,30 @@
         return;
     };
     let now = now();
-    let mut b = node.beliefs();
-    let kept = b.members.lost_after();
+    let mut b = node.state();
+    let kept = b.members.failure_timeout();
     b.fleet.set_word_kept(kept);
-    let stamp = Stamp {
+    let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
         number: beacon.number,
         sent: Moment(beacon.sent_us),
     };
-    if !b.members.hear(now, &vm, stamp, beacon.stopping) {
+    if !b.members.record_beacon(now, &vm, stamp, beacon.stopping) {
         return;
     }
     // One that was passed on comes from another VM's address.
     let address = beacon.address.parse().unwrap_or(from);
-    b.members.list(vm.clone(), address);
+    b.members.set_address(vm.clone(), address);
     if let Ok(zone) = beacon.zone.parse() {
         b.members.set_zone(&vm, zone);
     }
     b.members.set_lends(&vm, beacon.lends);
-    renewal::take(node, &mut b, now, &vm, &beacon);
+    renewal::handle_beacon(node, &mut b, now, &vm, &beacon);
     for book in &beacon.books {
         take_book(&mut b, now, &vm, book);
     }
     for l in &beacon.leaving {
-        if let Some(replica) = instance(&l.replica, l.born)
+        if let Some(replica) = parse_instance(&l.replica, l.born)
             && b.fleet.leave(&replica)
         {
             slog::info!(node.log, "replica"; "replica" => &l.replica, "draining" => true,
@@ -293,47 +295,54 @@
         b.strain.told(now, Span::from_millis(beacon.turns_ms));
     }
     for note in &beacon.strikes {
-        if let Some(replica) = instance(&note.replica, note.born) {
+        if let Some(replica) = parse_instance(&note.replica, note.born) {
             b.strikes.hear(now, Fingerprint(note.fingerprint), &replica);
         }
     }
     if beacon.complete {
-        flights::take_all(&mut b, now, &vm, &beacon.flights);
+        load_reports::apply_counts(&mut b, now, &vm, &beacon.flights);
     }
     for load in &beacon.loads {
-        flights::take_load(&mut b, now, &vm, load);
+        load_reports::handle_load(&mut b, now, &vm, load);
     }
     drop(b);
-    follow::hear(node, now, &beacon.store, &vm);
+    follow::apply_updates(node, now, &beacon.store, &vm);
     if !beacon.books.is_empty() {
-        node.changed.notify_waiters();
+        node.placement_wake.notify_waiters();
     }
     if beacon.pass_on {
-        relay::keep(&mut node.beliefs(), vm, beacon);
+        relay::enqueue(&mut node.state(), vm, beacon);
     }
 }
 
 fn write_leaving(replica: &Instance) -> wire::Leaving {
     wire::Leaving {
         replica: replica.name.to_string(),
-        born: replica.born,
+        born: replica.started_ms,
     }
 }
 
 /// A start of a replica by its parts; `None` if that is no name.
-pub(in crate::serving) fn instance(name: &str, born: u64) -> Option<Instance> {
+pub(in crate::serving) fn parse_instance(name: &str, born: u64) -> Option<Instance> {
     let name = name.parse().ok()?;
-    Some(Instance { name, born })
+    Some(Instance {
+        name,
+        started_ms: born,
+    })
 }
 
 /// The replica that a word is about, if it has not started anew since.
-pub(in crate::serving) fn current(b: &Beliefs, name: &str, born: u64) -> Option<ReplicaName> {
-    let replica = instance(name, born)?;
+pub(in crate::serving) fn current_replica(
+    b: &NodeState,
+    name: &str,
+    born: u64,
+) -> Option<ReplicaName> {
+    let replica = parse_instance(name, born)?;
     b.fleet.is_current(&replica).then_some(replica.name)
 }
 
-fn take_book(b: &mut Beliefs, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
-    let Some(name) = current(b, &book.replica, book.born) else {
+fn take_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
+    let Some(name) = current_replica(b, &book.replica, book.born) else {
         return;
     };
     // One that lost the replica and has not heard of it speaks no more for it.
@@ -358,15 +367,15 @@
 }
 
 /// Asks the owner of a replica to load an adapter there.
-pub(in crate::serving) async fn wish(node: &Node, replica: &ReplicaName, target: &Target) {
+pub(in crate::serving) async fn request_load(node: &Node, replica: &ReplicaName, target: &Target) {
     let address = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let Some(owner) = b.ownership.owner(replica).cloned() else {
             return;
         };
         if owner == node.settings.vm {
             b.books.wish(now(), replica, target);
-            node.orders.notify_one();
+            node.orders_wake.notify_one();
             return;
         }
         b.members.address(&owner)
@@ -396,18 +405,18 @@
         return;
     };
     let now = now();
-    let mut b = node.beliefs();
+    let mut b = node.state();
     if !b.books.wish(now, &name, &target) {
         return;
     }
     let held = b.books.held(&name).unwrap_or_default();
     let known = held.here.contains_key(&target) || held.coming.contains(&target);
-    if node.settings.experiment.runs(Mechanism::LoadNews) {
-        b.audience.ask(now, &vm, &name, known);
+    if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
+        b.subscriptions.subscribe(now, &vm, &name, known);
     }
     drop(b);
-    node.orders.notify_one();
+    node.orders_wake.notify_one();
     if known {
-        node.news.notify_one();
+        node.beacon_wake.notify_one();
     }
 }
--- a/lib/src/serving/peers/pack.rs
+++ b/lib/src/serving/peers/compression.rs
@@ -18,12 +18,12 @@
 /// 1,589.
 ///
 /// ```
-/// use banyangauge::serving::{pack, unpack};
+/// use banyangauge::serving::{compress, decompress};
 /// let text = "{}".repeat(500);
-/// assert!(pack(&text).len() < 50);
-/// assert_eq!(unpack(&pack(&text)), Some(text));
+/// assert!(compress(&text).len() < 50);
+/// assert_eq!(decompress(&compress(&text)), Some(text));
 /// ```
-pub fn pack(text: &str) -> Vec<u8> {
+pub fn compress(text: &str) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
     // Writing to memory does not fail; if it did, nothing could be unpacked
     // and its receiver would ask the store.
@@ -32,7 +32,7 @@
 }
 
 /// Unpacks a text; `None` if that is none, or too long.
-pub fn unpack(bytes: &[u8]) -> Option<String> {
+pub fn decompress(bytes: &[u8]) -> Option<String> {
     let mut text = String::new();
     let mut decoder = DeflateDecoder::new(bytes).take(MOST_BYTES + 1);
     let length = decoder.read_to_string(&mut text).ok()?;
