--- a/lib/src/serving/peers/flights.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -15,11 +15,11 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::beliefs::state::Beliefs;
-use crate::serving::beliefs::state::OwnUse;
+use crate::serving::cluster::state::LocalUse;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::model::Target;
-use crate::serving::peers::beacons::current;
+use crate::serving::peers::beacons::current_replica;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -32,18 +32,18 @@
 /// Tells the owners of replicas soon what changed there of this VM's requests,
 /// until the process ends. What an owner tells all others is then older by its
 /// own beat only, and a burst at one VM is not added to by the others.
-pub(in crate::serving) async fn report(node: Rc<Node>) {
-    if !node.settings.experiment.runs(Mechanism::EarlyReports) {
+pub(in crate::serving) async fn send_reports(node: Rc<Node>) {
+    if !node.settings.experiment.is_enabled(Mechanism::EarlyReports) {
         return;
     }
     loop {
         tokio::time::sleep(REPORT_PAUSE).await;
         let mut sendings = Vec::new();
         {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let b = &mut *b;
             let names: BTreeSet<_> = b.fleet.unreported().cloned().collect();
-            for (vm, flights) in by_owner(&node, b, now(), names) {
+            for (vm, flights) in flights_by_owner(&node, b, now(), names) {
                 if let Some(address) = b.members.address(&vm) {
                     sendings.push((write_report(&node, flights, false), address));
                 }
@@ -60,7 +60,7 @@
     let report = wire::FlightReport {
         vm: node.settings.vm.to_string(),
         incarnation: node.incarnation.0,
-        number: node.number(),
+        number: node.next_id(),
         flights,
         complete,
     };
@@ -72,14 +72,14 @@
 
 /// All that this VM has under way, for each owner that it concerns; the counts
 /// of others lapse there.
-pub(in crate::serving) fn all_reports(
+pub(in crate::serving) fn full_reports(
     node: &Node,
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let names = b.uses.keys().chain(b.fleet.to_report());
+    let names = b.local_uses.keys().chain(b.fleet.to_report());
     let names = names.cloned().collect();
-    let flights = by_owner(node, b, now, names);
+    let flights = flights_by_owner(node, b, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
         let address = b.members.address(&vm)?;
         Some((write_report(node, flights, true), address))
@@ -88,9 +88,9 @@
 }
 
 /// What this VM has under way at some replicas, by their owners.
-pub(in crate::serving) fn by_owner(
+pub(in crate::serving) fn flights_by_owner(
     node: &Node,
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     names: BTreeSet<ReplicaName>,
 ) -> BTreeMap<VmName, Vec<wire::Flight>> {
@@ -104,7 +104,7 @@
         let load = b.fleet.report(&name);
         if owner == *own {
             for (target, u) in uses {
-                b.books.used(now, &name, own, &target, u.running, u.begun);
+                b.books.used(now, &name, own, &target, u.running, u.started);
             }
             continue;
         }
@@ -121,18 +121,18 @@
 }
 
 /// What all VMs have under way at a replica of ours.
-pub(in crate::serving) fn load(
-    b: &Beliefs,
+pub(in crate::serving) fn total_load(
+    b: &NodeState,
     now: Moment,
     name: &ReplicaName,
 ) -> Option<wire::ReplicaLoad> {
     let load = b.fleet.total(now, name)?;
-    write_load(b, name, load)
+    encode_load(b, name, load)
 }
 
 /// A load at a replica, for other VMs.
-pub(in crate::serving) fn write_load(
-    b: &Beliefs,
+pub(in crate::serving) fn encode_load(
+    b: &NodeState,
     name: &ReplicaName,
     load: Load,
 ) -> Option<wire::ReplicaLoad> {
@@ -145,31 +145,31 @@
     })
 }
 
-fn adapter_uses(uses: &BTreeMap<Target, OwnUse>) -> Vec<wire::AdapterUse> {
+fn adapter_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
     let uses = uses.iter().map(|(t, u)| wire::AdapterUse {
         target: t.to_string(),
         running: u.running,
-        begun: u.begun,
+        begun: u.started,
     });
     uses.collect()
 }
 
 /// An owner tells what all VMs have under way at its replica.
-pub(in crate::serving) fn take_load(
-    b: &mut Beliefs,
+pub(in crate::serving) fn handle_load(
+    b: &mut NodeState,
     now: Moment,
     vm: &VmName,
     load: &wire::ReplicaLoad,
 ) {
     let name = load.replica.parse::<ReplicaName>();
     if name.is_ok_and(|name| b.ownership.owner(&name) == Some(vm)) {
-        take_total(b, now, load);
+        apply_total(b, now, load);
     }
 }
 
 /// The owner of a replica says what all VMs have under way there.
-pub(in crate::serving) fn take_total(b: &mut Beliefs, now: Moment, load: &wire::ReplicaLoad) {
-    if let Some(name) = current(b, &load.replica, load.born) {
+pub(in crate::serving) fn apply_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
+    if let Some(name) = current_replica(b, &load.replica, load.born) {
         let total = Load {
             requests: load.requests,
             tokens: load.tokens,
@@ -180,19 +180,19 @@
 }
 
 /// A VM tells what changed of its requests at replicas of ours.
-pub(in crate::serving) fn take_report(node: &Node, report: &wire::FlightReport) {
+pub(in crate::serving) fn handle_report(node: &Node, report: &wire::FlightReport) {
     let Ok(vm) = report.vm.parse::<VmName>() else {
         return;
     };
     let now = now();
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let stamp = (Incarnation(report.incarnation), report.number);
-    if b.reports.get(&vm).is_some_and(|old| *old >= stamp) {
+    if b.last_reports.get(&vm).is_some_and(|old| *old >= stamp) {
         return;
     }
-    b.reports.insert(vm.clone(), stamp);
+    b.last_reports.insert(vm.clone(), stamp);
     if report.complete {
-        take_all(&mut b, now, &vm, &report.flights);
+        apply_counts(&mut b, now, &vm, &report.flights);
         return;
     }
     for (name, load) in read_flights(&mut b, now, &vm, &report.flights) {
@@ -201,8 +201,8 @@
 }
 
 /// A VM tells all that it has under way at replicas of ours.
-pub(in crate::serving) fn take_all(
-    b: &mut Beliefs,
+pub(in crate::serving) fn apply_counts(
+    b: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
@@ -213,14 +213,14 @@
 
 /// A VM's loads at replicas of ours; the books learn of its uses.
 fn read_flights(
-    b: &mut Beliefs,
+    b: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
 ) -> BTreeMap<ReplicaName, Load> {
     let mut counts = BTreeMap::new();
     for flight in flights {
-        let Some(name) = current(b, &flight.replica, flight.born) else {
+        let Some(name) = current_replica(b, &flight.replica, flight.born) else {
             continue;
         };
         for u in &flight.uses {
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -8,13 +8,13 @@
 
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::beliefs::state::Beliefs;
+use crate::serving::cluster::state::NodeState;
 use crate::serving::peers::beacons::encode;
 
 /// The datagrams of a beat: what this VM tells goes to each VM of its zone,
 /// with what is to be passed on there, and to one VM in each other zone.
-pub(in crate::serving) fn sendings(
-    b: &mut Beliefs,
+pub(in crate::serving) fn relay_datagrams(
+    b: &mut NodeState,
     now: Moment,
     told: wire::Beacon,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
@@ -22,7 +22,7 @@
     let mut crossing = told.clone();
     crossing.pass_on = true;
     let crossing = encode(crossing);
-    let passed = std::mem::take(&mut b.passing).into_values();
+    let passed = std::mem::take(&mut b.relay_queue).into_values();
     let bundle = wire::Bundle {
         beacons: std::iter::once(told).chain(passed).collect(),
     };
@@ -30,14 +30,14 @@
         body: Some(Body::Bundle(bundle)),
     };
     let bundle = bundle.encode_to_vec();
-    let near = b.members.mates().map(|(_, at)| (bundle.clone(), at));
-    let far = b.members.relay_vms(now, number).into_iter();
+    let near = b.members.direct_peers().map(|(_, at)| (bundle.clone(), at));
+    let far = b.members.relay_targets(now, number).into_iter();
     near.chain(far.map(|at| (crossing.clone(), at))).collect()
 }
 
 /// A beacon is to be passed on with our next beat; a newer one of the same VM
 /// takes its place.
-pub(in crate::serving) fn keep(b: &mut Beliefs, vm: VmName, mut beacon: wire::Beacon) {
+pub(in crate::serving) fn enqueue(b: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
     beacon.pass_on = false;
-    b.passing.insert(vm, beacon);
+    b.relay_queue.insert(vm, beacon);
 }
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -9,15 +9,15 @@
 use crate::ids::VmName;
 use crate::platform::PlatformError;
 use crate::pool::Moment;
-use crate::serving::beliefs::state::Beliefs;
-use crate::serving::beliefs::told::Told;
+use crate::serving::cluster::state::NodeState;
+use crate::serving::cluster::update::TopicChange;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
+use crate::serving::store::apply::StoreUpdate;
+use crate::serving::store::apply::apply_cluster;
 use crate::serving::store::follow;
-use crate::serving::store::follow::limited;
-use crate::serving::store::news::News;
-use crate::serving::store::news::take_own;
-use crate::serving::store::port::Freshness;
+use crate::serving::store::follow::with_timeout;
+use crate::serving::store::port::Consistency;
 
 /// How often it is looked whether to ask.
 const LOOK: Duration = Duration::from_millis(100);
@@ -31,7 +31,7 @@
 
 /// Asks the store as long as the process lives.
 pub(in crate::serving) async fn renew(node: Rc<Node>) {
-    if node.settings.fenced {
+    if node.settings.fencing {
         return;
     }
     let mut office = Office::default();
@@ -51,24 +51,24 @@
 
 /// Whether the confirmation is so old that this VM asks itself.
 fn due(node: &Node) -> bool {
-    let b = node.beliefs();
+    let b = node.state();
     let at = now();
-    let live = b.members.live(at);
+    let live = b.members.live_vms(at);
     let rank = live.iter().position(|vm| *vm == node.settings.vm);
-    b.ownership.asks(at, rank.unwrap_or(0))
+    b.ownership.should_confirm(at, rank.unwrap_or(0))
 }
 
 /// Asks for what changed since the last answer.
 async fn ask(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
-    let kind = node.border.kinds.own;
+    let kind = node.border.kinds.internal;
     let asked = now();
     if *since == 0 {
-        let (items, revision) = follow::list(node, kind, Freshness::Newest).await?;
-        take_own(node, &News::All(&items));
+        let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
+        apply_cluster(node, &StoreUpdate::List(&items));
         *since = revision;
     } else {
-        let call = (node.store.changes)(kind, *since, NO_WAIT);
-        let answer = limited(follow::SHORT_CALL, call).await;
+        let call = (node.store.watch)(kind, *since, NO_WAIT);
+        let answer = with_timeout(follow::CALL_TIMEOUT, call).await;
         follow::count_call(kind, answer.is_ok());
         if answer.is_err() {
             *since = 0;
@@ -76,12 +76,12 @@
         let answer = answer?;
         let revision = answer.revision;
         for c in answer.changes {
-            let told = Told::new(c.item, c.removed, false);
-            take_own(node, &News::One(&told));
+            let told = TopicChange::new(c.item, c.removed, false);
+            apply_cluster(node, &StoreUpdate::Change(&told));
         }
         *since = revision.max(*since);
     }
-    node.beliefs().ownership.confirm(asked);
+    node.state().ownership.confirm(asked);
     Ok(())
 }
 
@@ -92,11 +92,11 @@
 
 impl Office {
     fn look(&mut self, node: &Node) {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let at = now();
-        let vouched = b.members.vouched(&b.ownership.table.members);
-        b.ownership.vouch(at, vouched);
-        let holds = b.ownership.holds(at);
+        let vouched = b.members.acknowledged_until(&b.ownership.table.members);
+        b.ownership.set_acknowledged_until(at, vouched);
+        let holds = b.ownership.is_valid(at);
         if std::mem::replace(&mut self.0, holds) != holds {
             let age = b.ownership.confirmed().map(|c| at.since(c).as_millis());
             let vouched = vouched.map(|until| until.since(at).as_millis());
@@ -107,30 +107,30 @@
 }
 
 /// What is told a VM of its last beacon.
-pub(in crate::serving) fn echo(node: &Node, b: &Beliefs, vm: &VmName) -> Option<wire::Echo> {
-    if node.settings.fenced {
+pub(in crate::serving) fn echo_for(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
+    if node.settings.fencing {
         return None;
     }
-    let (incarnation, sent, heard) = b.members.last_heard(vm)?;
+    let (incarnation, sent, heard) = b.members.last_beacon(vm)?;
     Some(wire::Echo {
         incarnation: incarnation.0,
         sent_us: sent.0,
-        confirmed_us: b.ownership.confirmed_after(heard),
+        confirmed_us: b.ownership.confirmation_offset(heard),
     })
 }
 
 /// Takes what a beacon says of the owner table and of our own beacons.
-pub(in crate::serving) fn take(
+pub(in crate::serving) fn handle_beacon(
     node: &Node,
-    b: &mut Beliefs,
+    b: &mut NodeState,
     at: Moment,
     vm: &VmName,
     beacon: &wire::Beacon,
 ) {
-    let newer = beacon.owners > 0 && b.ownership.hear(at, vm, beacon.owners);
+    let newer = beacon.owners > 0 && b.ownership.record_peer_revision(at, vm, beacon.owners);
     // Where replicas check fences the news of the store is soon enough.
-    if newer && !node.settings.fenced {
-        node.reread.notify_one();
+    if newer && !node.settings.fencing {
+        node.owners_wake.notify_one();
     }
     let Some(echo) = &beacon.echo else {
         return;
@@ -139,8 +139,8 @@
         return;
     }
     let sent = Moment(echo.sent_us);
-    b.members.echoed(vm, sent);
+    b.members.record_echo(vm, sent);
     if let Some(after) = echo.confirmed_us {
-        b.ownership.confirmed_by(beacon.owners, sent, after);
+        b.ownership.confirm_from_peer(beacon.owners, sent, after);
     }
 }
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -17,29 +17,29 @@
 use crate::ids::Incarnation;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::recency::reader;
-use crate::serving::beliefs::state::Beliefs;
-use crate::serving::path::border::Border;
+use crate::serving::cluster::recency::reader_id;
+use crate::serving::cluster::state::NodeState;
+use crate::serving::path::border::Codec;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::port::Store;
 use crate::upstream::Upstreams;
 
 /// Questions to other VMs that wait for an answer, by number.
 #[derive(Debug)]
-pub(in crate::serving) struct Questions<T>(RefCell<BTreeMap<u64, oneshot::Sender<T>>>);
+pub(in crate::serving) struct PendingCalls<T>(RefCell<BTreeMap<u64, oneshot::Sender<T>>>);
 
-impl<T> Default for Questions<T> {
+impl<T> Default for PendingCalls<T> {
     fn default() -> Self {
         Self(RefCell::default())
     }
 }
 
-impl<T> Questions<T> {
+impl<T> PendingCalls<T> {
     /// An answer to this number is waited for, until what is returned is dropped.
-    pub(in crate::serving) fn ask(&self, number: u64) -> Question<'_, T> {
+    pub(in crate::serving) fn register(&self, number: u64) -> PendingCall<'_, T> {
         let (sender, receiver) = oneshot::channel();
         self.0.borrow_mut().insert(number, sender);
-        Question {
+        PendingCall {
             questions: self,
             number,
             receiver,
@@ -47,7 +47,7 @@
     }
 
     /// An answer came; one that nobody waits for any more is dropped.
-    pub(in crate::serving) fn answer(&self, number: u64, answer: T) {
+    pub(in crate::serving) fn complete(&self, number: u64, answer: T) {
         if let Some(sender) = self.0.borrow_mut().remove(&number) {
             sender.send(answer).ok();
         }
@@ -55,21 +55,21 @@
 }
 
 /// A question that waits for its answer; its caller may leave meanwhile.
-pub(in crate::serving) struct Question<'a, T> {
-    questions: &'a Questions<T>,
+pub(in crate::serving) struct PendingCall<'a, T> {
+    questions: &'a PendingCalls<T>,
     number: u64,
     receiver: oneshot::Receiver<T>,
 }
 
-impl<T> Question<'_, T> {
+impl<T> PendingCall<'_, T> {
     /// The answer, if it comes in time.
-    pub(in crate::serving) async fn within(mut self, time: Duration) -> Option<T> {
+    pub(in crate::serving) async fn wait(mut self, time: Duration) -> Option<T> {
         let answer = tokio::time::timeout(time, &mut self.receiver).await;
         answer.ok()?.ok()
     }
 }
 
-impl<T> Drop for Question<'_, T> {
+impl<T> Drop for PendingCall<'_, T> {
     fn drop(&mut self) {
         self.questions.0.borrow_mut().remove(&self.number);
     }
@@ -81,61 +81,61 @@
     /// It serves.
     Serving,
     /// It says that it is not ready, and serves what still comes.
-    Leaving,
+    Unready,
     /// It refuses what still comes and sees the rest through.
-    Closing,
+    Draining,
 }
 
 /// One VM of the serving path.
 pub(in crate::serving) struct Node {
     pub(in crate::serving) settings: ServeSettings,
-    pub(in crate::serving) border: Border,
+    pub(in crate::serving) border: Codec,
     pub(in crate::serving) store: Store,
     pub(in crate::serving) upstreams: Upstreams,
     pub(in crate::serving) log: slog::Logger,
     pub(in crate::serving) incarnation: Incarnation,
     /// Wakes requests that wait for a place.
-    pub(in crate::serving) changed: Notify,
+    pub(in crate::serving) placement_wake: Notify,
     /// Wakes the task that gives orders.
-    pub(in crate::serving) orders: Notify,
+    pub(in crate::serving) orders_wake: Notify,
     /// Wakes the followers of the store that miss changes.
-    pub(in crate::serving) asks: Notify,
+    pub(in crate::serving) catch_up_wake: Notify,
     /// Wakes the task that reads the owner table anew.
-    pub(in crate::serving) reread: Notify,
+    pub(in crate::serving) owners_wake: Notify,
     /// Datagrams to and from the other VMs.
     pub(in crate::serving) socket: UdpSocket,
     /// Wakes the task that tells the peers.
-    pub(in crate::serving) news: Notify,
+    pub(in crate::serving) beacon_wake: Notify,
     pub(in crate::serving) phase: watch::Sender<Phase>,
-    beliefs: RefCell<Beliefs>,
+    state: RefCell<NodeState>,
     numbers: Cell<u64>,
     open: Cell<usize>,
     /// Runs that wait for their turn.
-    pub(in crate::serving) turns: Questions<()>,
+    pub(in crate::serving) turn_calls: PendingCalls<()>,
     /// Questions to owners of replicas.
-    pub(in crate::serving) places: Questions<wire::PlaceAnswer>,
+    pub(in crate::serving) place_calls: PendingCalls<wire::PlaceAnswer>,
     /// Questions to the VMs that lend for organisations.
-    pub(in crate::serving) leases: Questions<wire::LeaseAnswer>,
+    pub(in crate::serving) lease_calls: PendingCalls<wire::LeaseAnswer>,
     /// What stands for this VM in what others tell it.
-    pub(in crate::serving) reader: u64,
+    pub(in crate::serving) reader_id: u64,
     /// Wakes the task that gives turns.
-    pub(in crate::serving) turn_news: Notify,
+    pub(in crate::serving) turns_wake: Notify,
 }
 
 impl Node {
     pub(in crate::serving) fn new(
         settings: ServeSettings,
-        border: Border,
+        border: Codec,
         store: Store,
         log: slog::Logger,
         socket: UdpSocket,
     ) -> Self {
         let now = now();
-        let beliefs = Beliefs::new(&settings, now);
+        let state = NodeState::new(&settings, now);
         // A restarted process must be told from the one before it; the clock
         // since the VM's start differs at each.
         let incarnation = Incarnation(now.0);
-        let reader = reader(&settings.vm, incarnation);
+        let reader = reader_id(&settings.vm, incarnation);
         Self {
             settings,
             border,
@@ -143,31 +143,31 @@
             upstreams: Upstreams::with(CONNECT_TIMEOUT, IDLE_TIMEOUT),
             log,
             incarnation,
-            changed: Notify::new(),
-            orders: Notify::new(),
-            asks: Notify::new(),
-            reread: Notify::new(),
+            placement_wake: Notify::new(),
+            orders_wake: Notify::new(),
+            catch_up_wake: Notify::new(),
+            owners_wake: Notify::new(),
             socket,
-            news: Notify::new(),
+            beacon_wake: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
-            beliefs: RefCell::new(beliefs),
+            state: RefCell::new(state),
             numbers: Cell::new(0),
             open: Cell::new(0),
-            turns: Questions::default(),
-            places: Questions::default(),
-            leases: Questions::default(),
-            reader,
-            turn_news: Notify::new(),
+            turn_calls: PendingCalls::default(),
+            place_calls: PendingCalls::default(),
+            lease_calls: PendingCalls::default(),
+            reader_id: reader,
+            turns_wake: Notify::new(),
         }
     }
 
-    /// The beliefs; never held across an await.
-    pub(in crate::serving) fn beliefs(&self) -> RefMut<'_, Beliefs> {
-        self.beliefs.borrow_mut()
+    /// The state; never held across an await.
+    pub(in crate::serving) fn state(&self) -> RefMut<'_, NodeState> {
+        self.state.borrow_mut()
     }
 
     /// A number that is used once.
-    pub(in crate::serving) fn number(&self) -> u64 {
+    pub(in crate::serving) fn next_id(&self) -> u64 {
         self.numbers.set(self.numbers.get() + 1);
         self.numbers.get()
     }
@@ -177,21 +177,21 @@
     }
 
     /// Counts a request that is under way, until the guard is dropped.
-    pub(in crate::serving) fn enter(self: &std::rc::Rc<Self>) -> Open {
+    pub(in crate::serving) fn track_request(self: &std::rc::Rc<Self>) -> InFlight {
         self.open.set(self.open.get() + 1);
-        Open(self.clone())
+        InFlight(self.clone())
     }
 
     /// Requests under way.
-    pub(in crate::serving) fn open(&self) -> usize {
+    pub(in crate::serving) fn in_flight(&self) -> usize {
         self.open.get()
     }
 }
 
 /// A request that is under way.
-pub(in crate::serving) struct Open(std::rc::Rc<Node>);
+pub(in crate::serving) struct InFlight(std::rc::Rc<Node>);
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get().saturating_sub(1));
     }
@@ -210,16 +210,16 @@
 }
 
 /// A duration as a span of that clock.
-pub(in crate::serving) fn span(d: Duration) -> Span {
+pub(in crate::serving) fn to_span(d: Duration) -> Span {
     Span(u64::try_from(d.as_micros()).unwrap_or(u64::MAX))
 }
 
 /// The timer's instant for a moment.
-pub(in crate::serving) fn instant(at: Moment) -> Instant {
+pub(in crate::serving) fn to_instant(at: Moment) -> Instant {
     Instant::now() + Duration::from_micros(at.since(now()).0)
 }
 
 /// How long until a moment.
-pub(in crate::serving) fn until(at: Moment) -> Duration {
+pub(in crate::serving) fn time_until(at: Moment) -> Duration {
     Duration::from_micros(at.since(now()).0)
 }
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -20,7 +20,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::now;
-use crate::serving::program::node::until;
+use crate::serving::program::node::time_until;
 use crate::upstream::Parts;
 use crate::upstream::collect;
 
@@ -64,18 +64,18 @@
         let at = now();
         if at.since(last) > SUSPENDED {
             slog::warn!(node.log, "was suspended"; "ms" => at.since(last).as_millis());
-            node.beliefs().ownership.suspend();
-            node.reread.notify_one();
+            node.state().ownership.invalidate();
+            node.owners_wake.notify_one();
         }
         last = at;
         for (name, token, step) in due(&node, at) {
             tokio::task::spawn_local(carry_out(node.clone(), name, token, step));
         }
-        let wake = node.beliefs().books.next_wake(at);
-        let wait = wake.map_or(TICK, |w| until(w).min(TICK));
+        let wake = node.state().books.next_wake(at);
+        let wait = wake.map_or(TICK, |w| time_until(w).min(TICK));
         // Woken by news or by time, the books are asked anew.
         let wait = wait.max(Duration::from_millis(5));
-        tokio::time::timeout(wait, node.orders.notified())
+        tokio::time::timeout(wait, node.orders_wake.notified())
             .await
             .ok();
     }
@@ -83,19 +83,19 @@
 
 /// What is due at each of our replicas.
 fn due(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, Step)> {
-    if node.phase() == Phase::Closing {
+    if node.phase() == Phase::Draining {
         return Vec::new();
     }
-    let mut b = node.beliefs();
-    b.open_books(at);
+    let mut b = node.state();
+    b.sync_books(at);
     let b = &mut *b;
     let loads = b.fleet.weight_loads().max(LEAST_LOADS);
     let pause = Span((b.members.count() as f64 / loads * WEIGHT_SHARE * 1e6) as u64);
     b.books.set_pause(pause.max(WEIGHT_PAUSE));
     let engines = b.fleet.engines().count();
     b.books.set_fetches(b.fleet.coming(at), engines);
-    b.books.set_news(b.members.news());
-    let active = b.ownership.active(at);
+    b.books.set_news(b.members.report_delay());
+    let active = b.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
     let mut due = Vec::new();
     for (name, token) in active {
@@ -113,29 +113,29 @@
     match &step {
         Step::Look => {
             let report = look(&node, &name).await;
-            let mut b = node.beliefs();
+            let mut b = node.state();
             b.books.looked(now(), &name, report);
         }
         _ => {
             let end = give(&node, &name, token, &step).await;
-            let mut b = node.beliefs();
+            let mut b = node.state();
             let took = b.books.ended(now(), &name, &step, end);
             if matches!(end, OrderEnd::Fenced) {
-                b.ownership.refused(&name, token);
+                b.ownership.record_refusal(&name, token);
             }
             drop(b);
             log_order(&node, &name, token, &step, end, took);
         }
     }
-    node.news.notify_one();
-    node.orders.notify_one();
+    node.beacon_wake.notify_one();
+    node.orders_wake.notify_one();
     // Our own requests that wait for it learn of it with the news.
-    let mut b = node.beliefs();
+    let mut b = node.state();
     if let Some(held) = b.books.held(&name) {
         b.fleet.hear_book(now(), &name, held);
     }
     drop(b);
-    node.changed.notify_waiters();
+    node.placement_wake.notify_waiters();
 }
 
 fn log_order(
@@ -163,12 +163,12 @@
 }
 
 async fn look(node: &Node, name: &ReplicaName) -> Option<Report> {
-    let request = (node.border.write_look)().ok()?;
+    let request = (node.border.encode_report_request)().ok()?;
     let (status, body) = call(node, name, request, LONGEST_ANSWER).await?;
     if !status.is_success() {
         return None;
     }
-    match (node.border.read_report)(&body) {
+    match (node.border.parse_report)(&body) {
         Ok(report) => {
             slog::info!(node.log, "report"; "replica" => name.as_str(),
                 "accepted" => report.accepted, "here" => report.here.len(),
@@ -201,20 +201,20 @@
         token,
         replica: name,
     };
-    let Ok(request) = (node.border.write_order)(&order) else {
+    let Ok(request) = (node.border.encode_order)(&order) else {
         return OrderEnd::Refused;
     };
     // The lease is looked at right before the order goes out.
-    if node.beliefs().ownership.token(now(), name) != Some(token) {
+    if node.state().ownership.token(now(), name) != Some(token) {
         return OrderEnd::Refused;
     }
-    let unanswered = node.beliefs().books.unanswered(name).min(MOST_DOUBLED);
-    let wait = match node.settings.experiment.runs(Mechanism::OrderRepeats) {
+    let unanswered = node.state().books.unanswered(name).min(MOST_DOUBLED);
+    let wait = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
         true => (FIRST_ANSWER * (1 << unanswered)).min(LONGEST_ANSWER),
         false => LONGEST_ANSWER,
     };
     match call(node, name, request, wait).await {
-        Some((status, _)) => (node.border.read_order)(status),
+        Some((status, _)) => (node.border.parse_order_end)(status),
         None => OrderEnd::Unknown,
     }
 }
@@ -225,7 +225,7 @@
     request: Request<Parts>,
     wait: Duration,
 ) -> Option<(StatusCode, Bytes)> {
-    let address = node.beliefs().fleet.listing(name)?.address;
+    let address = node.state().fleet.listing(name)?.address;
     let work = async {
         let mut answer = node.upstreams.send(address, request).await.ok()?;
         let body = collect(&mut answer, MOST_REPORT).await.ok()?;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -12,12 +12,12 @@
 
 use crate::platform::PlatformError;
 use crate::pool::Span;
-use crate::serving::beliefs::topic::Topic;
-use crate::serving::path::border::Border;
+use crate::serving::cluster::topic::Topic;
+use crate::serving::path::border::Codec;
 use crate::serving::path::reading;
 use crate::serving::path::server;
 use crate::serving::peers::beacons;
-use crate::serving::peers::flights;
+use crate::serving::peers::load_reports;
 use crate::serving::peers::renewal;
 use crate::serving::program::experiment::Experiment;
 use crate::serving::program::node::Node;
@@ -25,15 +25,15 @@
 use crate::serving::program::node::now;
 use crate::serving::program::ordering;
 use crate::serving::program::settings::ServeSettings;
+use crate::serving::store::apply::OWNER_TABLE;
+use crate::serving::store::apply::StoreUpdate;
+use crate::serving::store::apply::VM_PREFIX;
+use crate::serving::store::apply::VmEntry;
+use crate::serving::store::apply::apply_cluster;
 use crate::serving::store::follow;
 use crate::serving::store::follow::follow;
-use crate::serving::store::follow::limited;
-use crate::serving::store::news::News;
-use crate::serving::store::news::OWNERS;
-use crate::serving::store::news::VM_PREFIX;
-use crate::serving::store::news::VmEntry;
-use crate::serving::store::news::take_own;
-use crate::serving::store::port::Freshness;
+use crate::serving::store::follow::with_timeout;
+use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Store;
 
 /// How often the owner table is looked through.
@@ -77,11 +77,11 @@
 impl std::error::Error for ServeError {}
 
 /// A serving process inside this one.
-pub struct Program {
+pub struct Server {
     node: Rc<Node>,
 }
 
-impl Program {
+impl Server {
     /// Listens and serves; must be called within a `LocalSet`.
     ///
     /// # Errors
@@ -89,16 +89,18 @@
     /// When an address cannot be listened on.
     pub async fn start(
         settings: ServeSettings,
-        border: Border,
+        border: Codec,
         store: Store,
         log: slog::Logger,
     ) -> Result<Self, ServeError> {
         let at = |address: SocketAddr| move |e| ServeError::Listen(address, e);
-        let callers = server::listen(settings.callers).map_err(at(settings.callers))?;
-        let readiness = server::listen(settings.readiness).map_err(at(settings.readiness))?;
-        let socket = UdpSocket::bind(settings.peers).await;
-        let socket = socket.map_err(at(settings.peers))?;
-        slog::info!(log, "started"; "zone" => settings.zone.as_str(), "callers" => %settings.callers,
+        let callers =
+            server::listen(settings.caller_address).map_err(at(settings.caller_address))?;
+        let readiness =
+            server::listen(settings.readiness_address).map_err(at(settings.readiness_address))?;
+        let socket = UdpSocket::bind(settings.peer_address).await;
+        let socket = socket.map_err(at(settings.peer_address))?;
+        slog::info!(log, "started"; "zone" => settings.zone.as_str(), "callers" => %settings.caller_address,
             "version" => env!("CARGO_PKG_VERSION"));
         if settings.experiment != Experiment::default() {
             slog::warn!(log, "experiment"; "off" => ?settings.experiment.off);
@@ -107,9 +109,9 @@
         spawn_followers(&node);
         tokio::task::spawn_local(server::callers(node.clone(), callers));
         tokio::task::spawn_local(server::readiness(node.clone(), readiness));
-        tokio::task::spawn_local(beacons::tell(node.clone()));
-        tokio::task::spawn_local(flights::report(node.clone()));
-        tokio::task::spawn_local(beacons::hear(node.clone()));
+        tokio::task::spawn_local(beacons::send_beacons(node.clone()));
+        tokio::task::spawn_local(load_reports::send_reports(node.clone()));
+        tokio::task::spawn_local(beacons::receive(node.clone()));
         tokio::task::spawn_local(reading::keep(node.clone()));
         tokio::task::spawn_local(ordering::order(node.clone()));
         tokio::task::spawn_local(register(node.clone()));
@@ -123,27 +125,27 @@
     /// grace of the settings.
     pub async fn stop(&self) {
         let node = &self.node;
-        slog::info!(node.log, "stopping"; "open" => node.open());
+        slog::info!(node.log, "stopping"; "open" => node.in_flight());
         let began = tokio::time::Instant::now();
         let end = began + node.settings.grace.saturating_sub(END_TIME);
-        node.phase.send_replace(Phase::Leaving);
-        node.news.notify_one();
+        node.phase.send_replace(Phase::Unready);
+        node.beacon_wake.notify_one();
         tokio::time::sleep(LEAVE_TIME).await;
-        node.phase.send_replace(Phase::Closing);
+        node.phase.send_replace(Phase::Draining);
         // Connections that are idle are closed first.
         tokio::time::sleep(END_POLL).await;
-        while node.open() > 0 && tokio::time::Instant::now() < end {
+        while node.in_flight() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(END_POLL).await;
         }
         let name = vm_name(node);
-        let removed = limited(
+        let removed = with_timeout(
             END_TIME / 2,
-            (node.store.delete)(node.border.kinds.own, &name),
+            (node.store.delete)(node.border.kinds.internal, &name),
         );
         if let Err(e) = removed.await {
             slog::info!(node.log, "entry not removed"; "error" => %e);
         }
-        slog::info!(node.log, "stopped"; "open" => node.open());
+        slog::info!(node.log, "stopped"; "open" => node.in_flight());
     }
 }
 
@@ -155,7 +157,7 @@
 /// When it cannot start.
 pub async fn run(
     settings: ServeSettings,
-    border: Border,
+    border: Codec,
     store: Store,
     log: slog::Logger,
     reload: impl Fn() -> Result<ServeSettings, String>,
@@ -166,7 +168,7 @@
     let mut hangup = take(SignalKind::hangup())?;
     let old = settings.clone();
     let log = log.new(slog::o!("vm" => settings.vm.to_string()));
-    let program = Program::start(settings, border, store, log.clone()).await?;
+    let program = Server::start(settings, border, store, log.clone()).await?;
     loop {
         tokio::select! {
             _ = term.recv() => break,
@@ -186,7 +188,7 @@
 fn log_reload(log: &slog::Logger, old: &ServeSettings, new: Result<ServeSettings, String>) {
     match new {
         Ok(new) => {
-            let same = new.callers == old.callers && new.vm == old.vm;
+            let same = new.caller_address == old.caller_address && new.vm == old.vm;
             slog::info!(log, "settings read again"; "addresses_kept" => same);
         }
         Err(e) => slog::warn!(log, "settings refused"; "error" => e),
@@ -207,7 +209,7 @@
 async fn register(node: Rc<Node>) {
     let entry = VmEntry {
         vm: node.settings.vm.clone(),
-        address: node.settings.peers,
+        address: node.settings.peer_address,
         zone: Some(node.settings.zone.clone()),
     };
     let Ok(spec) = to_raw_value(&entry) else {
@@ -215,8 +217,8 @@
     };
     let name = vm_name(&node);
     loop {
-        let call = (node.store.create)(node.border.kinds.own, &name, &spec);
-        match limited(follow::SHORT_CALL, call).await {
+        let call = (node.store.create)(node.border.kinds.internal, &name, &spec);
+        match with_timeout(follow::CALL_TIMEOUT, call).await {
             // An earlier start wrote the same.
             Ok(_) | Err(PlatformError::Conflict) => return,
             Err(e) => slog::warn!(node.log, "entry not written"; "error" => %e),
@@ -228,13 +230,13 @@
 /// Reads the owner table anew after a suspension.
 async fn reread(node: Rc<Node>) {
     loop {
-        node.reread.notified().await;
+        node.owners_wake.notified().await;
         loop {
             let asked = now();
-            match follow::list(&node, node.border.kinds.own, Freshness::Newest).await {
+            match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
-                    take_own(&node, &News::All(&items));
-                    node.beliefs().ownership.confirm(asked);
+                    apply_cluster(&node, &StoreUpdate::List(&items));
+                    node.state().ownership.confirm(asked);
                     break;
                 }
                 Err(e) => slog::warn!(node.log, "owners not read"; "error" => %e),
@@ -250,7 +252,7 @@
     loop {
         tokio::time::sleep(UPKEEP).await;
         follow::drop_lapsed(&node);
-        node.beliefs().keep_limits(now());
+        node.state().update_lender(now());
         if now().since(began) >= SETTLED && node.phase() == Phase::Serving {
             repair(&node).await;
         }
@@ -260,12 +262,12 @@
 async fn repair(node: &Node) {
     let at = now();
     let (table, revision, live) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let b = &mut *b;
-        if !b.ready() || !b.members.may_judge(at) {
+        if !b.is_ready() || !b.members.can_detect_failures(at) {
             return;
         }
-        let live = b.members.live(at);
+        let live = b.members.live_vms(at);
         let usable = b
             .fleet
             .listings()
@@ -274,45 +276,45 @@
         let Some(table) = b.ownership.proposal(at, &live, &replicas) else {
             return;
         };
-        b.ownership.proposed(at);
+        b.ownership.record_proposal(at);
         (table, b.ownership.revision, live.len())
     };
     let Ok(spec) = to_raw_value(&table) else {
         return;
     };
-    let kind = node.border.kinds.own;
+    let kind = node.border.kinds.internal;
     let asked = now();
     let call = match revision {
-        0 => (node.store.create)(kind, OWNERS, &spec),
-        _ => (node.store.replace)(kind, OWNERS, revision, &spec),
+        0 => (node.store.create)(kind, OWNER_TABLE, &spec),
+        _ => (node.store.replace)(kind, OWNER_TABLE, revision, &spec),
     };
-    match limited(follow::SHORT_CALL, call).await {
+    match with_timeout(follow::CALL_TIMEOUT, call).await {
         Ok(revision) => {
             let term = table.term.0;
-            let mut b = node.beliefs();
-            let moved = table.moved(&b.ownership.table);
-            b.take_owners(now(), table, revision);
+            let mut b = node.state();
+            let moved = table.count_moved(&b.ownership.table);
+            b.apply_owner_table(now(), table, revision);
             b.ownership.confirm(asked);
             drop(b);
             slog::info!(node.log, "owners changed"; "term" => term, "revision" => revision,
                 "moved" => moved, "live" => live);
-            node.orders.notify_one();
+            node.orders_wake.notify_one();
         }
         // Another VM was first; the watch brings its table.
         Err(PlatformError::Conflict) => {}
         Err(e) => slog::warn!(node.log, "owners not changed"; "error" => %e),
     }
     let gone = {
-        let b = node.beliefs();
-        let first = b.members.live(at).first() == Some(&node.settings.vm);
+        let b = node.state();
+        let first = b.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
-            true => b.members.silent(at, VM_GONE),
+            true => b.members.silent_for(at, VM_GONE),
             false => Vec::new(),
         }
     };
     for vm in gone {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
-        if let Err(e) = limited(follow::SHORT_CALL, call).await {
+        if let Err(e) = with_timeout(follow::CALL_TIMEOUT, call).await {
             slog::info!(node.log, "entry not removed"; "vm" => vm.as_str(), "error" => %e);
         }
     }
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -19,28 +19,28 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the balancer asks whether we are ready.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where datagrams of the other VMs come in.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// How long a leaving replica may still get requests.
     pub drain: Duration,
     /// Within how long a configuration is in force everywhere.
-    pub apply: Duration,
+    pub config_apply: Duration,
     /// Within how long a new version of an adapter is used everywhere.
-    pub renew: Duration,
+    pub version_apply: Duration,
     /// How long an ownership of a replica outlives its last use.
     pub lease: Duration,
     /// Whether replicas refuse orders with a lower fencing token.
-    pub fenced: bool,
+    pub fencing: bool,
     /// Within how long a key that was taken away must be heeded by every VM,
     /// whether it reaches the store or not; `None` where only VMs that do must.
-    pub revoke: Option<Duration>,
+    pub key_revocation: Option<Duration>,
     /// What may be used beyond organisations' limits.
     pub allowance: Allowance,
     /// How many requests may be sent again.
--- a/lib/src/serving/store/news.rs
+++ b/lib/src/serving/store/apply.rs
@@ -8,16 +8,16 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::ids::ZoneName;
-use crate::serving::beliefs::table::Table;
-use crate::serving::beliefs::told::Told;
+use crate::serving::cluster::owner_table::OwnerTable;
+use crate::serving::cluster::update::TopicChange;
 use crate::serving::path::model::Instance;
-use crate::serving::path::model::Listing;
+use crate::serving::path::model::ReplicaInfo;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::store::port::Item;
 
 /// The name of the owner table in the store.
-pub(in crate::serving) const OWNERS: &str = "owners";
+pub(in crate::serving) const OWNER_TABLE: &str = "owners";
 
 /// What the names of VMs' entries begin with.
 pub(in crate::serving) const VM_PREFIX: &str = "vm.";
@@ -33,33 +33,33 @@
 }
 
 /// What a follower hears of the store.
-pub(in crate::serving) enum News<'a> {
+pub(in crate::serving) enum StoreUpdate<'a> {
     /// All objects of a topic.
-    All(&'a [Item]),
+    List(&'a [Item]),
     /// One object changed, or was removed.
-    One(&'a Told),
+    Change(&'a TopicChange),
 }
 
-impl News<'_> {
+impl StoreUpdate<'_> {
     /// The objects that are there, as far as this tells.
     fn items(&self) -> &[Item] {
         match self {
-            Self::All(items) => items,
-            Self::One(told) if told.removed => &[],
-            Self::One(told) => std::slice::from_ref(&told.item),
+            Self::List(items) => items,
+            Self::Change(told) if told.removed => &[],
+            Self::Change(told) => std::slice::from_ref(&told.item),
         }
     }
 }
 
 /// Takes a configuration; the operator replaces it and never takes it away.
-pub(in crate::serving) fn take_config(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn apply_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
-        match (node.border.read_config)(item) {
+        match (node.border.parse_config)(item) {
             Ok(config) => {
                 let version = config.version;
-                let mut b = node.beliefs();
-                b.recency.read(true);
-                let taken = b.configure(config);
+                let mut b = node.state();
+                b.recency.set_readable(true);
+                let taken = b.apply_config(config);
                 drop(b);
                 slog::info!(node.log, "configuration"; "version" => version,
                     "bytes" => item.spec.get().len(),
@@ -67,7 +67,7 @@
             }
             Err(e) => {
                 // Keys that it takes away are not known.
-                node.beliefs().recency.read(false);
+                node.state().recency.set_readable(false);
                 slog::error!(node.log, "bad configuration"; "error" => %e);
             }
         }
@@ -77,36 +77,36 @@
 
 /// Takes entries of replicas; gives whether one says more than which adapters
 /// it holds.
-pub(in crate::serving) fn take_replicas(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn apply_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
-        let listing = (node.border.read_listing)(item);
+        let listing = (node.border.parse_replica)(item);
         listing.map_err(|e| {
             slog::error!(node.log, "bad replica"; "name" => &item.name, "error" => %e);
         })
     };
     match news {
-        News::All(items) => {
+        StoreUpdate::List(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas"; "count" => all.len());
-            let mut b = node.beliefs();
-            b.relist(at, all);
-            b.listed = true;
+            let mut b = node.state();
+            b.apply_listings(at, all);
+            b.replicas_listed = true;
             true
         }
-        News::One(told) if told.lapsed => {
+        StoreUpdate::Change(told) if told.lapsed => {
             if let Ok(name) = told.item.name.parse::<ReplicaName>() {
-                node.beliefs().fleet.lapse(at, &name);
+                node.state().fleet.lapse(at, &name);
                 slog::info!(node.log, "replica lapsed"; "replica" => name.as_str(),
                     "revision" => told.item.revision);
             }
             true
         }
-        News::One(told) if told.removed => {
+        StoreUpdate::Change(told) if told.removed => {
             unlist(node, &told.item, "removed");
             true
         }
-        News::One(told) => match read(&told.item) {
+        StoreUpdate::Change(told) => match read(&told.item) {
             Ok(listing) => take_replica(node, &told.item, listing),
             // It names no replica to use, whatever it named before.
             Err(()) => {
@@ -117,11 +117,11 @@
     }
 }
 
-fn take_replica(node: &Node, item: &Item, listing: Listing) -> bool {
+fn take_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
-    let born = listing.born;
-    let news = node.beliefs().fleet.is_news(&listing);
-    let changed = node.beliefs().take_listing(listing);
+    let born = listing.started_ms;
+    let news = node.state().fleet.is_news(&listing);
+    let changed = node.state().apply_listing(listing);
     if changed {
         slog::info!(node.log, "replica"; "replica" => name.as_str(),
                         "draining" => draining, "born" => born, "revision" => item.revision);
@@ -133,34 +133,37 @@
     let Ok(name) = item.name.parse::<ReplicaName>() else {
         return;
     };
-    if node.beliefs().fleet.unlist(&name) {
+    if node.state().fleet.unlist(&name) {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(),
             "why" => why, "revision" => item.revision);
     }
 }
 
 /// The other VMs hear at once of a replica that this VM read to be leaving.
-pub(in crate::serving) fn tell_leaving(node: &Node, told: &Told) {
+pub(in crate::serving) fn announce_leaving(node: &Node, told: &TopicChange) {
     let Ok(name) = told.item.name.parse::<ReplicaName>() else {
         return;
     };
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let drains = b.fleet.listing(&name).is_some_and(|l| l.draining);
     let leaves = told.removed || drains;
     let Some(born) = b.fleet.born(&name).filter(|_| leaves) else {
         return;
     };
-    b.leaving.insert(Instance { name, born });
+    b.leaving.insert(Instance {
+        name,
+        started_ms: born,
+    });
     drop(b);
-    node.news.notify_one();
+    node.beacon_wake.notify_one();
 }
 
 /// Takes announced versions.
-pub(in crate::serving) fn take_versions(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn apply_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
-        match (node.border.read_announced)(item) {
+        match (node.border.parse_version)(item) {
             Ok(a) => {
-                if node.beliefs().fleet.versions.announce(now(), &a) {
+                if node.state().fleet.versions.announce(now(), &a) {
                     slog::info!(node.log, "version announced"; "target" => %a.target,
                         "version" => a.version, "revision" => item.revision);
                 }
@@ -168,22 +171,22 @@
             Err(e) => slog::error!(node.log, "bad version"; "name" => &item.name, "error" => %e),
         }
     }
-    node.orders.notify_one();
+    node.orders_wake.notify_one();
     !news.items().is_empty()
 }
 
 /// Takes our own objects: VMs and the owner table.
-pub(in crate::serving) fn take_own(node: &Node, news: &News<'_>) -> bool {
+pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
     news.items().iter().for_each(|i| take_own_item(node, i));
-    if matches!(news, News::All(_)) {
-        node.beliefs().members.set_listed();
+    if matches!(news, StoreUpdate::List(_)) {
+        node.state().members.mark_listed();
     }
-    if let News::One(told) = news
+    if let StoreUpdate::Change(told) = news
         && told.removed
         && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
     {
-        node.beliefs().members.unlist(&vm);
+        node.state().members.remove(&vm);
         slog::info!(node.log, "vm gone"; "vm" => vm.as_str());
     }
     true
@@ -193,13 +196,13 @@
     let bad = |e: serde_json::Error| {
         slog::error!(node.log, "bad entry"; "name" => &item.name, "error" => %e);
     };
-    if item.name == OWNERS {
-        match serde_json::from_str::<Table>(item.spec.get()) {
+    if item.name == OWNER_TABLE {
+        match serde_json::from_str::<OwnerTable>(item.spec.get()) {
             Ok(table) => {
                 let term = table.term.0;
-                if node.beliefs().take_owners(now(), table, item.revision) {
+                if node.state().apply_owner_table(now(), table, item.revision) {
                     slog::info!(node.log, "owners"; "term" => term, "revision" => item.revision);
-                    node.orders.notify_one();
+                    node.orders_wake.notify_one();
                 }
             }
             Err(e) => bad(e),
@@ -208,11 +211,11 @@
     }
     match serde_json::from_str::<VmEntry>(item.spec.get()) {
         Ok(entry) => {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             if let Some(zone) = entry.zone {
                 b.members.set_zone(&entry.vm, zone);
             }
-            b.members.list(entry.vm, entry.address);
+            b.members.set_address(entry.vm, entry.address);
         }
         Err(e) => bad(e),
     }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -11,24 +11,24 @@
 use crate::platform::PlatformError;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::beliefs::feed::Next;
-use crate::serving::beliefs::state::Beliefs;
-use crate::serving::beliefs::told::Blind;
-use crate::serving::beliefs::told::Said;
-use crate::serving::beliefs::told::Told;
-use crate::serving::beliefs::topic::CALL_MARGIN;
-use crate::serving::beliefs::topic::Rhythm;
-use crate::serving::beliefs::topic::Topic;
-use crate::serving::peers::pack::unpack;
+use crate::serving::cluster::feed::FeedAction;
+use crate::serving::cluster::state::NodeState;
+use crate::serving::cluster::topic::CALL_MARGIN;
+use crate::serving::cluster::topic::PollPolicy;
+use crate::serving::cluster::topic::Topic;
+use crate::serving::cluster::update::SkippedRange;
+use crate::serving::cluster::update::TopicChange;
+use crate::serving::cluster::update::TopicUpdate;
+use crate::serving::peers::compression::decompress;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
-use crate::serving::program::node::instant;
 use crate::serving::program::node::now;
-use crate::serving::program::node::span;
+use crate::serving::program::node::to_instant;
+use crate::serving::program::node::to_span;
 use crate::serving::program::settings::ServeSettings;
-use crate::serving::store::news;
-use crate::serving::store::news::News;
-use crate::serving::store::port::Freshness;
+use crate::serving::store::apply;
+use crate::serving::store::apply::StoreUpdate;
+use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Item;
 use crate::serving::store::port::Page;
 
@@ -53,39 +53,39 @@
 const WITNESSED: Span = Span::from_millis(4_000);
 
 /// How a topic is asked about.
-pub(in crate::serving) fn rhythm(settings: &ServeSettings, topic: Topic) -> Rhythm {
+pub(in crate::serving) fn poll_policy(settings: &ServeSettings, topic: Topic) -> PollPolicy {
     let millis = Duration::from_millis;
     match topic {
-        Topic::Config => Rhythm {
-            bound: span(settings.apply),
-            lone_wait: millis(4_500),
+        Topic::Config => PollPolicy {
+            max_staleness: to_span(settings.config_apply),
+            max_solo_wait: millis(4_500),
             // Less than versions may take to be in force, and more than the
             // pause between them in a storm.
-            lone_pause: millis(250),
-            pause: millis(150),
-            removes: false,
+            solo_pause: millis(250),
+            shared_pause: millis(150),
+            has_removals: false,
         },
-        Topic::Replicas => Rhythm {
-            bound: span(settings.drain),
-            lone_wait: millis(4_000),
-            lone_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
-            pause: millis(400),
-            removes: true,
+        Topic::Replicas => PollPolicy {
+            max_staleness: to_span(settings.drain),
+            max_solo_wait: millis(4_000),
+            solo_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
+            shared_pause: millis(400),
+            has_removals: true,
         },
-        Topic::Versions => Rhythm {
-            bound: span(settings.renew.mul_f64(VERSION_PART)),
-            lone_wait: millis(8_000),
+        Topic::Versions => PollPolicy {
+            max_staleness: to_span(settings.version_apply.mul_f64(VERSION_PART)),
+            max_solo_wait: millis(8_000),
             // They come by the dozen.
-            lone_pause: millis(1_000),
-            pause: millis(250),
-            removes: false,
+            solo_pause: millis(1_000),
+            shared_pause: millis(250),
+            has_removals: false,
         },
-        Topic::Own => Rhythm {
-            bound: OWN_BOUND,
-            lone_wait: millis(15_000),
-            lone_pause: millis(600),
-            pause: millis(300),
-            removes: true,
+        Topic::Cluster => PollPolicy {
+            max_staleness: OWN_BOUND,
+            max_solo_wait: millis(15_000),
+            solo_pause: millis(600),
+            shared_pause: millis(300),
+            has_removals: true,
         },
     }
 }
@@ -97,17 +97,17 @@
         Topic::Config => kinds.config,
         Topic::Replicas => kinds.replicas,
         Topic::Versions => kinds.versions,
-        Topic::Own => kinds.own,
+        Topic::Cluster => kinds.internal,
     }
 }
 
 /// What news of a topic changes; gives whether others should hear of it.
-fn take(node: &Node, topic: Topic, news: &News<'_>) -> bool {
+fn take(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
     match topic {
-        Topic::Config => news::take_config(node, news),
-        Topic::Replicas => news::take_replicas(node, news),
-        Topic::Versions => news::take_versions(node, news),
-        Topic::Own => news::take_own(node, news),
+        Topic::Config => apply::apply_config(node, news),
+        Topic::Replicas => apply::apply_replicas(node, news),
+        Topic::Versions => apply::apply_versions(node, news),
+        Topic::Cluster => apply::apply_cluster(node, news),
     }
 }
 
@@ -116,27 +116,28 @@
     loop {
         let at = now();
         let (next, rank) = {
-            let mut b = node.beliefs();
-            let rank = b.asking_rank(at, &node.settings, topic);
+            let mut b = node.state();
+            let rank = b.poll_rank(at, &node.settings, topic);
             let proof = topic == Topic::Config && b.proof_due(at, rank);
-            match b.feeds.get(topic).next(at, rank) {
-                Next::Wait(_) if proof => (Next::List, rank),
+            match b.feeds.get(topic).next_action(at, rank) {
+                FeedAction::Wait(_) if proof => (FeedAction::List, rank),
                 next => (next, rank),
             }
         };
         let outcome = match next {
-            Next::Wait(until) => {
+            FeedAction::Wait(until) => {
                 let until = until.min(at.after(LOOK));
-                let asked = tokio::time::timeout_at(instant(until), node.asks.notified());
+                let asked =
+                    tokio::time::timeout_at(to_instant(until), node.catch_up_wake.notified());
                 asked.await.ok();
                 continue;
             }
-            Next::List => list_all(&node, topic).await.map(|()| false),
-            Next::Watch(wait) => watch(&node, topic, rank, wait).await,
+            FeedAction::List => list_all(&node, topic).await.map(|()| false),
+            FeedAction::Watch(wait) => watch(&node, topic, rank, wait).await,
         };
         match outcome {
             Ok(true) => {
-                let pause = node.beliefs().feeds.get(topic).pause(rank);
+                let pause = node.state().feeds.get(topic).pause(rank);
                 tokio::time::sleep(pause).await;
             }
             Ok(false) => {}
@@ -146,19 +147,19 @@
 }
 
 fn log_lost(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
-    let mut b = node.beliefs();
+    let mut b = node.state();
     let feed = b.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
-        feed.expired();
+        feed.mark_expired();
         slog::info!(node.log, "history gone"; "kind" => kind(node, topic),
             "revision" => feed.revision());
         return;
     }
-    if !feed.is_out() {
+    if !feed.is_failing() {
         slog::warn!(node.log, "store lost"; "kind" => kind(node, topic), "error" => %e,
             "revision" => feed.revision(), "rank" => rank);
     }
-    feed.failed(now(), rank);
+    feed.record_failure(now(), rank);
 }
 
 fn log_regained(node: &Node, topic: Topic, out: bool, revision: u64) {
@@ -171,43 +172,43 @@
 /// Reads a topic whole.
 async fn list_all(node: &Node, topic: Topic) -> Result<(), PlatformError> {
     let asked = now();
-    let first = node.beliefs().feeds.get(topic).age(asked).is_none();
+    let first = node.state().feeds.get(topic).age(asked).is_none();
     // What came since is read, or heard, next. Where replicas check no fences,
     // nobody is in office before the owner table is known to be the newest:
     // after a power loss of all that stopped all loads for 3 s. Keys that may
     // have been taken away serve nobody.
     let proves = match topic {
-        Topic::Own => !node.settings.fenced,
-        Topic::Config => node.settings.revoke.is_some(),
+        Topic::Cluster => !node.settings.fencing,
+        Topic::Config => node.settings.key_revocation.is_some(),
         Topic::Replicas | Topic::Versions => false,
     };
     let may_be_old = first && !proves;
     let freshness = match may_be_old {
-        true => Freshness::Recent,
-        false => Freshness::Newest,
+        true => Consistency::BoundedStale,
+        false => Consistency::Latest,
     };
     let (items, revision) = list(node, kind(node, topic), freshness).await?;
     let (out, changes) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let feed = b.feeds.get(topic);
-        let out = feed.is_out();
-        (out, feed.listed(now(), asked, revision, &items))
+        let out = feed.is_failing();
+        (out, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
     slog::info!(node.log, "listed"; "kind" => kind(node, topic), "count" => items.len(),
         "revision" => revision, "newest" => newest, "first" => first);
     log_regained(node, topic, out, revision);
     if first {
-        take(node, topic, &News::All(&items));
+        take(node, topic, &StoreUpdate::List(&items));
     }
     take_changes(node, topic, changes);
-    if freshness == Freshness::Newest {
+    if freshness == Consistency::Latest {
         confirm(node, topic, asked);
         if topic == Topic::Config {
-            node.beliefs().recency.listed(asked);
+            node.state().recency.confirm_list(asked);
         }
     }
-    node.changed.notify_waiters();
+    node.placement_wake.notify_waiters();
     Ok(())
 }
 
@@ -221,7 +222,7 @@
     let asked = now();
     let kind = kind(node, topic);
     let revision = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let feed = b.feeds.get(topic);
         if rank.is_some_and(|rank| rank > 0) {
             slog::info!(node.log, "news overdue"; "kind" => kind, "revision" => feed.revision(),
@@ -232,64 +233,72 @@
     };
     // The store waits a whole number of milliseconds, and at least one.
     let wait = Duration::from_millis(wait.as_millis().max(1) as u64);
-    let call = (node.store.changes)(kind, revision, wait);
-    let answer = limited(wait + CALL_MARGIN, call).await;
+    let call = (node.store.watch)(kind, revision, wait);
+    let answer = with_timeout(wait + CALL_MARGIN, call).await;
     count_call(kind, answer.is_ok());
     let answer = answer?;
-    log_unread(node, kind, answer.unread);
+    log_unread(node, kind, answer.unreadable);
     let changes = answer.changes.into_iter().map(|c| (c.item, c.removed));
     let changes: Vec<_> = changes.collect();
     let some = !changes.is_empty();
     let (out, changes) = {
-        let mut b = node.beliefs();
+        let mut b = node.state();
         let feed = b.feeds.get(topic);
-        let out = feed.is_out();
+        let out = feed.is_failing();
         let revision = answer.revision;
-        (out, feed.changed(now(), asked, wait, revision, changes))
+        (
+            out,
+            feed.apply_changes(now(), asked, wait, revision, changes),
+        )
     };
     log_regained(node, topic, out, answer.revision);
     take_changes(node, topic, changes);
     confirm(node, topic, asked);
     if topic == Topic::Config {
         let waited = if some { Duration::ZERO } else { wait };
-        node.beliefs().recency.watched(asked, span(waited));
+        node.state().recency.confirm_watch(asked, to_span(waited));
     }
     if some {
-        node.changed.notify_waiters();
+        node.placement_wake.notify_waiters();
     }
     Ok(some)
 }
 
 /// Takes changes that this VM read itself, and keeps those that others should
 /// hear of.
-fn take_changes(node: &Node, topic: Topic, changes: Vec<Told>) {
+fn take_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
-            news::tell_leaving(node, &change);
+            apply::announce_leaving(node, &change);
         }
-        let news = News::One(&change);
+        let news = StoreUpdate::Change(&change);
         if take(node, topic, &news) {
             if !change.removed && topic == Topic::Replicas {
-                news::tell_leaving(node, &change);
+                apply::announce_leaving(node, &change);
             }
-            node.beliefs().feeds.get(topic).keep(now(), change);
+            node.state().feeds.get(topic).share(now(), change);
         }
     }
 }
 
 /// Takes what another VM tells of the store in its beacon.
-pub(in crate::serving) fn hear(node: &Node, at: Moment, told: &[wire::StoreNews], vm: &VmName) {
+pub(in crate::serving) fn apply_updates(
+    node: &Node,
+    at: Moment,
+    told: &[wire::StoreNews],
+    vm: &VmName,
+) {
     for news in told {
-        let Some(topic) = Topic::of_number(news.topic) else {
+        let Some(topic) = Topic::from_number(news.topic) else {
             continue;
         };
         let changes = {
-            let mut b = node.beliefs();
+            let mut b = node.state();
             // Without a measure of its way it may be of any age.
-            let delay = b.members.delay(vm);
+            let delay = b.members.beacon_delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
             let changes: Option<Vec<_>> = news.changes.iter().map(read_change).collect();
-            let said = Said {
+            let said = TopicUpdate {
                 revision: news.revision,
                 as_of: Moment(at.0.saturating_sub(age)),
                 // What cannot be read was missed.
@@ -298,36 +307,36 @@
             };
             let feed = b.feeds.get(topic);
             let before = feed.has_gap();
-            let blind = Blind {
+            let blind = SkippedRange {
                 from: news.blind_from,
                 to: news.blind_to,
             };
             let changes = match news.blind_to {
-                0 => feed.hear(at, said),
-                _ => feed.hear_over(at, said, blind),
+                0 => feed.apply_update(at, said),
+                _ => feed.apply_update_over(at, said, blind),
             };
             if feed.has_gap() && !before {
                 slog::info!(node.log, "news missed"; "kind" => kind(node, topic),
                     "revision" => feed.revision(), "since" => news.since, "told_by" => vm.as_str());
-                node.asks.notify_waiters();
+                node.catch_up_wake.notify_waiters();
             }
             changes
         };
         for change in &changes {
-            take(node, topic, &News::One(change));
+            take(node, topic, &StoreUpdate::Change(change));
         }
         if topic == Topic::Config {
-            take_witnesses(node, &mut node.beliefs(), at, news);
+            take_witnesses(node, &mut node.state(), at, news);
         }
         if !changes.is_empty() {
-            node.changed.notify_waiters();
+            node.placement_wake.notify_waiters();
         }
     }
 }
 
-fn read_change(change: &wire::StoreChange) -> Option<Told> {
-    let spec = RawValue::from_string(unpack(&change.spec)?).ok()?;
-    Some(Told {
+fn read_change(change: &wire::StoreChange) -> Option<TopicChange> {
+    let spec = RawValue::from_string(decompress(&change.spec)?).ok()?;
+    Some(TopicChange {
         item: Item {
             name: change.name.clone(),
             revision: change.revision,
@@ -335,21 +344,25 @@
         },
         removed: change.removed,
         lapsed: change.lapsed,
-        packed: change.spec.to_vec(),
+        compressed: change.spec.to_vec(),
     })
 }
 
 /// What this VM tells the others of the store.
-pub(in crate::serving) fn tell(node: &Node, b: &mut Beliefs, at: Moment) -> Vec<wire::StoreNews> {
+pub(in crate::serving) fn outgoing_updates(
+    node: &Node,
+    b: &mut NodeState,
+    at: Moment,
+) -> Vec<wire::StoreNews> {
     let said = |topic: Topic| {
-        let rank = b.asking_rank(at, &node.settings, topic);
+        let rank = b.poll_rank(at, &node.settings, topic);
         let feed = b.feeds.get(topic);
-        let said = feed.tell(at, rank)?;
-        let blind = feed.blind();
+        let said = feed.outgoing_update(at, rank)?;
+        let blind = feed.skipped();
         let changes = said.changes.into_iter().map(|c| wire::StoreChange {
             name: c.item.name,
             revision: c.item.revision,
-            spec: c.packed.into(),
+            spec: c.compressed.into(),
             removed: c.removed,
             lapsed: c.lapsed,
         });
@@ -367,8 +380,8 @@
     let mut all: Vec<_> = Topic::ALL.into_iter().filter_map(said).collect();
     let config = all.iter_mut().find(|n| n.topic == Topic::Config.number());
     if let Some(news) = config
-        && node.settings.revoke.is_some()
-        && node.settings.experiment.runs(Mechanism::KeyWitnesses)
+        && node.settings.key_revocation.is_some()
+        && node.settings.experiment.is_enabled(Mechanism::KeyWitnesses)
     {
         news.witnesses = witnesses(b, at);
     }
@@ -376,34 +389,34 @@
 }
 
 /// What this VM tells the others of when the configuration was the newest.
-fn witnesses(b: &mut Beliefs, at: Moment) -> Vec<wire::Witness> {
-    let heard = b.members.heard_within(at, WITNESSED);
-    let told = b.witnesses.take(&b.recency, heard).into_iter();
+fn witnesses(b: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
+    let heard = b.members.recent_beacons(at, WITNESSED);
+    let told = b.witnesses.next_batch(&b.recency, heard).into_iter();
     told.map(|w| wire::Witness {
         reader: w.reader,
         sent_us: w.sent.0,
-        after_us: w.after,
+        after_us: w.after_us,
     })
     .collect()
 }
 
 /// Takes when another VM knew our configuration to be the newest. It must know
 /// no revision that we do not know.
-fn take_witnesses(node: &Node, b: &mut Beliefs, at: Moment, news: &wire::StoreNews) {
+fn take_witnesses(node: &Node, b: &mut NodeState, at: Moment, news: &wire::StoreNews) {
     if b.feeds.get(Topic::Config).revision() < news.revision {
         return;
     }
     for w in &news.witnesses {
-        if w.reader == node.reader && w.sent_us <= at.0 {
-            b.recency.witnessed(at, Moment(w.sent_us), w.after_us);
+        if w.reader == node.reader_id && w.sent_us <= at.0 {
+            b.recency.confirm_witness(at, Moment(w.sent_us), w.after_us);
         }
     }
 }
 
 /// All that was in the store of a topic when it was asked is known now.
 fn confirm(node: &Node, topic: Topic, asked: Moment) {
-    if topic == Topic::Own {
-        node.beliefs().ownership.confirm(asked);
+    if topic == Topic::Cluster {
+        node.state().ownership.confirm(asked);
     }
 }
 
@@ -411,14 +424,14 @@
 pub(in crate::serving) async fn list(
     node: &Node,
     kind: &'static str,
-    freshness: Freshness,
+    freshness: Consistency,
 ) -> Result<(Vec<Item>, u64), PlatformError> {
     let mut list = list_page(node, kind, None, freshness).await?;
     while list.more {
         let after = list.items.last().map(|i| i.name.clone());
         let page = list_page(node, kind, after.as_deref(), freshness).await?;
         let empty = page.items.is_empty();
-        list.join(page);
+        list.append(page);
         if empty {
             break;
         }
@@ -430,12 +443,12 @@
     node: &Node,
     kind: &'static str,
     after: Option<&str>,
-    freshness: Freshness,
+    freshness: Consistency,
 ) -> Result<Page, PlatformError> {
-    let page = limited(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
+    let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
     count_call(kind, page.is_ok());
     let page = page?;
-    log_unread(node, kind, page.unread);
+    log_unread(node, kind, page.unreadable);
     Ok(page)
 }
 
@@ -452,7 +465,7 @@
 }
 
 /// A call with a time limit; what it did is not known after it.
-pub(in crate::serving) async fn limited<T>(
+pub(in crate::serving) async fn with_timeout<T>(
     time: Duration,
     call: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
@@ -461,11 +474,11 @@
 }
 
 /// The time limit of a short call.
-pub(in crate::serving) const SHORT_CALL: Duration = CALL_MARGIN;
+pub(in crate::serving) const CALL_TIMEOUT: Duration = CALL_MARGIN;
 
 /// Drops replicas that did not come back after an outage.
 pub(in crate::serving) fn drop_lapsed(node: &Node) {
-    let gone = node.beliefs().fleet.drop_lapsed(now());
+    let gone = node.state().fleet.drop_lapsed(now());
     for name in gone {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(), "why" => "lapsed");
     }
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -39,7 +39,7 @@
     /// The objects, in the order of their names.
     pub items: Vec<Item>,
     /// Objects that could not be read.
-    pub unread: usize,
+    pub unreadable: usize,
     /// Whether more follow the last name.
     pub more: bool,
     /// The revision of the list, to watch from.
@@ -50,9 +50,9 @@
     /// Adds the next part of the list. Parts that may be old are of different
     /// ages: the list is followed on from the oldest, or what changed between
     /// them in that part would be missed.
-    pub fn join(&mut self, next: Self) {
+    pub fn append(&mut self, next: Self) {
         self.items.extend(next.items);
-        self.unread += next.unread;
+        self.unreadable += next.unreadable;
         self.more = next.more;
         self.revision = self.revision.min(next.revision);
     }
@@ -73,22 +73,22 @@
     /// The changes, in order.
     pub changes: Vec<Change>,
     /// Changes that could not be read.
-    pub unread: usize,
+    pub unreadable: usize,
     /// The revision to watch from next.
     pub revision: u64,
 }
 
 /// How new what is read must be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Freshness {
+pub enum Consistency {
     /// As new as the store.
-    Newest,
+    Latest,
     /// Seconds old at most, and cheaper: for what is followed on from there.
-    Recent,
+    BoundedStale,
 }
 
 /// Reads the objects of a kind after a name.
-pub type List = Box<dyn Fn(&str, Option<&str>, Freshness) -> Pending<Page>>;
+pub type List = Box<dyn Fn(&str, Option<&str>, Consistency) -> Pending<Page>>;
 
 /// Reads the changes of a kind after a revision, waiting for one so long.
 pub type Watch = Box<dyn Fn(&str, u64, Duration) -> Pending<Changes>>;
@@ -108,7 +108,7 @@
     /// Lists objects.
     pub list: List,
     /// Follows changes.
-    pub changes: Watch,
+    pub watch: Watch,
     /// Creates an object.
     pub create: Create,
     /// Replaces an object.
--- a/lib/tests/test_lease_contest.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -7,12 +7,12 @@
 use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
 use banyangauge::lease::Candidate;
-use banyangauge::lease::Contest;
-use banyangauge::lease::Former;
+use banyangauge::lease::Elector;
+use banyangauge::lease::Predecessor;
 use banyangauge::lease::Record;
 use banyangauge::lease::Step;
-use banyangauge::lease::Times;
-use banyangauge::lease::WriteEnd;
+use banyangauge::lease::Timing;
+use banyangauge::lease::WriteOutcome;
 use banyangauge::lease::rank;
 use banyangauge::pool::Moment;
 use rstest::rstest;
@@ -41,48 +41,48 @@
         Some((self.record.clone()?, self.version.to_string()))
     }
 
-    fn apply(&mut self, step: &Step) -> WriteEnd {
+    fn apply(&mut self, step: &Step) -> WriteOutcome {
         let (expected, record) = match step {
             Step::Create(record) if self.record.is_none() => (self.version, record),
             Step::Replace(version, record) => (version.parse().unwrap(), record),
-            _ => return WriteEnd::Conflict,
+            _ => return WriteOutcome::Conflict,
         };
         if expected != self.version {
-            return WriteEnd::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.version += 1;
         self.record = Some(record.clone());
-        WriteEnd::Done(self.version.to_string())
+        WriteOutcome::Done(self.version.to_string())
     }
 }
 
-fn contest(n: u64) -> Contest {
-    Contest::new(candidate(n, 1), Times::default())
+fn contest(n: u64) -> Elector {
+    Elector::new(candidate(n, 1), Timing::default())
 }
 
 /// Steps once at `now` with every answer arriving.
-fn advance(c: &mut Contest, object: &mut Object, now: Moment) -> Step {
+fn advance(c: &mut Elector, object: &mut Object, now: Moment) -> Step {
     let step = c.step(now, || 0, None);
     match &step {
         Step::Wait => {}
         Step::Read => {
-            c.read();
+            c.read_done();
             c.observe(now, object.read());
         }
         write => {
             let end = object.apply(write);
-            c.written(now, end);
+            c.write_done(now, end);
         }
     }
     step
 }
 
-fn token(c: &Contest) -> Option<u64> {
-    c.tenure().map(|t| t.token.0)
+fn token(c: &Elector) -> Option<u64> {
+    c.lease().map(|t| t.token.0)
 }
 
 /// A contest that holds a fresh pool's lease, acquired at time 0.
-fn holder(object: &mut Object) -> Contest {
+fn holder(object: &mut Object) -> Elector {
     let mut c = contest(1);
     advance(&mut c, object, ms(0));
     advance(&mut c, object, ms(0));
@@ -94,10 +94,10 @@
 fn acquire_first() {
     let mut object = Object::default();
     let c = holder(&mut object);
-    let tenure = c.tenure().unwrap();
-    assert_eq!(tenure.former, Former::None);
+    let tenure = c.lease().unwrap();
+    assert_eq!(tenure.predecessor, Predecessor::None);
     // 3 s from before the sending, less the margin.
-    assert_eq!(tenure.until, ms(2_700));
+    assert_eq!(tenure.valid_until, ms(2_700));
 }
 
 #[test]
@@ -108,8 +108,8 @@
     let step = c.step(ms(1_000), || 0, None);
     let end = object.apply(&step);
     // The answer takes half a second; it buys nothing.
-    c.written(ms(1_500), end);
-    assert_eq!(c.tenure().unwrap().until, ms(3_700));
+    c.write_done(ms(1_500), end);
+    assert_eq!(c.lease().unwrap().valid_until, ms(3_700));
     assert_eq!(token(&c), Some(1));
 }
 
@@ -124,9 +124,12 @@
     }
     advance(&mut other, &mut object, ms(3_010));
     assert_eq!(token(&other), Some(2));
-    let tenure = other.tenure().unwrap();
-    assert!(held.tenure().unwrap().until < tenure.since);
-    assert_eq!(tenure.former, Former::Lapsed(VmName::new("vm-1").unwrap()));
+    let tenure = other.lease().unwrap();
+    assert!(held.lease().unwrap().valid_until < tenure.acquired_at);
+    assert_eq!(
+        tenure.predecessor,
+        Predecessor::Lapsed(VmName::new("vm-1").unwrap())
+    );
 }
 
 #[test]
@@ -156,7 +159,7 @@
     // The holder wakes unaware; its clock has run, so it knows at once that its
     // lease is past, and its renewal tells it the rest.
     let now = ms(20_000);
-    assert!(held.tenure().unwrap().until < now);
+    assert!(held.lease().unwrap().valid_until < now);
     advance(&mut held, &mut object, now);
     advance(&mut held, &mut object, now);
     assert_eq!(token(&held), None);
@@ -173,12 +176,12 @@
     if applied {
         object.apply(&step);
     }
-    c.written(ms(1_100), WriteEnd::Lost);
+    c.write_done(ms(1_100), WriteOutcome::Unknown);
     assert_eq!(c.step(ms(1_100), || 0, None), Step::Wait);
     assert_eq!(advance(&mut c, &mut object, ms(1_300)), Step::Read);
-    assert_eq!(c.tenure().unwrap().until, ms(until));
+    assert_eq!(c.lease().unwrap().valid_until, ms(until));
     advance(&mut c, &mut object, ms(2_300));
-    assert_eq!(c.tenure().unwrap().until, ms(5_000));
+    assert_eq!(c.lease().unwrap().valid_until, ms(5_000));
 }
 
 #[test]
@@ -188,19 +191,19 @@
     let mut other = contest(2);
     advance(&mut other, &mut object, ms(10));
     let first = other.step(ms(3_010), || 0, None);
-    other.written(ms(3_110), WriteEnd::Lost);
+    other.write_done(ms(3_110), WriteOutcome::Unknown);
     // It is read back as not done, and tried again; then the first arrives.
     advance(&mut other, &mut object, ms(3_310));
     let second = other.step(ms(3_320), || 0, None);
     object.apply(&first);
     let end = object.apply(&second);
-    other.written(ms(3_330), end);
+    other.write_done(ms(3_330), end);
     advance(&mut other, &mut object, ms(3_340));
-    let tenure = other.tenure().unwrap();
+    let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
     // Counted from when the write that took effect was sent.
-    assert_eq!(tenure.until, ms(3_010 + 2_700));
-    assert!(matches!(tenure.former, Former::Lapsed(_)));
+    assert_eq!(tenure.valid_until, ms(3_010 + 2_700));
+    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
 }
 
 #[test]
@@ -211,9 +214,9 @@
     advance(&mut b, &mut object, ms(0));
     let (first, second) = (a.step(ms(1), || 0, None), b.step(ms(1), || 0, None));
     let end = object.apply(&second);
-    b.written(ms(2), end);
+    b.write_done(ms(2), end);
     let end = object.apply(&first);
-    a.written(ms(2), end);
+    a.write_done(ms(2), end);
     advance(&mut a, &mut object, ms(3));
     assert_eq!((token(&a), token(&b)), (None, Some(1)));
 }
@@ -227,25 +230,28 @@
     let entries = Some(BTreeSet::from(["vm-1/1".to_owned()]));
     let step = held.step(ms(100), || 0, Some(&entries));
     let end = object.apply(&step);
-    held.written(ms(101), end);
+    held.write_done(ms(101), end);
     assert_eq!(token(&held), None);
     assert_eq!(held.step(ms(5_000), || 0, Some(&entries)), Step::Wait);
     other.observe(ms(102), object.read());
     advance(&mut other, &mut object, ms(102));
-    let tenure = other.tenure().unwrap();
+    let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
-    assert_eq!(tenure.former, Former::Released(entries));
+    assert_eq!(tenure.predecessor, Predecessor::Released(entries));
 }
 
 #[test]
 fn restart_takes_its_own_lease() {
     let mut object = Object::default();
     holder(&mut object);
-    let mut again = Contest::new(candidate(1, 2), Times::default());
+    let mut again = Elector::new(candidate(1, 2), Timing::default());
     advance(&mut again, &mut object, ms(50));
     advance(&mut again, &mut object, ms(50));
-    let tenure = again.tenure().unwrap();
-    assert_eq!((tenure.token, &tenure.former), (Token(2), &Former::Ended));
+    let tenure = again.lease().unwrap();
+    assert_eq!(
+        (tenure.token, &tenure.predecessor),
+        (Token(2), &Predecessor::Ended)
+    );
 }
 
 #[test]
@@ -269,16 +275,16 @@
     let step = other.step(ms(3_010), || 0, None);
     let end = object.apply(&step);
     other.observe(ms(3_011), object.read());
-    let tenure = other.tenure().unwrap().clone();
-    assert!(matches!(tenure.former, Former::Lapsed(_)));
-    other.written(ms(3_012), end);
-    assert_eq!(other.tenure(), Some(&tenure));
+    let tenure = other.lease().unwrap().clone();
+    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
+    other.write_done(ms(3_012), end);
+    assert_eq!(other.lease(), Some(&tenure));
 }
 
 #[rstest]
-#[case::before_it_settled(false, Former::Unsettled)]
-#[case::after(true, Former::Released(Some(BTreeSet::new())))]
-fn release_of_a_successor(#[case] settled: bool, #[case] former: Former) {
+#[case::before_it_settled(false, Predecessor::Unsettled)]
+#[case::after(true, Predecessor::Released(Some(BTreeSet::new())))]
+fn release_of_a_successor(#[case] settled: bool, #[case] predecessor: Predecessor) {
     let mut object = Object::default();
     holder(&mut object);
     let mut second = contest(2);
@@ -291,11 +297,11 @@
     let stop = Some(BTreeSet::new());
     let step = second.step(ms(3_100), || 0, Some(&stop));
     let end = object.apply(&step);
-    second.written(ms(3_101), end);
+    second.write_done(ms(3_101), end);
     let mut third = contest(3);
     advance(&mut third, &mut object, ms(3_200));
     advance(&mut third, &mut object, ms(3_200));
-    assert_eq!(third.tenure().unwrap().former, former);
+    assert_eq!(third.lease().unwrap().predecessor, predecessor);
 }
 
 #[test]
@@ -319,9 +325,9 @@
     object.record = None;
     other.observe(ms(20), None);
     advance(&mut other, &mut object, ms(20));
-    let tenure = other.tenure().unwrap();
+    let tenure = other.lease().unwrap();
     assert_eq!(tenure.token, Token(2));
-    assert!(matches!(tenure.former, Former::Lapsed(_)));
+    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
 }
 
 #[test]
@@ -330,11 +336,11 @@
     let mut c = holder(&mut object);
     for t in 1..100 {
         if c.step(ms(t * 1_000), || 0, None) != Step::Wait {
-            c.written(ms(t * 1_000), WriteEnd::Nothing);
+            c.write_done(ms(t * 1_000), WriteOutcome::NotApplied);
         }
     }
-    let tenure = c.tenure().unwrap();
-    assert_eq!((tenure.token, tenure.until), (Token(1), ms(2_700)));
+    let tenure = c.lease().unwrap();
+    assert_eq!((tenure.token, tenure.valid_until), (Token(1), ms(2_700)));
 }
 
 #[test]
@@ -345,10 +351,10 @@
     advance(&mut other, &mut object, ms(10));
     // An hour without the platform; then both find it at the same time.
     let back = ms(3_600_000);
-    other.resume(back);
+    other.restart_ttl(back);
     assert_eq!(advance(&mut other, &mut object, back), Step::Wait);
     advance(&mut held, &mut object, back);
-    assert_eq!(held.tenure().unwrap().until, ms(3_602_700));
+    assert_eq!(held.lease().unwrap().valid_until, ms(3_602_700));
     assert_eq!(token(&other), None);
 }
 
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use banyangauge::control::owner::Facts;
-use banyangauge::control::owner::Safety;
+use banyangauge::control::owner::ExternalState;
+use banyangauge::control::owner::SafetyRules;
 use banyangauge::ids::Incarnation;
 use banyangauge::ids::ReplicaName;
 use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
-use banyangauge::lease::Former;
-use banyangauge::lease::Tenure;
+use banyangauge::lease::HeldLease;
+use banyangauge::lease::Predecessor;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use rstest::rstest;
@@ -24,31 +24,31 @@
     ReplicaName::new("r-1").unwrap()
 }
 
-fn lapsed() -> Former {
-    Former::Lapsed(VmName::new("vm-1").unwrap())
+fn lapsed() -> Predecessor {
+    Predecessor::Lapsed(VmName::new("vm-1").unwrap())
 }
 
 /// Acquired at 1,000 ms, holds until 3,700 ms.
-fn safety(honours: bool, former: Former) -> Safety {
-    let tenure = Tenure {
+fn safety(honours: bool, predecessor: Predecessor) -> SafetyRules {
+    let tenure = HeldLease {
         token: Token(2),
-        until: ms(3_700),
-        since: ms(1_000),
-        former,
-        former_ttl: Span::from_millis(10_000),
+        valid_until: ms(3_700),
+        acquired_at: ms(1_000),
+        predecessor,
+        predecessor_ttl: Span::from_millis(10_000),
     };
     let margin = Span::from_millis(2_000);
-    Safety::new(honours, tenure, margin, Span::from_millis(30_000))
+    SafetyRules::new(honours, tenure, margin, Span::from_millis(30_000))
 }
 
-fn facts(majority: u64) -> Facts {
-    Facts {
+fn facts(majority: u64) -> ExternalState {
+    ExternalState {
         majority: ms(majority),
-        ..Facts::default()
+        ..ExternalState::default()
     }
 }
 
-fn opens_at(s: &mut Safety, f: &Facts) -> Option<u64> {
+fn opens_at(s: &mut SafetyRules, f: &ExternalState) -> Option<u64> {
     let all = BTreeSet::from([replica()]);
     (1_000..60_000)
         .step_by(100)
@@ -94,7 +94,7 @@
 
 #[test]
 fn frozen_never_for_a_first_owner() {
-    let mut s = safety(true, Former::None);
+    let mut s = safety(true, Predecessor::None);
     assert_eq!(opens_at(&mut s, &facts(0)), Some(1_000));
 }
 
@@ -112,24 +112,24 @@
 #[test]
 fn frozen_after_a_release_until_all_told() {
     let entries = BTreeSet::from(["vm-1/1".to_owned(), "vm-2/1".to_owned()]);
-    let mut s = safety(true, Former::Released(Some(entries.clone())));
+    let mut s = safety(true, Predecessor::Released(Some(entries.clone())));
     let mut f = facts(0);
-    f.helloed = BTreeSet::from(["vm-1/1".to_owned(), "vm-9/9".to_owned()]);
+    f.synced = BTreeSet::from(["vm-1/1".to_owned(), "vm-9/9".to_owned()]);
     let all = BTreeSet::from([replica()]);
     assert!(s.is_frozen(ms(1_100), &all, &f));
-    f.helloed.extend(entries);
+    f.synced.extend(entries);
     assert!(!s.is_frozen(ms(1_200), &all, &f));
 }
 
 #[rstest]
-#[case::unknown_entries(Former::Released(None), 13_000)]
+#[case::unknown_entries(Predecessor::Released(None), 13_000)]
 #[case::one_never_comes(
-    Former::Released(Some(BTreeSet::from(["vm-1/1".to_owned()]))),
+    Predecessor::Released(Some(BTreeSet::from(["vm-1/1".to_owned()]))),
     13_000
 )]
-#[case::restarted(Former::Ended, 13_000)]
-fn frozen_at_the_longest(#[case] former: Former, #[case] opens: u64) {
-    let mut s = safety(false, former);
+#[case::restarted(Predecessor::Ended, 13_000)]
+fn frozen_at_the_longest(#[case] predecessor: Predecessor, #[case] opens: u64) {
+    let mut s = safety(false, predecessor);
     assert_eq!(opens_at(&mut s, &facts(0)), Some(opens));
 }
 
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -90,7 +90,7 @@
 fn verdict_ages_out() {
     let mut rig = Rig::new(settings(), 1, 0, 8);
     let hold = Span::from_millis(1_000);
-    rig.pool.convict(rig.now, Fingerprint(0), hold);
+    rig.pool.block(rig.now, Fingerprint(0), hold);
     rig.offer_in(0, arrival(0, "t", ""));
     rig.run_for(1_500);
     let mut again = arrival(1, "t", "");
@@ -198,11 +198,11 @@
 fn wrong_identity_not_granted_until_reported() {
     let mut pool = reported();
     pool.offer(Moment(20_000_000), arrival(1, "t", "a@1"));
-    let finish = Finish {
+    let finish = DispatchEnd {
         ticket: Ticket(1),
         outcome: Outcome::WrongIdentity,
         tokens: 0,
-        first: Span(0),
+        first_byte: Span(0),
         total: Span(0),
     };
     pool.finish(Moment(20_100_000), finish);
@@ -217,14 +217,14 @@
     for (ticket, adapter) in [(1, "a@1"), (2, "x@1")] {
         pool.adopt(
             Moment(11_000_000),
-            Held {
+            InheritedDispatch {
                 ticket: Ticket(ticket),
                 replica: "r1".parse().unwrap(),
                 incarnation: Incarnation(1),
                 adapter: Some(adapter.parse().unwrap()),
                 team: "t".parse().unwrap(),
                 class: Class::Interactive,
-                output: 10,
+                max_tokens: 10,
                 fingerprint: Fingerprint(ticket),
             },
         );
@@ -290,11 +290,11 @@
     pool.report(Moment(1_000_000), report(1, 0, &["a@1"]));
     pool.offer(Moment(2_000_000), arrival(1, "t", "a@1"));
     pool.take_commands();
-    let finish = Finish {
+    let finish = DispatchEnd {
         ticket: Ticket(1),
         outcome,
         tokens: 0,
-        first: Span(0),
+        first_byte: Span(0),
         total: Span(0),
     };
     pool.finish(Moment(3_000_000), finish);
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -98,8 +98,8 @@
         adapter: (!adapter.is_empty()).then(|| adapter.parse().unwrap()),
         class: Class::Interactive,
         deadline: Moment(u64::MAX),
-        prompt: 100,
-        output: 50,
+        prompt_tokens: 100,
+        max_tokens: 50,
         prefix: 0,
         idempotent: true,
         fingerprint: Fingerprint(ticket),
@@ -193,7 +193,7 @@
 
     pub(crate) fn freeze(&mut self, until: Moment) {
         self.frozen = until;
-        self.pool.freeze(until);
+        self.pool.freeze_slots(until);
     }
 
     pub(crate) fn health(&mut self, name: &str, health: Health) {
@@ -312,16 +312,16 @@
             total: self.now.since(offered),
         };
         self.got.insert(ticket, got);
-        self.finish(ticket, Outcome::Answered, a.output, granted);
+        self.finish(ticket, Outcome::Answered, a.max_tokens, granted);
     }
 
     fn finish(&mut self, ticket: Ticket, outcome: Outcome, tokens: u32, granted: Moment) {
         let total = self.now.since(granted);
-        let finish = Finish {
+        let finish = DispatchEnd {
             ticket,
             outcome,
             tokens,
-            first: Span(total.0.min(self.step.0)),
+            first_byte: Span(total.0.min(self.step.0)),
             total,
         };
         self.pool.finish(self.now, finish);
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -4,11 +4,11 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Announced;
+use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::Books;
-use banyangauge::serving::Listing;
 use banyangauge::serving::OrderEnd;
 use banyangauge::serving::Pace;
+use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Report;
 use banyangauge::serving::Step;
 use banyangauge::serving::Target;
@@ -43,7 +43,7 @@
 impl Desk {
     /// The owner of one replica with two slots, which reports `held`.
     fn new(held: &[&str], accepted: u64) -> Self {
-        let listing: Listing = listing("i-1", "llm", "z-a", held);
+        let listing: ReplicaInfo = listing("i-1", "llm", "z-a", held);
         let mut books = Books::default();
         books.open(ms(0), &listing, 2);
         let mut desk = Self {
@@ -412,7 +412,7 @@
 #[test]
 fn new_version_replaces_the_old_one() {
     let mut desk = Desk::new(&["base", "base/a1"], 0);
-    let news = Announced {
+    let news = AnnouncedVersion {
         target: target("base/a1"),
         version: 2,
     };
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -15,13 +15,13 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 
-use banyangauge::serving::Blind;
 use banyangauge::serving::Feed;
+use banyangauge::serving::FeedAction;
 use banyangauge::serving::Item;
-use banyangauge::serving::Next;
-use banyangauge::serving::Rhythm;
-use banyangauge::serving::Said;
-use banyangauge::serving::Told;
+use banyangauge::serving::PollPolicy;
+use banyangauge::serving::SkippedRange;
+use banyangauge::serving::TopicChange;
+use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
 use serde_json::value::RawValue;
 
@@ -144,12 +144,12 @@
 
 impl Vm {
     fn new() -> Self {
-        let feed = Feed::new(Rhythm {
-            bound: Span::from_millis(3_000),
-            lone_wait: Duration::from_millis(4_500),
-            lone_pause: Duration::from_millis(250),
-            pause: Duration::from_millis(150),
-            removes: true,
+        let feed = Feed::new(PollPolicy {
+            max_staleness: Span::from_millis(3_000),
+            max_solo_wait: Duration::from_millis(4_500),
+            solo_pause: Duration::from_millis(250),
+            shared_pause: Duration::from_millis(150),
+            has_removals: true,
         });
         Self {
             feed,
@@ -159,7 +159,7 @@
     }
 
     /// Takes a change; gives whether it says something new.
-    fn take(&mut self, change: &Told) -> bool {
+    fn take(&mut self, change: &TopicChange) -> bool {
         let name = change.item.name.clone();
         let old = match change.removed {
             true => return self.beliefs.remove(&name).is_some() || change.removed,
@@ -171,7 +171,7 @@
     fn answer(&mut self, now: Moment, asked: Moment, answer: Answer) {
         let changes = match answer {
             Answer::Forgotten => {
-                self.feed.expired();
+                self.feed.mark_expired();
                 return;
             }
             Answer::List(revision, items) => {
@@ -180,24 +180,24 @@
                         self.beliefs.insert(i.name.clone(), content(i));
                     }
                 }
-                self.feed.listed(now, asked, revision, &items)
+                self.feed.apply_list(now, asked, revision, &items)
             }
             Answer::Changes(revision, changes) => {
                 self.feed
-                    .changed(now, asked, Duration::ZERO, revision, changes)
+                    .apply_changes(now, asked, Duration::ZERO, revision, changes)
             }
         };
         for change in changes {
             if self.take(&change) {
-                self.feed.keep(now, change);
+                self.feed.share(now, change);
             }
         }
     }
 
-    fn hear(&mut self, now: Moment, said: Said, blind: Option<Blind>) {
+    fn hear(&mut self, now: Moment, said: TopicUpdate, blind: Option<SkippedRange>) {
         let changes = match blind {
-            None => self.feed.hear(now, said),
-            Some(blind) => self.feed.hear_over(now, said, blind),
+            None => self.feed.apply_update(now, said),
+            Some(blind) => self.feed.apply_update_over(now, said, blind),
         };
         for change in changes {
             self.take(&change);
@@ -214,7 +214,7 @@
     store: Store,
     vms: Vec<Vm>,
     /// What is under way between VMs.
-    said: Vec<(usize, Said, Option<Blind>)>,
+    said: Vec<(usize, TopicUpdate, Option<SkippedRange>)>,
     now: Moment,
 }
 
@@ -255,7 +255,7 @@
         vm.question = Some(Question {
             asked: self.now,
             since: vm.feed.revision(),
-            list: vm.feed.next(self.now, None) == Next::List,
+            list: vm.feed.next_action(self.now, None) == FeedAction::List,
             answer: None,
         });
     }
@@ -297,8 +297,8 @@
     }
 
     fn tell(&mut self, n: usize) {
-        if let Some(said) = self.vms[n].feed.tell(self.now, Some(0)) {
-            let blind = self.vms[n].feed.blind();
+        if let Some(said) = self.vms[n].feed.outgoing_update(self.now, Some(0)) {
+            let blind = self.vms[n].feed.skipped();
             let others = (0..VMS).filter(|other| *other != n);
             self.said
                 .extend(others.map(|other| (other, said.clone(), blind)));
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -10,7 +10,7 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Announced;
+use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::Config;
 use banyangauge::serving::End;
 use banyangauge::serving::Engine;
@@ -18,26 +18,26 @@
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
 use banyangauge::serving::Limits;
-use banyangauge::serving::Listing;
 use banyangauge::serving::Load;
 use banyangauge::serving::Mechanism;
 use banyangauge::serving::Place;
+use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Service;
-use banyangauge::serving::Shared;
+use banyangauge::serving::SharedPrefix;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
 use banyangauge::serving::Want;
 use rstest::rstest;
 
 /// A replica's entry that holds models and adapters in version 1.
-pub(crate) fn listing(name: &str, service: &str, zone: &str, held: &[&str]) -> Listing {
+pub(crate) fn listing(name: &str, service: &str, zone: &str, held: &[&str]) -> ReplicaInfo {
     let held: Vec<Target> = held.iter().map(|t| Target::parse(t).unwrap()).collect();
     let number = name
         .bytes()
         .fold(0_u16, |n, b| n.wrapping_mul(31) + u16::from(b));
-    Listing {
+    ReplicaInfo {
         name: name.parse().unwrap(),
-        born: 0,
+        started_ms: 0,
         service: service.parse().unwrap(),
         address: ([127, 0, 0, 1], 1_024 + number % 40_000).into(),
         zone: zone.parse().unwrap(),
@@ -59,11 +59,11 @@
 fn config() -> Config {
     let engine = Engine {
         slots: 8,
-        memory: 100_000,
-        adapters: 2,
-        stride: 1,
+        kv_tokens: 100_000,
+        adapter_slots: 2,
+        event_tokens: 1,
         models: BTreeMap::from([(ModelName::new("base").unwrap(), 100)]),
-        loads: 1.0,
+        load_rate: 1.0,
     };
     let service = |name: &str, engine: Option<Engine>| {
         let name: ServiceName = name.parse().unwrap();
@@ -79,10 +79,10 @@
         routes: Vec::new(),
         services: BTreeMap::from([service("llm", Some(engine)), service("app", None)]),
         limits: Limits {
-            head: 1,
-            body: 1,
-            head_time: Duration::ZERO,
-            idle: Duration::ZERO,
+            header_bytes: 1,
+            body_bytes: 1,
+            header_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         },
         organisations: None,
     }
@@ -96,7 +96,7 @@
 }
 
 impl Scene {
-    fn new(listings: &[Listing]) -> Self {
+    fn new(listings: &[ReplicaInfo]) -> Self {
         let mut fleet = Fleet::new("z-a".parse().unwrap());
         fleet.configure(&config());
         let mut loadable = BTreeSet::new();
@@ -374,7 +374,7 @@
             service: &service,
             target: Some(&target),
             cost: COST,
-            shared: Some(Shared { key, tokens: 6_000 }),
+            shared: Some(SharedPrefix { key, tokens: 6_000 }),
             body_kb: 1.0,
             objective_ms: 1_000.0,
             waited: None,
@@ -434,7 +434,7 @@
 fn old_version_serves_until_the_new_one_can_have_come() {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let mut scene = Scene::new(&[a]);
-    let news = Announced {
+    let news = AnnouncedVersion {
         target: Target::parse("base/x").unwrap(),
         version: 2,
     };
@@ -499,7 +499,7 @@
     let mut versions = Versions::default();
     let target = Target::parse("base/a1").unwrap();
     for version in 2..12 {
-        let news = Announced {
+        let news = AnnouncedVersion {
             target: target.clone(),
             version,
         };
@@ -523,7 +523,7 @@
     let mut scene = Scene::new(&[]);
     let target = Target::parse("base/a1").unwrap();
     for (ms, version) in [(0, 2), (2_000, 3)] {
-        let news = Announced {
+        let news = AnnouncedVersion {
             target: target.clone(),
             version,
         };
@@ -590,7 +590,7 @@
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a, b]);
-    let announced = Announced {
+    let announced = AnnouncedVersion {
         target: Target::parse("base/x").unwrap(),
         version: 2,
     };
@@ -617,7 +617,7 @@
     assert!(!scene.fleet.is_news(&a));
     let replica = Instance {
         name: a.name.clone(),
-        born: a.born,
+        started_ms: a.started_ms,
     };
     if told {
         assert!(scene.fleet.leave(&replica));
--- a/lib/tests/test_serving_port.rs
+++ b/lib/tests/test_serving_port.rs
@@ -7,7 +7,7 @@
 fn page(revision: u64, names: &[&str], more: bool) -> Page {
     Page {
         items: names.iter().map(|n| Item::empty(n)).collect(),
-        unread: 1,
+        unreadable: 1,
         more,
         revision,
     }
@@ -24,11 +24,11 @@
     #[case] expected: u64,
 ) {
     let mut list = page(first, &["a"], true);
-    list.join(page(second, &["b"], false));
+    list.append(page(second, &["b"], false));
     let names: Vec<_> = list.items.iter().map(|i| i.name.as_str()).collect();
     assert_eq!(names, ["a", "b"]);
     assert_eq!(
-        (list.revision, list.more, list.unread),
+        (list.revision, list.more, list.unreadable),
         (expected, false, 2)
     );
 }
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -9,9 +9,9 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
-use banyangauge::serving::Stamp;
-use banyangauge::serving::UseLimit;
+use banyangauge::serving::RateLimit;
 use banyangauge::serving::Weight;
 use banyangauge::serving::quota::Allowance;
 use banyangauge::serving::quota::Answer;
@@ -32,10 +32,10 @@
     "halls".parse().unwrap()
 }
 
-const LIMIT: UseLimit = UseLimit {
+const LIMIT: RateLimit = RateLimit {
     rate: 1_000.0,
     burst: 1_000.0,
-    weight: Weight::Tokens { plain: 1 },
+    weight: Weight::Tokens { default: 1 },
 };
 
 /// What may be used beyond a limit: a tenth, and what three large requests take.
@@ -100,7 +100,7 @@
 #[test]
 fn lender_lowered_limit_takes_what_is_there() {
     let mut lender = lender(9_000);
-    let low = UseLimit {
+    let low = RateLimit {
         rate: 100.0,
         burst: 100.0,
         ..LIMIT
@@ -313,7 +313,7 @@
 
     fn tell(&mut self, ms: u64, from: usize) {
         let lends = self.vms[from].members.lends(at(ms));
-        let stamp = Stamp {
+        let stamp = BeaconStamp {
             incarnation: Incarnation(self.vms[from].incarnation),
             number: ms + 1,
             sent: at(ms),
@@ -323,7 +323,7 @@
             let lost = self.draw.random_range(0..100) < self.loss;
             if to != from && self.reach(ms, from, to) && !lost {
                 let members = &mut self.vms[to].members;
-                members.hear(at(ms), &name, stamp, false);
+                members.record_beacon(at(ms), &name, stamp, false);
                 members.set_lends(&name, lends);
             }
         }
@@ -332,7 +332,7 @@
     fn part(&self, ms: u64, i: usize) -> f64 {
         match self.guard {
             Guard::Part => 1.0,
-            _ => self.vms[i].members.heard_part(at(ms)),
+            _ => self.vms[i].members.reachable_fraction(at(ms)),
         }
     }
 
@@ -422,7 +422,7 @@
     let name = |i: usize| -> VmName { format!("vm-{i}").parse().unwrap() };
     let mut members = Members::new(name(i), at(ms));
     for other in (0..VMS).filter(|o| *o != i) {
-        members.list(name(other), ([127, 0, 0, 1], other as u16).into());
+        members.set_address(name(other), ([127, 0, 0, 1], other as u16).into());
     }
     Vm {
         name: name(i),
--- a/lib/tests/test_serving_recency.rs
+++ b/lib/tests/test_serving_recency.rs
@@ -15,8 +15,8 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::Recency;
 use banyangauge::serving::Witness;
-use banyangauge::serving::Witnesses;
-use banyangauge::serving::reader;
+use banyangauge::serving::WitnessQueue;
+use banyangauge::serving::reader_id;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -93,7 +93,7 @@
     /// 0 while it knows none.
     revision: u64,
     recency: Recency,
-    witnesses: Witnesses,
+    witnesses: WitnessQueue,
     heard: BTreeMap<usize, (Incarnation, Moment, Moment)>,
 }
 
@@ -120,7 +120,7 @@
             uncounted: 0,
             revision: 0,
             recency: Recency::default(),
-            witnesses: Witnesses::default(),
+            witnesses: WitnessQueue::default(),
             heard: BTreeMap::new(),
         };
         let vms = (0..VMS).map(vm).collect();
@@ -251,7 +251,7 @@
             let heard = heard
                 .iter()
                 .map(|(i, (incarnation, sent, at))| (&names[*i], *incarnation, *sent, *at));
-            let witnesses = me.witnesses.take(&me.recency, heard);
+            let witnesses = me.witnesses.next_batch(&me.recency, heard);
             let beacon = Message::Beacon {
                 from: vm,
                 incarnation: me.incarnation,
@@ -315,19 +315,19 @@
                 }
                 if guard == Guard::OwnBeacon {
                     if let Some(age) = age {
-                        me.recency.listed(Moment(now.0 - age.0));
+                        me.recency.confirm_list(Moment(now.0 - age.0));
                     }
                     return;
                 }
-                let own = reader(&me.name, Incarnation(me.incarnation));
+                let own = reader_id(&me.name, Incarnation(me.incarnation));
                 let mine = |w: &Witness| {
                     let any = guard == Guard::SameIncarnation;
                     let all = 1..=me.incarnation;
-                    let former = |i| reader(&me.name, Incarnation(i)) == w.reader;
+                    let former = |i| reader_id(&me.name, Incarnation(i)) == w.reader;
                     w.sent <= now && (w.reader == own || any && all.clone().any(former))
                 };
                 for w in witnesses.iter().filter(|w| mine(w)) {
-                    me.recency.witnessed(now, w.sent, w.after);
+                    me.recency.confirm_witness(now, w.sent, w.after_us);
                 }
             }
         }
@@ -389,8 +389,10 @@
             _ => asked,
         };
         match list || guard == Guard::DeafWatch {
-            true => me.recency.listed(from.after(Span::from_millis(waited))),
-            false => me.recency.watched(from, Span::from_millis(waited)),
+            true => me
+                .recency
+                .confirm_list(from.after(Span::from_millis(waited))),
+            false => me.recency.confirm_watch(from, Span::from_millis(waited)),
         }
     }
 
@@ -443,9 +445,9 @@
 fn recency_unread_configuration_proves_nothing() {
     let now = Moment(5_000_000);
     let mut recency = Recency::default();
-    recency.listed(now);
-    recency.read(false);
+    recency.confirm_list(now);
+    recency.set_readable(false);
     assert_eq!(recency.age(now), None);
-    recency.read(true);
+    recency.set_readable(true);
     assert_eq!(recency.age(now), Some(Span(0)));
 }
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -7,10 +7,10 @@
 use banyangauge::ids::VmName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::BeaconStamp;
 use banyangauge::serving::Members;
+use banyangauge::serving::OwnerTable;
 use banyangauge::serving::Ownership;
-use banyangauge::serving::Stamp;
-use banyangauge::serving::Table;
 use rstest::rstest;
 
 const LEASE: Span = Span::from_millis(3_000);
@@ -23,8 +23,8 @@
     names.iter().map(|n| n.parse().unwrap()).collect()
 }
 
-fn stamp(incarnation: u64, number: u64) -> Stamp {
-    Stamp {
+fn stamp(incarnation: u64, number: u64) -> BeaconStamp {
+    BeaconStamp {
         incarnation: Incarnation(incarnation),
         number,
         sent: at(0),
@@ -37,8 +37,8 @@
 
 #[test]
 fn table_spreads_and_keeps() {
-    let first = Table::default()
-        .repaired(
+    let first = OwnerTable::default()
+        .reassigned(
             &vms(&["a", "b"]),
             &vms(&[]),
             &replicas(&["1", "2", "3", "4"]),
@@ -53,7 +53,7 @@
     };
     assert_eq!((count("a"), count("b")), (2, 2));
     assert_eq!(
-        first.repaired(
+        first.reassigned(
             &vms(&["a", "b"]),
             &vms(&[]),
             &replicas(&["1", "2", "3", "4"])
@@ -61,7 +61,7 @@
         None
     );
     let lost = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1", "2", "3", "4"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1", "2", "3", "4"]))
         .unwrap();
     for (name, owner) in &lost.owners {
         let old = &first.owners[name];
@@ -80,22 +80,22 @@
 /// The one before may not have heard of its loss yet.
 #[test]
 fn new_owner_waits_out_the_lease() {
-    let first = Table::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+    let first = OwnerTable::default()
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
     let mut b = Ownership::new("b".parse().unwrap(), LEASE, true);
-    assert!(a.take(at(0), first, 1));
+    assert!(a.apply_table(at(0), first, 1));
     assert!(
         a.token(at(0), &name).is_some(),
         "a new replica needs no wait"
     );
-    assert!(a.take(at(10), second.clone(), 2));
-    assert!(b.take(at(10), second, 2));
+    assert!(a.apply_table(at(10), second.clone(), 2));
+    assert!(b.apply_table(at(10), second, 2));
     assert_eq!(a.token(at(10), &name), None);
     assert_eq!(b.token(at(3_010), &name), None);
     assert!(b.token(at(5_000), &name).is_some());
@@ -103,43 +103,43 @@
 
 #[test]
 fn refused_token_is_used_no_more() {
-    let table = Table::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+    let table = OwnerTable::default()
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
-    a.take(at(0), table, 1);
+    a.apply_table(at(0), table, 1);
     let token = a.token(at(0), &name).unwrap();
-    a.refused(&name, token);
+    a.record_refusal(&name, token);
     assert_eq!(a.token(at(9_000), &name), None);
 }
 
 /// A VM that was suspended may have lost what it owned.
 #[test]
 fn suspended_owner_orders_nothing() {
-    let table = Table::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+    let table = OwnerTable::default()
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
-    a.take(at(0), table.clone(), 1);
-    a.suspend();
+    a.apply_table(at(0), table.clone(), 1);
+    a.invalidate();
     assert_eq!(a.token(at(1), &name), None);
-    a.take(at(2), table, 1);
+    a.apply_table(at(2), table, 1);
     assert!(a.token(at(2), &name).is_some());
 }
 
 #[test]
 fn older_table_is_dropped() {
-    let first = Table::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+    let first = OwnerTable::default()
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let mut a = Ownership::new("a".parse().unwrap(), LEASE, true);
-    assert!(a.take(at(0), second, 2));
-    assert!(!a.take(at(1), first, 1));
+    assert!(a.apply_table(at(0), second, 2));
+    assert!(!a.apply_table(at(1), first, 1));
 }
 
 /// The first live VM repairs at once, the next one a step later.
@@ -159,45 +159,48 @@
 fn members_by_beacons() {
     let mut m = Members::new("a".parse().unwrap(), at(0));
     let b: VmName = "b".parse().unwrap();
-    m.list(b.clone(), ([127, 0, 0, 1], 1).into());
-    assert!(!m.may_judge(at(100)), "it has heard nobody yet");
-    assert!(m.hear(at(100), &b, stamp(1, 1), false));
+    m.set_address(b.clone(), ([127, 0, 0, 1], 1).into());
+    assert!(!m.can_detect_failures(at(100)), "it has heard nobody yet");
+    assert!(m.record_beacon(at(100), &b, stamp(1, 1), false));
     assert!(
-        !m.hear(at(101), &b, stamp(1, 1), false),
+        !m.record_beacon(at(101), &b, stamp(1, 1), false),
         "a beacon that came twice"
     );
-    assert!(m.may_judge(at(200)));
-    assert_eq!(m.live(at(200)).len(), 2);
-    assert_eq!(m.live(at(2_200)).len(), 1);
-    assert!(!m.may_judge(at(2_200)), "cut off, it judges nobody");
-    assert!(m.may_judge(at(7_000)));
-    assert!(m.hear(at(7_000), &b, stamp(2, 1), true));
+    assert!(m.can_detect_failures(at(200)));
+    assert_eq!(m.live_vms(at(200)).len(), 2);
+    assert_eq!(m.live_vms(at(2_200)).len(), 1);
+    assert!(
+        !m.can_detect_failures(at(2_200)),
+        "cut off, it judges nobody"
+    );
+    assert!(m.can_detect_failures(at(7_000)));
+    assert!(m.record_beacon(at(7_000), &b, stamp(2, 1), true));
     assert_eq!(
-        m.live(at(12_000)).len(),
+        m.live_vms(at(12_000)).len(),
         2,
         "a restarted VM keeps what it owns"
     );
-    assert_eq!(m.live(at(13_100)).len(), 1);
+    assert_eq!(m.live_vms(at(13_100)).len(), 1);
 }
 
 /// All VMs restarted at once: those that had waited need not wait again.
 #[test]
 fn restarted_owner_does_not_wait_twice() {
-    let first = Table::default()
-        .repaired(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
+    let first = OwnerTable::default()
+        .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let second = first
-        .repaired(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
+        .reassigned(&vms(&["b"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     let (live, all) = (vms(&["b"]), replicas(&["1"]));
     let mut b = Ownership::new("b".parse().unwrap(), LEASE, true);
-    b.take(at(0), second.clone(), 2);
+    b.apply_table(at(0), second.clone(), 2);
     assert_eq!(b.proposal(at(4_000), &live, &all), None);
     let settled = b.proposal(at(5_000), &live, &all).unwrap();
     assert_eq!(settled.owners[&name].token, second.owners[&name].token);
     let mut again = Ownership::new("b".parse().unwrap(), LEASE, true);
-    again.take(at(60_000), settled, 3);
+    again.apply_table(at(60_000), settled, 3);
     assert!(again.token(at(60_000), &name).is_some());
 }
 
@@ -206,16 +209,16 @@
 #[test]
 fn owners_of_replicas_that_left_are_remembered() {
     let none = vms(&[]);
-    let first = Table::default();
-    let first = first.repaired(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
+    let first = OwnerTable::default();
+    let first = first.reassigned(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
     let first = first.unwrap();
-    let left = first.repaired(&vms(&["a", "b"]), &none, &replicas(&["2"]));
+    let left = first.reassigned(&vms(&["a", "b"]), &none, &replicas(&["2"]));
     let left = left.unwrap();
     let name: ReplicaName = "1".parse().unwrap();
     assert_eq!(left.owners.get(&name), None);
-    let back = left.repaired(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
+    let back = left.reassigned(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
     assert_eq!(back.unwrap().owners[&name], first.owners[&name]);
-    let lost = left.repaired(&vms(&["b"]), &none, &replicas(&["1", "2"]));
+    let lost = left.reassigned(&vms(&["b"]), &none, &replicas(&["1", "2"]));
     assert_eq!(lost.unwrap().owners[&name].former, vms(&["a"]));
 }
 
@@ -224,9 +227,12 @@
 fn former_owners_add_up() {
     let none = vms(&[]);
     let all = replicas(&["1"]);
-    let table = Table::default().repaired(&vms(&["a"]), &none, &all);
-    let table = table.unwrap().repaired(&vms(&["b"]), &none, &all);
-    let table = table.unwrap().repaired(&vms(&["c"]), &none, &all).unwrap();
+    let table = OwnerTable::default().reassigned(&vms(&["a"]), &none, &all);
+    let table = table.unwrap().reassigned(&vms(&["b"]), &none, &all);
+    let table = table
+        .unwrap()
+        .reassigned(&vms(&["c"]), &none, &all)
+        .unwrap();
     let owner = table.owners.values().next().unwrap();
     assert_eq!(owner.former, vms(&["a", "b"]));
 }
@@ -235,9 +241,9 @@
 #[test]
 fn unjudged_owner_keeps_and_gets_nothing() {
     let none = vms(&[]);
-    let table = Table::default().repaired(&vms(&["a"]), &none, &replicas(&["1"]));
+    let table = OwnerTable::default().reassigned(&vms(&["a"]), &none, &replicas(&["1"]));
     let table = table.unwrap();
-    let next = table.repaired(&vms(&["b"]), &vms(&["a"]), &replicas(&["1", "2", "3"]));
+    let next = table.reassigned(&vms(&["b"]), &vms(&["a"]), &replicas(&["1", "2", "3"]));
     let next = next.unwrap();
     let owner = |name: &str| next.owners[name].vm.to_string();
     assert_eq!([owner("1"), owner("2"), owner("3")], ["a", "b", "b"]);
