--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -9,7 +9,7 @@
 use hyper::StatusCode;
 
 use crate::serving::decisions::access::Denial;
-use crate::serving::path::border::NotRun;
+use crate::serving::path::codec::NotRun;
 
 /// Sends of one request that were refused or did not arrive, at the most: the
 /// picture of the replicas is wrong in at most a few places at a time.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -24,9 +24,9 @@
 use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::turns::LONG_PROMPT;
-use crate::serving::path::border::ForwardHeaders;
-use crate::serving::path::border::Reply;
 use crate::serving::path::charge::Charge;
+use crate::serving::path::codec::ForwardHeaders;
+use crate::serving::path::codec::Reply;
 use crate::serving::path::model::Instance;
 use crate::serving::path::model::KeyDigest;
 use crate::serving::path::model::SharedPrefix;
@@ -232,8 +232,8 @@
     admitted.map(|_| ()).map_err(Ended::Denied)
 }
 
-fn refused(node: &Node, held: &Held, run: &Run, why: crate::serving::path::border::NotRun) {
-    use crate::serving::path::border::NotRun;
+fn refused(node: &Node, held: &Held, run: &Run, why: crate::serving::path::codec::NotRun) {
+    use crate::serving::path::codec::NotRun;
     match why {
         NotRun::Gone => run.learn(End::Gone),
         NotRun::Full => run.learn(End::Full),
--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -1,7 +1,7 @@
 //! The path of a request: from its connection to the last byte of its answer.
 
-pub(super) mod border;
 pub(super) mod charge;
+pub(super) mod codec;
 pub(super) mod forward;
 pub(super) mod model;
 pub(super) mod pass;
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -447,7 +447,7 @@
         if !tries.again(ended) {
             return Err(Refusal::after(tries, ended));
         }
-        if ended == Ended::NotRun(crate::serving::path::border::NotRun::NotLoaded) {
+        if ended == Ended::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
             // Only a replica's word on an adapter was wrong, not the replica.
             avoid.clear();
         }
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -19,7 +19,7 @@
 use crate::pool::Span;
 use crate::serving::cluster::recency::reader_id;
 use crate::serving::cluster::state::NodeState;
-use crate::serving::path::border::Codec;
+use crate::serving::path::codec::Codec;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::port::Store;
 use crate::upstream::Upstreams;
--- a/lib/src/serving/program/ordering.rs
+++ b/lib/src/serving/program/ordering.rs
@@ -15,7 +15,7 @@
 use crate::serving::decisions::books::Report;
 use crate::serving::decisions::books::Step;
 use crate::serving::decisions::books::Took;
-use crate::serving::path::border::Order;
+use crate::serving::path::codec::Order;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -13,7 +13,7 @@
 use crate::platform::PlatformError;
 use crate::pool::Span;
 use crate::serving::cluster::topic::Topic;
-use crate::serving::path::border::Codec;
+use crate::serving::path::codec::Codec;
 use crate::serving::path::reading;
 use crate::serving::path::server;
 use crate::serving::peers::beacons;
