--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 
 use crate::pool::Span;
-use crate::serving::path::model::KeyDigest;
-use crate::serving::path::model::Organisation;
+use crate::serving::path::types::KeyDigest;
+use crate::serving::path::types::Organisation;
 
 /// The part of the time that a revoked key may still be used in which a VM goes
 /// by what it knows; the rest is for clocks that do not run alike.
--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -14,8 +14,8 @@
 use crate::pool::Span;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::decisions::fleet::Versions;
-use crate::serving::path::model::ReplicaInfo;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::Target;
 
 /// Adapters that may be on their way to one replica at a time; the replica
 /// takes no more.
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -14,8 +14,8 @@
 use crate::serving::decisions::fleet::Held;
 use crate::serving::decisions::fleet::Versions;
 use crate::serving::decisions::pace::Pace;
-use crate::serving::path::model::ReplicaInfo;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
 
 pub use step::OrderEnd;
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use crate::pool::Span;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::Target;
 
 /// What to do at a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -29,11 +29,11 @@
 use crate::ids::ZoneName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::Config;
-use crate::serving::path::model::Instance;
-use crate::serving::path::model::ReplicaInfo;
-use crate::serving::path::model::Service;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::Config;
+use crate::serving::path::types::Instance;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::Service;
+use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
 
 /// How long a peer's word stands without being renewed, before it is set for
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -11,9 +11,9 @@
 use crate::ids::ServiceName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::ReplicaInfo;
-use crate::serving::path::model::SharedPrefix;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::SharedPrefix;
+use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Mechanism;
 
 /// Prompt tokens that an engine reads in a millisecond, about: what waits to
--- a/lib/src/serving/decisions/fleet/versions.rs
+++ b/lib/src/serving/decisions/fleet/versions.rs
@@ -6,8 +6,8 @@
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::AnnouncedVersion;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::AnnouncedVersion;
+use crate::serving::path::types::Target;
 
 /// How long after the news of a version its forerunner still serves. Owners
 /// load the new one in about a third of a second meanwhile; the promise is
--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -8,7 +8,7 @@
 use crate::serving::decisions::quota::Bucket;
 use crate::serving::decisions::quota::lender::Answer;
 use crate::serving::decisions::quota::lender::Ask;
-use crate::serving::path::model::RateLimit;
+use crate::serving::path::types::RateLimit;
 
 /// How long what was lent may be used; the lender counts it as used at once.
 const LEASE: Span = Span::from_millis(1_000);
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -8,7 +8,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::quota::Bucket;
 use crate::serving::decisions::quota::LONGEST_WAIT;
-use crate::serving::path::model::RateLimit;
+use crate::serving::path::types::RateLimit;
 
 /// What may be used beyond the limits, over all VMs in any window.
 #[derive(Clone, Copy, Debug)]
--- a/lib/src/serving/decisions/quota/mod.rs
+++ b/lib/src/serving/decisions/quota/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::RateLimit;
+use crate::serving::path::types::RateLimit;
 
 pub use borrower::Borrower;
 pub use borrower::Spend;
--- a/lib/src/serving/decisions/strikes.rs
+++ b/lib/src/serving/decisions/strikes.rs
@@ -5,7 +5,7 @@
 use crate::ids::Fingerprint;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::path::model::Instance;
+use crate::serving::path::types::Instance;
 
 /// Replicas that a request may bring down before it is refused.
 const MOST_CRASHES: usize = 3;
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -13,11 +13,11 @@
 use crate::ids::VmName;
 use crate::serving::decisions::books::OrderEnd;
 use crate::serving::decisions::books::Report;
-use crate::serving::path::model::AnnouncedVersion;
-use crate::serving::path::model::Config;
-use crate::serving::path::model::ReplicaInfo;
-use crate::serving::path::model::RequestInfo;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::AnnouncedVersion;
+use crate::serving::path::types::Config;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::RequestInfo;
+use crate::serving::path::types::Target;
 use crate::serving::store::port::Item;
 use crate::upstream::Parts;
 
--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -3,11 +3,11 @@
 pub(super) mod charge;
 pub(super) mod codec;
 pub(super) mod forward;
-pub(super) mod model;
 pub(super) mod pass;
 pub(super) mod places;
 pub(super) mod reading;
 pub(super) mod routes;
 pub(super) mod serve;
 pub(super) mod server;
+pub(super) mod types;
 pub(super) mod waiting;
--- a/lib/src/serving/path/routes.rs
+++ b/lib/src/serving/path/routes.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::ids::ServiceName;
-use crate::serving::path::model::Route;
+use crate::serving::path::types::Route;
 
 /// The routes of one configuration, by host.
 #[derive(Debug, Default)]
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -18,7 +18,7 @@
 use crate::serving::cluster::state::LocalUse;
 use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Load;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::Target;
 use crate::serving::peers::beacons::current_replica;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
