--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -3,9 +3,9 @@
 pub(super) mod charge;
 pub(super) mod codec;
 pub(super) mod forward;
-pub(super) mod pass;
 pub(super) mod places;
 pub(super) mod reading;
+pub(super) mod response;
 pub(super) mod routes;
 pub(super) mod serve;
 pub(super) mod server;
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
 
-use crate::serving::path::pass::whole;
+use crate::serving::path::response::whole;
 use crate::serving::path::serve::serve;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
