--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -3,6 +3,7 @@
 pub(super) mod charge;
 pub(super) mod codec;
 pub(super) mod forward;
+pub(super) mod placement;
 pub(super) mod places;
 pub(super) mod reading;
 pub(super) mod response;
@@ -10,4 +11,3 @@
 pub(super) mod serve;
 pub(super) mod server;
 pub(super) mod types;
-pub(super) mod waiting;
