--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -3,8 +3,8 @@
 pub(super) mod charge;
 pub(super) mod codec;
 pub(super) mod forward;
+pub(super) mod owner_check;
 pub(super) mod placement;
-pub(super) mod places;
 pub(super) mod reading;
 pub(super) mod response;
 pub(super) mod routes;
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -14,8 +14,8 @@
 use crate::serving::decisions::fleet::Place;
 use crate::serving::decisions::fleet::Want;
 use crate::serving::path::forward::Held;
-use crate::serving::path::places;
-use crate::serving::path::places::Word;
+use crate::serving::path::owner_check;
+use crate::serving::path::owner_check::Word;
 use crate::serving::path::serve::Asked;
 use crate::serving::peers::beacons;
 use crate::serving::program::node::Node;
@@ -82,7 +82,7 @@
                 if let (Some(copy), Some(target)) = (copy, &held.target) {
                     beacons::request_load(node, &copy, target).await;
                 }
-                if asks < MOST_ASKS && places::ask(node, held, &at).await == Word::LookAgain {
+                if asks < MOST_ASKS && owner_check::ask(node, held, &at).await == Word::LookAgain {
                     asks += 1;
                     continue;
                 }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -19,7 +19,7 @@
 use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Held;
 use crate::serving::path::charge;
-use crate::serving::path::places;
+use crate::serving::path::owner_check;
 use crate::serving::path::reading;
 use crate::serving::path::types::Instance;
 use crate::serving::path::types::Target;
@@ -244,7 +244,7 @@
             }
             Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
             Ok(Some(Body::Report(report))) => load_reports::handle_report(&node, &report),
-            Ok(Some(Body::PlaceAsk(ask))) => places::handle_place_ask(&node, &ask).await,
+            Ok(Some(Body::PlaceAsk(ask))) => owner_check::handle_place_ask(&node, &ask).await,
             Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
             Ok(Some(Body::LeaseAsk(ask))) => charge::handle_lease_ask(&node, &ask).await,
             Ok(Some(Body::LeaseAnswer(answer))) => node.lease_calls.complete(answer.number, answer),
