--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -5,7 +5,7 @@
 pub(super) mod forward;
 pub(super) mod owner_check;
 pub(super) mod placement;
-pub(super) mod reading;
+pub(super) mod prefill;
 pub(super) mod response;
 pub(super) mod routes;
 pub(super) mod serve;
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -20,7 +20,7 @@
 use crate::serving::decisions::fleet::Held;
 use crate::serving::path::charge;
 use crate::serving::path::owner_check;
-use crate::serving::path::reading;
+use crate::serving::path::prefill;
 use crate::serving::path::types::Instance;
 use crate::serving::path::types::Target;
 use crate::serving::peers::load_reports;
@@ -248,9 +248,9 @@
             Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
             Ok(Some(Body::LeaseAsk(ask))) => charge::handle_lease_ask(&node, &ask).await,
             Ok(Some(Body::LeaseAnswer(answer))) => node.lease_calls.complete(answer.number, answer),
-            Ok(Some(Body::TurnAsk(ask))) => reading::handle_turn_ask(&node, &ask),
+            Ok(Some(Body::TurnAsk(ask))) => prefill::handle_turn_ask(&node, &ask),
             Ok(Some(Body::TurnGrant(grant))) => node.turn_calls.complete(grant.number, ()),
-            Ok(Some(Body::TurnEnd(end))) => reading::handle_turn_end(&node, &end),
+            Ok(Some(Body::TurnEnd(end))) => prefill::handle_turn_end(&node, &end),
             Ok(None) | Err(_) => slog::debug!(node.log, "unknown datagram"; "from" => %from),
         }
     }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -14,7 +14,7 @@
 use crate::pool::Span;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::path::codec::Codec;
-use crate::serving::path::reading;
+use crate::serving::path::prefill;
 use crate::serving::path::server;
 use crate::serving::peers::beacons;
 use crate::serving::peers::load_reports;
@@ -112,7 +112,7 @@
         tokio::task::spawn_local(beacons::send_beacons(node.clone()));
         tokio::task::spawn_local(load_reports::send_reports(node.clone()));
         tokio::task::spawn_local(beacons::receive(node.clone()));
-        tokio::task::spawn_local(reading::keep(node.clone()));
+        tokio::task::spawn_local(prefill::keep(node.clone()));
         tokio::task::spawn_local(ordering::order(node.clone()));
         tokio::task::spawn_local(register(node.clone()));
         tokio::task::spawn_local(reread(node.clone()));
