--- a/lib/src/serving/program/mod.rs
+++ b/lib/src/serving/program/mod.rs
@@ -2,6 +2,6 @@
 
 pub(super) mod experiment;
 pub(super) mod node;
-pub(super) mod ordering;
+pub(super) mod orders;
 pub(super) mod run;
 pub(super) mod settings;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -23,7 +23,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::now;
-use crate::serving::program::ordering;
+use crate::serving::program::orders;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::apply::OWNER_TABLE;
 use crate::serving::store::apply::StoreUpdate;
@@ -113,7 +113,7 @@
         tokio::task::spawn_local(load_reports::send_reports(node.clone()));
         tokio::task::spawn_local(beacons::receive(node.clone()));
         tokio::task::spawn_local(prefill::keep(node.clone()));
-        tokio::task::spawn_local(ordering::order(node.clone()));
+        tokio::task::spawn_local(orders::order(node.clone()));
         tokio::task::spawn_local(register(node.clone()));
         tokio::task::spawn_local(reread(node.clone()));
         tokio::task::spawn_local(renewal::renew(node.clone()));
