--- a/lib/src/pool/adapter.rs
+++ b/lib/src/pool/adapter.rs
@@ -16,70 +16,70 @@
 
 /// The most versions remembered; those least asked for are forgotten first.
 /// Above the 14,000 adapters of the target with a new and an old version each.
-const MOST_KEPT: usize = 32_768;
+const MAX_ADAPTERS: usize = 32_768;
 
 /// One adapter version.
 #[derive(Debug)]
 pub(super) struct Adapter {
     /// What waits for it, by lane, in the order of their turn.
-    pub(super) lists: [BTreeSet<(u64, Ticket)>; 2],
+    pub(super) lane_queues: [BTreeSet<(u64, Ticket)>; 2],
     /// How many suspects wait for it.
-    pub(super) solos: u32,
+    pub(super) isolated: u32,
     /// Since when something has waited for it.
-    pub(super) since: Moment,
+    pub(super) waiting_since: Moment,
     pub(super) demand: Demand,
     /// Replicas that have it, live or not.
     pub(super) holders: BTreeSet<ReplicaName>,
     /// Orders under way for it.
-    pub(super) loading: u32,
+    pub(super) pending_loads: u32,
     /// Loads that failed one after the other.
     pub(super) failures: u32,
     /// No load before then.
-    pub(super) backoff: Moment,
-    wanted: Option<(Lane, i64)>,
-    ranked: Option<Rank>,
+    pub(super) backoff_until: Moment,
+    load_key: Option<(Lane, i64)>,
+    index_keys: Option<IndexKeys>,
 }
 
 /// The keys under which an adapter stands in the indexes.
 #[derive(Clone, Copy, Debug)]
-struct Rank {
-    key: i64,
-    last: Moment,
-    due: Moment,
+struct IndexKeys {
+    rate_key: i64,
+    last_request: Moment,
+    overdue_at: Moment,
 }
 
 impl Adapter {
     fn new() -> Self {
         Self {
-            lists: [BTreeSet::new(), BTreeSet::new()],
-            solos: 0,
-            since: Moment(0),
+            lane_queues: [BTreeSet::new(), BTreeSet::new()],
+            isolated: 0,
+            waiting_since: Moment(0),
             demand: Demand::NONE,
             holders: BTreeSet::new(),
-            loading: 0,
+            pending_loads: 0,
             failures: 0,
-            backoff: Moment(0),
-            wanted: None,
-            ranked: None,
+            backoff_until: Moment(0),
+            load_key: None,
+            index_keys: None,
         }
     }
 
     /// How many requests wait for it.
     pub(super) fn waiting(&self) -> usize {
-        self.lists[0].len() + self.lists[1].len() + self.solos as usize
+        self.lane_queues[0].len() + self.lane_queues[1].len() + self.isolated as usize
     }
 
     /// Whether someone stands and waits for it.
     pub(super) fn urgent(&self) -> bool {
-        !self.lists[Lane::Short.index()].is_empty() || self.solos > 0
+        !self.lane_queues[Lane::Short.index()].is_empty() || self.isolated > 0
     }
 
-    pub(super) fn list(&self, lane: Lane) -> &BTreeSet<(u64, Ticket)> {
-        &self.lists[lane.index()]
+    pub(super) fn lane_queue(&self, lane: Lane) -> &BTreeSet<(u64, Ticket)> {
+        &self.lane_queues[lane.index()]
     }
 
     fn idle(&self) -> bool {
-        self.waiting() == 0 && self.holders.is_empty() && self.loading == 0
+        self.waiting() == 0 && self.holders.is_empty() && self.pending_loads == 0
     }
 }
 
@@ -90,15 +90,15 @@
     all: BTreeMap<Target, Adapter>,
     /// Adapters that something waits for and that should be loaded, the most
     /// beneficial load first; by the most urgent lane that waits.
-    wanted: [BTreeSet<(i64, AdapterVersion)>; 2],
+    load_queues: [BTreeSet<(i64, AdapterVersion)>; 2],
     /// Slots that nothing uses, the least asked for first.
     by_rate: BTreeSet<(i64, ReplicaName, AdapterVersion)>,
     /// The same, the longest silent first.
-    by_use: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
+    by_last_use: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
     /// The same, those first whose next request is the longest overdue.
-    by_due: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
+    by_overdue: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
     /// Known adapters that no live replica has, the least asked for first.
-    cold: BTreeSet<(i64, AdapterVersion)>,
+    unloaded: BTreeSet<(i64, AdapterVersion)>,
 }
 
 impl Adapters {
@@ -119,48 +119,48 @@
     }
 
     /// How many adapters wait for a load.
-    pub(super) fn wanted_len(&self) -> usize {
-        self.wanted.iter().map(BTreeSet::len).sum()
+    pub(super) fn queued_loads(&self) -> usize {
+        self.load_queues.iter().map(BTreeSet::len).sum()
     }
 
     /// How many loads come before one of this key, counted up to `most`.
-    pub(super) fn wanted_before(&self, lane: Lane, key: i64, most: usize) -> usize {
-        let before = self.wanted[lane.index()].iter();
+    pub(super) fn loads_before(&self, lane: Lane, key: i64, most: usize) -> usize {
+        let before = self.load_queues[lane.index()].iter();
         before.take_while(|(k, _)| *k < key).take(most).count()
     }
 
     /// The loads that wait in a lane, the most beneficial first.
-    pub(super) fn wanted(&self, lane: Lane) -> impl Iterator<Item = &AdapterVersion> {
-        self.wanted[lane.index()].iter().map(|(_, a)| a)
+    pub(super) fn load_queue(&self, lane: Lane) -> impl Iterator<Item = &AdapterVersion> {
+        self.load_queues[lane.index()].iter().map(|(_, a)| a)
     }
 
     /// Sets or ends that an adapter should be loaded; lower keys go first.
-    pub(super) fn want(&mut self, adapter: &AdapterVersion, key: Option<i64>) {
+    pub(super) fn set_load_key(&mut self, adapter: &AdapterVersion, key: Option<i64>) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
         let lane = if a.urgent() { Lane::Short } else { Lane::Long };
         let new = key.map(|key| (lane, key));
-        if a.wanted == new {
+        if a.load_key == new {
             return;
         }
-        if let Some((lane, old)) = a.wanted {
-            self.wanted[lane.index()].remove(&(old, adapter.clone()));
+        if let Some((lane, old)) = a.load_key {
+            self.load_queues[lane.index()].remove(&(old, adapter.clone()));
         }
         if let Some((lane, new)) = new {
-            self.wanted[lane.index()].insert((new, adapter.clone()));
+            self.load_queues[lane.index()].insert((new, adapter.clone()));
         }
-        a.wanted = new;
+        a.load_key = new;
     }
 
     /// Idle slots in the order of least demand.
-    pub(super) fn least_asked(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
+    pub(super) fn least_requested(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         self.by_rate.iter().map(|(_, r, a)| (r, a))
     }
 
     /// Idle slots in the order of longest silence.
-    pub(super) fn longest_silent(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
-        self.by_use.iter().map(|(_, r, a)| (r, a))
+    pub(super) fn least_recent(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
+        self.by_last_use.iter().map(|(_, r, a)| (r, a))
     }
 
     /// Idle slots whose next request is overdue, the longest overdue first.
@@ -169,15 +169,15 @@
         now: Moment,
     ) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         let due = self
-            .by_due
+            .by_overdue
             .iter()
             .take_while(move |(due, _, _)| *due <= now);
         due.map(|(_, r, a)| (r, a))
     }
 
     /// Adapters that no live replica has, the most asked for first.
-    pub(super) fn missed(&self) -> impl Iterator<Item = &AdapterVersion> {
-        self.cold.iter().rev().map(|(_, a)| a)
+    pub(super) fn hottest_unloaded(&self) -> impl Iterator<Item = &AdapterVersion> {
+        self.unloaded.iter().rev().map(|(_, a)| a)
     }
 
     /// Takes an adapter out of the indexes before its demand, holders or idle
@@ -186,14 +186,21 @@
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let Some(Rank { key, last, due }) = a.ranked.take() else {
+        let Some(IndexKeys {
+            rate_key,
+            last_request,
+            overdue_at,
+        }) = a.index_keys.take()
+        else {
             return;
         };
-        self.cold.remove(&(key, adapter.clone()));
+        self.unloaded.remove(&(rate_key, adapter.clone()));
         for r in &a.holders {
-            self.by_rate.remove(&(key, r.clone(), adapter.clone()));
-            self.by_use.remove(&(last, r.clone(), adapter.clone()));
-            self.by_due.remove(&(due, r.clone(), adapter.clone()));
+            self.by_rate.remove(&(rate_key, r.clone(), adapter.clone()));
+            self.by_last_use
+                .remove(&(last_request, r.clone(), adapter.clone()));
+            self.by_overdue
+                .remove(&(overdue_at, r.clone(), adapter.clone()));
         }
     }
 
@@ -202,38 +209,44 @@
     pub(super) fn index(
         &mut self,
         adapter: &AdapterVersion,
-        half_us: f64,
+        half_life_us: f64,
         live: impl Fn(&ReplicaName) -> bool,
         idle: impl Fn(&ReplicaName) -> bool,
     ) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let key = a.demand.order_key(a.holders.len());
-        let last = a.demand.last_request;
-        let due = a.demand.due(half_us);
-        a.ranked = Some(Rank { key, last, due });
+        let rate_key = a.demand.order_key(a.holders.len());
+        let last_request = a.demand.last_request;
+        let overdue_at = a.demand.overdue_at(half_life_us);
+        a.index_keys = Some(IndexKeys {
+            rate_key,
+            last_request,
+            overdue_at,
+        });
         if !a.holders.iter().any(live) {
-            self.cold.insert((key, adapter.clone()));
+            self.unloaded.insert((rate_key, adapter.clone()));
         }
         for r in a.holders.iter().filter(|r| idle(r)) {
-            self.by_rate.insert((key, r.clone(), adapter.clone()));
-            self.by_use.insert((last, r.clone(), adapter.clone()));
-            self.by_due.insert((due, r.clone(), adapter.clone()));
+            self.by_rate.insert((rate_key, r.clone(), adapter.clone()));
+            self.by_last_use
+                .insert((last_request, r.clone(), adapter.clone()));
+            self.by_overdue
+                .insert((overdue_at, r.clone(), adapter.clone()));
         }
-        if self.cold.len() > MOST_KEPT {
-            self.forget_one();
+        if self.unloaded.len() > MAX_ADAPTERS {
+            self.forget_idle();
         }
     }
 
-    fn forget_one(&mut self) {
+    fn forget_idle(&mut self) {
         let idle = |a: &&(i64, AdapterVersion)| {
             self.all
                 .get(&Some(a.1.clone()))
                 .is_none_or(|adapter| adapter.idle())
         };
-        if let Some(entry) = self.cold.iter().find(idle).cloned() {
-            self.cold.remove(&entry);
+        if let Some(entry) = self.unloaded.iter().find(idle).cloned() {
+            self.unloaded.remove(&entry);
             self.all.remove(&Some(entry.1));
         }
     }
--- a/lib/src/pool/admission.rs
+++ b/lib/src/pool/admission.rs
@@ -2,22 +2,22 @@
 
 use super::adapter::Target;
 use super::queue::Lane;
-use super::queue::Waiting;
-use super::state::COME_BACK;
+use super::queue::QueuedRequest;
+use super::state::DEFAULT_RETRY_AFTER;
 use super::state::Pool;
 use super::types::*;
 
 /// The most requests that wait in a pool. An entry holds the callers'
 /// connections meanwhile, so the bound is one of memory: above it, each team's
 /// bound shrinks to an equal part.
-const MOST_WAITING: usize = 16_384;
+const MAX_WAITING: usize = 16_384;
 
 /// Loads counted ahead of a request when its wait is estimated; more would
 /// not change a refusal.
-const LOADS_COUNTED: usize = 256;
+const MAX_LOADS_COUNTED: usize = 256;
 
 /// Longest time told to a refused caller.
-const LONGEST_AFTER: Span = Span::from_millis(60_000);
+const MAX_RETRY_AFTER: Span = Span::from_millis(60_000);
 
 impl Pool {
     /// Whether a request may wait, and if not, why and when to come back.
@@ -29,60 +29,65 @@
     /// one team's burst does not take the places of the others.
     pub(super) fn admit(&mut self, now: Moment, a: &Arrival) -> Result<(), (Reason, Span)> {
         if self.draining {
-            return Err((Reason::Draining, COME_BACK));
+            return Err((Reason::Draining, DEFAULT_RETRY_AFTER));
         }
-        if let Some(left) = self.verdicts.convicted(now, a.fingerprint) {
+        if let Some(left) = self.poison.blocked_for(now, a.fingerprint) {
             return Err((Reason::Convicted, left));
         }
-        if !self.replicas.values().any(|r| r.hopeful()) {
-            return Err((Reason::NoReplica, COME_BACK));
+        if !self.replicas.values().any(|r| r.may_recover()) {
+            return Err((Reason::NoReplica, DEFAULT_RETRY_AFTER));
         }
         let lane = Lane::of(a.class);
         let flows = self.queue.flows().max(1);
-        let limit = match self.queue.len() < MOST_WAITING {
+        let limit = match self.queue.len() < MAX_WAITING {
             true => self.settings.queue_limit as usize,
-            false => MOST_WAITING / flows,
+            false => MAX_WAITING / flows,
         };
         if self.queue.count(&a.team, lane) as usize >= limit {
-            return Err((Reason::QueueFull, self.wait_estimate()));
+            return Err((Reason::QueueFull, self.estimated_wait()));
         }
-        let wait = self.least_wait(now, a);
-        let least = self.service.least(&self.settings, lane, a.max_tokens);
+        let wait = self.min_wait(now, a);
+        let least = self
+            .service_times
+            .min_time(&self.settings, lane, a.max_tokens);
         if now.after(Span(wait.0 + least.0)) > a.deadline {
-            return Err((Reason::Deadline, wait.clamp(COME_BACK, LONGEST_AFTER)));
+            return Err((
+                Reason::Deadline,
+                wait.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER),
+            ));
         }
-        if a.attempt > 0 && !self.budget.spend() {
-            return Err((Reason::RetryBudget, COME_BACK));
+        if a.attempt > 0 && !self.retry_budget.spend() {
+            return Err((Reason::RetryBudget, DEFAULT_RETRY_AFTER));
         }
         Ok(())
     }
 
     /// The least time that this request will wait before it is dispatched, as
     /// far as it is certain: the loads that go before its adapter's.
-    fn least_wait(&self, now: Moment, a: &Arrival) -> Span {
+    fn min_wait(&self, now: Moment, a: &Arrival) -> Span {
         let Some(adapter) = &a.adapter else {
             return Span(0);
         };
         let entry = self.adapters.get(&a.adapter);
-        if entry.is_some_and(|e| !e.holders.is_empty() || e.loading > 0) {
+        if entry.is_some_and(|e| !e.holders.is_empty() || e.pending_loads > 0) {
             return Span(0);
         }
-        let pause = entry.map_or(Span(0), |e| e.backoff.since(now));
+        let pause = entry.map_or(Span(0), |e| e.backoff_until.since(now));
         let key = self.load_key(now, adapter, 1);
         let ahead = self
             .adapters
-            .wanted_before(Lane::of(a.class), key, LOADS_COUNTED);
+            .loads_before(Lane::of(a.class), key, MAX_LOADS_COUNTED);
         let load = self.load_time().0;
-        let pause = pause.max(self.frozen.since(now));
+        let pause = pause.max(self.slot_freeze.since(now));
         Span(pause.0.max(load * ahead as u64) + load)
     }
 
     /// About how long until what waits now has been dispatched.
-    pub(super) fn wait_estimate(&self) -> Span {
+    pub(super) fn estimated_wait(&self) -> Span {
         let batch: u32 = self.replicas.values().map(|r| r.spec.batch).sum();
-        let mean = self.service.mean(Lane::Short).0;
+        let mean = self.service_times.mean_time(Lane::Short).0;
         let rounds = self.queue.len() as u64 / u64::from(batch.max(1)) + 1;
-        Span(mean * rounds).clamp(COME_BACK, LONGEST_AFTER)
+        Span(mean * rounds).clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Lets an admitted request wait, or run at once.
@@ -90,41 +95,43 @@
         let lane = Lane::of(a.class);
         let ticket = a.ticket;
         let target = a.adapter.clone();
-        let solo = self
-            .verdicts
+        let isolated = self
+            .poison
             .is_suspect(now, a.fingerprint, self.settings.strikes);
-        self.note_demand(now, &a);
+        self.record_demand(now, &a);
         let cost = u64::from(a.max_tokens / 2) + u64::from(a.prompt_tokens / 16) + 1;
-        let share = self.share(&a);
-        let tag = self.fair[lane.index()].tag(&a.team, cost, share);
-        let least = self.service.least(&self.settings, lane, a.max_tokens);
+        let share = self.team_share(&a);
+        let tag = self.fair_queues[lane.index()].tag(&a.team, cost, share);
+        let least = self
+            .service_times
+            .min_time(&self.settings, lane, a.max_tokens);
         let expiry = Moment(a.deadline.0.saturating_sub(least.0)).max(now);
-        let w = Waiting {
+        let w = QueuedRequest {
             arrival: a,
-            since: now,
+            queued_at: now,
             tag,
             cost,
             expiry,
-            solo,
+            isolated,
         };
-        if !solo && self.place(now, &w) {
+        if !isolated && self.dispatch_now(now, &w) {
             return;
         }
         if lane == Lane::Long {
-            self.note_gathering(now, &w.arrival);
+            self.track_delay(now, &w.arrival);
         }
         self.queue.insert(w);
         let entry = self.adapters.entry(&target);
         if entry.waiting() == 0 {
-            entry.since = now;
+            entry.waiting_since = now;
         }
-        match solo {
+        match isolated {
             true => {
-                entry.solos += 1;
-                self.solos.insert((now, ticket));
+                entry.isolated += 1;
+                self.isolation_queue.insert((now, ticket));
             }
             false => {
-                entry.lists[lane.index()].insert((tag, ticket));
+                entry.lane_queues[lane.index()].insert((tag, ticket));
             }
         }
         if let Some(adapter) = &target {
@@ -133,50 +140,50 @@
                 r.is_some_and(|r| r.live())
             });
             self.stalls += u64::from(!held);
-            self.rewant(now, adapter);
+            self.update_load_key(now, adapter);
         }
     }
 
     /// Takes a waiting request out of every list.
-    pub(super) fn withdraw(&mut self, now: Moment, ticket: Ticket) -> Option<Waiting> {
+    pub(super) fn dequeue(&mut self, now: Moment, ticket: Ticket) -> Option<QueuedRequest> {
         let w = self.queue.remove(ticket)?;
         let lane = w.lane();
         let target: &Target = &w.arrival.adapter;
         if let Some(entry) = self.adapters.get_mut(target) {
-            match w.solo {
-                true => entry.solos = entry.solos.saturating_sub(1),
+            match w.isolated {
+                true => entry.isolated = entry.isolated.saturating_sub(1),
                 false => {
-                    entry.lists[lane.index()].remove(&(w.tag, ticket));
+                    entry.lane_queues[lane.index()].remove(&(w.tag, ticket));
                 }
             }
         }
-        if w.solo {
-            self.solos.remove(&(w.since, ticket));
-            self.unreserve(ticket, target);
+        if w.isolated {
+            self.isolation_queue.remove(&(w.queued_at, ticket));
+            self.cancel_reservation(ticket, target);
         }
         if let Some(adapter) = target {
-            self.rewant(now, adapter);
+            self.update_load_key(now, adapter);
         }
         Some(w)
     }
 
     /// Takes out a waiting request that will not run, and gives the replica
     /// that was kept for it back to the others.
-    pub(super) fn give_up(&mut self, now: Moment, ticket: Ticket) -> Option<Waiting> {
+    pub(super) fn cancel_waiting(&mut self, now: Moment, ticket: Ticket) -> Option<QueuedRequest> {
         let kept = self.reserved.get(&ticket).cloned();
-        let w = self.withdraw(now, ticket);
+        let w = self.dequeue(now, ticket);
         if let Some(name) = kept {
-            self.fill(now, &name);
+            self.fill_replica(now, &name);
         }
         w
     }
 
     /// Refuses a waiting request.
-    pub(super) fn turn_away(&mut self, now: Moment, ticket: Ticket, why: Reason, after: Span) {
-        if let Some(w) = self.give_up(now, ticket) {
-            let share = self.share(&w.arrival);
+    pub(super) fn refuse_waiting(&mut self, now: Moment, ticket: Ticket, why: Reason, after: Span) {
+        if let Some(w) = self.cancel_waiting(now, ticket) {
+            let share = self.team_share(&w.arrival);
             let lane = w.lane().index();
-            self.fair[lane].give_back(&w.arrival.team, w.cost, share);
+            self.fair_queues[lane].refund(&w.arrival.team, w.cost, share);
             self.refuse(ticket, why, after);
         }
     }
@@ -189,7 +196,7 @@
         });
     }
 
-    fn share(&self, a: &Arrival) -> u32 {
+    fn team_share(&self, a: &Arrival) -> u32 {
         self.settings.shares.get(&a.team).copied().unwrap_or(1)
     }
 }
--- a/lib/src/pool/dispatch.rs
+++ b/lib/src/pool/dispatch.rs
@@ -3,19 +3,19 @@
 
 use super::adapter::Target;
 use super::queue::Lane;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::replica::Replica;
+use super::state::Dispatch;
 use super::state::Pool;
-use super::state::Running;
 use super::types::*;
 use crate::ids::ReplicaName;
 
 /// Open replicas looked at for one request to a target that all of them have.
 /// The first is the least loaded; the others serve when it is to be avoided.
-const OPEN_PROBED: usize = 16;
+const MAX_REPLICAS_PROBED: usize = 16;
 
 /// Requests of a list looked at for one that does not avoid the replica.
-const TURNS_PROBED: usize = 4;
+const MAX_REQUESTS_PROBED: usize = 4;
 
 /// Load steps of an ordered score, by requests and pace.
 const SCORE_STEPS: f64 = 1_000.0;
@@ -26,19 +26,19 @@
 const PREFIX_BONUS: f64 = 3.0;
 
 /// Engine priorities by lane; lower is earlier.
-const PRIORITIES: [i32; 2] = [0, 10];
+const ENGINE_PRIORITIES: [i32; 2] = [0, 10];
 
 impl Pool {
     /// Dispatches a request at once if a replica that has its adapter takes
     /// it.
-    pub(super) fn place(&mut self, now: Moment, w: &Waiting) -> bool {
-        let Some(name) = self.choose(now, w) else {
+    pub(super) fn dispatch_now(&mut self, now: Moment, w: &QueuedRequest) -> bool {
+        let Some(name) = self.choose_replica(now, w) else {
             return false;
         };
-        self.grant(now, w, &name);
+        self.dispatch(now, w, &name);
         if w.lane() == Lane::Long {
             // It may have been the one that the others waited for.
-            self.fill(now, &name);
+            self.fill_replica(now, &name);
         }
         true
     }
@@ -51,17 +51,20 @@
     /// measured pace makes a slow replica seem longer in proportion, so it
     /// gets only the work it can do in time. The replicas that a request
     /// should avoid serve only when no other has its adapter.
-    fn choose(&self, now: Moment, w: &Waiting) -> Option<ReplicaName> {
+    fn choose_replica(&self, now: Moment, w: &QueuedRequest) -> Option<ReplicaName> {
         let a = &w.arrival;
         let lane = w.lane();
         let usable = |name: &ReplicaName| {
             let r = self.replicas.get(name)?;
-            let fit = self.has_room(r, lane, &a.adapter)
+            let fit = self.can_run(r, lane, &a.adapter)
                 && !self.avoids(a, name)
-                && (lane == Lane::Short || self.gathered(now, r, 1));
+                && (lane == Lane::Short || self.batch_ready(now, r, 1));
             fit.then_some(r)
         };
-        let near = self.prefixes.place(a.prefix).filter(|_| a.prefix != 0);
+        let near = self
+            .prefixes
+            .last_replica(a.prefix)
+            .filter(|_| a.prefix != 0);
         let score = |name: &ReplicaName, r: &Replica| {
             let bonus = if near == Some(name) {
                 PREFIX_BONUS
@@ -75,21 +78,25 @@
             let fit = holders.iter().filter_map(|n| Some((n, usable(n)?)));
             return fit.min_by_key(|(n, r)| score(n, r)).map(|(n, _)| n.clone());
         }
-        let first = self.open.iter().take(OPEN_PROBED).map(|(_, n)| n);
+        let first = self
+            .available
+            .iter()
+            .take(MAX_REPLICAS_PROBED)
+            .map(|(_, n)| n);
         let fit = first.chain(near).filter_map(|n| Some((n, usable(n)?)));
         fit.min_by_key(|(n, r)| score(n, r)).map(|(n, _)| n.clone())
     }
 
-    fn has_room(&self, r: &Replica, lane: Lane, target: &Target) -> bool {
+    fn can_run(&self, r: &Replica, lane: Lane, target: &Target) -> bool {
         let s = &self.settings;
-        let other = lane == Lane::Short && self.long_waits(r, target);
-        let slot = lane == Lane::Short || r.long_slot(target, s.long_slots);
-        slot && r.room(lane, s.long_part(), s.long_floor, other)
+        let other = lane == Lane::Short && self.long_work_waits(r, target);
+        let slot = lane == Lane::Short || r.long_slot_allowed(target, s.long_slots);
+        slot && r.has_room(lane, s.long_part(), s.long_floor, other)
     }
 
     /// Whether a replica has room for a lane, long work that waits aside.
-    pub(super) fn takes(&self, r: &Replica, lane: Lane) -> bool {
-        r.room(
+    pub(super) fn has_lane_room(&self, r: &Replica, lane: Lane) -> bool {
+        r.has_room(
             lane,
             self.settings.long_part(),
             self.settings.long_floor,
@@ -98,10 +105,10 @@
     }
 
     /// Whether long work waits that this replica could run.
-    fn long_waits(&self, r: &Replica, target: &Target) -> bool {
+    fn long_work_waits(&self, r: &Replica, target: &Target) -> bool {
         let waits = |t: &Target| {
             let entry = self.adapters.get(t);
-            entry.is_some_and(|e| !e.list(Lane::Long).is_empty())
+            entry.is_some_and(|e| !e.lane_queue(Lane::Long).is_empty())
         };
         if !self.queue.has_long() {
             return false;
@@ -111,56 +118,56 @@
 
     /// How loaded a replica seems, `bonus` requests less.
     fn score(&self, r: &Replica, bonus: f64) -> u64 {
-        let pace = match (r.pace > 0.0, self.service.pace()) {
-            (true, mean) if mean > 0.0 => r.pace / mean,
+        let slowdown = match (r.token_us > 0.0, self.service_times.token_us()) {
+            (true, mean) if mean > 0.0 => r.token_us / mean,
             _ => 1.0,
         };
         let queue = (f64::from(r.busy()) + 1.0 - bonus).max(0.1);
-        (queue * pace.max(0.2) * SCORE_STEPS) as u64
+        (queue * slowdown.max(0.2) * SCORE_STEPS) as u64
     }
 
     /// Gives a replica the work that waits for it, in turn, while it has room.
-    pub(super) fn fill(&mut self, now: Moment, name: &ReplicaName) {
-        while let Some(ticket) = self.next_for(now, name) {
-            let Some(w) = self.withdraw(now, ticket) else {
+    pub(super) fn fill_replica(&mut self, now: Moment, name: &ReplicaName) {
+        while let Some(ticket) = self.next_request(now, name) {
+            let Some(w) = self.dequeue(now, ticket) else {
                 return;
             };
-            self.grant(now, &w, name);
+            self.dispatch(now, &w, name);
             // Only now is it seen whether the replica is full again and those
             // who still wait need another copy.
             if let Some(adapter) = &w.arrival.adapter {
-                self.rewant(now, adapter);
+                self.update_load_key(now, adapter);
             }
         }
     }
 
     /// The request whose turn it is at a replica: short work first, then long
     /// work, each in the order of fair queueing between teams.
-    fn next_for(&self, now: Moment, name: &ReplicaName) -> Option<Ticket> {
+    fn next_request(&self, now: Moment, name: &ReplicaName) -> Option<Ticket> {
         let r = self.replicas.get(name)?;
-        if !r.open() {
+        if !r.accepts_work() {
             return None;
         }
         let bare: Target = None;
         let own = r.loaded.iter().map(|a| Some(a.clone()));
         let targets: Vec<Target> = own.chain([bare]).collect();
-        let lists = targets
+        let entries = targets
             .iter()
             .filter_map(|t| Some((t, self.adapters.get(t)?)));
-        let lists: Vec<_> = lists.filter(|(_, e)| e.waiting() > 0).collect();
+        let entries: Vec<_> = entries.filter(|(_, e)| e.waiting() > 0).collect();
         let s = &self.settings;
-        let slot = |t: &Target, lane| lane == Lane::Short || r.long_slot(t, s.long_slots);
-        let mut longs = lists.iter().filter(|(t, _)| slot(t, Lane::Long));
-        let long = longs.any(|(_, e)| !e.list(Lane::Long).is_empty());
+        let slot = |t: &Target, lane| lane == Lane::Short || r.long_slot_allowed(t, s.long_slots);
+        let mut longs = entries.iter().filter(|(t, _)| slot(t, Lane::Long));
+        let long = longs.any(|(_, e)| !e.lane_queue(Lane::Long).is_empty());
         let lanes = Lane::ALL.into_iter();
-        let mut open = lanes.filter(|lane| r.room(*lane, s.long_part(), s.long_floor, long));
+        let mut open = lanes.filter(|lane| r.has_room(*lane, s.long_part(), s.long_floor, long));
         open.find_map(|lane| {
-            if lane == Lane::Long && !self.gathered(now, r, 0) {
+            if lane == Lane::Long && !self.batch_ready(now, r, 0) {
                 return None;
             }
-            let usable = lists.iter().filter(|(t, _)| slot(t, lane));
+            let usable = entries.iter().filter(|(t, _)| slot(t, lane));
             let heads = usable.flat_map(|(_, e)| {
-                let turns = e.list(lane).iter().take(TURNS_PROBED);
+                let turns = e.lane_queue(lane).iter().take(MAX_REQUESTS_PROBED);
                 turns.filter(|(_, t)| self.may_run(*t, name)).take(1)
             });
             heads.min().map(|(_, ticket)| *ticket)
@@ -193,85 +200,91 @@
     }
 
     /// Dispatches a request that is in no list any more.
-    pub(super) fn grant(&mut self, now: Moment, w: &Waiting, name: &ReplicaName) {
+    pub(super) fn dispatch(&mut self, now: Moment, w: &QueuedRequest, name: &ReplicaName) {
         let Some(r) = self.replicas.get(name) else {
             return;
         };
         let a = &w.arrival;
         let lane = w.lane();
         let incarnation = r.incarnation;
-        self.fair[lane.index()].served(w.tag);
-        self.prefixes.note(now, a.prefix, name);
+        self.fair_queues[lane.index()].advance(w.tag);
+        self.prefixes.record(now, a.prefix, name);
         self.commands.push(Command::Grant {
             ticket: a.ticket,
             replica: name.clone(),
             incarnation,
-            priority: PRIORITIES[lane.index()],
+            priority: ENGINE_PRIORITIES[lane.index()],
         });
-        let run = Running {
+        let run = Dispatch {
             replica: name.clone(),
             incarnation,
             target: a.adapter.clone(),
             lane,
             fingerprint: a.fingerprint,
-            solo: w.solo,
+            isolated: w.isolated,
         };
-        self.start(now, a.ticket, run);
+        self.record_dispatch(now, a.ticket, run);
     }
 
     /// Counts a dispatch.
-    pub(super) fn start(&mut self, now: Moment, ticket: Ticket, run: Running) {
+    pub(super) fn record_dispatch(&mut self, now: Moment, ticket: Ticket, run: Dispatch) {
         let name = run.replica.clone();
         if let Some(r) = self.replicas.get_mut(&name)
-            && (!r.known || r.incarnation == run.incarnation)
+            && (!r.has_reported || r.incarnation == run.incarnation)
         {
             r.tickets.insert(ticket);
             if run.lane == Lane::Long {
                 r.begin_long(&run.target);
             }
-            self.use_slot(now, &name, &run.target);
-            self.rescore(&name);
+            self.acquire_slot(now, &name, &run.target);
+            self.update_score(&name);
         }
         self.running.insert(ticket, run);
     }
 
     /// Ends the count of a dispatch.
-    pub(super) fn leave(&mut self, now: Moment, ticket: Ticket, run: Running, end: Outcome) {
+    pub(super) fn end_dispatch(
+        &mut self,
+        now: Moment,
+        ticket: Ticket,
+        run: Dispatch,
+        end: Outcome,
+    ) {
         let name = run.replica.clone();
         let Some(r) = self.replicas.get_mut(&name) else {
             return;
         };
-        if r.solo == Some(ticket) {
-            r.solo = None;
+        if r.isolated == Some(ticket) {
+            r.isolated = None;
         }
         if r.tickets.remove(&ticket) {
-            r.note_end(now);
+            r.record_end(now);
             if run.lane == Lane::Long {
                 r.end_long(&run.target);
             }
             match end {
-                Outcome::Answered | Outcome::NotRun => self.free_slot(&name, &run.target),
-                _ => self.linger(now, ticket, run),
+                Outcome::Answered | Outcome::NotRun => self.release_slot(&name, &run.target),
+                _ => self.retain_slot(now, ticket, run),
             }
         }
-        self.rescore(&name);
+        self.update_score(&name);
     }
 
     /// Keeps the index of open replicas in step with one of them.
-    pub(super) fn rescore(&mut self, name: &ReplicaName) {
+    pub(super) fn update_score(&mut self, name: &ReplicaName) {
         let Some(r) = self.replicas.get(name) else {
             return;
         };
-        let score = r.open().then(|| self.score(r, 0.0));
+        let score = r.accepts_work().then(|| self.score(r, 0.0));
         let old = r.score;
         if score == old {
             return;
         }
         if let Some(old) = old {
-            self.open.remove(&(old, name.clone()));
+            self.available.remove(&(old, name.clone()));
         }
         if let Some(new) = score {
-            self.open.insert((new, name.clone()));
+            self.available.insert((new, name.clone()));
         }
         if let Some(r) = self.replicas.get_mut(name) {
             r.score = score;
--- a/lib/src/pool/poison.rs
+++ b/lib/src/pool/poison.rs
@@ -10,14 +10,14 @@
 
 /// How long a suspicion holds when nothing settles it: longer than a caller's
 /// retries, shorter than what would keep an innocent request slow.
-const SUSPICION: Span = Span::from_millis(120_000);
+const SUSPICION_TTL: Span = Span::from_millis(120_000);
 
 /// The most fingerprints kept of either kind: those that have ended go first,
 /// then any, as a flood of them must not fill the memory.
-const MOST_KEPT: usize = 8_192;
+const MAX_FINGERPRINTS: usize = 8_192;
 
 #[derive(Debug)]
-struct Suspicion {
+struct Suspect {
     until: Moment,
     replica: ReplicaName,
     incarnation: Incarnation,
@@ -30,36 +30,36 @@
 /// Made for the one request that crashes each engine that runs it, sent again
 /// by its caller: without verdicts it takes a batch of others down each time.
 #[derive(Debug, Default)]
-pub(super) struct Verdicts {
-    suspects: BTreeMap<Fingerprint, Suspicion>,
-    convicted: BTreeMap<Fingerprint, Moment>,
+pub(super) struct PoisonTracker {
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    blocked: BTreeMap<Fingerprint, Moment>,
 }
 
-impl Verdicts {
+impl PoisonTracker {
     /// It ran where the upstream broke.
-    pub(super) fn suspect(
+    pub(super) fn add_suspect(
         &mut self,
         now: Moment,
         fingerprint: Fingerprint,
         replica: &ReplicaName,
         incarnation: Incarnation,
     ) {
-        if self.suspects.len() >= MOST_KEPT {
+        if self.suspects.len() >= MAX_FINGERPRINTS {
             self.suspects.retain(|_, s| s.until > now);
         }
-        if self.suspects.len() >= MOST_KEPT {
+        if self.suspects.len() >= MAX_FINGERPRINTS {
             self.suspects.pop_first();
         }
         let old = self.suspects.get(&fingerprint);
         let same = old.is_some_and(|s| s.replica == *replica && s.incarnation == incarnation);
         let before = old.filter(|s| s.until > now).map_or(0, |s| s.strikes);
-        let suspicion = Suspicion {
-            until: now.after(SUSPICION),
+        let suspect = Suspect {
+            until: now.after(SUSPICION_TTL),
             replica: replica.clone(),
             incarnation,
             strikes: before + u32::from(!same),
         };
-        self.suspects.insert(fingerprint, suspicion);
+        self.suspects.insert(fingerprint, suspect);
     }
 
     /// It was answered, so it does not crash its upstream.
@@ -69,7 +69,7 @@
 
     /// The replica still runs the incarnation that was thought to have
     /// crashed: only connections broke.
-    pub(super) fn survived(&mut self, replica: &ReplicaName, incarnation: Incarnation) {
+    pub(super) fn clear_replica(&mut self, replica: &ReplicaName, incarnation: Incarnation) {
         self.suspects
             .retain(|_, s| s.replica != *replica || s.incarnation != incarnation);
     }
@@ -81,21 +81,21 @@
     }
 
     /// Refuse it until `until`.
-    pub(super) fn convict(&mut self, now: Moment, fingerprint: Fingerprint, until: Moment) {
-        if self.convicted.len() >= MOST_KEPT {
-            self.convicted.retain(|_, end| *end > now);
+    pub(super) fn block(&mut self, now: Moment, fingerprint: Fingerprint, until: Moment) {
+        if self.blocked.len() >= MAX_FINGERPRINTS {
+            self.blocked.retain(|_, end| *end > now);
         }
-        if self.convicted.len() >= MOST_KEPT {
-            self.convicted.pop_first();
+        if self.blocked.len() >= MAX_FINGERPRINTS {
+            self.blocked.pop_first();
         }
         self.suspects.remove(&fingerprint);
-        let end = self.convicted.entry(fingerprint).or_insert(until);
+        let end = self.blocked.entry(fingerprint).or_insert(until);
         *end = until.max(*end);
     }
 
     /// How long its verdict still holds.
-    pub(super) fn convicted(&self, now: Moment, fingerprint: Fingerprint) -> Option<Span> {
-        let end = self.convicted.get(&fingerprint)?;
+    pub(super) fn blocked_for(&self, now: Moment, fingerprint: Fingerprint) -> Option<Span> {
+        let end = self.blocked.get(&fingerprint)?;
         (*end > now).then(|| end.since(now))
     }
 }
--- a/lib/src/pool/queue.rs
+++ b/lib/src/pool/queue.rs
@@ -10,7 +10,7 @@
 use crate::ids::TeamName;
 
 /// Teams remembered by a fair clock before idle ones are forgotten.
-const TEAMS_KEPT: usize = 4_096;
+const MAX_TEAMS: usize = 4_096;
 
 /// Units of virtual time for one token at a share of 1.
 const TAG_SCALE: u64 = 1_024;
@@ -48,32 +48,32 @@
 /// the lowest tag goes first. So a burst queues behind its own team's tags
 /// only.
 #[derive(Debug, Default)]
-pub(super) struct Fair {
-    clock: u64,
-    ends: BTreeMap<TeamName, u64>,
+pub(super) struct FairQueue {
+    virtual_time: u64,
+    finish_tags: BTreeMap<TeamName, u64>,
 }
 
-impl Fair {
+impl FairQueue {
     /// The start tag of a request of `cost` tokens.
     pub(super) fn tag(&mut self, team: &TeamName, cost: u64, share: u32) -> u64 {
-        if self.ends.len() > TEAMS_KEPT {
-            let clock = self.clock;
-            self.ends.retain(|_, end| *end > clock);
+        if self.finish_tags.len() > MAX_TEAMS {
+            let virtual_time = self.virtual_time;
+            self.finish_tags.retain(|_, end| *end > virtual_time);
         }
-        let end = self.ends.entry(team.clone()).or_insert(0);
-        let start = self.clock.max(*end);
+        let end = self.finish_tags.entry(team.clone()).or_insert(0);
+        let start = self.virtual_time.max(*end);
         *end = start + cost * TAG_SCALE / u64::from(share.max(1));
         start
     }
 
     /// A request with this tag was dispatched.
-    pub(super) fn served(&mut self, tag: u64) {
-        self.clock = self.clock.max(tag);
+    pub(super) fn advance(&mut self, tag: u64) {
+        self.virtual_time = self.virtual_time.max(tag);
     }
 
     /// A tagged request was not served: its team does not pay for it.
-    pub(super) fn give_back(&mut self, team: &TeamName, cost: u64, share: u32) {
-        if let Some(end) = self.ends.get_mut(team) {
+    pub(super) fn refund(&mut self, team: &TeamName, cost: u64, share: u32) {
+        if let Some(end) = self.finish_tags.get_mut(team) {
             *end = end.saturating_sub(cost * TAG_SCALE / u64::from(share.max(1)));
         }
     }
@@ -81,18 +81,18 @@
 
 /// A request that waits.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     pub(super) arrival: Arrival,
-    pub(super) since: Moment,
+    pub(super) queued_at: Moment,
     pub(super) tag: u64,
     pub(super) cost: u64,
     /// The last moment at which starting it still makes its deadline.
     pub(super) expiry: Moment,
     /// Whether it must run alone on a replica.
-    pub(super) solo: bool,
+    pub(super) isolated: bool,
 }
 
-impl Waiting {
+impl QueuedRequest {
     pub(super) fn lane(&self) -> Lane {
         Lane::of(self.arrival.class)
     }
@@ -101,10 +101,10 @@
 /// All that wait, with their deadlines and the counts that bound them.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    waiting: BTreeMap<Ticket, Waiting>,
+    waiting: BTreeMap<Ticket, QueuedRequest>,
     expiries: BTreeSet<(Moment, Ticket)>,
     counts: BTreeMap<(TeamName, Lane), u32>,
-    longs: usize,
+    long_count: usize,
 }
 
 impl Queue {
@@ -112,7 +112,7 @@
         self.waiting.len()
     }
 
-    pub(super) fn get(&self, ticket: Ticket) -> Option<&Waiting> {
+    pub(super) fn get(&self, ticket: Ticket) -> Option<&QueuedRequest> {
         self.waiting.get(&ticket)
     }
 
@@ -126,7 +126,7 @@
 
     /// Whether any long work waits.
     pub(super) fn has_long(&self) -> bool {
-        self.longs > 0
+        self.long_count > 0
     }
 
     /// How many pairs of team and lane have something waiting.
@@ -134,10 +134,10 @@
         self.counts.len()
     }
 
-    pub(super) fn insert(&mut self, w: Waiting) {
+    pub(super) fn insert(&mut self, w: QueuedRequest) {
         let ticket = w.arrival.ticket;
         self.expiries.insert((w.expiry, ticket));
-        self.longs += usize::from(w.lane() == Lane::Long);
+        self.long_count += usize::from(w.lane() == Lane::Long);
         *self
             .counts
             .entry((w.arrival.team.clone(), w.lane()))
@@ -145,10 +145,10 @@
         self.waiting.insert(ticket, w);
     }
 
-    pub(super) fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
+    pub(super) fn remove(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
         let w = self.waiting.remove(&ticket)?;
         self.expiries.remove(&(w.expiry, ticket));
-        self.longs -= usize::from(w.lane() == Lane::Long);
+        self.long_count -= usize::from(w.lane() == Lane::Long);
         let flow = (w.arrival.team.clone(), w.lane());
         if let Some(n) = self.counts.get_mut(&flow) {
             *n -= 1;
--- a/lib/src/pool/replica.rs
+++ b/lib/src/pool/replica.rs
@@ -16,10 +16,10 @@
 /// The part that the newest answer has in the measured pace: about the last
 /// ten answers count, so that a replica that turned slow is known within a
 /// second at ten answers a second and one slow answer does not condemn it.
-const PACE_PART: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 
 /// Ended dispatches remembered: more than a replica ends in a report's age.
-const ENDS_KEPT: usize = 256;
+const MAX_RECENT_ENDS: usize = 256;
 
 /// An order under way.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     pub(super) id: OrderId,
     pub(super) adapter: AdapterVersion,
     pub(super) evict: Option<AdapterVersion>,
-    pub(super) sent: Moment,
+    pub(super) sent_at: Moment,
 }
 
 /// One replica.
@@ -37,38 +37,38 @@
     pub(super) health: Health,
     pub(super) incarnation: Incarnation,
     /// Whether it has reported since it was configured.
-    pub(super) known: bool,
+    pub(super) has_reported: bool,
     /// Whether it is still configured.
-    pub(super) listed: bool,
+    pub(super) configured: bool,
     /// A connection to it broke and no later report has come.
-    pub(super) doubt: Option<Moment>,
+    pub(super) suspended_at: Option<Moment>,
     /// What requests may be sent to.
     pub(super) loaded: BTreeSet<AdapterVersion>,
     /// What may still fill a slot but must not be sent to: an eviction or a
     /// load that ended unknown, or an answer by another adapter.
-    pub(super) ghosts: BTreeSet<AdapterVersion>,
+    pub(super) unconfirmed: BTreeSet<AdapterVersion>,
     /// Dispatches by adapter; such an adapter is never evicted.
-    pub(super) users: BTreeMap<AdapterVersion, u32>,
+    pub(super) in_use: BTreeMap<AdapterVersion, u32>,
     pub(super) order: Option<Order>,
     /// When its slots were last changed by an order: a report of an older
     /// state says nothing about them.
-    pub(super) changed: Moment,
+    pub(super) slots_changed: Moment,
     /// Whether an order ended unknown and no later report has settled it.
-    pub(super) unsettled: bool,
+    pub(super) slots_unknown: bool,
     /// Dispatches of this incarnation.
     pub(super) tickets: BTreeSet<Ticket>,
     /// Of these, long ones.
-    pub(super) longs: u32,
+    pub(super) long_count: u32,
     /// Long dispatches by adapter.
-    pub(super) long_users: BTreeMap<AdapterVersion, u32>,
+    pub(super) long_in_use: BTreeMap<AdapterVersion, u32>,
     /// Requests in the engine that are not ours, by its last report.
-    pub(super) foreign: u32,
+    pub(super) external: u32,
     /// When the last dispatches ended, the oldest first.
-    pub(super) ended: VecDeque<Moment>,
+    pub(super) recent_ends: VecDeque<Moment>,
     /// Microseconds a token (an answer at a plain service); 0 is not known.
-    pub(super) pace: f64,
+    pub(super) token_us: f64,
     /// The request that has it, or will have it, alone.
-    pub(super) solo: Option<Ticket>,
+    pub(super) isolated: Option<Ticket>,
     /// The score under which it stands in the index of open replicas.
     pub(super) score: Option<u64>,
 }
@@ -79,34 +79,37 @@
             spec,
             health: Health::Suspect,
             incarnation: Incarnation(0),
-            known: false,
-            listed: true,
-            doubt: None,
+            has_reported: false,
+            configured: true,
+            suspended_at: None,
             loaded: BTreeSet::new(),
-            ghosts: BTreeSet::new(),
-            users: BTreeMap::new(),
+            unconfirmed: BTreeSet::new(),
+            in_use: BTreeMap::new(),
             order: None,
-            changed: Moment(0),
-            unsettled: false,
+            slots_changed: Moment(0),
+            slots_unknown: false,
             tickets: BTreeSet::new(),
-            longs: 0,
-            long_users: BTreeMap::new(),
-            foreign: 0,
-            ended: VecDeque::new(),
-            pace: 0.0,
-            solo: None,
+            long_count: 0,
+            long_in_use: BTreeMap::new(),
+            external: 0,
+            recent_ends: VecDeque::new(),
+            token_us: 0.0,
+            isolated: None,
             score: None,
         }
     }
 
     /// Whether it may get new work at all.
     pub(super) fn live(&self) -> bool {
-        self.listed && self.known && self.health == Health::Live && self.doubt.is_none()
+        self.configured
+            && self.has_reported
+            && self.health == Health::Live
+            && self.suspended_at.is_none()
     }
 
     /// Whether it may become live without being configured anew.
-    pub(super) fn hopeful(&self) -> bool {
-        self.listed && matches!(self.health, Health::Live | Health::Suspect)
+    pub(super) fn may_recover(&self) -> bool {
+        self.configured && matches!(self.health, Health::Live | Health::Suspect)
     }
 
     pub(super) fn outstanding(&self) -> u32 {
@@ -114,8 +117,8 @@
     }
 
     /// Whether it takes one more request beside others.
-    pub(super) fn open(&self) -> bool {
-        self.live() && self.solo.is_none() && self.busy() < self.spec.batch
+    pub(super) fn accepts_work(&self) -> bool {
+        self.live() && self.isolated.is_none() && self.busy() < self.spec.batch
     }
 
     /// Whether it takes one more request of this lane, given the parts of the
@@ -126,57 +129,61 @@
     /// came in a quiet minute holds the whole batch for seconds and a counter
     /// waits behind it; without the floor, a busy counter starves long work
     /// for good.
-    pub(super) fn room(&self, lane: Lane, cap: u32, floor: u32, other_waits: bool) -> bool {
-        if !self.open() {
+    pub(super) fn has_room(&self, lane: Lane, cap: u32, floor: u32, long_waits: bool) -> bool {
+        if !self.accepts_work() {
             return false;
         }
         match lane {
-            Lane::Long => self.longs < part(self.spec.batch, cap).max(1),
+            Lane::Long => self.long_count < percent_of(self.spec.batch, cap).max(1),
             Lane::Short => {
-                let kept = part(self.spec.batch, floor).saturating_sub(self.longs);
-                !other_waits || self.busy() + kept < self.spec.batch
+                let reserved = percent_of(self.spec.batch, floor).saturating_sub(self.long_count);
+                !long_waits || self.busy() + reserved < self.spec.batch
             }
         }
     }
 
     /// Requests in its batch as far as is known.
     pub(super) fn busy(&self) -> u32 {
-        self.outstanding() + self.foreign
+        self.outstanding() + self.external
     }
 
     /// Slots that hold nothing and are promised to nothing.
-    pub(super) fn vacant(&self) -> bool {
-        let used = self.loaded.len() + self.ghosts.len() + usize::from(self.order.is_some());
+    pub(super) fn has_vacant_slot(&self) -> bool {
+        let used = self.loaded.len() + self.unconfirmed.len() + usize::from(self.order.is_some());
         used < self.spec.slots as usize
     }
 
     /// Whether an order may be sent to it.
     pub(super) fn orderable(&self) -> bool {
-        self.live() && self.order.is_none() && !self.unsettled && self.spec.slots > 0
+        self.live() && self.order.is_none() && !self.slots_unknown && self.spec.slots > 0
     }
 
     /// Takes in how many requests the engine had at `seen`. Those of ours that
     /// have ended since are in the count and no longer here; without them a
     /// report that lags would show each ended request as another's.
-    pub(super) fn compare_load(&mut self, seen: Moment, told: u32) {
-        let since = self.ended.iter().rev().take_while(|at| **at >= seen);
+    pub(super) fn update_external(&mut self, observed_at: Moment, reported: u32) {
+        let since = self
+            .recent_ends
+            .iter()
+            .rev()
+            .take_while(|at| **at >= observed_at);
         let own = self.outstanding() + since.count() as u32;
-        self.foreign = told.saturating_sub(own).min(self.spec.batch / 2);
+        self.external = reported.saturating_sub(own).min(self.spec.batch / 2);
     }
 
     /// Notes that a dispatch ended.
-    pub(super) fn note_end(&mut self, now: Moment) {
-        self.ended.push_back(now);
-        if self.ended.len() > ENDS_KEPT {
-            self.ended.pop_front();
+    pub(super) fn record_end(&mut self, now: Moment) {
+        self.recent_ends.push_back(now);
+        if self.recent_ends.len() > MAX_RECENT_ENDS {
+            self.recent_ends.pop_front();
         }
     }
 
     /// Takes in how long an answer of `tokens` tokens took.
-    pub(super) fn measure(&mut self, micros: u64, tokens: u32) {
+    pub(super) fn record_token_time(&mut self, micros: u64, tokens: u32) {
         let sample = micros as f64 / f64::from(tokens.max(1));
-        self.pace = match self.pace > 0.0 {
-            true => self.pace + PACE_PART * (sample - self.pace),
+        self.token_us = match self.token_us > 0.0 {
+            true => self.token_us + EWMA_WEIGHT * (sample - self.token_us),
             false => sample,
         };
     }
@@ -187,54 +194,54 @@
     /// Made for full saturation by long work. When it uses every slot, none
     /// can be evicted for seconds, and a counter whose adapter is not loaded
     /// waits behind all of it.
-    pub(super) fn long_slot(&self, target: &Option<AdapterVersion>, cap: u32) -> bool {
+    pub(super) fn long_slot_allowed(&self, target: &Option<AdapterVersion>, cap: u32) -> bool {
         let Some(adapter) = target else {
             return true;
         };
-        let held = self.long_users.len() as u32;
-        self.long_users.contains_key(adapter) || held < part(self.spec.slots, cap).max(1)
+        let held = self.long_in_use.len() as u32;
+        self.long_in_use.contains_key(adapter) || held < percent_of(self.spec.slots, cap).max(1)
     }
 
     /// Counts a dispatch of long work up.
     pub(super) fn begin_long(&mut self, target: &Option<AdapterVersion>) {
-        self.longs += 1;
+        self.long_count += 1;
         if let Some(adapter) = target {
-            *self.long_users.entry(adapter.clone()).or_insert(0) += 1;
+            *self.long_in_use.entry(adapter.clone()).or_insert(0) += 1;
         }
     }
 
     /// Counts a dispatch of long work down.
     pub(super) fn end_long(&mut self, target: &Option<AdapterVersion>) {
-        self.longs -= 1;
+        self.long_count -= 1;
         if let Some(adapter) = target
-            && let Some(n) = self.long_users.get_mut(adapter)
+            && let Some(n) = self.long_in_use.get_mut(adapter)
         {
             *n -= 1;
             if *n == 0 {
-                self.long_users.remove(adapter);
+                self.long_in_use.remove(adapter);
             }
         }
     }
 
-    pub(super) fn hold(&mut self, adapter: &AdapterVersion) {
-        *self.users.entry(adapter.clone()).or_insert(0) += 1;
+    pub(super) fn acquire(&mut self, adapter: &AdapterVersion) {
+        *self.in_use.entry(adapter.clone()).or_insert(0) += 1;
     }
 
     /// Ends a hold; true when nothing uses the adapter any more.
     pub(super) fn release(&mut self, adapter: &AdapterVersion) -> bool {
-        let Some(n) = self.users.get_mut(adapter) else {
+        let Some(n) = self.in_use.get_mut(adapter) else {
             return true;
         };
         *n -= 1;
         let free = *n == 0;
         if free {
-            self.users.remove(adapter);
+            self.in_use.remove(adapter);
         }
         free
     }
 }
 
 /// `hundredths` of a batch, rounded down.
-pub(super) fn part(batch: u32, hundredths: u32) -> u32 {
-    batch * hundredths / 100
+pub(super) fn percent_of(batch: u32, percent: u32) -> u32 {
+    batch * percent / 100
 }
--- a/lib/src/pool/retry_budget.rs
+++ b/lib/src/pool/retry_budget.rs
@@ -2,7 +2,7 @@
 
 /// Retries that a pool takes before it has answered anything, and the most
 /// that it saves up: the requests of one full batch that broke together.
-const MOST_SAVED: f64 = 32.0;
+const MAX_SAVED_RETRIES: f64 = 32.0;
 
 /// A retry budget, earned by answers.
 ///
@@ -16,14 +16,16 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MOST_SAVED }
+        Self {
+            saved: MAX_SAVED_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
     /// A request was answered; `share` is in hundredths.
-    pub(super) fn earn(&mut self, share: u32) {
-        self.saved = (self.saved + f64::from(share) / 100.0).min(MOST_SAVED);
+    pub(super) fn earn(&mut self, percent: u32) {
+        self.saved = (self.saved + f64::from(percent) / 100.0).min(MAX_SAVED_RETRIES);
     }
 
     /// Takes one retry, if there is one left.
--- a/lib/src/pool/service_time.rs
+++ b/lib/src/pool/service_time.rs
@@ -6,42 +6,42 @@
 use super::types::Span;
 
 /// The part that the newest answer has in the means.
-const PART: f64 = 0.05;
+const EWMA_WEIGHT: f64 = 0.05;
 
 /// What answers have taught.
 #[derive(Debug, Default)]
-pub(super) struct Service {
+pub(super) struct ServiceTimes {
     /// Mean tokens of an answer by lane; 0 is not known.
-    tokens: [f64; 2],
+    answer_tokens: [f64; 2],
     /// Mean microseconds a token; 0 is not known.
-    pace: f64,
+    token_us: f64,
     /// Mean microseconds of a whole answer by lane; 0 is not known.
-    total: [f64; 2],
+    answer_us: [f64; 2],
     /// The moment of the last call, for questions that have no time of their
     /// own.
     pub(super) now: Moment,
 }
 
-impl Service {
+impl ServiceTimes {
     /// Takes in a whole answer.
-    pub(super) fn learn(&mut self, lane: Lane, tokens: u32, total: Span) {
-        mean(&mut self.tokens[lane.index()], f64::from(tokens));
-        mean(&mut self.total[lane.index()], total.0 as f64);
+    pub(super) fn record(&mut self, lane: Lane, tokens: u32, total: Span) {
+        update_mean(&mut self.answer_tokens[lane.index()], f64::from(tokens));
+        update_mean(&mut self.answer_us[lane.index()], total.0 as f64);
         if tokens > 0 {
-            mean(&mut self.pace, total.0 as f64 / f64::from(tokens));
+            update_mean(&mut self.token_us, total.0 as f64 / f64::from(tokens));
         }
     }
 
     /// Mean microseconds a token; 0 while not known.
-    pub(super) fn pace(&self) -> f64 {
-        self.pace
+    pub(super) fn token_us(&self) -> f64 {
+        self.token_us
     }
 
     /// The shortest time in which a request of this lane and at most `output`
     /// tokens is likely to be answered. `output` is only the caller's limit;
     /// answers are mostly shorter, and a refusal must not rest on the limit.
-    pub(super) fn least(&self, settings: &PoolSettings, lane: Lane, output: u32) -> Span {
-        let tokens = match self.tokens[lane.index()] {
+    pub(super) fn min_time(&self, settings: &PoolSettings, lane: Lane, output: u32) -> Span {
+        let tokens = match self.answer_tokens[lane.index()] {
             known if known > 0.0 => known.min(f64::from(output)),
             _ => 1.0,
         };
@@ -49,14 +49,14 @@
     }
 
     /// The mean time of an answer of this lane.
-    pub(super) fn mean(&self, lane: Lane) -> Span {
-        Span(self.total[lane.index()] as u64)
+    pub(super) fn mean_time(&self, lane: Lane) -> Span {
+        Span(self.answer_us[lane.index()] as u64)
     }
 }
 
-fn mean(value: &mut f64, sample: f64) {
+fn update_mean(value: &mut f64, sample: f64) {
     *value = match *value > 0.0 {
-        true => *value + PART * (sample - *value),
+        true => *value + EWMA_WEIGHT * (sample - *value),
         false => sample,
     };
 }
--- a/lib/src/pool/slots.rs
+++ b/lib/src/pool/slots.rs
@@ -2,24 +2,24 @@
 
 use super::adapter::Target;
 use super::replica::Replica;
+use super::state::Dispatch;
 use super::state::Pool;
-use super::state::Running;
 use super::types::*;
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
 /// Requests for one adapter that come closer together than this would have
 /// waited for the same load.
-const TOGETHER: Span = Span::from_millis(1_000);
+const BURST_INTERVAL: Span = Span::from_millis(1_000);
 
 /// What each further one of them counts for. A load that is saved for a group
 /// of readings is one load; counted in full, the group would make its adapter
 /// look as busy as one that is asked for again and again.
-const TOGETHER_WEIGHT: f64 = 0.1;
+const BURST_WEIGHT: f64 = 0.1;
 
 /// How long a slot is kept after a dispatch that did not end with its answer:
 /// the five seconds for which an engine keeps a broken stream, and one more.
-const LINGER: Span = Span::from_millis(6_000);
+const SLOT_RETENTION: Span = Span::from_millis(6_000);
 
 impl Pool {
     /// Half-life of demand, in microseconds.
@@ -28,12 +28,12 @@
     }
 
     /// Counts a request for an adapter. A retry is not demand of its own.
-    pub(super) fn note_demand(&mut self, now: Moment, a: &Arrival) {
+    pub(super) fn record_demand(&mut self, now: Moment, a: &Arrival) {
         let half = self.half_life();
         if a.attempt == 0 {
             let demand = &mut self.adapters.entry(&a.adapter).demand;
-            let together = now.since(demand.last_request) < TOGETHER;
-            let weight = if together { TOGETHER_WEIGHT } else { 1.0 };
+            let burst = now.since(demand.last_request) < BURST_INTERVAL;
+            let weight = if burst { BURST_WEIGHT } else { 1.0 };
             demand.record(now, half, weight);
         }
         if let Some(adapter) = &a.adapter {
@@ -55,7 +55,7 @@
     }
 
     /// Changes holders of an adapter and keeps the indexes in step.
-    fn hold(&mut self, name: &ReplicaName, adapter: &AdapterVersion, holds: bool) {
+    fn set_holder(&mut self, name: &ReplicaName, adapter: &AdapterVersion, holds: bool) {
         self.adapters.unindex(adapter);
         let entry = self.adapters.entry(&Some(adapter.clone()));
         match holds {
@@ -66,59 +66,59 @@
     }
 
     /// A replica has an adapter from now on.
-    pub(super) fn gain(&mut self, now: Moment, name: &ReplicaName, adapter: &AdapterVersion) {
+    pub(super) fn add_loaded(&mut self, now: Moment, name: &ReplicaName, adapter: &AdapterVersion) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        r.ghosts.remove(adapter);
+        r.unconfirmed.remove(adapter);
         if r.loaded.insert(adapter.clone()) {
-            self.hold(name, adapter, true);
+            self.set_holder(name, adapter, true);
         }
         let entry = self.adapters.entry(&Some(adapter.clone()));
         entry.failures = 0;
-        self.rewant(now, adapter);
+        self.update_load_key(now, adapter);
     }
 
     /// A replica has an adapter no more; `ghost` when it may still fill a
     /// slot.
-    pub(super) fn lose(
+    pub(super) fn remove_loaded(
         &mut self,
         now: Moment,
         name: &ReplicaName,
         adapter: &AdapterVersion,
-        ghost: bool,
+        unconfirmed: bool,
     ) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        r.ghosts.remove(adapter);
-        if ghost {
-            r.ghosts.insert(adapter.clone());
+        r.unconfirmed.remove(adapter);
+        if unconfirmed {
+            r.unconfirmed.insert(adapter.clone());
         }
         if r.loaded.remove(adapter) {
-            self.hold(name, adapter, false);
+            self.set_holder(name, adapter, false);
         }
-        self.rewant(now, adapter);
+        self.update_load_key(now, adapter);
     }
 
     /// A dispatch uses a slot; under an earlier owner's grant it tells that
     /// the slot is there.
-    pub(super) fn use_slot(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
+    pub(super) fn acquire_slot(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
         let Some(adapter) = target else {
             return;
         };
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        r.hold(adapter);
-        match r.loaded.contains(adapter) || r.ghosts.contains(adapter) {
+        r.acquire(adapter);
+        match r.loaded.contains(adapter) || r.unconfirmed.contains(adapter) {
             true => self.reindex(adapter),
-            false => self.gain(now, name, adapter),
+            false => self.add_loaded(now, name, adapter),
         }
     }
 
     /// A dispatch no longer uses a slot.
-    pub(super) fn free_slot(&mut self, name: &ReplicaName, target: &Target) {
+    pub(super) fn release_slot(&mut self, name: &ReplicaName, target: &Target) {
         let Some(adapter) = target else {
             return;
         };
@@ -137,24 +137,25 @@
     /// Made for connections that break and callers that go away: the engine
     /// keeps such a stream for some seconds, and an eviction would fail a
     /// request that still runs or is resumed.
-    pub(super) fn linger(&mut self, now: Moment, ticket: Ticket, run: Running) {
-        self.lingers.insert((now.after(LINGER), ticket));
-        self.lingering.insert(ticket, run);
+    pub(super) fn retain_slot(&mut self, now: Moment, ticket: Ticket, run: Dispatch) {
+        self.retention_ends
+            .insert((now.after(SLOT_RETENTION), ticket));
+        self.retained.insert(ticket, run);
     }
 
     /// Gives up the slots that were kept long enough.
-    pub(super) fn end_lingers(&mut self, now: Moment) {
-        while let Some((at, _)) = self.lingers.first()
+    pub(super) fn release_retained(&mut self, now: Moment) {
+        while let Some((at, _)) = self.retention_ends.first()
             && *at <= now
-            && let Some((_, ticket)) = self.lingers.pop_first()
+            && let Some((_, ticket)) = self.retention_ends.pop_first()
         {
-            let run = self.lingering.remove(&ticket);
-            let same = |run: &Running| {
+            let run = self.retained.remove(&ticket);
+            let same = |run: &Dispatch| {
                 let r = self.replicas.get(&run.replica);
                 r.is_some_and(|r| r.incarnation == run.incarnation)
             };
             if let Some(run) = run.filter(same) {
-                self.free_slot(&run.replica, &run.target);
+                self.release_slot(&run.replica, &run.target);
             }
         }
     }
@@ -164,5 +165,5 @@
 /// that takes orders. An adapter that a request is using, or has been granted,
 /// is never evicted: its requests would fail.
 fn evictable(r: &Replica, adapter: &AdapterVersion) -> bool {
-    r.live() && !r.users.contains_key(adapter)
+    r.live() && !r.in_use.contains_key(adapter)
 }
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -5,14 +5,14 @@
 
 use super::adapter::Adapters;
 use super::adapter::Target;
-use super::poison::Verdicts;
+use super::poison::PoisonTracker;
 use super::prefix::Prefixes;
-use super::queue::Fair;
+use super::queue::FairQueue;
 use super::queue::Lane;
 use super::queue::Queue;
 use super::replica::Replica;
 use super::retry_budget::RetryBudget;
-use super::service_time::Service;
+use super::service_time::ServiceTimes;
 use super::settings::PoolSettings;
 use super::types::*;
 use crate::ids::AdapterVersion;
@@ -22,13 +22,13 @@
 
 /// A dispatch under way.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct Dispatch {
     pub(super) replica: ReplicaName,
     pub(super) incarnation: Incarnation,
     pub(super) target: Target,
     pub(super) lane: Lane,
     pub(super) fingerprint: Fingerprint,
-    pub(super) solo: bool,
+    pub(super) isolated: bool,
 }
 
 /// The decisions of one pool.
@@ -50,15 +50,15 @@
     pub(super) settings: PoolSettings,
     pub(super) replicas: BTreeMap<ReplicaName, Replica>,
     /// Replicas that are no longer configured.
-    pub(super) unlisted: BTreeSet<ReplicaName>,
+    pub(super) removed: BTreeSet<ReplicaName>,
     /// Replicas that take work, the least loaded first.
-    pub(super) open: BTreeSet<(u64, ReplicaName)>,
+    pub(super) available: BTreeSet<(u64, ReplicaName)>,
     pub(super) adapters: Adapters,
     pub(super) queue: Queue,
-    pub(super) fair: [Fair; 2],
-    pub(super) running: BTreeMap<Ticket, Running>,
+    pub(super) fair_queues: [FairQueue; 2],
+    pub(super) running: BTreeMap<Ticket, Dispatch>,
     /// Suspects that wait for a replica of their own, the oldest first.
-    pub(super) solos: BTreeSet<(Moment, Ticket)>,
+    pub(super) isolation_queue: BTreeSet<(Moment, Ticket)>,
     /// Suspects for which a replica is being emptied.
     pub(super) reserved: BTreeMap<Ticket, ReplicaName>,
     /// Orders under way.
@@ -66,22 +66,22 @@
     /// Adapters that wait for the end of their backoff.
     pub(super) backoffs: BTreeSet<(Moment, AdapterVersion)>,
     /// When long work for an adapter no longer waits for company.
-    pub(super) gathering: BTreeSet<(Moment, AdapterVersion)>,
-    pub(super) service: Service,
-    pub(super) budget: RetryBudget,
-    pub(super) verdicts: Verdicts,
+    pub(super) batch_delays: BTreeSet<(Moment, AdapterVersion)>,
+    pub(super) service_times: ServiceTimes,
+    pub(super) retry_budget: RetryBudget,
+    pub(super) poison: PoisonTracker,
     pub(super) prefixes: Prefixes,
     pub(super) commands: Vec<Command>,
-    pub(super) frozen: Moment,
+    pub(super) slot_freeze: Moment,
     /// No eviction before then.
-    pub(super) keeping: Moment,
+    pub(super) eviction_freeze: Moment,
     /// Uses of slots that may outlast their dispatch, the first to end first.
-    pub(super) lingers: BTreeSet<(Moment, Ticket)>,
-    pub(super) lingering: BTreeMap<Ticket, Running>,
+    pub(super) retention_ends: BTreeSet<(Moment, Ticket)>,
+    pub(super) retained: BTreeMap<Ticket, Dispatch>,
     pub(super) draining: bool,
-    pub(super) loads: u64,
+    pub(super) loads_ordered: u64,
     pub(super) stalls: u64,
-    pub(super) live: usize,
+    pub(super) live_count: usize,
 }
 
 /// What a pool looks like from outside.
@@ -121,26 +121,26 @@
         let keep: BTreeSet<_> = specs.iter().map(|s| s.name.clone()).collect();
         let gone: Vec<_> = self.replicas.keys().cloned().collect();
         for name in gone.iter().filter(|name| !keep.contains(*name)) {
-            self.change(now, name, |r| r.listed = false);
-            self.unlisted.insert(name.clone());
+            self.update_replica(now, name, |r| r.configured = false);
+            self.removed.insert(name.clone());
         }
         for spec in specs {
-            self.unlisted.remove(&spec.name);
+            self.removed.remove(&spec.name);
             self.replicas
                 .entry(spec.name.clone())
                 .or_insert_with(|| Replica::new(spec.clone()));
-            self.change(now, &spec.name, |r| {
+            self.update_replica(now, &spec.name, |r| {
                 r.spec = spec.clone();
-                r.listed = true;
+                r.configured = true;
             });
         }
-        self.settle(now);
+        self.schedule(now);
     }
 
     /// Sets whether a replica takes new work.
     pub fn set_health(&mut self, now: Moment, name: &ReplicaName, health: Health) {
-        self.change(now, name, |r| r.health = health);
-        self.settle(now);
+        self.update_replica(now, name, |r| r.health = health);
+        self.schedule(now);
     }
 
     /// Takes in a load report; a new incarnation starts with what it reports.
@@ -149,12 +149,12 @@
         let Some(r) = self.replicas.get(&name) else {
             return;
         };
-        if !r.known || r.incarnation != report.incarnation {
-            self.restarted(now, &name, report);
+        if !r.has_reported || r.incarnation != report.incarnation {
+            self.reset_replica(now, &name, report);
         } else {
-            self.compare(now, &name, report);
+            self.apply_report(now, &name, report);
         }
-        self.settle(now);
+        self.schedule(now);
     }
 
     /// A request asks for a replica.
@@ -164,54 +164,54 @@
             return;
         }
         self.enqueue(now, arrival);
-        self.settle(now);
+        self.schedule(now);
     }
 
     /// The caller of a waiting request went away.
     pub fn abandon(&mut self, now: Moment, ticket: Ticket) {
-        self.give_up(now, ticket);
-        self.settle(now);
+        self.cancel_waiting(now, ticket);
+        self.schedule(now);
     }
 
     /// A dispatch ended, or its grant lapsed.
     pub fn finish(&mut self, now: Moment, finish: DispatchEnd) {
         if let Some(run) = self.running.remove(&finish.ticket) {
-            self.learn(now, &finish, &run);
+            self.record_outcome(now, &finish, &run);
             let name = run.replica.clone();
-            self.leave(now, finish.ticket, run, finish.outcome);
-            self.run_solo(now, &name);
-            self.fill(now, &name);
+            self.end_dispatch(now, finish.ticket, run, finish.outcome);
+            self.run_isolated(now, &name);
+            self.fill_replica(now, &name);
         }
-        self.settle(now);
+        self.schedule(now);
     }
 
     /// A new owner learns of a dispatch under an earlier owner's grant.
     pub fn adopt(&mut self, now: Moment, held: InheritedDispatch) {
         let lane = Lane::of(held.class);
-        let run = Running {
+        let run = Dispatch {
             replica: held.replica,
             incarnation: held.incarnation,
             target: held.adapter,
             lane,
             fingerprint: held.fingerprint,
-            solo: false,
+            isolated: false,
         };
-        self.start(now, held.ticket, run);
+        self.record_dispatch(now, held.ticket, run);
     }
 
     /// Another process found that a request crashes its upstream.
     pub fn block(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
-        self.verdicts.convict(now, fingerprint, now.after(hold));
+        self.poison.block(now, fingerprint, now.after(hold));
         for ticket in self.queue.matching(|a| a.fingerprint == fingerprint) {
-            self.turn_away(now, ticket, Reason::Convicted, hold);
+            self.refuse_waiting(now, ticket, Reason::Convicted, hold);
         }
-        self.settle(now);
+        self.schedule(now);
     }
 
     /// No slot changes before `until`: a new owner's quarantine at engines that
     /// ignore fencing tokens, where an earlier owner may still give orders.
     pub fn freeze_slots(&mut self, until: Moment) {
-        self.frozen = self.frozen.max(until);
+        self.slot_freeze = self.slot_freeze.max(until);
     }
 
     /// Nothing is evicted before `until`, loads into free slots go on: a new
@@ -219,45 +219,54 @@
     /// Requests may run under grants that it does not know, but a load into a
     /// free slot takes nothing from them.
     pub fn freeze_evictions(&mut self, until: Moment) {
-        self.keeping = self.keeping.max(until);
+        self.eviction_freeze = self.eviction_freeze.max(until);
     }
 
     /// Refuses what waits and all that comes.
     pub fn drain(&mut self, now: Moment) {
         self.draining = true;
         for ticket in self.queue.matching(|_| true) {
-            self.turn_away(now, ticket, Reason::Draining, COME_BACK);
+            self.refuse_waiting(now, ticket, Reason::Draining, DEFAULT_RETRY_AFTER);
         }
     }
 
     /// Ends waits whose deadline can no longer be made and looks for work.
     pub fn tick(&mut self, now: Moment) {
         while let Some(ticket) = self.queue.expired(now) {
-            let after = self.wait_estimate();
-            let why = match self.live {
+            let after = self.estimated_wait();
+            let why = match self.live_count {
                 0 => Reason::NoReplica,
                 _ => Reason::Deadline,
             };
-            self.turn_away(now, ticket, why, after);
+            self.refuse_waiting(now, ticket, why, after);
         }
-        self.end_lingers(now);
-        self.end_backoffs(now);
-        self.end_gathering(now);
-        self.forget_unlisted(now);
-        self.settle(now);
+        self.release_retained(now);
+        self.expire_backoffs(now);
+        self.start_delayed(now);
+        self.forget_removed(now);
+        self.schedule(now);
     }
 
     /// When [`Pool::tick`] is wanted next.
     pub fn next_wake(&self) -> Option<Moment> {
         let expiry = self.queue.next_expiry();
         let backoff = self.backoffs.first().map(|(at, _)| *at);
-        let wanted = self.adapters.wanted_len() > 0;
-        let linger = self.lingers.first().map(|(at, _)| *at);
-        let thaw = [Some(self.frozen), Some(self.keeping), linger];
-        let thaw = thaw.into_iter().flatten();
-        let thaw = thaw.filter(|at| wanted && *at > self.service.now).min();
-        let company = self.gathering.first().map(|(at, _)| *at);
-        [expiry, backoff, thaw, company].into_iter().flatten().min()
+        let wanted = self.adapters.queued_loads() > 0;
+        let retention = self.retention_ends.first().map(|(at, _)| *at);
+        let freeze_end = [
+            Some(self.slot_freeze),
+            Some(self.eviction_freeze),
+            retention,
+        ];
+        let freeze_end = freeze_end.into_iter().flatten();
+        let freeze_end = freeze_end
+            .filter(|at| wanted && *at > self.service_times.now)
+            .min();
+        let delay = self.batch_delays.first().map(|(at, _)| *at);
+        [expiry, backoff, freeze_end, delay]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// What was decided since the last call.
@@ -270,7 +279,7 @@
         let mut view = PoolView {
             queued: self.queue.len() as u32,
             granted: self.running.len() as u32,
-            loads: self.loads,
+            loads: self.loads_ordered,
             stalls: self.stalls,
             ..PoolView::default()
         };
@@ -282,12 +291,12 @@
     }
 
     /// Decisions that any change may have made possible.
-    fn settle(&mut self, now: Moment) {
-        self.service.now = now;
-        self.pump_solos(now);
-        self.pump_loads(now);
+    fn schedule(&mut self, now: Moment) {
+        self.service_times.now = now;
+        self.reserve_replicas(now);
+        self.order_next_load(now);
     }
 }
 
 /// When a refused caller may come back, where nothing better is known.
-pub(super) const COME_BACK: Span = Span::from_millis(1_000);
+pub(super) const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
