--- a/lib/src/pool/adapter.rs
+++ b/lib/src/pool/adapter.rs
@@ -1,5 +1,4 @@
-//! What the pool knows of one adapter version, and the ordered indexes over
-//! all of them.
+//! State of each adapter version, and ordered indexes over all versions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,41 +10,45 @@
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// What a request runs on: an adapter, or the bare model or service.
+/// The target of a request: an adapter version, or `None` for the bare model or
+/// plain service.
 pub(super) type Target = Option<AdapterVersion>;
 
-/// The most versions remembered; those least asked for are forgotten first.
-/// Above the 14,000 adapters of the target with a new and an old version each.
+/// Maximum number of versions without a live copy that are remembered; idle
+/// ones with the lowest request rate are forgotten first. Exceeds the design
+/// target of 14,000 adapters with an old and a new version each.
 const MAX_ADAPTERS: usize = 32_768;
 
-/// One adapter version.
+/// State of one adapter version.
 #[derive(Debug)]
 pub(super) struct Adapter {
-    /// What waits for it, by lane, in the order of their turn.
+    /// Waiting requests by lane, ordered by fair-queueing tag.
     pub(super) lane_queues: [BTreeSet<(u64, Ticket)>; 2],
-    /// How many suspects wait for it.
+    /// Number of waiting requests that must run isolated.
     pub(super) isolated: u32,
-    /// Since when something has waited for it.
+    /// When the oldest run of waiting requests began: set when a request
+    /// arrives while no other waits.
     pub(super) waiting_since: Moment,
     pub(super) demand: Demand,
-    /// Replicas that have it, live or not.
+    /// Replicas that hold the adapter, live or not.
     pub(super) holders: BTreeSet<ReplicaName>,
-    /// Orders under way for it.
+    /// Load orders in flight.
     pub(super) pending_loads: u32,
-    /// Loads that failed one after the other.
+    /// Consecutive failed loads.
     pub(super) failures: u32,
-    /// No load before then.
+    /// Earliest time of the next load.
     pub(super) backoff_until: Moment,
     load_key: Option<(Lane, i64)>,
     index_keys: Option<IndexKeys>,
 }
 
-/// The keys under which an adapter stands in the indexes.
+/// Keys of an adapter in the ordered indexes, kept so that its entries can be
+/// removed.
 #[derive(Clone, Copy, Debug)]
 struct IndexKeys {
-    rate_key: i64,
-    last_request: Moment,
-    overdue_at: Moment,
+    rate: i64,
+    used: Moment,
+    due: Moment,
 }
 
 impl Adapter {
@@ -64,12 +67,12 @@
         }
     }
 
-    /// How many requests wait for it.
+    /// Returns the number of requests that wait for the adapter.
     pub(super) fn waiting(&self) -> usize {
         self.lane_queues[0].len() + self.lane_queues[1].len() + self.isolated as usize
     }
 
-    /// Whether someone stands and waits for it.
+    /// Returns whether a request of the short lane or an isolated one waits.
     pub(super) fn urgent(&self) -> bool {
         !self.lane_queues[Lane::Short.index()].is_empty() || self.isolated > 0
     }
@@ -83,21 +86,22 @@
     }
 }
 
-/// All adapter versions, with the sets that make each choice a look at the
+/// All adapter versions, with indexes that let each choice examine only the
 /// first few entries.
 #[derive(Debug, Default)]
 pub(super) struct Adapters {
     all: BTreeMap<Target, Adapter>,
-    /// Adapters that something waits for and that should be loaded, the most
-    /// beneficial load first; by the most urgent lane that waits.
+    /// Adapters that need a load, by the most urgent lane that waits and then
+    /// by load key; the lowest key is loaded first.
     load_queues: [BTreeSet<(i64, AdapterVersion)>; 2],
-    /// Slots that nothing uses, the least asked for first.
+    /// Evictable slots, the lowest request rate first.
     by_rate: BTreeSet<(i64, ReplicaName, AdapterVersion)>,
-    /// The same, the longest silent first.
-    by_last_use: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
-    /// The same, those first whose next request is the longest overdue.
-    by_overdue: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
-    /// Known adapters that no live replica has, the least asked for first.
+    /// Evictable slots, the least recently requested first.
+    by_use: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
+    /// Evictable slots, the earliest overdue time first.
+    by_due: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
+    /// Known adapters that no live replica holds, the lowest request rate
+    /// first.
     unloaded: BTreeSet<(i64, AdapterVersion)>,
 }
 
@@ -110,7 +114,6 @@
         if !self.all.contains_key(target) {
             self.all.insert(target.clone(), Adapter::new());
         }
-        // The entry was just made sure of.
         self.all.entry(target.clone()).or_insert_with(Adapter::new)
     }
 
@@ -118,23 +121,24 @@
         self.all.get_mut(target)
     }
 
-    /// How many adapters wait for a load.
+    /// Returns the number of adapters in the load queues.
     pub(super) fn queued_loads(&self) -> usize {
         self.load_queues.iter().map(BTreeSet::len).sum()
     }
 
-    /// How many loads come before one of this key, counted up to `most`.
+    /// Counts the queued loads of a lane with a key below `key`, up to `most`.
     pub(super) fn loads_before(&self, lane: Lane, key: i64, most: usize) -> usize {
         let before = self.load_queues[lane.index()].iter();
         before.take_while(|(k, _)| *k < key).take(most).count()
     }
 
-    /// The loads that wait in a lane, the most beneficial first.
+    /// Returns the queued loads of a lane, the lowest key first.
     pub(super) fn load_queue(&self, lane: Lane) -> impl Iterator<Item = &AdapterVersion> {
         self.load_queues[lane.index()].iter().map(|(_, a)| a)
     }
 
-    /// Sets or ends that an adapter should be loaded; lower keys go first.
+    /// Queues a load of an adapter under `key`, or removes it from the queue.
+    /// Lower keys are loaded first.
     pub(super) fn set_load_key(&mut self, adapter: &AdapterVersion, key: Option<i64>) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
@@ -153,86 +157,75 @@
         a.load_key = new;
     }
 
-    /// Idle slots in the order of least demand.
+    /// Returns evictable slots by ascending request rate.
     pub(super) fn least_requested(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         self.by_rate.iter().map(|(_, r, a)| (r, a))
     }
 
-    /// Idle slots in the order of longest silence.
+    /// Returns evictable slots, the least recently requested first.
     pub(super) fn least_recent(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
-        self.by_last_use.iter().map(|(_, r, a)| (r, a))
+        self.by_use.iter().map(|(_, r, a)| (r, a))
     }
 
-    /// Idle slots whose next request is overdue, the longest overdue first.
+    /// Returns evictable slots whose next request is overdue, the longest
+    /// overdue first.
     pub(super) fn overdue(
         &self,
         now: Moment,
     ) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         let due = self
-            .by_overdue
+            .by_due
             .iter()
             .take_while(move |(due, _, _)| *due <= now);
         due.map(|(_, r, a)| (r, a))
     }
 
-    /// Adapters that no live replica has, the most asked for first.
+    /// Returns adapters that no live replica holds, the highest request rate
+    /// first.
     pub(super) fn hottest_unloaded(&self) -> impl Iterator<Item = &AdapterVersion> {
         self.unloaded.iter().rev().map(|(_, a)| a)
     }
 
-    /// Takes an adapter out of the indexes before its demand, holders or idle
-    /// slots change; [`Adapters::index`] puts it back.
+    /// Removes an adapter from the indexes. Must be called before its demand,
+    /// holders or evictable slots change; [`Adapters::index`] adds it again.
     pub(super) fn unindex(&mut self, adapter: &AdapterVersion) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let Some(IndexKeys {
-            rate_key,
-            last_request,
-            overdue_at,
-        }) = a.index_keys.take()
-        else {
+        let Some(IndexKeys { rate, used, due }) = a.index_keys.take() else {
             return;
         };
-        self.unloaded.remove(&(rate_key, adapter.clone()));
+        self.unloaded.remove(&(rate, adapter.clone()));
         for r in &a.holders {
-            self.by_rate.remove(&(rate_key, r.clone(), adapter.clone()));
-            self.by_last_use
-                .remove(&(last_request, r.clone(), adapter.clone()));
-            self.by_overdue
-                .remove(&(overdue_at, r.clone(), adapter.clone()));
+            self.by_rate.remove(&(rate, r.clone(), adapter.clone()));
+            self.by_use.remove(&(used, r.clone(), adapter.clone()));
+            self.by_due.remove(&(due, r.clone(), adapter.clone()));
         }
     }
 
-    /// Puts an adapter into the indexes; `idle` tells whether its slot at a
+    /// Adds an adapter to the indexes. `idle` returns whether its slot at a
     /// replica may be evicted.
     pub(super) fn index(
         &mut self,
         adapter: &AdapterVersion,
-        half_life_us: f64,
+        half_life: f64,
         live: impl Fn(&ReplicaName) -> bool,
         idle: impl Fn(&ReplicaName) -> bool,
     ) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let rate_key = a.demand.order_key(a.holders.len());
-        let last_request = a.demand.last_request;
-        let overdue_at = a.demand.overdue_at(half_life_us);
-        a.index_keys = Some(IndexKeys {
-            rate_key,
-            last_request,
-            overdue_at,
-        });
+        let rate = a.demand.order_key(a.holders.len());
+        let used = a.demand.last_request;
+        let due = a.demand.overdue_at(half_life);
+        a.index_keys = Some(IndexKeys { rate, used, due });
         if !a.holders.iter().any(live) {
-            self.unloaded.insert((rate_key, adapter.clone()));
+            self.unloaded.insert((rate, adapter.clone()));
         }
         for r in a.holders.iter().filter(|r| idle(r)) {
-            self.by_rate.insert((rate_key, r.clone(), adapter.clone()));
-            self.by_last_use
-                .insert((last_request, r.clone(), adapter.clone()));
-            self.by_overdue
-                .insert((overdue_at, r.clone(), adapter.clone()));
+            self.by_rate.insert((rate, r.clone(), adapter.clone()));
+            self.by_use.insert((used, r.clone(), adapter.clone()));
+            self.by_due.insert((due, r.clone(), adapter.clone()));
         }
         if self.unloaded.len() > MAX_ADAPTERS {
             self.forget_idle();
--- a/lib/src/pool/admission.rs
+++ b/lib/src/pool/admission.rs
@@ -1,41 +1,43 @@
-//! Admission: who may wait, and what those who may not are told.
+//! Admission control: which requests may wait, and the reason and retry time
+//! for those that are refused.
 
 use super::adapter::Target;
 use super::queue::Lane;
 use super::queue::QueuedRequest;
-use super::state::DEFAULT_RETRY_AFTER;
 use super::state::Pool;
+use super::state::RETRY_DELAY;
 use super::types::*;
 
-/// The most requests that wait in a pool. An entry holds the callers'
-/// connections meanwhile, so the bound is one of memory: above it, each team's
-/// bound shrinks to an equal part.
+/// Maximum number of requests that wait in a pool. Entries hold the callers'
+/// connections meanwhile, so this bounds memory. Above it, the limit of each
+/// team and lane shrinks to an equal share.
 const MAX_WAITING: usize = 16_384;
 
-/// Loads counted ahead of a request when its wait is estimated; more would
-/// not change a refusal.
-const MAX_LOADS_COUNTED: usize = 256;
+/// Maximum number of queued loads counted when a wait is estimated; a longer
+/// queue would not change the refusal.
+const COUNTED_LOADS: usize = 256;
 
-/// Longest time told to a refused caller.
-const MAX_RETRY_AFTER: Span = Span::from_millis(60_000);
+/// Longest retry time given to a refused caller.
+const MAX_RETRY_DELAY: Span = Span::from_millis(60_000);
 
 impl Pool {
-    /// Whether a request may wait, and if not, why and when to come back.
+    /// Checks whether a request may wait. Returns the reason and retry time if
+    /// it may not.
     ///
-    /// Made for bursts and for full saturation: a request that would wait
-    /// past its deadline takes the place of one that would not, and its
-    /// caller learns too late that it did not run. Refused at once, it can go
-    /// elsewhere or come back. Each team's queue is bounded by itself, so that
-    /// one team's burst does not take the places of the others.
+    /// Covers bursts and full saturation. A request that would wait past its
+    /// deadline takes the place of one that would not, and its caller learns
+    /// too late that it did not run. If it is refused at once, the caller can
+    /// go elsewhere or retry. Each team has its own queue limit, so that a
+    /// burst of one team does not use up the places of the others.
     pub(super) fn admit(&mut self, now: Moment, a: &Arrival) -> Result<(), (Reason, Span)> {
         if self.draining {
-            return Err((Reason::Draining, DEFAULT_RETRY_AFTER));
+            return Err((Reason::Draining, RETRY_DELAY));
         }
         if let Some(left) = self.poison.blocked_for(now, a.fingerprint) {
             return Err((Reason::Convicted, left));
         }
         if !self.replicas.values().any(|r| r.may_recover()) {
-            return Err((Reason::NoReplica, DEFAULT_RETRY_AFTER));
+            return Err((Reason::NoReplica, RETRY_DELAY));
         }
         let lane = Lane::of(a.class);
         let flows = self.queue.flows().max(1);
@@ -47,23 +49,18 @@
             return Err((Reason::QueueFull, self.estimated_wait()));
         }
         let wait = self.min_wait(now, a);
-        let least = self
-            .service_times
-            .min_time(&self.settings, lane, a.max_tokens);
+        let least = self.service.min_time(&self.settings, lane, a.max_tokens);
         if now.after(Span(wait.0 + least.0)) > a.deadline {
-            return Err((
-                Reason::Deadline,
-                wait.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER),
-            ));
+            return Err((Reason::Deadline, wait.clamp(RETRY_DELAY, MAX_RETRY_DELAY)));
         }
         if a.attempt > 0 && !self.retry_budget.spend() {
-            return Err((Reason::RetryBudget, DEFAULT_RETRY_AFTER));
+            return Err((Reason::RetryBudget, RETRY_DELAY));
         }
         Ok(())
     }
 
-    /// The least time that this request will wait before it is dispatched, as
-    /// far as it is certain: the loads that go before its adapter's.
+    /// Returns a lower bound of the time until this request is dispatched: the
+    /// loads that precede the load of its adapter.
     fn min_wait(&self, now: Moment, a: &Arrival) -> Span {
         let Some(adapter) = &a.adapter else {
             return Span(0);
@@ -76,21 +73,22 @@
         let key = self.load_key(now, adapter, 1);
         let ahead = self
             .adapters
-            .loads_before(Lane::of(a.class), key, MAX_LOADS_COUNTED);
+            .loads_before(Lane::of(a.class), key, COUNTED_LOADS);
         let load = self.load_time().0;
         let pause = pause.max(self.slot_freeze.since(now));
         Span(pause.0.max(load * ahead as u64) + load)
     }
 
-    /// About how long until what waits now has been dispatched.
+    /// Estimates the time until all requests that wait now are dispatched.
     pub(super) fn estimated_wait(&self) -> Span {
         let batch: u32 = self.replicas.values().map(|r| r.spec.batch).sum();
-        let mean = self.service_times.mean_time(Lane::Short).0;
+        let mean = self.service.mean_time(Lane::Short).0;
         let rounds = self.queue.len() as u64 / u64::from(batch.max(1)) + 1;
-        Span(mean * rounds).clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER)
+        Span(mean * rounds).clamp(RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
-    /// Lets an admitted request wait, or run at once.
+    /// Dispatches an admitted request at once if a replica can run it, and
+    /// queues it otherwise.
     pub(super) fn enqueue(&mut self, now: Moment, a: Arrival) {
         let lane = Lane::of(a.class);
         let ticket = a.ticket;
@@ -102,9 +100,7 @@
         let cost = u64::from(a.max_tokens / 2) + u64::from(a.prompt_tokens / 16) + 1;
         let share = self.team_share(&a);
         let tag = self.fair_queues[lane.index()].tag(&a.team, cost, share);
-        let least = self
-            .service_times
-            .min_time(&self.settings, lane, a.max_tokens);
+        let least = self.service.min_time(&self.settings, lane, a.max_tokens);
         let expiry = Moment(a.deadline.0.saturating_sub(least.0)).max(now);
         let w = QueuedRequest {
             arrival: a,
@@ -144,7 +140,7 @@
         }
     }
 
-    /// Takes a waiting request out of every list.
+    /// Removes a waiting request from all queues and cancels its reservation.
     pub(super) fn dequeue(&mut self, now: Moment, ticket: Ticket) -> Option<QueuedRequest> {
         let w = self.queue.remove(ticket)?;
         let lane = w.lane();
@@ -167,8 +163,8 @@
         Some(w)
     }
 
-    /// Takes out a waiting request that will not run, and gives the replica
-    /// that was kept for it back to the others.
+    /// Removes a waiting request that will not run, and gives the replica that
+    /// was reserved for it other work.
     pub(super) fn cancel_waiting(&mut self, now: Moment, ticket: Ticket) -> Option<QueuedRequest> {
         let kept = self.reserved.get(&ticket).cloned();
         let w = self.dequeue(now, ticket);
--- a/lib/src/pool/batching.rs
+++ b/lib/src/pool/batching.rs
@@ -1,4 +1,4 @@
-//! Gathering: long work starts when it fills steps.
+//! Dynamic batching: delays long work until it fills enough of an engine step.
 
 use super::adapter::Adapter;
 use super::queue::Lane;
@@ -8,20 +8,21 @@
 use super::types::*;
 use crate::ids::ReplicaName;
 
-/// Long work gives one part in so many of its time to wait for company.
+/// Long work is delayed by at most this fraction of the time to its deadline:
+/// one tenth.
 const DEADLINE_DIVISOR: u64 = 10;
 
 impl Pool {
-    /// Whether long work may start at a replica now, `more` requests of it
-    /// counted that do not wait yet.
+    /// Returns whether long work may start at a replica now. `more` counts
+    /// requests that are about to be queued.
     ///
-    /// Made for long work below saturation where full steps weigh more. A step
-    /// takes nearly the same time for one request as for a batch, so long work
-    /// that is spread as it comes keeps every engine at work nearly empty. It
-    /// waits until what runs at the replica and what waits for it fill enough
-    /// of a batch together, but no longer than `gather_for` or a tenth of its
-    /// time, so that each reading is started in time. Short work never waits
-    /// for this.
+    /// Applies to long work below saturation where the objective is full engine
+    /// steps. A step takes nearly the same time for one request as for a full
+    /// batch, so starting long work as it arrives keeps every engine busy with
+    /// nearly empty steps. Long work therefore waits until the requests that
+    /// run at the replica and those that wait for its adapters fill
+    /// `batch_fill` percent of a batch, but no longer than `batch_delay` or a
+    /// tenth of the time to its deadline. Short work is never delayed.
     pub(super) fn batch_ready(&self, now: Moment, r: &Replica, more: usize) -> bool {
         if !self.batches_long_work() || r.spec.slots == 0 {
             return true;
@@ -44,12 +45,12 @@
         ready >= enough
     }
 
-    /// Whether long work is gathered in this pool.
+    /// Returns whether this pool delays long work to fill batches.
     pub(super) fn batches_long_work(&self) -> bool {
         self.settings.objective == Objective::Batch && self.settings.batch_fill > 0
     }
 
-    /// Whether the first in turn has waited long enough.
+    /// Returns whether the delay of the first queued long request has ended.
     fn delay_elapsed(&self, now: Moment, e: &Adapter) -> bool {
         let first = e.lane_queue(Lane::Long).first();
         let first = first.and_then(|(_, ticket)| self.queue.get(*ticket));
@@ -61,7 +62,7 @@
         since.after(part.min(self.settings.batch_delay))
     }
 
-    /// Notes that long work waits for company.
+    /// Schedules the end of the delay of a long request.
     pub(super) fn track_delay(&mut self, now: Moment, a: &Arrival) {
         if self.batches_long_work()
             && let Some(adapter) = &a.adapter
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Starts long work that has waited long enough for company.
+    /// Starts long work whose delay has ended.
     pub(super) fn start_delayed(&mut self, now: Moment) {
         while let Some((due, _)) = self.batch_delays.first()
             && *due <= now
@@ -85,8 +86,8 @@
         }
     }
 
-    /// How well long work for an adapter would be in company at a replica:
-    /// requests that run there or wait for it.
+    /// Returns the number of requests that run at a replica plus the long
+    /// requests that wait for its adapters.
     pub(super) fn batch_size(&self, name: &ReplicaName) -> usize {
         let Some(r) = self.replicas.get(name) else {
             return 0;
--- a/lib/src/pool/dispatch.rs
+++ b/lib/src/pool/dispatch.rs
@@ -1,4 +1,4 @@
-//! Placing: which replica runs a request, and which request a replica runs
+//! Dispatch: which replica runs a request, and which request a replica runs
 //! next.
 
 use super::adapter::Target;
@@ -10,47 +10,48 @@
 use super::types::*;
 use crate::ids::ReplicaName;
 
-/// Open replicas looked at for one request to a target that all of them have.
-/// The first is the least loaded; the others serve when it is to be avoided.
-const MAX_REPLICAS_PROBED: usize = 16;
+/// Available replicas examined for a request that any replica can run. The
+/// first is the least loaded; the others matter when it is to be avoided.
+const PROBED_REPLICAS: usize = 16;
 
-/// Requests of a list looked at for one that does not avoid the replica.
-const MAX_REQUESTS_PROBED: usize = 4;
+/// Requests of one lane queue examined for one that need not avoid the replica.
+const PROBED_REQUESTS: usize = 4;
 
-/// Load steps of an ordered score, by requests and pace.
+/// Steps of the integer score per unit of load.
 const SCORE_STEPS: f64 = 1_000.0;
 
-/// How much shorter a replica's queue seems to a request whose prompt's head
-/// it ran last: a cached prefix saves about the time of a few tokens of a few
-/// others, and must not outweigh a batch that is half full.
+/// Requests subtracted from the load of the replica that last ran the same
+/// prompt prefix. A cached prefix saves about the time of a few tokens of a few
+/// requests, so it must not outweigh a half-full batch.
 const PREFIX_BONUS: f64 = 3.0;
 
-/// Engine priorities by lane; lower is earlier.
+/// Engine priority by lane; lower runs earlier.
 const ENGINE_PRIORITIES: [i32; 2] = [0, 10];
 
 impl Pool {
-    /// Dispatches a request at once if a replica that has its adapter takes
-    /// it.
+    /// Dispatches a request at once if a replica can run it. Returns whether it
+    /// did.
     pub(super) fn dispatch_now(&mut self, now: Moment, w: &QueuedRequest) -> bool {
         let Some(name) = self.choose_replica(now, w) else {
             return false;
         };
         self.dispatch(now, w, &name);
         if w.lane() == Lane::Long {
-            // It may have been the one that the others waited for.
+            // This request may complete the batch that queued long work waits
+            // for.
             self.fill_replica(now, &name);
         }
         true
     }
 
-    /// The best replica for a request, of those that have its adapter.
+    /// Returns the least loaded replica that can run a request.
     ///
-    /// Made for skew and for one slow upstream, under load reports that lag:
-    /// the pool counts what it has granted itself, so a burst within one
-    /// report's age does not all go to the replica that was idle in it. The
-    /// measured pace makes a slow replica seem longer in proportion, so it
-    /// gets only the work it can do in time. The replicas that a request
-    /// should avoid serve only when no other has its adapter.
+    /// Covers skewed load and a slow upstream while load reports lag. The pool
+    /// counts its own dispatches, so a burst between two reports does not go
+    /// entirely to the replica that the last report showed as idle. The
+    /// measured time per token scales the score, so a slow replica gets only
+    /// the work that it can finish in time. Replicas that the request should
+    /// avoid are used only if no other live replica can run it.
     fn choose_replica(&self, now: Moment, w: &QueuedRequest) -> Option<ReplicaName> {
         let a = &w.arrival;
         let lane = w.lane();
@@ -61,10 +62,7 @@
                 && (lane == Lane::Short || self.batch_ready(now, r, 1));
             fit.then_some(r)
         };
-        let near = self
-            .prefixes
-            .last_replica(a.prefix)
-            .filter(|_| a.prefix != 0);
+        let near = self.prefixes.replica(a.prefix).filter(|_| a.prefix != 0);
         let score = |name: &ReplicaName, r: &Replica| {
             let bonus = if near == Some(name) {
                 PREFIX_BONUS
@@ -78,11 +76,7 @@
             let fit = holders.iter().filter_map(|n| Some((n, usable(n)?)));
             return fit.min_by_key(|(n, r)| score(n, r)).map(|(n, _)| n.clone());
         }
-        let first = self
-            .available
-            .iter()
-            .take(MAX_REPLICAS_PROBED)
-            .map(|(_, n)| n);
+        let first = self.available.iter().take(PROBED_REPLICAS).map(|(_, n)| n);
         let fit = first.chain(near).filter_map(|n| Some((n, usable(n)?)));
         fit.min_by_key(|(n, r)| score(n, r)).map(|(n, _)| n.clone())
     }
@@ -94,7 +88,8 @@
         slot && r.has_room(lane, s.long_part(), s.long_floor, other)
     }
 
-    /// Whether a replica has room for a lane, long work that waits aside.
+    /// Returns whether a replica has room for a lane, regardless of long work
+    /// that waits.
     pub(super) fn has_lane_room(&self, r: &Replica, lane: Lane) -> bool {
         r.has_room(
             lane,
@@ -104,7 +99,7 @@
         )
     }
 
-    /// Whether long work waits that this replica could run.
+    /// Returns whether long work waits that this replica could run.
     fn long_work_waits(&self, r: &Replica, target: &Target) -> bool {
         let waits = |t: &Target| {
             let entry = self.adapters.get(t);
@@ -116,9 +111,10 @@
         waits(target) || r.loaded.iter().any(|a| waits(&Some(a.clone())))
     }
 
-    /// How loaded a replica seems, `bonus` requests less.
+    /// Returns the load of a replica as a score, with `bonus` requests
+    /// subtracted. Lower is better.
     fn score(&self, r: &Replica, bonus: f64) -> u64 {
-        let slowdown = match (r.token_us > 0.0, self.service_times.token_us()) {
+        let slowdown = match (r.token_us > 0.0, self.service.token_us()) {
             (true, mean) if mean > 0.0 => r.token_us / mean,
             _ => 1.0,
         };
@@ -126,23 +122,23 @@
         (queue * slowdown.max(0.2) * SCORE_STEPS) as u64
     }
 
-    /// Gives a replica the work that waits for it, in turn, while it has room.
+    /// Dispatches waiting requests to a replica while it has room.
     pub(super) fn fill_replica(&mut self, now: Moment, name: &ReplicaName) {
         while let Some(ticket) = self.next_request(now, name) {
             let Some(w) = self.dequeue(now, ticket) else {
                 return;
             };
             self.dispatch(now, &w, name);
-            // Only now is it seen whether the replica is full again and those
-            // who still wait need another copy.
+            // The dispatch may have filled the replica, so that the requests
+            // still waiting need another copy.
             if let Some(adapter) = &w.arrival.adapter {
                 self.update_load_key(now, adapter);
             }
         }
     }
 
-    /// The request whose turn it is at a replica: short work first, then long
-    /// work, each in the order of fair queueing between teams.
+    /// Returns the next request for a replica: short work first, then long
+    /// work, each in fair-queueing order between teams.
     fn next_request(&self, now: Moment, name: &ReplicaName) -> Option<Ticket> {
         let r = self.replicas.get(name)?;
         if !r.accepts_work() {
@@ -167,21 +163,21 @@
             }
             let usable = entries.iter().filter(|(t, _)| slot(t, lane));
             let heads = usable.flat_map(|(_, e)| {
-                let turns = e.lane_queue(lane).iter().take(MAX_REQUESTS_PROBED);
+                let turns = e.lane_queue(lane).iter().take(PROBED_REQUESTS);
                 turns.filter(|(_, t)| self.may_run(*t, name)).take(1)
             });
             heads.min().map(|(_, ticket)| *ticket)
         })
     }
 
-    /// Whether a waiting request goes to a replica.
+    /// Returns whether a waiting request may run at a replica.
     fn may_run(&self, ticket: Ticket, name: &ReplicaName) -> bool {
         let w = self.queue.get(ticket);
         w.is_some_and(|w| !self.avoids(&w.arrival, name))
     }
 
-    /// Whether a request does not go to a replica: it should not, and another
-    /// live one could run it.
+    /// Returns whether a request must not run at a replica: the replica is on
+    /// its avoid list, and another live replica could run it.
     fn avoids(&self, a: &Arrival, name: &ReplicaName) -> bool {
         let other = |n: &ReplicaName| {
             let r = self.replicas.get(n);
@@ -199,7 +195,7 @@
         }
     }
 
-    /// Dispatches a request that is in no list any more.
+    /// Dispatches a request that was removed from all queues.
     pub(super) fn dispatch(&mut self, now: Moment, w: &QueuedRequest, name: &ReplicaName) {
         let Some(r) = self.replicas.get(name) else {
             return;
@@ -226,11 +222,11 @@
         self.record_dispatch(now, a.ticket, run);
     }
 
-    /// Counts a dispatch.
+    /// Records a dispatch in the state of its replica.
     pub(super) fn record_dispatch(&mut self, now: Moment, ticket: Ticket, run: Dispatch) {
         let name = run.replica.clone();
         if let Some(r) = self.replicas.get_mut(&name)
-            && (!r.has_reported || r.incarnation == run.incarnation)
+            && (!r.reported || r.incarnation == run.incarnation)
         {
             r.tickets.insert(ticket);
             if run.lane == Lane::Long {
@@ -242,7 +238,8 @@
         self.running.insert(ticket, run);
     }
 
-    /// Ends the count of a dispatch.
+    /// Removes a dispatch from the state of its replica, and releases or
+    /// retains its slot.
     pub(super) fn end_dispatch(
         &mut self,
         now: Moment,
@@ -270,7 +267,7 @@
         self.update_score(&name);
     }
 
-    /// Keeps the index of open replicas in step with one of them.
+    /// Updates a replica in the index of available replicas.
     pub(super) fn update_score(&mut self, name: &ReplicaName) {
         let Some(r) = self.replicas.get(name) else {
             return;
--- a/lib/src/pool/eviction.rs
+++ b/lib/src/pool/eviction.rs
@@ -1,4 +1,5 @@
-//! Where an adapter is loaded, and what gives up its slot.
+//! Slot selection: where an adapter is loaded, and which adapter is evicted for
+//! it.
 
 use super::loads::MAX_SILENT_INTERVALS;
 use super::replica::Replica;
@@ -7,30 +8,29 @@
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// Idle slots looked at from each index for the one to evict.
-const MAX_SLOTS_PROBED: usize = 8;
+/// Candidate slots taken from each index when a slot is chosen for eviction.
+const PROBED_SLOTS: usize = 8;
 
-/// Idle slots walked over at the most to find these: others are on replicas
-/// with an order under way, or wanted.
-const MAX_SLOTS_SCANNED: usize = 64;
+/// Maximum number of entries scanned in each index to find the candidates:
+/// others are on replicas with an order in flight, or their adapters have
+/// waiting requests.
+const SCANNED_SLOTS: usize = 64;
 
-/// Weighs several candidates of nearly equal demand by where they are.
+/// Candidates worth at most this many times the least are compared by their
+/// replicas instead.
 const SIMILAR_VALUE_RATIO: f64 = 2.0;
 
 impl Pool {
-    /// Replicas with a free slot, the least loaded first; then those with a
-    /// slot that nothing can use, and what may still fill it.
-    pub(super) fn vacant_replicas(
-        &self,
-        now: Moment,
-    ) -> Vec<(ReplicaName, Option<AdapterVersion>)> {
+    /// Returns replicas with a vacant slot, the least loaded first, and then
+    /// those with a slot that holds an unconfirmed adapter, with that adapter.
+    pub(super) fn vacancies(&self, now: Moment) -> Vec<(ReplicaName, Option<AdapterVersion>)> {
         let all = self.replicas.iter();
         let candidates = all.filter(|(_, r)| r.orderable() && r.isolated.is_none());
         let mut free: Vec<_> = candidates
             .filter_map(|(n, r)| {
                 let unconfirmed = r.unconfirmed.iter().find(|g| !r.in_use.contains_key(*g));
                 let unconfirmed =
-                    unconfirmed.filter(|_| !r.has_vacant_slot() && now >= self.eviction_freeze);
+                    unconfirmed.filter(|_| !r.has_vacant_slot() && now >= self.evict_freeze);
                 let fit = r.has_vacant_slot() || unconfirmed.is_some();
                 fit.then(|| {
                     (
@@ -48,7 +48,8 @@
         found.map(|f| (f.4.clone(), f.0.cloned())).collect()
     }
 
-    /// Where an adapter should be loaded, and what gives up its slot.
+    /// Returns the replica where an adapter should be loaded, and the adapter
+    /// to evict there.
     pub(super) fn choose_slot(
         &self,
         now: Moment,
@@ -65,22 +66,24 @@
         }
         let target = Some(adapter.clone());
         let urgent = self.adapters.get(&target).is_some_and(|e| e.urgent());
-        match now < self.eviction_freeze {
+        match now < self.evict_freeze {
             true => None,
             false => self.choose_victim(now, urgent, fits),
         }
     }
 
-    /// The idle slot that is worth the least.
+    /// Returns the evictable slot with the least value.
+    ///
+    /// Covers popularity that shifts without warning. The value of a slot is
+    /// the expected request rate of its adapter per copy: the decayed rate,
+    /// bounded by the time since the last request. Because the value is the
+    /// smaller of the two, the candidates are taken from the indexes by rate
+    /// and by last use. A slot whose next request is overdue has no value, so
+    /// right after a shift the formerly busiest adapters are evicted first.
     ///
-    /// Made for popularity that shifts without warning. The worth of a slot is
-    /// the demand expected for it: the decayed count, but no more than its
-    /// silence leaves likely. The least of either index is the least of both.
-    /// A slot whose next request is long overdue is worth nothing: right after
-    /// a shift those of yesterday's busiest adapters go first.
-    /// An adapter for which something waits keeps its slot, so that no two
-    /// adapters chase each other out; but long work that waits for its turn
-    /// does not keep a slot from someone who stands and waits.
+    /// An adapter with waiting requests keeps its slot, so that two adapters do
+    /// not evict each other in turn. Long work that waits does not keep a slot
+    /// from an adapter that short work waits for.
     fn choose_victim<'a>(
         &'a self,
         now: Moment,
@@ -94,18 +97,18 @@
             let free = e.waiting() == 0 || urgent && !e.urgent();
             free.then(|| rate / e.holders.len().max(1) as f64)
         };
-        let rate = self.adapters.least_requested().take(MAX_SLOTS_SCANNED);
-        let silent = self.adapters.least_recent().take(MAX_SLOTS_SCANNED);
+        let rate = self.adapters.least_requested().take(SCANNED_SLOTS);
+        let silent = self.adapters.least_recent().take(SCANNED_SLOTS);
         let fit = |(name, a): (&ReplicaName, &AdapterVersion)| {
             let r = fits(name)?;
             Some((value(a)?, r, name.clone(), a.clone()))
         };
-        let overdue = self.adapters.overdue(now).take(MAX_SLOTS_SCANNED);
+        let overdue = self.adapters.overdue(now).take(SCANNED_SLOTS);
         if let Some((_, _, name, a)) = overdue.filter_map(fit).next() {
             return Some((name, Some(a)));
         }
-        let mut slots: Vec<_> = rate.filter_map(fit).take(MAX_SLOTS_PROBED).collect();
-        slots.extend(silent.filter_map(fit).take(MAX_SLOTS_PROBED));
+        let mut slots: Vec<_> = rate.filter_map(fit).take(PROBED_SLOTS).collect();
+        slots.extend(silent.filter_map(fit).take(PROBED_SLOTS));
         let least = slots.iter().map(|s| s.0).min_by(f64::total_cmp)?;
         let near = slots.iter().filter(|s| s.0 <= least * SIMILAR_VALUE_RATIO);
         let best =
@@ -113,8 +116,9 @@
         best.map(|(_, _, name, a)| (name.clone(), Some(a.clone())))
     }
 
-    /// How little a replica suits one more adapter, others being equal: its
-    /// load, or where long work is gathered, how little company there is.
+    /// Returns the cost of placing one more adapter at a replica, other things
+    /// being equal: its load, or where long work is batched, the inverse of its
+    /// batch size.
     fn placement_cost(&self, r: &Replica, name: &ReplicaName) -> usize {
         match self.batches_long_work() {
             true => usize::MAX - self.batch_size(name),
@@ -122,7 +126,8 @@
         }
     }
 
-    /// The demand expected for a slot; nothing when it is long overdue.
+    /// Returns the value of an adapter's slot: its expected request rate per
+    /// copy in requests per second, or zero if its next request is overdue.
     pub(super) fn slot_value(&self, now: Moment, adapter: &AdapterVersion) -> f64 {
         let half = self.half_life();
         let entry = self.adapters.get(&Some(adapter.clone()));
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -1,4 +1,5 @@
-//! Evidence about replicas: health, load reports and ends of dispatches.
+//! Replica state derived from health changes, load reports and ends of
+//! dispatches.
 
 use std::collections::BTreeSet;
 
@@ -9,15 +10,16 @@
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// Added to the age of a report, whose clock has milliseconds only.
+/// Added to the age of a load report, which has a resolution of milliseconds.
 const REPORT_AGE_MARGIN: Span = Span::from_millis(2);
 
-/// How long a replica that is no longer configured is remembered, longer than
-/// any report's age.
+/// How long a removed replica is remembered after its slots last changed;
+/// longer than the age of any load report.
 const REMOVED_RETENTION: Span = Span::from_millis(30_000);
 
 impl Pool {
-    /// Changes a replica, and what follows from whether it is live.
+    /// Applies a change to a replica and updates what depends on whether it is
+    /// live.
     pub(super) fn update_replica(
         &mut self,
         now: Moment,
@@ -52,10 +54,10 @@
         }
     }
 
-    /// Forgets replicas that are no longer configured, some time after their
-    /// last dispatch and order. Until then their users and slots are known; a
-    /// replica that is configured again soon would otherwise be believed by a
-    /// report from before its last order.
+    /// Forgets removed replicas once they run nothing, have no order in flight
+    /// and [`REMOVED_RETENTION`] has passed since their slots last changed. If
+    /// a replica were forgotten earlier and soon configured again, a report
+    /// from before its last order would be accepted as current.
     pub(super) fn forget_removed(&mut self, now: Moment) {
         let old = |r: &Replica| {
             let idle = r.tickets.is_empty() && r.order.is_none();
@@ -77,13 +79,14 @@
         self.replicas.remove(name);
     }
 
-    /// The first report, or one of a new incarnation.
+    /// Resets a replica on its first report or the first one of a new
+    /// incarnation.
     ///
-    /// Made for an engine that restarts empty: what was loaded and what ran is
-    /// gone, the requests that ran there end through their entries, and the
-    /// order under way there has no effect.
+    /// Covers an engine that restarts empty. Its loaded adapters and running
+    /// requests are lost, the entries report the ends of these requests, and an
+    /// order in flight there has no effect.
     pub(super) fn reset_replica(&mut self, now: Moment, name: &ReplicaName, report: LoadReport) {
-        self.update_replica(now, name, |r| r.has_reported = false);
+        self.update_replica(now, name, |r| r.reported = false);
         self.prefixes.forget_replica(name);
         let Some(r) = self.replicas.get_mut(name) else {
             return;
@@ -114,16 +117,16 @@
         }
         self.restore_dispatches(now, name);
         self.update_replica(now, name, |r| {
-            r.has_reported = true;
-            r.suspended_at = None;
+            r.reported = true;
+            r.suspended = None;
             if r.health == Health::Suspect {
                 r.health = Health::Live;
             }
         });
     }
 
-    /// Counts those dispatches that were made to this incarnation, such as a
-    /// new owner's that were adopted before the first report.
+    /// Records the dispatches that were made to the current incarnation, such
+    /// as those that a new owner adopted before the first report.
     fn restore_dispatches(&mut self, now: Moment, name: &ReplicaName) {
         let inc = self.replicas.get(name).map(|r| r.incarnation);
         let here = self.running.iter().filter(|(_, run)| run.replica == *name);
@@ -143,21 +146,22 @@
         self.update_load_key(now, adapter);
     }
 
-    /// A later report of the same incarnation.
+    /// Applies a further report of the same incarnation.
     ///
-    /// Made for reports that lag: one of a state from before the last order's
-    /// end would bring back what was evicted, and take away what was loaded.
+    /// Covers reports that lag. A report observed before the end of the last
+    /// order would restore adapters that were evicted and remove adapters that
+    /// were loaded, so its slots are ignored.
     pub(super) fn apply_report(&mut self, now: Moment, name: &ReplicaName, report: LoadReport) {
         let Some(r) = self.replicas.get(name) else {
             return;
         };
         let age = Span(report.age.0 + REPORT_AGE_MARGIN.0);
-        let observed_at = Moment(now.0.saturating_sub(age.0));
-        let fresh = r.suspended_at.is_none_or(|since| observed_at > since);
+        let observed = Moment(now.0.saturating_sub(age.0));
+        let fresh = r.suspended.is_none_or(|since| observed > since);
         if fresh {
             self.poison.clear_replica(name, report.incarnation);
         }
-        let slots = r.order.is_none() && observed_at > r.slots_changed;
+        let slots = r.order.is_none() && observed > r.slots_changed;
         let reported = report.running + report.waiting;
         let loaded = r.loaded.clone();
         if slots {
@@ -165,9 +169,9 @@
         }
         self.update_replica(now, name, |r| {
             r.slots_unknown &= !slots;
-            r.update_external(observed_at, reported);
+            r.update_external(observed, reported);
             if fresh {
-                r.suspended_at = None;
+                r.suspended = None;
                 if r.health == Health::Suspect {
                     r.health = Health::Live;
                 }
@@ -194,7 +198,8 @@
         }
     }
 
-    /// What the end of a dispatch teaches.
+    /// Updates statistics, suspects and replica state after the end of a
+    /// dispatch.
     pub(super) fn record_outcome(&mut self, now: Moment, f: &DispatchEnd, run: &Dispatch) {
         match f.outcome {
             Outcome::Answered => self.record_answer(f, run),
@@ -212,7 +217,7 @@
     fn record_answer(&mut self, f: &DispatchEnd, run: &Dispatch) {
         self.retry_budget.earn(self.settings.retry_share);
         self.poison.clear(run.fingerprint);
-        self.service_times.record(run.lane, f.tokens, f.total);
+        self.service.record(run.lane, f.tokens, f.total);
         if let Some(r) = self.replicas.get_mut(&run.replica)
             && r.incarnation == run.incarnation
         {
@@ -220,12 +225,12 @@
         }
     }
 
-    /// Everything that ran there is suspect, unless the request had the
-    /// replica alone: then it is the one.
+    /// Marks every request that ran at the replica as a suspect, or blocks the
+    /// request if it ran isolated.
     ///
-    /// Made for a request that crashes each upstream that runs it and comes
-    /// again: each time it takes a batch of others down. Alone on a replica,
-    /// the next crash convicts exactly it.
+    /// Covers a request that crashes each upstream that runs it and is retried:
+    /// each try also fails the other requests of the batch. If it runs
+    /// isolated, the next crash identifies it with certainty.
     fn record_break(&mut self, now: Moment, run: &Dispatch) {
         if run.isolated {
             let hold = self.settings.block_for;
@@ -248,15 +253,15 @@
         self.suspend_replica(now, run);
     }
 
-    /// Sends nothing new to a replica until its next report.
+    /// Suspends dispatch to a replica until its next report.
     ///
-    /// Made for an upstream that is down and refuses at once: it ends its work
-    /// sooner than any other, seems the least loaded and would draw all
-    /// requests in, each to be refused.
+    /// Covers an upstream that is down and refuses requests at once. It would
+    /// finish its work faster than any other replica, appear the least loaded,
+    /// and attract all requests, which would all be refused.
     fn suspend_replica(&mut self, now: Moment, run: &Dispatch) {
         let same = |r: &Replica| r.incarnation == run.incarnation;
         if self.replicas.get(&run.replica).is_some_and(same) {
-            self.update_replica(now, &run.replica, |r| r.suspended_at = Some(now));
+            self.update_replica(now, &run.replica, |r| r.suspended = Some(now));
         }
     }
 }
--- a/lib/src/pool/isolation.rs
+++ b/lib/src/pool/isolation.rs
@@ -1,24 +1,25 @@
-//! Suspects: each runs alone on a replica, so that a crash convicts exactly.
+//! Isolation of suspects: each runs alone on a replica, so that a crash
+//! identifies the request that caused it.
 
 use super::adapter::Target;
 use super::state::Pool;
 use super::types::*;
 use crate::ids::ReplicaName;
 
-/// Suspects looked at for one that a replica can be emptied for.
-const MAX_SUSPECTS_PROBED: usize = 8;
+/// Suspects examined for one that a replica can be reserved for.
+const PROBED_SUSPECTS: usize = 8;
 
-/// One replica in so many may be kept for suspects, and one at the least: a
-/// full batch of suspects after a crash must not stop the pool.
+/// At most one live replica in this many is reserved for suspects, and at least
+/// one: a full batch of suspects after a crash must not stop the pool.
 const REPLICAS_PER_RESERVATION: usize = 4;
 
-/// Open replicas looked at for a suspect of a plain service.
-const MAX_REPLICAS_PROBED: usize = 16;
+/// Available replicas examined for a suspect of a plain service.
+const PROBED_REPLICAS: usize = 16;
 
 impl Pool {
-    /// Gives suspects replicas of their own.
+    /// Reserves replicas for waiting suspects.
     pub(super) fn reserve_replicas(&mut self, now: Moment) {
-        let probed = self.isolation_queue.iter().take(MAX_SUSPECTS_PROBED);
+        let probed = self.isolation_queue.iter().take(PROBED_SUSPECTS);
         let probed: Vec<_> = probed.copied().collect();
         for (since, ticket) in probed {
             if self.reserved.len() >= (self.live_count / REPLICAS_PER_RESERVATION).max(1) {
@@ -31,15 +32,13 @@
         }
     }
 
-    /// The replica that will be empty soonest, of those that have its adapter.
+    /// Returns the replica with the fewest dispatches, which is empty soonest,
+    /// of those that can run a suspect; replicas that it should avoid come
+    /// last.
     fn choose_reservation(&self, ticket: Ticket) -> Option<ReplicaName> {
         let a = &self.queue.get(ticket)?.arrival;
         let entry = self.adapters.get(&a.adapter)?;
-        let open = self
-            .available
-            .iter()
-            .take(MAX_REPLICAS_PROBED)
-            .map(|(_, n)| n);
+        let open = self.available.iter().take(PROBED_REPLICAS).map(|(_, n)| n);
         let names: Vec<_> = match a.adapter {
             Some(_) => entry.holders.iter().collect(),
             None => open.collect(),
@@ -57,14 +56,15 @@
         if let Some(r) = self.replicas.get_mut(name) {
             r.isolated = Some(ticket);
         }
-        // The slot must still be there when the replica is empty.
+        // Pins the slot until the replica is empty.
         self.acquire_slot(now, name, &target.unwrap_or_default());
         self.reserved.insert(ticket, name.clone());
         self.update_score(name);
         self.run_isolated(now, name);
     }
 
-    /// Runs the suspect that a replica was emptied for, once it is empty.
+    /// Runs the suspect that a replica is reserved for, once the replica is
+    /// empty.
     pub(super) fn run_isolated(&mut self, now: Moment, name: &ReplicaName) {
         let Some(r) = self.replicas.get(name) else {
             return;
@@ -84,7 +84,7 @@
         self.dispatch(now, &w, name);
     }
 
-    /// Ends a suspect's claim on a replica.
+    /// Cancels the reservation of a suspect, if it has one.
     pub(super) fn cancel_reservation(&mut self, ticket: Ticket, target: &Target) {
         let Some(name) = self.reserved.remove(&ticket) else {
             return;
@@ -96,7 +96,8 @@
         self.update_score(&name);
     }
 
-    /// A suspect whose replica is no longer live waits for another.
+    /// Makes a suspect whose reserved replica is no longer live wait for
+    /// another one.
     pub(super) fn requeue_suspect(&mut self, ticket: Ticket) {
         let Some(w) = self.queue.get(ticket) else {
             return;
--- a/lib/src/pool/loads.rs
+++ b/lib/src/pool/loads.rs
@@ -1,4 +1,5 @@
-//! Loads: which adapter is loaded next, where, and what gives up its slot.
+//! Adapter loads: which adapter is loaded next, and what follows when an order
+//! ends.
 
 use super::queue::Lane;
 use super::replica::Order;
@@ -7,67 +8,70 @@
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// Microseconds that each waiting request makes its adapter's wait seem
-/// older: a load that serves three callers goes before one that serves one.
+/// Head start in the load queue per waiting request beyond the first, in
+/// microseconds: a load that serves three callers precedes one that serves one.
 const WAITING_CREDIT_US: f64 = 4_000_000.0;
 
-/// A long request counts for less: nobody stands and waits for it.
+/// Weight of a long request relative to a short one, whose caller waits for the
+/// first token.
 const LONG_WEIGHT: f64 = 0.25;
 
-/// Microseconds by which an adapter of one request a second seems older: its
-/// load serves all that would come meanwhile. Bounded, so that the wait of an
-/// adapter that one caller needs stays bounded too.
+/// Head start in the load queue per expected request per second, in
+/// microseconds: the load also serves the requests that will arrive meanwhile.
 const RATE_CREDIT_US: f64 = 20_000_000.0;
 
-/// The most that the expected demand counts, in microseconds.
+/// Upper bound of the head start for expected requests, in microseconds, so
+/// that the wait of an adapter needed by one caller stays bounded.
 const MAX_RATE_CREDIT_US: f64 = 40_000_000.0;
 
-/// Microseconds by which a second copy seems younger: those who wait for it
-/// will be served by the first copy at some time, the others by none.
+/// Delay in the load queue of a second copy, in microseconds: requests that
+/// wait for it will also be served by the first copy, other waiting requests by
+/// none.
 const COPY_PENALTY_US: f64 = 2_000_000.0;
 
-/// One load in so many goes to long work, also when shorter work waits.
+/// One load in this many goes to long work even if short work waits.
 const LONG_LOAD_INTERVAL: u64 = 6;
 
-/// How long long work waits for its turn before a second copy is loaded.
+/// Time for which queued long work may occupy the existing copies before
+/// another copy is loaded.
 const MAX_LONG_WAIT: Span = Span::from_millis(10_000);
 
-/// Wanted loads of a lane looked at for one that can be ordered now.
-pub(super) const MAX_LOADS_PROBED: usize = 8;
+/// Queued loads of a lane examined for one that can be ordered now.
+pub(super) const PROBED_LOADS: usize = 8;
 
-/// An order that has had no end for so many load times no longer holds the
-/// others up.
+/// Number of load times after which an order without a result no longer blocks
+/// further loads.
 const ORDER_TIMEOUT_LOADS: u64 = 8;
 
-/// The first wait after a failed load, doubled at each further failure.
+/// Backoff after a failed load, in microseconds; doubled on each further
+/// failure.
 const INITIAL_BACKOFF_US: u64 = 500_000;
 
-/// The longest wait after failed loads.
+/// Maximum backoff after failed loads, in microseconds.
 const MAX_BACKOFF_US: u64 = 30_000_000;
 
-/// Failed loads in a row after which those who wait are told. One failure may
-/// be the weight store's hiccup; after three the callers are better off
-/// knowing than waiting for their deadline.
+/// Consecutive failed loads after which waiting requests are refused. One
+/// failure may be a transient fault of the weight store; after three, a refusal
+/// serves the callers better than a wait until their deadlines.
 const MAX_LOAD_FAILURES: u32 = 3;
 
-/// Seconds of silence, in mean intervals between requests, after which demand
-/// is thought to have gone elsewhere.
+/// Mean request intervals without a request after which the expected rate falls
+/// below the decayed rate, as the callers have probably gone.
 pub(super) const MAX_SILENT_INTERVALS: f64 = 1.0;
 
 impl Pool {
-    /// The time of one load at full speed.
+    /// Returns the duration of one load at the full speed of the weight store.
     pub(super) fn load_time(&self) -> Span {
         Span((1e6 / self.settings.loads_per_s.max(1e-3)) as u64)
     }
 
-    /// Where a load of an adapter stands in the queue of loads; lower is
-    /// earlier. `more` requests are counted that do not wait yet.
+    /// Returns the key of an adapter in the load queue; lower is loaded
+    /// earlier. `more` counts requests that are about to be queued.
     ///
-    /// Made for two or three loads a second against skewed demand. All loads
-    /// cost the same, so the order of benefit per second of load is that of
-    /// benefit: callers who wait, and those who are expected to come while it
-    /// is not loaded. The age of the first wait is part of the key, so that
-    /// each load has its turn at last.
+    /// Designed for two or three loads per second under skewed demand. All
+    /// loads cost the same, so they are ordered by benefit: the requests that
+    /// wait, and those expected to arrive while the adapter is not loaded. The
+    /// key includes the time of the oldest wait, so that no load starves.
     pub(super) fn load_key(&self, now: Moment, adapter: &AdapterVersion, more: usize) -> i64 {
         let half = self.half_life();
         let Some(e) = self.adapters.get(&Some(adapter.clone())) else {
@@ -91,20 +95,22 @@
         (since.0 as f64 - waiting * WAITING_CREDIT_US - expected + copy) as i64
     }
 
-    /// Sets or ends that an adapter should be loaded.
+    /// Queues a load of an adapter or updates its place in the queue if it
+    /// needs one, and removes it otherwise.
     pub(super) fn update_load_key(&mut self, now: Moment, adapter: &AdapterVersion) {
         let key = self.needs_load(now, adapter);
         let key = key.then(|| self.load_key(now, adapter, 0));
         self.adapters.set_load_key(adapter, key);
     }
 
-    /// Whether an adapter needs a load: something waits for it, and no live
-    /// replica has it or all that have it are full while others are not.
+    /// Returns whether an adapter needs a load: requests wait for it, and
+    /// either no live replica holds it, or all live holders are full while
+    /// other replicas are available.
     ///
-    /// Made for a hot adapter whose replica is full. A second copy takes a
-    /// slot from another adapter for good, so it is loaded only when another
-    /// replica has room and more wait than those that have the adapter end
-    /// within the time of the load, or for long work in the time it bears.
+    /// Covers a hot adapter whose replica is full. A second copy takes a slot
+    /// from another adapter for good, so it is loaded only if the queued work
+    /// exceeds what the holders finish during one load, or during
+    /// [`MAX_LONG_WAIT`] for long work.
     fn needs_load(&self, now: Moment, adapter: &AdapterVersion) -> bool {
         let Some(e) = self.adapters.get(&Some(adapter.clone())) else {
             return false;
@@ -122,7 +128,7 @@
         }
         Lane::ALL.into_iter().any(|lane| {
             let full = !live.iter().any(|r| self.has_lane_room(r, lane));
-            let work = self.service_times.mean_time(lane).0 * e.lane_queue(lane).len() as u64;
+            let work = self.service.mean_time(lane).0 * e.lane_queue(lane).len() as u64;
             let batch: u32 = live.iter().map(|r| r.spec.batch).sum();
             let max_wait = match lane {
                 Lane::Short => self.load_time().0,
@@ -132,12 +138,12 @@
         })
     }
 
-    /// Orders the next load, one at a time.
+    /// Orders the next load if none is in flight.
     ///
-    /// The weight store gives its full speed to one load only: two at a time
-    /// end both later than one after the other. Loads for which only long work
-    /// waits have a share of them and what the others leave: by their number
-    /// alone they would hold up someone who stands and waits.
+    /// The weight store gives its full speed to only one load: two at once both
+    /// end later than one after the other. Loads that only long work waits for
+    /// get a fixed share and the capacity that others leave; by their number
+    /// alone they would delay short work.
     pub(super) fn order_next_load(&mut self, now: Moment) {
         if now < self.slot_freeze || self.store_busy(now) {
             return;
@@ -146,8 +152,8 @@
             self.prefetch_adapter(now);
             return;
         }
-        let vacant = self.vacant_replicas(now);
-        let probed = |lane| self.adapters.load_queue(lane).take(MAX_LOADS_PROBED);
+        let vacant = self.vacancies(now);
+        let probed = |lane| self.adapters.load_queue(lane).take(PROBED_LOADS);
         let turn = match self.loads_ordered % LONG_LOAD_INTERVAL {
             0 => [Lane::Long, Lane::Short],
             _ => Lane::ALL,
@@ -205,7 +211,7 @@
         self.update_load_key(now, adapter);
     }
 
-    /// An order ended.
+    /// Records the result of an order.
     pub fn order_end(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
         if let Some(name) = self.orders.remove(&order) {
             self.complete_order(now, &name, order, end);
@@ -241,8 +247,8 @@
         self.update_load_key(now, &o.adapter);
     }
 
-    /// After a load that may not have happened, or an eviction that may not,
-    /// the slot counts as full of something that nothing is sent to.
+    /// Marks the adapters of a load or eviction with an uncertain result as
+    /// unconfirmed: they may occupy slots, but receive no requests.
     fn mark_unconfirmed(&mut self, name: &ReplicaName, o: &Order, end: OrderEnd) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
@@ -253,10 +259,11 @@
         }
     }
 
-    /// Lets a failing load wait, without holding up the others.
+    /// Delays further loads of an adapter whose load failed, without delaying
+    /// other adapters.
     ///
-    /// Made for loads that fail for one adapter or for all: tried again at
-    /// once, a broken adapter would take the whole rate of the weight store.
+    /// Covers loads that fail for one adapter or for all. If retried at once, a
+    /// broken adapter would use up the whole load rate of the weight store.
     fn back_off(&mut self, now: Moment, adapter: &AdapterVersion, end: OrderEnd) {
         let entry = self.adapters.entry(&Some(adapter.clone()));
         if end == OrderEnd::Failed {
@@ -279,7 +286,7 @@
         }
     }
 
-    /// Lets loads back into the queue whose backoff has ended.
+    /// Queues the loads whose backoff has ended.
     pub(super) fn expire_backoffs(&mut self, now: Moment) {
         while let Some((at, _)) = self.backoffs.first()
             && *at <= now
--- a/lib/src/pool/mod.rs
+++ b/lib/src/pool/mod.rs
@@ -1,19 +1,18 @@
-//! The decisions of one pool, apart from input and output.
+//! The scheduler of one pool, without input and output.
 //!
-//! [`Pool`] is driven by its owner (and by the measurements and tests) with
-//! plain calls; time is an argument. What it decides comes out as
-//! [`Command`]s.
+//! [`Pool`] is driven by plain calls of its owner, the benchmarks and the tests.
+//! The current time is an argument, and decisions are returned as [`Command`]s.
 //!
 //! | module | decides |
 //! |---|---|
-//! | `admission` | who may wait, who is refused and when to come back |
-//! | `queue` | whose turn it is |
-//! | `dispatch` | where a request runs, what a replica runs next |
+//! | `admission` | which requests may wait, and when refused callers may retry |
+//! | `queue` | the order of requests between teams |
+//! | `dispatch` | which replica runs a request, and what a replica runs next |
 //! | `batching` | when long work starts |
 //! | `loads` | which adapter is loaded next |
-//! | `eviction` | where, and what gives up its slot |
-//! | `prefetch` | what is loaded before it is asked for |
-//! | `health` | what reports and ends of dispatches mean |
+//! | `eviction` | where it is loaded, and which adapter is evicted for it |
+//! | `prefetch` | which adapters are loaded before requests need them |
+//! | `health` | what load reports and ends of dispatches imply |
 //! | `isolation`, `poison` | which request crashes its upstream |
 
 mod adapter;
--- a/lib/src/pool/poison.rs
+++ b/lib/src/pool/poison.rs
@@ -1,4 +1,4 @@
-//! Requests suspected or convicted of crashing their upstream.
+//! Poison requests: requests suspected or known to crash their upstream.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,13 @@
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
 
-/// How long a suspicion holds when nothing settles it: longer than a caller's
-/// retries, shorter than what would keep an innocent request slow.
+/// How long a request stays suspected if nothing settles it: longer than the
+/// retries of a caller last, and short enough that an innocent request does not
+/// stay slow.
 const SUSPICION_TTL: Span = Span::from_millis(120_000);
 
-/// The most fingerprints kept of either kind: those that have ended go first,
-/// then any, as a flood of them must not fill the memory.
+/// Maximum number of suspected and of blocked fingerprints, so that a flood of
+/// them cannot exhaust memory. Expired ones are dropped first, then any.
 const MAX_FINGERPRINTS: usize = 8_192;
 
 #[derive(Debug)]
@@ -21,14 +22,15 @@
     until: Moment,
     replica: ReplicaName,
     incarnation: Incarnation,
-    /// How many times it ran where an upstream broke.
+    /// Number of distinct upstream crashes during which the request ran.
     strikes: u32,
 }
 
-/// What is known of requests that may crash their upstream.
+/// Tracks requests that may crash their upstream.
 ///
-/// Made for the one request that crashes each engine that runs it, sent again
-/// by its caller: without verdicts it takes a batch of others down each time.
+/// Covers a single request that crashes each engine that runs it and is retried
+/// by its caller. If it were not blocked, each try would also fail the other
+/// requests of its batch.
 #[derive(Debug, Default)]
 pub(super) struct PoisonTracker {
     suspects: BTreeMap<Fingerprint, Suspect>,
@@ -36,7 +38,8 @@
 }
 
 impl PoisonTracker {
-    /// It ran where the upstream broke.
+    /// Records that a request ran at a replica that broke. Several breaks of
+    /// one incarnation count once.
     pub(super) fn add_suspect(
         &mut self,
         now: Moment,
@@ -62,25 +65,25 @@
         self.suspects.insert(fingerprint, suspect);
     }
 
-    /// It was answered, so it does not crash its upstream.
+    /// Clears a request that was answered.
     pub(super) fn clear(&mut self, fingerprint: Fingerprint) {
         self.suspects.remove(&fingerprint);
     }
 
-    /// The replica still runs the incarnation that was thought to have
-    /// crashed: only connections broke.
+    /// Clears the suspects of an incarnation that was thought to have crashed
+    /// but still reports: only connections broke.
     pub(super) fn clear_replica(&mut self, replica: &ReplicaName, incarnation: Incarnation) {
         self.suspects
             .retain(|_, s| s.replica != *replica || s.incarnation != incarnation);
     }
 
-    /// Whether it ran so many times where an upstream broke.
+    /// Returns whether a request is suspected with at least `strikes` crashes.
     pub(super) fn is_suspect(&self, now: Moment, fingerprint: Fingerprint, strikes: u32) -> bool {
         let s = self.suspects.get(&fingerprint);
         s.is_some_and(|s| s.until > now && s.strikes >= strikes)
     }
 
-    /// Refuse it until `until`.
+    /// Blocks a request until `until`.
     pub(super) fn block(&mut self, now: Moment, fingerprint: Fingerprint, until: Moment) {
         if self.blocked.len() >= MAX_FINGERPRINTS {
             self.blocked.retain(|_, end| *end > now);
@@ -93,7 +96,7 @@
         *end = until.max(*end);
     }
 
-    /// How long its verdict still holds.
+    /// Returns how long a request stays blocked, or `None` if it is not.
     pub(super) fn blocked_for(&self, now: Moment, fingerprint: Fingerprint) -> Option<Span> {
         let end = self.blocked.get(&fingerprint)?;
         (*end > now).then(|| end.since(now))
--- a/lib/src/pool/prefix.rs
+++ b/lib/src/pool/prefix.rs
@@ -1,4 +1,4 @@
-//! Where a prompt's head was run last.
+//! Prefix affinity: the replica that last ran each prompt prefix.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,10 +6,11 @@
 use super::types::Moment;
 use crate::ids::ReplicaName;
 
-/// Prefixes remembered; the engines' caches hold fewer.
+/// Maximum number of prefixes remembered; the caches of the engines hold fewer.
 const MAX_PREFIXES: usize = 16_384;
 
-/// Remembers where each prefix ran last; the oldest is forgotten first.
+/// Maps prompt prefixes to the replica that ran them last; the oldest entry is
+/// dropped first.
 #[derive(Debug, Default)]
 pub(super) struct Prefixes {
     replicas: BTreeMap<u64, (Moment, ReplicaName)>,
@@ -17,11 +18,12 @@
 }
 
 impl Prefixes {
-    pub(super) fn last_replica(&self, prefix: u64) -> Option<&ReplicaName> {
+    pub(super) fn replica(&self, prefix: u64) -> Option<&ReplicaName> {
         self.replicas.get(&prefix).map(|(_, name)| name)
     }
 
-    /// Notes where a prefix runs; 0 is none.
+    /// Records the replica that runs a prefix; prefix 0 means none and is
+    /// ignored.
     pub(super) fn record(&mut self, now: Moment, prefix: u64, name: &ReplicaName) {
         if prefix == 0 {
             return;
@@ -37,7 +39,7 @@
         }
     }
 
-    /// The replica's cache is empty again.
+    /// Drops the prefixes of a replica whose cache is empty again.
     pub(super) fn forget_replica(&mut self, name: &ReplicaName) {
         let replicas = &mut self.replicas;
         replicas.retain(|_, (_, replica)| replica != name);
--- a/lib/src/pool/queue.rs
+++ b/lib/src/pool/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait, and whose turn it is.
+//! The queue of waiting requests, and fair queueing between teams.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,23 +9,23 @@
 use super::types::Ticket;
 use crate::ids::TeamName;
 
-/// Teams remembered by a fair clock before idle ones are forgotten.
+/// Number of teams with a finish tag above which idle teams are dropped.
 const MAX_TEAMS: usize = 4_096;
 
-/// Units of virtual time for one token at a share of 1.
+/// Units of virtual time per token at a share of 1.
 const TAG_SCALE: u64 = 1_024;
 
-/// What competes for the same part of a batch.
+/// Scheduling lane: requests of one lane compete for the same part of a batch.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Lane {
-    /// Someone waits for it.
+    /// Requests whose caller waits for the first token.
     Short,
-    /// It fills what the others leave.
+    /// Long requests, which use the capacity that short ones leave.
     Long,
 }
 
 impl Lane {
-    /// Both lanes, the urgent one first.
+    /// Both lanes, the more urgent one first.
     pub(super) const ALL: [Self; 2] = [Self::Short, Self::Long];
 
     pub(super) fn of(class: Class) -> Self {
@@ -40,13 +40,14 @@
     }
 }
 
-/// Start-time fair queueing between teams.
+/// Start-time fair queueing between the teams of one lane.
 ///
-/// Made for one team's burst against the steady work of the others. Each
-/// request gets a start tag, at least the tag that was served last, and
-/// pushes its team's next tag on by its cost over the team's share; who has
-/// the lowest tag goes first. So a burst queues behind its own team's tags
-/// only.
+/// Protects the steady work of other teams from a burst of one team. The start
+/// tag of a request is the larger of the virtual time, which is the highest
+/// start tag dispatched so far, and the finish tag of its team. The request
+/// then raises that finish tag by its cost divided by the share of the team.
+/// The lowest start tag runs first, so a burst queues only behind the tags of
+/// its own team.
 #[derive(Debug, Default)]
 pub(super) struct FairQueue {
     virtual_time: u64,
@@ -54,7 +55,8 @@
 }
 
 impl FairQueue {
-    /// The start tag of a request of `cost` tokens.
+    /// Returns the start tag of a request of `cost` tokens, and raises the
+    /// finish tag of its team.
     pub(super) fn tag(&mut self, team: &TeamName, cost: u64, share: u32) -> u64 {
         if self.finish_tags.len() > MAX_TEAMS {
             let virtual_time = self.virtual_time;
@@ -66,12 +68,12 @@
         start
     }
 
-    /// A request with this tag was dispatched.
+    /// Advances the virtual time to the tag of a dispatched request.
     pub(super) fn advance(&mut self, tag: u64) {
         self.virtual_time = self.virtual_time.max(tag);
     }
 
-    /// A tagged request was not served: its team does not pay for it.
+    /// Lowers the finish tag of a team whose tagged request was not dispatched.
     pub(super) fn refund(&mut self, team: &TeamName, cost: u64, share: u32) {
         if let Some(end) = self.finish_tags.get_mut(team) {
             *end = end.saturating_sub(cost * TAG_SCALE / u64::from(share.max(1)));
@@ -79,16 +81,16 @@
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug)]
 pub(super) struct QueuedRequest {
     pub(super) arrival: Arrival,
     pub(super) queued_at: Moment,
     pub(super) tag: u64,
     pub(super) cost: u64,
-    /// The last moment at which starting it still makes its deadline.
+    /// Latest start time that still allows an answer before the deadline.
     pub(super) expiry: Moment,
-    /// Whether it must run alone on a replica.
+    /// Whether the request must run alone on a replica.
     pub(super) isolated: bool,
 }
 
@@ -98,7 +100,7 @@
     }
 }
 
-/// All that wait, with their deadlines and the counts that bound them.
+/// All waiting requests, indexed by expiry and counted by team and lane.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiting: BTreeMap<Ticket, QueuedRequest>,
@@ -116,7 +118,7 @@
         self.waiting.get(&ticket)
     }
 
-    /// How many of a team's requests wait in a lane.
+    /// Returns the number of waiting requests of a team in a lane.
     pub(super) fn count(&self, team: &TeamName, lane: Lane) -> u32 {
         self.counts
             .get(&(team.clone(), lane))
@@ -124,12 +126,12 @@
             .unwrap_or_default()
     }
 
-    /// Whether any long work waits.
+    /// Returns whether any long request waits.
     pub(super) fn has_long(&self) -> bool {
         self.long_count > 0
     }
 
-    /// How many pairs of team and lane have something waiting.
+    /// Returns the number of pairs of team and lane with waiting requests.
     pub(super) fn flows(&self) -> usize {
         self.counts.len()
     }
@@ -159,18 +161,18 @@
         Some(w)
     }
 
-    /// A request that can no longer make its deadline at `now`.
+    /// Returns a request that can no longer meet its deadline at `now`.
     pub(super) fn expired(&self, now: Moment) -> Option<Ticket> {
         let (expiry, ticket) = self.expiries.first()?;
         (*expiry <= now).then_some(*ticket)
     }
 
-    /// When the next request expires.
+    /// Returns the time at which the next request expires.
     pub(super) fn next_expiry(&self) -> Option<Moment> {
         self.expiries.first().map(|(expiry, _)| *expiry)
     }
 
-    /// The tickets of all that wait and match.
+    /// Returns the tickets of the waiting requests that match.
     pub(super) fn matching(&self, test: impl Fn(&Arrival) -> bool) -> Vec<Ticket> {
         let hits = self.waiting.values().filter(|w| test(&w.arrival));
         hits.map(|w| w.arrival.ticket).collect()
--- a/lib/src/pool/replica.rs
+++ b/lib/src/pool/replica.rs
@@ -1,4 +1,4 @@
-//! What the pool knows of one replica.
+//! State of one replica.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,15 +13,16 @@
 use crate::ids::AdapterVersion;
 use crate::ids::Incarnation;
 
-/// The part that the newest answer has in the measured pace: about the last
-/// ten answers count, so that a replica that turned slow is known within a
-/// second at ten answers a second and one slow answer does not condemn it.
+/// Weight of the newest sample in the moving average of the time per token.
+/// About the last ten answers count: at ten answers per second a slow replica
+/// is detected within a second, and one slow answer has little effect.
 const EWMA_WEIGHT: f64 = 0.1;
 
-/// Ended dispatches remembered: more than a replica ends in a report's age.
+/// Maximum number of ended dispatches remembered; more than a replica completes
+/// during the age of a report.
 const MAX_RECENT_ENDS: usize = 256;
 
-/// An order under way.
+/// A load order in flight.
 #[derive(Debug)]
 pub(super) struct Order {
     pub(super) id: OrderId,
@@ -30,46 +31,52 @@
     pub(super) sent_at: Moment,
 }
 
-/// One replica.
+/// State of one replica.
 #[derive(Debug)]
 pub(super) struct Replica {
     pub(super) spec: ReplicaSpec,
     pub(super) health: Health,
     pub(super) incarnation: Incarnation,
-    /// Whether it has reported since it was configured.
-    pub(super) has_reported: bool,
-    /// Whether it is still configured.
+    /// Whether the replica has reported since it was configured.
+    pub(super) reported: bool,
+    /// Whether the replica is configured.
     pub(super) configured: bool,
-    /// A connection to it broke and no later report has come.
-    pub(super) suspended_at: Option<Moment>,
-    /// What requests may be sent to.
+    /// When a connection broke or a dispatch was refused; cleared by a later
+    /// report.
+    pub(super) suspended: Option<Moment>,
+    /// Adapters that requests may be sent to.
     pub(super) loaded: BTreeSet<AdapterVersion>,
-    /// What may still fill a slot but must not be sent to: an eviction or a
-    /// load that ended unknown, or an answer by another adapter.
+    /// Adapters that may occupy a slot but must receive no requests: an order
+    /// for them ended with an unknown result, or an answer named another
+    /// adapter.
     pub(super) unconfirmed: BTreeSet<AdapterVersion>,
-    /// Dispatches by adapter; such an adapter is never evicted.
+    /// Dispatches by adapter, retained slots included. An adapter listed here
+    /// is never evicted.
     pub(super) in_use: BTreeMap<AdapterVersion, u32>,
     pub(super) order: Option<Order>,
-    /// When its slots were last changed by an order: a report of an older
-    /// state says nothing about them.
+    /// When an order last changed the slots; the slots in a report observed
+    /// earlier are ignored.
     pub(super) slots_changed: Moment,
-    /// Whether an order ended unknown and no later report has settled it.
+    /// Whether an order ended with an unknown result or was fenced, and no
+    /// later report has settled the slots.
     pub(super) slots_unknown: bool,
-    /// Dispatches of this incarnation.
+    /// Dispatches in flight of this incarnation.
     pub(super) tickets: BTreeSet<Ticket>,
-    /// Of these, long ones.
+    /// Long dispatches in flight.
     pub(super) long_count: u32,
-    /// Long dispatches by adapter.
+    /// Long dispatches in flight by adapter.
     pub(super) long_in_use: BTreeMap<AdapterVersion, u32>,
-    /// Requests in the engine that are not ours, by its last report.
+    /// Requests in the engine by the last report that this pool did not
+    /// dispatch.
     pub(super) external: u32,
-    /// When the last dispatches ended, the oldest first.
-    pub(super) recent_ends: VecDeque<Moment>,
-    /// Microseconds a token (an answer at a plain service); 0 is not known.
+    /// When the latest dispatches ended, the oldest first.
+    pub(super) ended: VecDeque<Moment>,
+    /// Moving average of microseconds per token, or per answer of a plain
+    /// service; 0 until known.
     pub(super) token_us: f64,
-    /// The request that has it, or will have it, alone.
+    /// The request that the replica is reserved for or runs alone.
     pub(super) isolated: Option<Ticket>,
-    /// The score under which it stands in the index of open replicas.
+    /// Score in the index of available replicas; `None` if not in the index.
     pub(super) score: Option<u64>,
 }
 
@@ -79,9 +86,9 @@
             spec,
             health: Health::Suspect,
             incarnation: Incarnation(0),
-            has_reported: false,
+            reported: false,
             configured: true,
-            suspended_at: None,
+            suspended: None,
             loaded: BTreeSet::new(),
             unconfirmed: BTreeSet::new(),
             in_use: BTreeMap::new(),
@@ -92,22 +99,20 @@
             long_count: 0,
             long_in_use: BTreeMap::new(),
             external: 0,
-            recent_ends: VecDeque::new(),
+            ended: VecDeque::new(),
             token_us: 0.0,
             isolated: None,
             score: None,
         }
     }
 
-    /// Whether it may get new work at all.
+    /// Returns whether the replica may receive new work.
     pub(super) fn live(&self) -> bool {
-        self.configured
-            && self.has_reported
-            && self.health == Health::Live
-            && self.suspended_at.is_none()
+        self.configured && self.reported && self.health == Health::Live && self.suspended.is_none()
     }
 
-    /// Whether it may become live without being configured anew.
+    /// Returns whether the replica is live or may become live without being
+    /// configured again.
     pub(super) fn may_recover(&self) -> bool {
         self.configured && matches!(self.health, Health::Live | Health::Suspect)
     }
@@ -116,19 +121,19 @@
         self.tickets.len() as u32
     }
 
-    /// Whether it takes one more request beside others.
+    /// Returns whether the replica may run one more request together with
+    /// others.
     pub(super) fn accepts_work(&self) -> bool {
         self.live() && self.isolated.is_none() && self.busy() < self.spec.batch
     }
 
-    /// Whether it takes one more request of this lane, given the parts of the
-    /// batch, in hundredths, that long work may hold at most and that waiting
-    /// long work is left.
+    /// Returns whether the replica may run one more request of a lane. `cap` is
+    /// the largest part of the batch that long work may hold, and `floor` the
+    /// part reserved for it while long work waits, both in percent.
     ///
-    /// Made for long work beside counters. Without the cap, long work that
-    /// came in a quiet minute holds the whole batch for seconds and a counter
-    /// waits behind it; without the floor, a busy counter starves long work
-    /// for good.
+    /// Covers long work next to short work. Without the cap, long work that
+    /// arrives in a quiet minute holds the whole batch for seconds and delays
+    /// short work. Without the floor, steady short work starves long work.
     pub(super) fn has_room(&self, lane: Lane, cap: u32, floor: u32, long_waits: bool) -> bool {
         if !self.accepts_work() {
             return false;
@@ -142,44 +147,41 @@
         }
     }
 
-    /// Requests in its batch as far as is known.
+    /// Returns the number of requests in the engine as far as known.
     pub(super) fn busy(&self) -> u32 {
         self.outstanding() + self.external
     }
 
-    /// Slots that hold nothing and are promised to nothing.
+    /// Returns whether a slot holds nothing and has no load in flight.
     pub(super) fn has_vacant_slot(&self) -> bool {
         let used = self.loaded.len() + self.unconfirmed.len() + usize::from(self.order.is_some());
         used < self.spec.slots as usize
     }
 
-    /// Whether an order may be sent to it.
+    /// Returns whether a load order may be sent to the replica.
     pub(super) fn orderable(&self) -> bool {
         self.live() && self.order.is_none() && !self.slots_unknown && self.spec.slots > 0
     }
 
-    /// Takes in how many requests the engine had at `seen`. Those of ours that
-    /// have ended since are in the count and no longer here; without them a
-    /// report that lags would show each ended request as another's.
-    pub(super) fn update_external(&mut self, observed_at: Moment, reported: u32) {
-        let since = self
-            .recent_ends
-            .iter()
-            .rev()
-            .take_while(|at| **at >= observed_at);
+    /// Updates the number of external requests from a report that counted
+    /// `reported` requests at `observed`. The report includes dispatches
+    /// that have ended since; they are added to the own ones, or a lagging
+    /// report would show each of them as external.
+    pub(super) fn update_external(&mut self, observed: Moment, reported: u32) {
+        let since = self.ended.iter().rev().take_while(|at| **at >= observed);
         let own = self.outstanding() + since.count() as u32;
         self.external = reported.saturating_sub(own).min(self.spec.batch / 2);
     }
 
-    /// Notes that a dispatch ended.
+    /// Records the end of a dispatch.
     pub(super) fn record_end(&mut self, now: Moment) {
-        self.recent_ends.push_back(now);
-        if self.recent_ends.len() > MAX_RECENT_ENDS {
-            self.recent_ends.pop_front();
+        self.ended.push_back(now);
+        if self.ended.len() > MAX_RECENT_ENDS {
+            self.ended.pop_front();
         }
     }
 
-    /// Takes in how long an answer of `tokens` tokens took.
+    /// Records the duration of an answer of `tokens` tokens.
     pub(super) fn record_token_time(&mut self, micros: u64, tokens: u32) {
         let sample = micros as f64 / f64::from(tokens.max(1));
         self.token_us = match self.token_us > 0.0 {
@@ -188,12 +190,12 @@
         };
     }
 
-    /// Whether long work may use an adapter's slot: one that it uses already,
-    /// or one more while it holds fewer than `cap` hundredths of the slots.
+    /// Returns whether long work may use the slot of an adapter: it uses the
+    /// slot already, or it uses fewer than `cap` percent of the slots.
     ///
-    /// Made for full saturation by long work. When it uses every slot, none
-    /// can be evicted for seconds, and a counter whose adapter is not loaded
-    /// waits behind all of it.
+    /// Covers saturation by long work. If long work used every slot, no adapter
+    /// could be evicted for seconds, and short work for an adapter that is not
+    /// loaded would wait for all of it.
     pub(super) fn long_slot_allowed(&self, target: &Option<AdapterVersion>, cap: u32) -> bool {
         let Some(adapter) = target else {
             return true;
@@ -202,7 +204,7 @@
         self.long_in_use.contains_key(adapter) || held < percent_of(self.spec.slots, cap).max(1)
     }
 
-    /// Counts a dispatch of long work up.
+    /// Records the start of a long dispatch.
     pub(super) fn begin_long(&mut self, target: &Option<AdapterVersion>) {
         self.long_count += 1;
         if let Some(adapter) = target {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Counts a dispatch of long work down.
+    /// Records the end of a long dispatch.
     pub(super) fn end_long(&mut self, target: &Option<AdapterVersion>) {
         self.long_count -= 1;
         if let Some(adapter) = target
@@ -227,7 +229,7 @@
         *self.in_use.entry(adapter.clone()).or_insert(0) += 1;
     }
 
-    /// Ends a hold; true when nothing uses the adapter any more.
+    /// Releases one use of an adapter; returns true if no use is left.
     pub(super) fn release(&mut self, adapter: &AdapterVersion) -> bool {
         let Some(n) = self.in_use.get_mut(adapter) else {
             return true;
@@ -241,7 +243,7 @@
     }
 }
 
-/// `hundredths` of a batch, rounded down.
-pub(super) fn percent_of(batch: u32, percent: u32) -> u32 {
-    batch * percent / 100
+/// Returns `percent` of `total`, rounded down.
+pub(super) fn percent_of(total: u32, percent: u32) -> u32 {
+    total * percent / 100
 }
--- a/lib/src/pool/retry_budget.rs
+++ b/lib/src/pool/retry_budget.rs
@@ -1,14 +1,14 @@
-//! How many retries the pool takes.
+//! Retry budget: limits the retries that a pool accepts.
 
-/// Retries that a pool takes before it has answered anything, and the most
-/// that it saves up: the requests of one full batch that broke together.
-const MAX_SAVED_RETRIES: f64 = 32.0;
+/// Initial and maximum number of saved retries: the requests of one full batch
+/// that fail together.
+const MAX_SAVED: f64 = 32.0;
 
-/// A retry budget, earned by answers.
+/// Retry budget replenished by answers.
 ///
-/// Made for an upstream failure at full load: when each failed request comes
-/// again, the retries would multiply the very overload that failed them.
-/// Retries are held to a share of the answers, above a small reserve.
+/// Covers an upstream failure at full load. If each failed request were
+/// retried, the retries would add to the overload that made them fail. Retries
+/// are limited to a percentage of the answers plus a small reserve.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     saved: f64,
@@ -16,19 +16,17 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self {
-            saved: MAX_SAVED_RETRIES,
-        }
+        Self { saved: MAX_SAVED }
     }
 }
 
 impl RetryBudget {
-    /// A request was answered; `share` is in hundredths.
+    /// Adds `percent` hundredths of a retry for one answer.
     pub(super) fn earn(&mut self, percent: u32) {
-        self.saved = (self.saved + f64::from(percent) / 100.0).min(MAX_SAVED_RETRIES);
+        self.saved = (self.saved + f64::from(percent) / 100.0).min(MAX_SAVED);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Spends one retry. Returns whether one was left.
     pub(super) fn spend(&mut self) -> bool {
         let enough = self.saved >= 1.0;
         if enough {
--- a/lib/src/pool/service_time.rs
+++ b/lib/src/pool/service_time.rs
@@ -1,29 +1,29 @@
-//! How long work takes here, learnt from answers.
+//! Service times, estimated from answers.
 
 use super::queue::Lane;
 use super::settings::PoolSettings;
 use super::types::Moment;
 use super::types::Span;
 
-/// The part that the newest answer has in the means.
+/// Weight of the newest sample in the moving averages.
 const EWMA_WEIGHT: f64 = 0.05;
 
-/// What answers have taught.
+/// Moving averages of answer sizes and durations.
 #[derive(Debug, Default)]
 pub(super) struct ServiceTimes {
-    /// Mean tokens of an answer by lane; 0 is not known.
+    /// Tokens per answer by lane; 0 until known.
     answer_tokens: [f64; 2],
-    /// Mean microseconds a token; 0 is not known.
+    /// Microseconds per token; 0 until known.
     token_us: f64,
-    /// Mean microseconds of a whole answer by lane; 0 is not known.
+    /// Microseconds per answer by lane; 0 until known.
     answer_us: [f64; 2],
-    /// The moment of the last call, for questions that have no time of their
-    /// own.
+    /// Time of the last call into the pool, for queries that take no time
+    /// argument.
     pub(super) now: Moment,
 }
 
 impl ServiceTimes {
-    /// Takes in a whole answer.
+    /// Records a complete answer.
     pub(super) fn record(&mut self, lane: Lane, tokens: u32, total: Span) {
         update_mean(&mut self.answer_tokens[lane.index()], f64::from(tokens));
         update_mean(&mut self.answer_us[lane.index()], total.0 as f64);
@@ -32,23 +32,23 @@
         }
     }
 
-    /// Mean microseconds a token; 0 while not known.
+    /// Returns the mean microseconds per token; 0 until known.
     pub(super) fn token_us(&self) -> f64 {
         self.token_us
     }
 
-    /// The shortest time in which a request of this lane and at most `output`
-    /// tokens is likely to be answered. `output` is only the caller's limit;
-    /// answers are mostly shorter, and a refusal must not rest on the limit.
-    pub(super) fn min_time(&self, settings: &PoolSettings, lane: Lane, output: u32) -> Span {
+    /// Returns the shortest likely duration of a request of a lane that may
+    /// generate up to `max_tokens` tokens. This limit is set by the caller and
+    /// most answers are shorter, so a refusal must not be based on it alone.
+    pub(super) fn min_time(&self, settings: &PoolSettings, lane: Lane, max_tokens: u32) -> Span {
         let tokens = match self.answer_tokens[lane.index()] {
-            known if known > 0.0 => known.min(f64::from(output)),
+            known if known > 0.0 => known.min(f64::from(max_tokens)),
             _ => 1.0,
         };
         Span((tokens * settings.step_us as f64) as u64)
     }
 
-    /// The mean time of an answer of this lane.
+    /// Returns the mean duration of an answer of a lane.
     pub(super) fn mean_time(&self, lane: Lane) -> Span {
         Span(self.answer_us[lane.index()] as u64)
     }
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator sets for a pool.
+//! Settings of a pool.
 
 use bon::Builder;
 use serde::Deserialize;
@@ -9,7 +9,7 @@
 use super::types::Span;
 use crate::settings::BadValue;
 
-/// What an operator sets for a pool; the rest follows from the load.
+/// Settings of a pool; all other parameters are derived from its load.
 ///
 /// ```
 /// use banyangauge::pool::PoolSettings;
@@ -25,65 +25,66 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolSettings {
-    /// What the deployment weighs more.
+    /// What the pool optimises for.
     #[builder(default = Objective::Stalls)]
     #[serde(rename = "weighing")]
     pub objective: Objective,
-    /// Loads a second that the weight store gives at full speed.
+    /// Adapter loads per second that the weight store delivers at full speed.
     #[builder(default = 3.0)]
     pub loads_per_s: f64,
-    /// The shortest engine step, in microseconds.
+    /// Duration of the shortest engine step, in microseconds.
     #[builder(default = 5_500)]
     pub step_us: u64,
-    /// Relative shares of teams; a team that is not named has 1.
+    /// Relative shares of teams; a team that is not listed has a share of 1.
     #[builder(default)]
     pub shares: Shares,
-    /// The most requests of one team and class that may wait.
+    /// Maximum number of waiting requests per team and lane.
     #[builder(default = 256)]
     #[serde(rename = "queue")]
     pub queue_limit: u32,
-    /// The part of each replica's batch, in hundredths, that long work may
-    /// hold; 0 is by the weighing: 75 for stalls, 100 for batch.
+    /// Largest part of each replica's batch that long work may hold, in
+    /// percent; 0 selects the default of the objective, 75 for stalls and 100
+    /// for batch.
     #[builder(default)]
     pub long_cap: u32,
-    /// The part of each replica's batch, in hundredths, that waiting long work
-    /// gets even when shorter work would fill it all.
+    /// Part of each replica's batch that is reserved for long work while it
+    /// waits, in percent.
     #[builder(default = 25)]
     pub long_floor: u32,
-    /// The part of each replica's slots, in hundredths, whose adapters long
-    /// work may use at the same time.
+    /// Largest part of each replica's slots whose adapters long work may use at
+    /// the same time, in percent.
     #[builder(default = 75)]
     pub long_slots: u32,
-    /// Where full steps weigh more: the part of a batch, in hundredths, that
-    /// long work must fill with what runs to be started at once; 0 starts it
-    /// always.
+    /// With the batch objective, the part of a batch that running and waiting
+    /// requests must fill before long work starts without delay, in percent; 0
+    /// starts it at once.
     #[builder(default = 60)]
     #[serde(rename = "gather")]
     pub batch_fill: u32,
-    /// The longest that long work waits for company, in microseconds; never
-    /// more than a tenth of the time to its deadline.
+    /// Longest delay of long work that waits to fill a batch, in microseconds.
+    /// The delay also never exceeds a tenth of the time to the deadline.
     #[builder(default = Span::from_millis(10_000))]
     #[serde(rename = "gather_for")]
     pub batch_delay: Span,
-    /// Retries allowed, in hundredths of the answers.
+    /// Retries accepted, in percent of the answers.
     #[builder(default = 10)]
     pub retry_share: u32,
-    /// Half-life of the count of an adapter's requests, in microseconds; 0 is
-    /// by the weighing: 80 s for stalls, 200 s for batch.
+    /// Half-life of the request rate of an adapter, in microseconds; 0 selects
+    /// the default of the objective, 80 s for stalls and 200 s for batch.
     #[builder(default)]
     pub half_life: Span,
-    /// Whether adapters are loaded ahead of requests while nothing waits for a
-    /// load.
+    /// Whether adapters are loaded ahead of requests while no request waits for
+    /// a load.
     #[builder(default = true)]
     #[serde(rename = "ahead")]
     pub prefetch: bool,
-    /// How many times a request must have run where an upstream broke before
-    /// it is run alone. With 1 a request that crashes its upstream takes one
-    /// batch of others down; with 2 it takes two, but what an engine loses
-    /// that fails for another reason is not retried one by one.
+    /// Number of upstream crashes during which a request must have run before
+    /// it is isolated. With 1, a request that crashes its upstream fails one
+    /// batch of other requests; with 2 it fails two batches, but after a crash
+    /// for another reason the lost requests are not retried in isolation.
     #[builder(default = 1)]
     pub strikes: u32,
-    /// How long a request stays convicted of crashing its upstream, in
+    /// How long a request that crashes its upstream stays blocked, in
     /// microseconds.
     #[builder(default = Span::from_millis(600_000))]
     #[serde(rename = "verdict")]
@@ -97,11 +98,12 @@
 }
 
 impl PoolSettings {
-    /// Half-life of the count of an adapter's requests, in microseconds.
+    /// Returns the half-life of the request rate of an adapter, in
+    /// microseconds.
     ///
-    /// A short one notices a shift sooner, a long one tells apart adapters that
-    /// are asked for once in a minute. Long work can wait for a load, so the
-    /// second counts for more where full steps do.
+    /// A short half-life follows a shift sooner; a long one distinguishes
+    /// adapters that are requested about once a minute. Long work can wait for
+    /// a load, so the latter matters more for the batch objective.
     pub(super) fn half_life_us(&self) -> f64 {
         match (self.half_life.0, self.objective) {
             (0, Objective::Stalls) => 80e6,
@@ -110,12 +112,12 @@
         }
     }
 
-    /// The part of a batch, in hundredths, that long work may hold.
+    /// Returns the largest part of a batch that long work may hold, in percent.
     ///
-    /// Where stalls weigh more, a quarter stays free for those who stand and
-    /// wait. Where full steps weigh more, nothing does: short work goes first
-    /// when the next place frees, which in a full batch of long work takes a
-    /// fraction of a second.
+    /// With the stalls objective a quarter stays free for short work. With the
+    /// batch objective nothing does: short work goes first when the next place
+    /// becomes free, which in a batch full of long work takes a fraction of a
+    /// second.
     pub(super) fn long_part(&self) -> u32 {
         match (self.long_cap, self.objective) {
             (0, Objective::Stalls) => 75,
@@ -124,11 +126,11 @@
         }
     }
 
-    /// Checks the ranges of the values.
+    /// Checks that all values are in range.
     ///
     /// # Errors
     ///
-    /// The first value that is out of its range.
+    /// Returns the first value that is out of range.
     pub fn check(&self) -> Result<(), BadValue> {
         let bad = |key, found: String, allowed| {
             Err(BadValue {
--- a/lib/src/pool/slots.rs
+++ b/lib/src/pool/slots.rs
@@ -1,4 +1,5 @@
-//! Slots: what is loaded where, what uses it and what may be evicted.
+//! Slot state: which adapters are loaded where, which are in use and which may
+//! be evicted.
 
 use super::adapter::Target;
 use super::replica::Replica;
@@ -8,26 +9,28 @@
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// Requests for one adapter that come closer together than this would have
-/// waited for the same load.
+/// Requests for one adapter that arrive within this interval would have waited
+/// for the same load.
 const BURST_INTERVAL: Span = Span::from_millis(1_000);
 
-/// What each further one of them counts for. A load that is saved for a group
-/// of readings is one load; counted in full, the group would make its adapter
-/// look as busy as one that is asked for again and again.
+/// Weight in the request rate of each further request of such a burst. Keeping
+/// the adapter loaded saves the burst one load; counted in full, a burst of
+/// long requests would rank its adapter as high as one that is requested again
+/// and again.
 const BURST_WEIGHT: f64 = 0.1;
 
-/// How long a slot is kept after a dispatch that did not end with its answer:
-/// the five seconds for which an engine keeps a broken stream, and one more.
-const SLOT_RETENTION: Span = Span::from_millis(6_000);
+/// How long a slot is retained after a dispatch that did not end with its
+/// answer: an engine keeps a broken stream for 5 s, and 1 s is added as a
+/// margin.
+const RETENTION: Span = Span::from_millis(6_000);
 
 impl Pool {
-    /// Half-life of demand, in microseconds.
+    /// Returns the half-life of request rates, in microseconds.
     pub(super) fn half_life(&self) -> f64 {
         self.settings.half_life_us()
     }
 
-    /// Counts a request for an adapter. A retry is not demand of its own.
+    /// Records a request in the rate of its adapter, unless it is a retry.
     pub(super) fn record_demand(&mut self, now: Moment, a: &Arrival) {
         let half = self.half_life();
         if a.attempt == 0 {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Keeps the indexes in step with one adapter.
+    /// Updates the index entries of an adapter.
     pub(super) fn reindex(&mut self, adapter: &AdapterVersion) {
         let half = self.half_life();
         self.adapters.unindex(adapter);
@@ -54,7 +57,8 @@
         self.adapters.index(adapter, half, live, idle);
     }
 
-    /// Changes holders of an adapter and keeps the indexes in step.
+    /// Adds or removes a replica as holder of an adapter and updates the
+    /// indexes.
     fn set_holder(&mut self, name: &ReplicaName, adapter: &AdapterVersion, holds: bool) {
         self.adapters.unindex(adapter);
         let entry = self.adapters.entry(&Some(adapter.clone()));
@@ -65,7 +69,7 @@
         self.reindex(adapter);
     }
 
-    /// A replica has an adapter from now on.
+    /// Records that a replica holds an adapter.
     pub(super) fn add_loaded(&mut self, now: Moment, name: &ReplicaName, adapter: &AdapterVersion) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
@@ -79,8 +83,8 @@
         self.update_load_key(now, adapter);
     }
 
-    /// A replica has an adapter no more; `ghost` when it may still fill a
-    /// slot.
+    /// Records that a replica no longer holds an adapter; `unconfirmed` if it
+    /// may still occupy a slot.
     pub(super) fn remove_loaded(
         &mut self,
         now: Moment,
@@ -101,8 +105,8 @@
         self.update_load_key(now, adapter);
     }
 
-    /// A dispatch uses a slot; under an earlier owner's grant it tells that
-    /// the slot is there.
+    /// Counts a dispatch as a use of its slot. A dispatch granted by an earlier
+    /// owner also shows that the adapter is loaded.
     pub(super) fn acquire_slot(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
         let Some(adapter) = target else {
             return;
@@ -117,7 +121,7 @@
         }
     }
 
-    /// A dispatch no longer uses a slot.
+    /// Ends the use of a slot by a dispatch.
     pub(super) fn release_slot(&mut self, name: &ReplicaName, target: &Target) {
         let Some(adapter) = target else {
             return;
@@ -131,19 +135,17 @@
         }
     }
 
-    /// Keeps the slot of a dispatch whose engine may not know yet that it is
-    /// over.
+    /// Retains the slot of a dispatch that may still run in its engine.
     ///
-    /// Made for connections that break and callers that go away: the engine
+    /// Covers connections that break and callers that disconnect. The engine
     /// keeps such a stream for some seconds, and an eviction would fail a
     /// request that still runs or is resumed.
     pub(super) fn retain_slot(&mut self, now: Moment, ticket: Ticket, run: Dispatch) {
-        self.retention_ends
-            .insert((now.after(SLOT_RETENTION), ticket));
+        self.retention_ends.insert((now.after(RETENTION), ticket));
         self.retained.insert(ticket, run);
     }
 
-    /// Gives up the slots that were kept long enough.
+    /// Releases the slots whose retention has ended.
     pub(super) fn release_retained(&mut self, now: Moment) {
         while let Some((at, _)) = self.retention_ends.first()
             && *at <= now
@@ -161,9 +163,9 @@
     }
 }
 
-/// Whether an adapter's slot may be given up: nothing uses it, at a replica
-/// that takes orders. An adapter that a request is using, or has been granted,
-/// is never evicted: its requests would fail.
+/// Returns whether an adapter may be evicted from a replica: the replica is
+/// live and nothing uses the adapter. An adapter with a running or granted
+/// request is never evicted, as the request would fail.
 fn evictable(r: &Replica, adapter: &AdapterVersion) -> bool {
     r.live() && !r.in_use.contains_key(adapter)
 }
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -1,4 +1,4 @@
-//! The pool's state and the calls of its owner.
+//! The state of a pool, and the calls by which its owner drives it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
 
-/// A dispatch under way.
+/// A dispatch in flight.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     pub(super) replica: ReplicaName,
@@ -31,7 +31,8 @@
     pub(super) isolated: bool,
 }
 
-/// The decisions of one pool.
+/// The scheduler of one pool. Calls change its state, and its decisions are
+/// collected by [`Pool::take_commands`].
 ///
 /// ```
 /// use banyangauge::pool::Health;
@@ -51,31 +52,31 @@
     pub(super) replicas: BTreeMap<ReplicaName, Replica>,
     /// Replicas that are no longer configured.
     pub(super) removed: BTreeSet<ReplicaName>,
-    /// Replicas that take work, the least loaded first.
+    /// Replicas that accept work by score, the least loaded first.
     pub(super) available: BTreeSet<(u64, ReplicaName)>,
     pub(super) adapters: Adapters,
     pub(super) queue: Queue,
     pub(super) fair_queues: [FairQueue; 2],
     pub(super) running: BTreeMap<Ticket, Dispatch>,
-    /// Suspects that wait for a replica of their own, the oldest first.
+    /// Suspects that wait for a reservation, the oldest first.
     pub(super) isolation_queue: BTreeSet<(Moment, Ticket)>,
-    /// Suspects for which a replica is being emptied.
+    /// Replicas reserved for suspects that still wait.
     pub(super) reserved: BTreeMap<Ticket, ReplicaName>,
-    /// Orders under way.
+    /// Load orders in flight.
     pub(super) orders: BTreeMap<OrderId, ReplicaName>,
-    /// Adapters that wait for the end of their backoff.
+    /// Ends of backoffs after failed loads.
     pub(super) backoffs: BTreeSet<(Moment, AdapterVersion)>,
-    /// When long work for an adapter no longer waits for company.
+    /// Ends of the delays of long work.
     pub(super) batch_delays: BTreeSet<(Moment, AdapterVersion)>,
-    pub(super) service_times: ServiceTimes,
+    pub(super) service: ServiceTimes,
     pub(super) retry_budget: RetryBudget,
     pub(super) poison: PoisonTracker,
     pub(super) prefixes: Prefixes,
     pub(super) commands: Vec<Command>,
     pub(super) slot_freeze: Moment,
-    /// No eviction before then.
-    pub(super) eviction_freeze: Moment,
-    /// Uses of slots that may outlast their dispatch, the first to end first.
+    /// No adapter is evicted before this time.
+    pub(super) evict_freeze: Moment,
+    /// Ends of the retention of slots.
     pub(super) retention_ends: BTreeSet<(Moment, Ticket)>,
     pub(super) retained: BTreeMap<Ticket, Dispatch>,
     pub(super) draining: bool,
@@ -84,25 +85,25 @@
     pub(super) live_count: usize,
 }
 
-/// What a pool looks like from outside.
+/// Snapshot of the state of a pool.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PoolView {
-    /// Requests that wait.
+    /// Waiting requests.
     pub queued: u32,
-    /// Dispatches under way.
+    /// Dispatches in flight.
     pub granted: u32,
-    /// Loads ordered since the start.
+    /// Loads ordered since the pool was created.
     pub loads: u64,
-    /// Requests that had to wait for their adapter.
+    /// Requests that had to wait for a load of their adapter.
     pub stalls: u64,
-    /// Outstanding dispatches by replica.
+    /// Dispatches in flight by replica.
     pub outstanding: BTreeMap<ReplicaName, u32>,
     /// Loaded adapter versions by replica.
     pub loaded: BTreeMap<ReplicaName, BTreeSet<AdapterVersion>>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates a pool without replicas.
     pub fn new(settings: PoolSettings) -> Self {
         Self {
             settings,
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Replaces the shares of the teams; requests that wait keep their turn.
+    /// Replaces the shares of the teams; waiting requests keep their place.
     pub fn set_shares(&mut self, shares: &Shares) {
         self.settings.shares = shares.clone();
     }
 
-    /// Sets the replicas; those left out get nothing new, and are forgotten
-    /// once the last dispatch there has ended.
+    /// Replaces the set of replicas. Removed ones receive nothing new and are
+    /// forgotten some time after their last dispatch has ended.
     pub fn set_replicas(&mut self, now: Moment, specs: &[ReplicaSpec]) {
         let keep: BTreeSet<_> = specs.iter().map(|s| s.name.clone()).collect();
         let gone: Vec<_> = self.replicas.keys().cloned().collect();
@@ -137,19 +138,19 @@
         self.schedule(now);
     }
 
-    /// Sets whether a replica takes new work.
+    /// Sets the health of a replica.
     pub fn set_health(&mut self, now: Moment, name: &ReplicaName, health: Health) {
         self.update_replica(now, name, |r| r.health = health);
         self.schedule(now);
     }
 
-    /// Takes in a load report; a new incarnation starts with what it reports.
+    /// Applies a load report. A new incarnation is reset to what it reports.
     pub fn report(&mut self, now: Moment, report: LoadReport) {
         let name = report.replica.clone();
         let Some(r) = self.replicas.get(&name) else {
             return;
         };
-        if !r.has_reported || r.incarnation != report.incarnation {
+        if !r.reported || r.incarnation != report.incarnation {
             self.reset_replica(now, &name, report);
         } else {
             self.apply_report(now, &name, report);
@@ -157,7 +158,7 @@
         self.schedule(now);
     }
 
-    /// A request asks for a replica.
+    /// Submits a request, which is refused, dispatched or queued.
     pub fn offer(&mut self, now: Moment, arrival: Arrival) {
         if let Err((reason, after)) = self.admit(now, &arrival) {
             self.refuse(arrival.ticket, reason, after);
@@ -167,13 +168,13 @@
         self.schedule(now);
     }
 
-    /// The caller of a waiting request went away.
+    /// Removes a waiting request whose caller went away.
     pub fn abandon(&mut self, now: Moment, ticket: Ticket) {
         self.cancel_waiting(now, ticket);
         self.schedule(now);
     }
 
-    /// A dispatch ended, or its grant lapsed.
+    /// Records the end of a dispatch, or that its grant expired.
     pub fn finish(&mut self, now: Moment, finish: DispatchEnd) {
         if let Some(run) = self.running.remove(&finish.ticket) {
             self.record_outcome(now, &finish, &run);
@@ -185,7 +186,7 @@
         self.schedule(now);
     }
 
-    /// A new owner learns of a dispatch under an earlier owner's grant.
+    /// Records a dispatch that an earlier owner granted.
     pub fn adopt(&mut self, now: Moment, held: InheritedDispatch) {
         let lane = Lane::of(held.class);
         let run = Dispatch {
@@ -199,7 +200,8 @@
         self.record_dispatch(now, held.ticket, run);
     }
 
-    /// Another process found that a request crashes its upstream.
+    /// Blocks a request that crashes its upstream for `hold`, and refuses the
+    /// waiting copies of it.
     pub fn block(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
         self.poison.block(now, fingerprint, now.after(hold));
         for ticket in self.queue.matching(|a| a.fingerprint == fingerprint) {
@@ -208,29 +210,31 @@
         self.schedule(now);
     }
 
-    /// No slot changes before `until`: a new owner's quarantine at engines that
-    /// ignore fencing tokens, where an earlier owner may still give orders.
+    /// Prohibits loads and evictions before `until`. A new owner calls this
+    /// while engines that ignore fencing tokens may still execute orders of an
+    /// earlier owner.
     pub fn freeze_slots(&mut self, until: Moment) {
         self.slot_freeze = self.slot_freeze.max(until);
     }
 
-    /// Nothing is evicted before `until`, loads into free slots go on: a new
-    /// owner's quarantine at engines that refuse an earlier owner's orders.
-    /// Requests may run under grants that it does not know, but a load into a
-    /// free slot takes nothing from them.
+    /// Prohibits evictions before `until`; loads into vacant slots continue. A
+    /// new owner calls this where engines refuse orders of an earlier owner.
+    /// Requests may still run under grants that the new owner does not know,
+    /// and a load into a vacant slot does not affect them.
     pub fn freeze_evictions(&mut self, until: Moment) {
-        self.eviction_freeze = self.eviction_freeze.max(until);
+        self.evict_freeze = self.evict_freeze.max(until);
     }
 
-    /// Refuses what waits and all that comes.
+    /// Refuses all waiting and all future requests.
     pub fn drain(&mut self, now: Moment) {
         self.draining = true;
         for ticket in self.queue.matching(|_| true) {
-            self.refuse_waiting(now, ticket, Reason::Draining, DEFAULT_RETRY_AFTER);
+            self.refuse_waiting(now, ticket, Reason::Draining, RETRY_DELAY);
         }
     }
 
-    /// Ends waits whose deadline can no longer be made and looks for work.
+    /// Refuses waiting requests that can no longer meet their deadline, handles
+    /// other expired timers and schedules work.
     pub fn tick(&mut self, now: Moment) {
         while let Some(ticket) = self.queue.expired(now) {
             let after = self.estimated_wait();
@@ -247,34 +251,25 @@
         self.schedule(now);
     }
 
-    /// When [`Pool::tick`] is wanted next.
+    /// Returns the time of the next required call of [`Pool::tick`].
     pub fn next_wake(&self) -> Option<Moment> {
         let expiry = self.queue.next_expiry();
         let backoff = self.backoffs.first().map(|(at, _)| *at);
         let wanted = self.adapters.queued_loads() > 0;
         let retention = self.retention_ends.first().map(|(at, _)| *at);
-        let freeze_end = [
-            Some(self.slot_freeze),
-            Some(self.eviction_freeze),
-            retention,
-        ];
-        let freeze_end = freeze_end.into_iter().flatten();
-        let freeze_end = freeze_end
-            .filter(|at| wanted && *at > self.service_times.now)
-            .min();
+        let frozen = [Some(self.slot_freeze), Some(self.evict_freeze), retention];
+        let frozen = frozen.into_iter().flatten();
+        let frozen = frozen.filter(|at| wanted && *at > self.service.now).min();
         let delay = self.batch_delays.first().map(|(at, _)| *at);
-        [expiry, backoff, freeze_end, delay]
-            .into_iter()
-            .flatten()
-            .min()
+        [expiry, backoff, frozen, delay].into_iter().flatten().min()
     }
 
-    /// What was decided since the last call.
+    /// Returns the decisions made since the last call, in order.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// What the pool looks like.
+    /// Returns a snapshot of the state.
     pub fn view(&self) -> PoolView {
         let mut view = PoolView {
             queued: self.queue.len() as u32,
@@ -290,13 +285,14 @@
         view
     }
 
-    /// Decisions that any change may have made possible.
+    /// Reserves replicas and orders loads, which any change may have made
+    /// possible.
     fn schedule(&mut self, now: Moment) {
-        self.service_times.now = now;
+        self.service.now = now;
         self.reserve_replicas(now);
         self.order_next_load(now);
     }
 }
 
-/// When a refused caller may come back, where nothing better is known.
-pub(super) const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
+/// Retry time given to a refused caller if no estimate is available.
+pub(super) const RETRY_DELAY: Span = Span::from_millis(1_000);
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a pool's decisions and what comes out.
+//! Inputs and outputs of the pool.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,51 +12,52 @@
 use crate::ids::ReplicaName;
 use crate::ids::TeamName;
 
-/// Microseconds on the owner's monotonic clock.
+/// A point in time, in microseconds on the monotonic clock of the owner.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Moment(pub u64);
 
-/// Microseconds of duration.
+/// A duration in microseconds.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Span(pub u64);
 
 impl Span {
-    /// A span of whole milliseconds.
+    /// Creates a span from milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
     }
 
-    /// Whole milliseconds, rounded up, as `Retry-After` arithmetic needs it.
+    /// Returns milliseconds, rounded up so that a retry time is never zero or
+    /// too short.
     pub const fn as_millis(self) -> u64 {
         self.0.div_ceil(1_000)
     }
 }
 
 impl Moment {
-    /// The moment `span` later.
+    /// Returns the moment `span` later.
     pub const fn after(self, span: Span) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 
-    /// How long after `earlier` this is; zero when it is not.
+    /// Returns the time elapsed since `earlier`, or zero if it is not earlier.
     pub const fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// One request's place in the pool, given by the owner; never used again.
+/// Identifies one request in the pool. Assigned by the owner and never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// One order to an engine, given by the pool; never used again.
+/// Identifies one load order. Assigned by the pool and never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct OrderId(pub u64);
 
-/// What a request needs of the pool, and how urgently.
+/// Scheduling class of a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
@@ -64,61 +65,62 @@
     Interactive,
     /// A short call to a plain service.
     Call,
-    /// Long work that fills what the others leave, above its floor.
+    /// Long work, which uses the capacity that the other classes leave and a
+    /// reserved minimum.
     Long,
 }
 
-/// A request that asks for a replica.
+/// A request submitted to the pool.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The owner's number for it.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// Who pays.
+    /// Team that the request is accounted to.
     pub team: TeamName,
-    /// The adapter version; `None` for a plain service.
+    /// Adapter version; `None` for the bare model or a plain service.
     pub adapter: Option<AdapterVersion>,
-    /// Its class.
+    /// Scheduling class.
     pub class: Class,
-    /// When its caller no longer wants the answer.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Moment,
-    /// Tokens in the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The most tokens it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Hash of the prompt's head; 0 is none.
+    /// Hash of the prompt prefix; 0 for none.
     pub prefix: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Hash of the whole request.
+    /// Hash of the complete request.
     pub fingerprint: Fingerprint,
-    /// Tries before this one.
+    /// Number of earlier tries.
     pub attempt: u32,
-    /// Replicas that it should not go to.
+    /// Replicas to avoid if another one can run the request.
     pub avoid: BTreeSet<ReplicaName>,
 }
 
-/// Why a request was refused; it did not run.
+/// Why a request was refused. A refused request did not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Its deadline cannot be met, or has passed while it waited.
+    /// The deadline cannot be met or has passed.
     Deadline,
-    /// The queue of its class or team is full.
+    /// The queue of the team and lane is full.
     QueueFull,
-    /// No replica takes work.
+    /// No replica accepts work.
     NoReplica,
-    /// Its adapter could not be loaded.
+    /// The adapter could not be loaded.
     LoadFailed,
-    /// It crashes its upstream.
+    /// The request is blocked because it crashes its upstream.
     Convicted,
     /// The retry budget is spent.
     RetryBudget,
-    /// The owner is stopping or has lost the pool.
+    /// The owner is stopping or has lost the ownership of the pool.
     Draining,
 }
 
 impl Reason {
-    /// The word for it in error bodies and on the wire.
+    /// Returns the name used in error bodies and on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Deadline => "deadline",
@@ -135,164 +137,165 @@
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Outcome {
-    /// The whole answer was passed on.
+    /// The complete answer was forwarded.
     Answered,
-    /// The upstream refused it before running it.
+    /// The upstream refused the request before running it.
     NotRun,
     /// The connection broke before the first byte of the answer.
     BrokenEarly,
-    /// It broke after the first byte.
+    /// The connection broke after the first byte of the answer.
     BrokenLate,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
     /// The answer named another adapter, version or request.
     WrongIdentity,
 }
 
-/// The end of a dispatch.
+/// Result of a dispatch.
 #[derive(Clone, Debug)]
 pub struct DispatchEnd {
-    /// Which request.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// How it ended.
+    /// How the dispatch ended.
     pub outcome: Outcome,
-    /// Tokens that were passed on.
+    /// Number of tokens forwarded to the caller.
     pub tokens: u32,
-    /// From dispatch to the first byte; zero when there was none.
+    /// Time from dispatch to the first byte; zero if there was none.
     pub first_byte: Span,
-    /// From dispatch to the end.
+    /// Time from dispatch to the end.
     pub total: Span,
 }
 
-/// A dispatch that a new owner learns of from an entry.
+/// A dispatch granted by an earlier owner, reported to the new one by an entry.
 #[derive(Clone, Debug)]
 pub struct InheritedDispatch {
-    /// The owner's number for it.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// Where it runs.
+    /// Replica that runs the request.
     pub replica: ReplicaName,
-    /// The upstream's incarnation it was granted for.
+    /// Incarnation of the replica that the request was granted for.
     pub incarnation: Incarnation,
-    /// What it runs on.
+    /// Adapter version; `None` for the bare model or a plain service.
     pub adapter: Option<AdapterVersion>,
-    /// Who pays.
+    /// Team that the request is accounted to.
     pub team: TeamName,
-    /// Its class.
+    /// Scheduling class.
     pub class: Class,
-    /// The most tokens it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Hash of the whole request.
+    /// Hash of the complete request.
     pub fingerprint: Fingerprint,
 }
 
-/// A replica as configured.
+/// Configuration of a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaSpec {
-    /// Its name.
+    /// Name of the replica.
     pub name: ReplicaName,
-    /// Adapter slots; 0 for a plain service.
+    /// Number of adapter slots; 0 for a plain service.
     pub slots: u32,
-    /// Requests that run in one engine step at the most.
+    /// Maximum number of requests in one engine step.
     pub batch: u32,
 }
 
-/// A load report of a replica; it lags by `age`.
+/// Load report of a replica as observed `age` ago.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// Which replica.
+    /// Name of the replica.
     pub replica: ReplicaName,
-    /// Its incarnation when it reported.
+    /// Incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// How old the report is.
+    /// Age of the report on receipt.
     pub age: Span,
-    /// Requests in its batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests that wait in the engine.
+    /// Number of requests queued in the engine.
     pub waiting: u32,
-    /// Adapter versions in its slots.
+    /// Adapter versions in the slots.
     pub loaded: BTreeSet<AdapterVersion>,
 }
 
-/// Whether a replica may get new work.
+/// Health of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// It takes work.
+    /// The replica accepts work.
     Live,
-    /// It does not answer; nothing new until it does.
+    /// The replica does not answer and receives nothing new until it does.
     Suspect,
-    /// It is leaving: nothing new, what runs may finish.
+    /// The replica is being removed: it receives nothing new, and running
+    /// requests may finish.
     Leaving,
-    /// It is gone.
+    /// The replica is gone.
     Gone,
 }
 
-/// What a pool decided; the owner carries it out in order.
+/// A decision of the pool; the owner executes them in order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Command {
-    /// Dispatch the request.
+    /// Dispatches a request.
     Grant {
-        /// Which request.
+        /// Identifies the request.
         ticket: Ticket,
-        /// Where.
+        /// Target replica.
         replica: ReplicaName,
-        /// The incarnation the pool believes in.
+        /// Incarnation of the replica that the decision is based on.
         incarnation: Incarnation,
-        /// The engine's priority; lower is earlier.
+        /// Engine priority; lower runs earlier.
         priority: i32,
     },
-    /// Tell the caller that it did not run.
+    /// Refuses a request, which did not run.
     Refuse {
-        /// Which request.
+        /// Identifies the request.
         ticket: Ticket,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Span,
     },
-    /// Unload `evict` (nothing granted uses it), then load `adapter`.
+    /// Evicts `evict`, which no granted request uses, and then loads `adapter`.
     Load {
-        /// The order's number, given back with its end.
+        /// Identifies the order in [`Pool::order_end`](super::Pool::order_end).
         order: OrderId,
-        /// Where.
+        /// Target replica.
         replica: ReplicaName,
-        /// The incarnation the pool believes in.
+        /// Incarnation of the replica that the decision is based on.
         incarnation: Incarnation,
-        /// What to load.
+        /// Adapter to load.
         adapter: AdapterVersion,
-        /// What gives up its slot first.
+        /// Adapter to evict first.
         evict: Option<AdapterVersion>,
     },
-    /// The request crashes its upstream: refuse it everywhere until then.
+    /// Blocks a request that crashes its upstream, on all VMs.
     Block {
-        /// Hash of the request.
+        /// Hash of the complete request.
         fingerprint: Fingerprint,
-        /// How long the verdict holds.
+        /// How long the request stays blocked.
         hold: Span,
     },
 }
 
-/// How an order ended.
+/// Result of a load order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderEnd {
-    /// The engine did all of it.
+    /// The engine completed the order.
     Done,
-    /// The eviction may have happened, the load did not.
+    /// The load failed; the eviction may have happened.
     Failed,
-    /// Not known; the next load report settles it.
+    /// The result is unknown; the next load report settles it.
     Unknown,
-    /// The engine holds a higher fencing token.
+    /// The engine has seen a higher fencing token and refused the order.
     Fenced,
 }
 
-/// What a deployment weighs more.
+/// What a pool optimises for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Requests that wait for their adapter (Tavuki).
+    /// Few requests that wait for a load of their adapter (Tavuki).
     Stalls,
-    /// Fullness of each engine step (Rezago).
+    /// Full engine steps (Rezago).
     Batch,
 }
 
-/// Relative shares of teams; a team that is not named has 1.
+/// Relative shares of teams; a team that is not listed has a share of 1.
 pub type Shares = BTreeMap<TeamName, u32>;
