--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -1,4 +1,4 @@
-//! One process's contest for one lease.
+//! The state machine of one process for one lease.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,149 +14,167 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// Own writes whose sending time is remembered, so that one that took effect
-/// late can still be dated; more than are ever open at once.
-const SENT_KEPT: usize = 8;
+/// How many writes keep their sending time, so that the expiry of one that took
+/// effect late is still known; more than are ever in flight at once.
+const MAX_SENT: usize = 8;
 
+/// The latest known state of the lease object.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Observed {
     record: Record,
     version: String,
+    // When this version was first observed.
     since: Moment,
 }
 
-/// One process's view of one lease.
+/// Acquires, renews and releases one lease for one process.
 #[derive(Clone, Debug)]
 pub struct Elector {
     me: Candidate,
     timing: Timing,
-    known: bool,
-    since: Moment,
-    seen: Option<Seen>,
+    // Whether the state of the object is known: false until it is observed, also
+    // after a write that conflicted or whose answer was lost.
+    synced: bool,
+    // When the object was first observed or found deleted; the delay before
+    // creating it counts from here.
+    stagger_from: Moment,
+    observed: Option<Observed>,
+    // The last record of an object that was deleted.
     deleted: Option<Record>,
-    attempt: Option<Record>,
-    busy: bool,
+    // The record of the last write, until its effect is known.
+    pending: Option<Record>,
+    call_in_flight: bool,
+    // Sending times by operation.
     sent: BTreeMap<String, Moment>,
-    order: u64,
-    last: Moment,
+    write_count: u64,
+    last_write: Moment,
     retry_at: Moment,
-    tenure: Option<HeldLease>,
-    past: Option<(Predecessor, Span)>,
+    held: Option<HeldLease>,
+    // The previous holder and its grant TTL, from a takeover until it is
+    // observed to have taken effect.
+    takeover: Option<(Predecessor, Span)>,
     settled: bool,
     resigned: Option<Token>,
 }
 
 impl Elector {
-    /// A contest of which nothing is known yet.
+    /// Creates an elector that has not read the lease yet.
     pub fn new(me: Candidate, timing: Timing) -> Self {
         Self {
             me,
             timing,
-            known: false,
-            since: Moment(0),
-            seen: None,
+            synced: false,
+            stagger_from: Moment(0),
+            observed: None,
             deleted: None,
-            attempt: None,
-            busy: false,
+            pending: None,
+            call_in_flight: false,
             sent: BTreeMap::new(),
-            order: 0,
-            last: Moment(0),
+            write_count: 0,
+            last_write: Moment(0),
             retry_at: Moment(0),
-            tenure: None,
-            past: None,
+            held: None,
+            takeover: None,
             settled: false,
             resigned: None,
         }
     }
 
-    /// The lease held, if it is; whether it is past its end is for the caller
-    /// to compare.
+    /// Returns the lease if this process holds it. The caller checks whether it
+    /// has expired.
     pub fn lease(&self) -> Option<&HeldLease> {
-        self.tenure.as_ref()
+        self.held.as_ref()
     }
 
-    /// What the platform last said.
+    /// Returns the last observed record.
     pub fn record(&self) -> Option<&Record> {
-        self.seen.as_ref().map(|s| &s.record)
+        self.observed.as_ref().map(|o| &o.record)
     }
 
-    /// Takes in what the platform holds now; `None` when there is no object.
+    /// Processes the current state of the object; `None` if there is none.
     ///
-    /// Older versions than the one known are passed over.
+    /// Versions older than the last observed one are ignored.
     pub fn observe(&mut self, now: Moment, object: Option<(Record, String)>) {
-        if !self.known {
-            self.known = true;
-            self.since = now;
+        if !self.synced {
+            self.synced = true;
+            self.stagger_from = now;
         }
         let Some((record, version)) = object else {
-            if let Some(seen) = self.seen.take() {
-                self.since = now;
-                self.deleted = Some(seen.record);
+            if let Some(observed) = self.observed.take() {
+                self.stagger_from = now;
+                self.deleted = Some(observed.record);
             }
-            self.attempt = None;
-            self.tenure = None;
+            self.pending = None;
+            self.held = None;
             return;
         };
-        if self.seen.as_ref().is_some_and(|s| is_older(&version, s)) {
-            // A watch that lags behind an answer; it must not undo it.
+        if self
+            .observed
+            .as_ref()
+            .is_some_and(|o| is_older(&version, o))
+        {
+            // The watch lags behind the answer of a write.
             return;
         }
-        if self.seen.as_ref().is_some_and(|s| s.version == version) {
-            // A lost write that has not taken effect: the next step decides anew.
-            self.attempt = None;
+        if self.observed.as_ref().is_some_and(|o| o.version == version) {
+            // A write whose answer was lost has not taken effect; the next step
+            // decides again.
+            self.pending = None;
             return;
         }
-        self.settle(now, &record);
-        self.seen = Some(Seen {
+        self.update_held(now, &record);
+        self.observed = Some(Observed {
             record,
             version,
             since: now,
         });
-        self.attempt = None;
+        self.pending = None;
     }
 
-    /// No earlier owner's grant can be in use any more; the next write says so.
+    /// Records that no grant of an earlier holder can be in use any more; the
+    /// next write stores it.
     pub fn set_settled(&mut self, token: Token) {
-        if self.tenure.as_ref().is_some_and(|t| t.token == token) {
+        if self.held.as_ref().is_some_and(|t| t.token == token) {
             self.settled = true;
         }
     }
 
-    /// The owner found that an engine or a peer knows a higher token: the lease
-    /// is worth nothing, and is let lapse.
+    /// Gives up a lease without releasing it, after the owner found that an
+    /// engine or a peer knows a higher token; the lease then expires.
     pub fn resign(&mut self, token: Token) {
-        if self.tenure.as_ref().is_some_and(|t| t.token == token) {
-            self.tenure = None;
+        if self.held.as_ref().is_some_and(|t| t.token == token) {
+            self.held = None;
             self.resigned = Some(token);
         }
     }
 
-    /// The platform is back after it could not be followed: the holder could
-    /// not renew either, and gets a whole `ttl` to do so. Without this every
-    /// pool would change its owner at the end of each outage.
+    /// Gives the current holder a whole TTL again when the platform is reachable
+    /// after an outage, in which the holder could not renew either. Otherwise
+    /// every pool would change its owner at the end of each outage.
     pub fn restart_ttl(&mut self, now: Moment) {
-        if let Some(seen) = &mut self.seen {
-            seen.since = now;
+        if let Some(observed) = &mut self.observed {
+            observed.since = now;
         }
     }
 
-    /// What to do now. `rank` is this process's place among the candidates, 0
-    /// first, and is asked for only when it matters; `stop` gives the lease up with the entries that may hold grants.
+    /// Returns the next call to make. `rank` returns this process's position
+    /// among the candidates, 0 first, and is called only while contending.
+    /// `stop` releases the lease, with the entries that may hold grants.
     pub fn step(
         &mut self,
         now: Moment,
         rank: impl FnOnce() -> u64,
         stop: Option<&Option<BTreeSet<String>>>,
     ) -> Step {
-        if self.busy || now < self.retry_at {
+        if self.call_in_flight || now < self.retry_at {
             return Step::Wait;
         }
-        if !self.known {
-            self.busy = true;
+        if !self.synced {
+            self.call_in_flight = true;
             return Step::Read;
         }
-        if self.tenure.is_some() {
-            return self.step_holding(now, stop);
+        if self.held.is_some() {
+            return self.step_held(now, stop);
         }
         if stop.is_some() {
             return Step::Wait;
@@ -164,25 +182,25 @@
         self.step_contending(now, rank)
     }
 
-    /// A read ended without an answer.
+    /// Records that a read failed.
     pub fn read_failed(&mut self, now: Moment) {
-        self.busy = false;
+        self.call_in_flight = false;
         self.retry_at = now.after(self.timing.retry_delay);
     }
 
-    /// A read ended with an answer, which is then passed to `observe`.
+    /// Records that a read succeeded; the answer is then passed to `observe`.
     pub fn read_done(&mut self) {
-        self.busy = false;
+        self.call_in_flight = false;
     }
 
-    /// The write of the last step ended.
-    pub fn write_done(&mut self, now: Moment, end: WriteOutcome) {
-        self.busy = false;
-        match end {
+    /// Records the outcome of the write of the last step.
+    pub fn write_done(&mut self, now: Moment, outcome: WriteOutcome) {
+        self.call_in_flight = false;
+        match outcome {
             WriteOutcome::Done(version) => {
-                if let Some(record) = self.attempt.take() {
-                    self.settle(now, &record);
-                    self.seen = Some(Seen {
+                if let Some(record) = self.pending.take() {
+                    self.update_held(now, &record);
+                    self.observed = Some(Observed {
                         record,
                         version,
                         since: now,
@@ -190,12 +208,12 @@
                 }
             }
             WriteOutcome::NotApplied => {
-                self.attempt = None;
+                self.pending = None;
                 self.retry_at = now.after(self.timing.retry_delay);
             }
             WriteOutcome::Conflict | WriteOutcome::Unknown => {
-                self.known = false;
-                self.retry_at = match end {
+                self.synced = false;
+                self.retry_at = match outcome {
                     WriteOutcome::Unknown => now.after(self.timing.retry_delay),
                     _ => now,
                 };
@@ -203,28 +221,29 @@
         }
     }
 
-    // Decides from a new content who holds the lease.
-    fn settle(&mut self, now: Moment, record: &Record) {
+    // Updates the held lease from a new record.
+    fn update_held(&mut self, now: Moment, record: &Record) {
         let resigned = self.resigned == Some(record.token);
-        if !record.is_of(&self.me) || record.released || resigned {
-            self.tenure = None;
+        if !record.is_held_by(&self.me) || record.released || resigned {
+            self.held = None;
             return;
         }
-        // An own write of unknown date holds nothing until it is renewed.
+        // Without the sending time of the write its expiry is unknown, so the
+        // lease is not valid before its next renewal.
         let sent = self.sent.get(&record.operation).copied();
-        let until = sent.map_or(Moment(0), |s| {
+        let valid_until = sent.map_or(Moment(0), |s| {
             Moment(s.0 + self.timing.ttl.0 - self.margin())
         });
-        match &mut self.tenure {
-            Some(t) if t.token == record.token => t.valid_until = t.valid_until.max(until),
+        match &mut self.held {
+            Some(t) if t.token == record.token => t.valid_until = t.valid_until.max(valid_until),
             _ => {
-                let past = self.past.take();
+                let takeover = self.takeover.take();
                 let (predecessor, predecessor_ttl) =
-                    past.unwrap_or((Predecessor::Unsettled, self.timing.grant_ttl));
+                    takeover.unwrap_or((Predecessor::Unsettled, self.timing.grant_ttl));
                 self.settled = predecessor == Predecessor::None;
-                self.tenure = Some(HeldLease {
+                self.held = Some(HeldLease {
                     token: record.token,
-                    valid_until: until,
+                    valid_until,
                     acquired_at: now,
                     predecessor,
                     predecessor_ttl,
@@ -237,34 +256,34 @@
         self.timing.margin.0.min(self.timing.ttl.0)
     }
 
-    fn step_holding(&mut self, now: Moment, stop: Option<&Option<BTreeSet<String>>>) -> Step {
-        let Some(seen) = self.seen.clone() else {
+    fn step_held(&mut self, now: Moment, stop: Option<&Option<BTreeSet<String>>>) -> Step {
+        let Some(observed) = self.observed.clone() else {
             return Step::Wait;
         };
-        if stop.is_none() && now < self.last.after(self.timing.renew_interval) {
+        if stop.is_none() && now < self.last_write.after(self.timing.renew_interval) {
             return Step::Wait;
         }
-        let mut record = seen.record;
+        let mut record = observed.record;
         record.released = stop.is_some();
         record.unsettled = !self.settled;
         record.entries = stop.cloned().flatten();
-        self.send(now, Some(seen.version), record, None)
+        self.send(now, Some(observed.version), record, None)
     }
 
     fn step_contending(&mut self, now: Moment, rank: impl FnOnce() -> u64) -> Step {
         let step = self.timing.stagger.0;
         let stagger = || Span(step * rank());
-        let Some(seen) = self.seen.clone() else {
-            if now < self.since.after(stagger()) {
+        let Some(observed) = self.observed.clone() else {
+            if now < self.stagger_from.after(stagger()) {
                 return Step::Wait;
             }
-            return self.send_first(now);
+            return self.send_create(now);
         };
-        let old = &seen.record;
-        let ended = !old.released && old.is_of_predecessor(&self.me);
+        let old = &observed.record;
+        let restarted = !old.released && old.is_held_by_earlier_process(&self.me);
         let (wait, predecessor) = if old.released {
             (Span(0), Predecessor::Released(old.entries.clone()))
-        } else if ended {
+        } else if restarted {
             (Span(0), Predecessor::Ended)
         } else {
             let ttl = Span::from_millis(old.ttl_ms);
@@ -274,19 +293,24 @@
             true => Predecessor::Unsettled,
             false => predecessor,
         };
-        let due = seen.since.after(wait);
-        if now < due || !ended && now < due.after(stagger()) {
+        let due = observed.since.after(wait);
+        if now < due || !restarted && now < due.after(stagger()) {
             return Step::Wait;
         }
         let ttl = Span::from_millis(old.granted_ttl);
-        let record = self.fresh(Token(old.token.0 + 1));
-        self.send(now, Some(seen.version), record, Some((predecessor, ttl)))
+        let record = self.new_record(Token(old.token.0 + 1));
+        self.send(
+            now,
+            Some(observed.version),
+            record,
+            Some((predecessor, ttl)),
+        )
     }
 
-    // Tokens go on rising after somebody deleted the object, as far as this
-    // process knows; engines would refuse a lower one.
-    fn send_first(&mut self, now: Moment) -> Step {
-        let (token, past) = match &self.deleted {
+    // If the object was deleted, tokens continue after the last one that this
+    // process observed; engines would refuse a lower one.
+    fn send_create(&mut self, now: Moment) -> Step {
+        let (token, takeover) = match &self.deleted {
             None => (Token(1), (Predecessor::None, Span(0))),
             Some(old) => (
                 Token(old.token.0 + 1),
@@ -296,12 +320,12 @@
                 ),
             ),
         };
-        let mut record = self.fresh(token);
-        record.unsettled = past.0 != Predecessor::None;
-        self.send(now, None, record, Some(past))
+        let mut record = self.new_record(token);
+        record.unsettled = takeover.0 != Predecessor::None;
+        self.send(now, None, record, Some(takeover))
     }
 
-    fn fresh(&self, token: Token) -> Record {
+    fn new_record(&self, token: Token) -> Record {
         Record {
             holder: self.me.vm.clone(),
             address: self.me.address,
@@ -321,26 +345,29 @@
         now: Moment,
         version: Option<String>,
         mut record: Record,
-        past: Option<(Predecessor, Span)>,
+        takeover: Option<(Predecessor, Span)>,
     ) -> Step {
-        self.order += 1;
-        record.operation = format!("{}-{:x}-{}", self.me.vm, self.me.incarnation.0, self.order);
+        self.write_count += 1;
+        record.operation = format!(
+            "{}-{:x}-{}",
+            self.me.vm, self.me.incarnation.0, self.write_count
+        );
         self.sent.insert(record.operation.clone(), now);
-        while self.sent.len() > SENT_KEPT {
+        while self.sent.len() > MAX_SENT {
             let oldest = self.sent.iter().min_by_key(|(_, at)| **at);
             let Some(key) = oldest.map(|(k, _)| k.clone()) else {
                 break;
             };
             self.sent.remove(&key);
         }
-        self.last = now;
-        self.busy = true;
-        // Kept until the lease is seen to be held: by the answer, by the watch
-        // before the answer, or by reading back after it was lost.
-        if past.is_some() {
-            self.past = past;
+        self.last_write = now;
+        self.call_in_flight = true;
+        // Kept until the lease is observed to be held: in the answer, in a watch
+        // event before it, or in a read after the answer was lost.
+        if takeover.is_some() {
+            self.takeover = takeover;
         }
-        self.attempt = Some(record.clone());
+        self.pending = Some(record.clone());
         match version {
             Some(v) => Step::Replace(v, record),
             None => Step::Create(record),
@@ -348,10 +375,10 @@
     }
 }
 
-// The platform's versions are whole numbers that rise; should they ever be
-// something else, only the token tells.
-fn is_older(version: &str, seen: &Seen) -> bool {
-    match (version.parse::<u64>(), seen.version.parse::<u64>()) {
+// Versions on the platform are increasing integers. If one does not parse, it
+// counts as newer, and only the token shows who holds the lease.
+fn is_older(version: &str, observed: &Observed) -> bool {
+    match (version.parse::<u64>(), observed.version.parse::<u64>()) {
         (Ok(new), Ok(known)) => new < known,
         _ => false,
     }
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -1,17 +1,18 @@
-//! Ownership by lease: the arithmetic, apart from input and output.
+//! Leader election for pools by lease, without I/O.
 //!
-//! A [`Elector`] is one control process's view of one lease object. It is fed
-//! with what the platform said and asked what to do next; time is an argument
-//! and is read from a clock that also runs while the machine is suspended.
+//! An [`Elector`] is one control process's state machine for one lease object.
+//! The caller passes in the platform's answers and carries out the [`Step`]s it
+//! returns. Time is an argument, read from a clock that also runs while the
+//! machine is suspended.
 //!
-//! Two facts make a lapse safe. The holder counts its lease from *before* it
-//! sent the write, less a margin; a contender counts from *after* it saw the
-//! write. So `holder's end = sent + ttl - margin < seen + ttl = contender's
-//! earliest takeover`, whatever the network did in between. And a takeover is
-//! a conditional update on the version whose age was watched, so a holder that
-//! renewed in the meantime wins. The margin pays for clocks that run at
-//! different rates (200 parts per million over 3 s are 0.6 ms) and for the
-//! time from the check to the send of an order.
+//! Two rules make the expiry of a lease safe. First, the holder counts its
+//! lease from *before* it sent the write, less a margin, and a contender counts
+//! from *after* it saw the write. So `holder's end = sent + ttl - margin < seen
+//! + ttl = contender's earliest takeover`, whatever the delays of the network.
+//! Second, a takeover is a conditional update on the version whose age was
+//! measured, so a holder that renewed in the meantime wins. The margin covers
+//! clocks that run at different rates (200 parts per million over 3 s are
+//! 0.6 ms) and the time between checking the lease and sending an order.
 
 mod elector;
 mod rank;
--- a/lib/src/lease/rank.rs
+++ b/lib/src/lease/rank.rs
@@ -1,13 +1,13 @@
-//! Which candidate tries first.
+//! The order in which candidates contend for a pool.
 
 use crate::ids::PoolName;
 use crate::ids::VmName;
 
-/// A candidate's place in the order in which candidates try for a pool.
+/// Returns how many live candidates contend for a pool before `me`; 0 is first.
 ///
-/// Made for many pools and few VMs: a rendezvous hash spreads pools evenly and
-/// moves only a lost VM's pools; without it one VM would win all of them. The
-/// order is advice, the conditional update decides.
+/// Rendezvous hashing spreads many pools evenly over few VMs and moves only the
+/// pools of a VM that is lost; without it one VM would acquire all pools. The
+/// order only avoids contention: the conditional update decides who wins.
 ///
 /// ```
 /// use banyangauge::ids::{PoolName, VmName};
@@ -17,12 +17,12 @@
 /// assert_eq!(ranks.iter().sum::<u64>(), 1);
 /// ```
 pub fn rank<'a>(pool: &PoolName, me: &VmName, live: impl IntoIterator<Item = &'a VmName>) -> u64 {
-    let score = |vm: &VmName| {
+    let weight = |vm: &VmName| {
         let text = format!("{pool}/{vm}");
         (xxhash_rust::xxh3::xxh3_64(text.as_bytes()), vm.clone())
     };
-    let mine = score(me);
+    let own = weight(me);
     live.into_iter()
-        .filter(|vm| *vm != me && score(vm) > mine)
+        .filter(|vm| *vm != me && weight(vm) > own)
         .count() as u64
 }
--- a/lib/src/lease/record.rs
+++ b/lib/src/lease/record.rs
@@ -1,4 +1,4 @@
-//! What the platform holds of a lease.
+//! The lease object as stored on the platform.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,57 +10,59 @@
 use crate::ids::Token;
 use crate::ids::VmName;
 
-/// One control process that may own pools.
+/// A control process that can hold leases.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Its VM.
+    /// The VM it runs on.
     pub vm: VmName,
-    /// Where it listens; held by one process at a time.
+    /// The address it listens on; bound by one process at a time.
     pub address: SocketAddr,
-    /// This start of the process.
+    /// Identifies this start of the process.
     pub incarnation: Incarnation,
 }
 
 /// The content of the lease object `pool-<name>`.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The VM that holds it.
+    /// The VM of the holder.
     pub holder: VmName,
-    /// Where the holder listens.
+    /// The address the holder listens on.
     pub address: SocketAddr,
-    /// The holder's start of the process.
+    /// Identifies the start of the holder's process.
     pub incarnation: Incarnation,
-    /// Rises by one at each change of holder.
+    /// The fencing token; increases by one at each change of holder.
     pub token: Token,
-    /// How long it holds from its last write, in milliseconds.
+    /// How long the lease is valid after its last write, in milliseconds.
     pub ttl_ms: u64,
-    /// Given up on a planned stop; anybody may take it at once.
+    /// Set on a planned stop; any candidate may then acquire the lease at once.
     pub released: bool,
-    /// The longest that a grant of this holder lives unrenewed, in milliseconds.
+    /// The longest time that a grant of this holder stays valid unless renewed,
+    /// in milliseconds.
     pub granted_ttl: u64,
-    /// The holder has not yet been able to rule out that an earlier one's
-    /// grants are in use; its successor has to wait as long as it would have.
+    /// Set until the holder can rule out that grants of earlier holders are
+    /// still in use; a successor then has to wait as long as this holder would.
     #[serde(default)]
     pub unsettled: bool,
-    /// The write that made this content; settles a lost answer.
+    /// Identifies the write that stored this record, so that a writer that lost
+    /// the answer can tell whether its write took effect.
     pub operation: String,
     /// With `released`: every entry process that may hold a grant of this
-    /// holder, as `name/incarnation`. Without it, nobody knows.
+    /// holder, as `name/incarnation`. `None` if the set is not known.
     #[serde(default)]
     pub entries: Option<BTreeSet<String>>,
 }
 
 impl Record {
-    /// Whether exactly this process wrote it.
-    pub fn is_of(&self, me: &Candidate) -> bool {
+    /// Returns whether exactly this process holds the lease.
+    pub fn is_held_by(&self, me: &Candidate) -> bool {
         self.holder == me.vm && self.address == me.address && self.incarnation == me.incarnation
     }
 
-    /// Whether an earlier process at the same VM and address wrote it.
+    /// Returns whether an earlier process on the same VM and address holds it.
     ///
-    /// Whoever listens on the address now knows that the earlier process has
-    /// ended: a paused one would still hold the address.
-    pub fn is_of_predecessor(&self, me: &Candidate) -> bool {
+    /// The process that listens on the address now can be sure that the earlier
+    /// one has ended: a paused process would still have the address bound.
+    pub fn is_held_by_earlier_process(&self, me: &Candidate) -> bool {
         self.holder == me.vm && self.address == me.address && self.incarnation != me.incarnation
     }
 }
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a contest and what comes out.
+//! Inputs and outputs of an [`Elector`](crate::lease::Elector).
 
 use std::collections::BTreeSet;
 
@@ -8,23 +8,25 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// The lease's times.
+/// Durations that govern a lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
-    /// How long a lease holds from its last write. Longer survives longer
-    /// hiccups of the platform; shorter shortens the takeover after a kill.
+    /// How long a lease is valid after its last write. A longer one survives
+    /// longer interruptions of the platform; a shorter one makes the takeover
+    /// after a crash faster.
     pub ttl: Span,
-    /// How long after the last write the next is sent: a third of `ttl`, so
-    /// that two may fail before the lease is lost.
+    /// The time between renewals: a third of `ttl`, so that two may fail before
+    /// the lease is lost.
     pub renew_interval: Span,
-    /// What the holder subtracts from its own count.
+    /// How much earlier the holder treats its own lease as expired.
     pub margin: Span,
-    /// How much later each further candidate tries, so that they do not all
-    /// write at once; the conditional update decides in any case.
+    /// The extra delay for each rank, so that candidates do not all write at
+    /// once; the conditional update decides in any case.
     pub stagger: Span,
-    /// How long after a failed call the next is made.
+    /// The delay before the next call after a failed one.
     pub retry_delay: Span,
-    /// How long a grant lives unrenewed; told to successors.
+    /// How long a grant stays valid unless renewed; stored in the record for
+    /// successors.
     pub grant_ttl: Span,
 }
 
@@ -41,61 +43,66 @@
     }
 }
 
-/// What is known of the holder before this one.
+/// How the previous holder gave up the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Predecessor {
-    /// There never was one.
+    /// There was no previous holder.
     None,
-    /// It gave the lease up after its last grant and order. The entries that
-    /// may hold its grants, when it knew them.
+    /// It released the lease after its last grant and order. Contains the
+    /// entries that may hold its grants, if it knew them.
     Released(Option<BTreeSet<String>>),
-    /// It was an earlier process at this VM and address, which has ended.
+    /// It was an earlier process on this VM and address, which has ended.
     Ended,
-    /// It stopped renewing; it may be paused and unaware.
+    /// It stopped renewing; it may be paused and not know that it lost the
+    /// lease.
     Lapsed(VmName),
-    /// However it ended, one before it may be paused and unaware.
+    /// However it gave up the lease, a holder before it may be paused and not
+    /// know that it lost the lease.
     Unsettled,
 }
 
-/// A lease that this process holds, or held when it last heard.
+/// A lease that this process holds, as of the last answer of the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HeldLease {
     /// The fencing token.
     pub token: Token,
-    /// Until when it holds for certain, margin subtracted. After that it may
-    /// have a successor; without the platform there can be none.
+    /// When it expires, with the margin subtracted. After that there may be a
+    /// successor, but none can be elected while the platform is unreachable.
     pub valid_until: Moment,
-    /// When it was acquired, as far as this process knows.
+    /// When this process learned that it had acquired the lease.
     pub acquired_at: Moment,
-    /// Who held it before.
+    /// How the previous holder gave it up.
     pub predecessor: Predecessor,
-    /// The longest that a grant of the former holder lives unrenewed.
+    /// The longest time that a grant of the previous holder stays valid unless
+    /// renewed.
     pub predecessor_ttl: Span,
 }
 
-/// What to do next.
+/// The next call that the caller must make.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Nothing.
+    /// No call.
     Wait,
-    /// Read the object and pass it to [`observe`](crate::lease::Elector::observe).
+    /// Read the object, then call [`read_done`](crate::lease::Elector::read_done)
+    /// and [`observe`](crate::lease::Elector::observe), or
+    /// [`read_failed`](crate::lease::Elector::read_failed).
     Read,
     /// Create the object, then call [`write_done`](crate::lease::Elector::write_done).
     Create(Record),
-    /// Replace the object at this version, then call [`write_done`](crate::lease::Elector::write_done).
+    /// Replace the object if it has this version, then call [`write_done`](crate::lease::Elector::write_done).
     Replace(String, Record),
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// Done; the new version.
+    /// It took effect; contains the new version.
     Done(String),
-    /// It surely did nothing.
+    /// It had no effect.
     NotApplied,
-    /// The object has another version: done by somebody, perhaps by an own
-    /// write whose answer was lost.
+    /// The object has another version, perhaps from an earlier write of this
+    /// process whose answer was lost.
     Conflict,
-    /// It may have taken effect.
+    /// The answer was lost; the write may have taken effect.
     Unknown,
 }
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -1,4 +1,4 @@
-//! Leases: holders, contenders, lost answers, pauses.
+//! Lease election: renewal, takeover, lost answers, paused holders.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// One object with versions, as the platform holds it.
+/// A versioned lease object, as the platform stores it.
 #[derive(Default)]
 struct Object {
     version: u64,
@@ -56,11 +56,11 @@
     }
 }
 
-fn contest(n: u64) -> Elector {
+fn elector(n: u64) -> Elector {
     Elector::new(candidate(n, 1), Timing::default())
 }
 
-/// Steps once at `now` with every answer arriving.
+/// Makes one step at `now`; its call is answered at once.
 fn advance(c: &mut Elector, object: &mut Object, now: Moment) -> Step {
     let step = c.step(now, || 0, None);
     match &step {
@@ -81,9 +81,9 @@
     c.lease().map(|t| t.token.0)
 }
 
-/// A contest that holds a fresh pool's lease, acquired at time 0.
+/// An elector that acquired the lease of a new pool at time 0.
 fn holder(object: &mut Object) -> Elector {
-    let mut c = contest(1);
+    let mut c = elector(1);
     advance(&mut c, object, ms(0));
     advance(&mut c, object, ms(0));
     assert_eq!(token(&c), Some(1));
@@ -94,56 +94,56 @@
 fn acquire_first() {
     let mut object = Object::default();
     let c = holder(&mut object);
-    let tenure = c.lease().unwrap();
-    assert_eq!(tenure.predecessor, Predecessor::None);
-    // 3 s from before the sending, less the margin.
-    assert_eq!(tenure.valid_until, ms(2_700));
+    let lease = c.lease().unwrap();
+    assert_eq!(lease.predecessor, Predecessor::None);
+    // 3 s from the sending of the write, less the margin.
+    assert_eq!(lease.valid_until, ms(2_700));
 }
 
 #[test]
-fn renew_extends_from_before_the_sending() {
+fn renewal_counts_from_its_sending() {
     let mut object = Object::default();
     let mut c = holder(&mut object);
     assert_eq!(c.step(ms(999), || 0, None), Step::Wait);
     let step = c.step(ms(1_000), || 0, None);
     let end = object.apply(&step);
-    // The answer takes half a second; it buys nothing.
+    // The answer takes half a second; the lease counts from the sending.
     c.write_done(ms(1_500), end);
     assert_eq!(c.lease().unwrap().valid_until, ms(3_700));
     assert_eq!(token(&c), Some(1));
 }
 
 #[test]
-fn takeover_after_the_holder_is_over() {
+fn takeover_after_the_holder_expired() {
     let mut object = Object::default();
     let held = holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     for t in 10..3_010 {
         assert_eq!(advance(&mut other, &mut object, ms(t)), Step::Wait);
     }
     advance(&mut other, &mut object, ms(3_010));
     assert_eq!(token(&other), Some(2));
-    let tenure = other.lease().unwrap();
-    assert!(held.lease().unwrap().valid_until < tenure.acquired_at);
+    let lease = other.lease().unwrap();
+    assert!(held.lease().unwrap().valid_until < lease.acquired_at);
     assert_eq!(
-        tenure.predecessor,
+        lease.predecessor,
         Predecessor::Lapsed(VmName::new("vm-1").unwrap())
     );
 }
 
 #[test]
-fn takeover_not_of_a_renewed_lease() {
+fn takeover_fails_on_a_renewed_lease() {
     let mut object = Object::default();
     let mut held = holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
-    // The other sees nothing of the renewals: its watch hangs.
+    // The contender's watch stalls, so it does not see the renewals.
     advance(&mut held, &mut object, ms(1_000));
     let step = advance(&mut other, &mut object, ms(3_500));
     assert!(matches!(step, Step::Replace(..)));
     assert_eq!((token(&other), token(&held)), (None, Some(1)));
-    // It reads, and begins to wait anew.
+    // It reads the lease and waits a whole TTL again.
     advance(&mut other, &mut object, ms(3_500));
     assert_eq!(advance(&mut other, &mut object, ms(6_499)), Step::Wait);
 }
@@ -152,12 +152,12 @@
 fn pause_past_the_lease() {
     let mut object = Object::default();
     let mut held = holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     advance(&mut other, &mut object, ms(3_010));
     assert_eq!(token(&other), Some(2));
-    // The holder wakes unaware; its clock has run, so it knows at once that its
-    // lease is past, and its renewal tells it the rest.
+    // The holder resumes without knowing of the takeover. Its clock has run, so it
+    // sees that its lease has expired; its renewal then conflicts.
     let now = ms(20_000);
     assert!(held.lease().unwrap().valid_until < now);
     advance(&mut held, &mut object, now);
@@ -188,28 +188,29 @@
 fn takeover_answer_lost_and_late() {
     let mut object = Object::default();
     holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     let first = other.step(ms(3_010), || 0, None);
     other.write_done(ms(3_110), WriteOutcome::Unknown);
-    // It is read back as not done, and tried again; then the first arrives.
+    // The read finds no effect, so the takeover is sent again; then the first
+    // write arrives.
     advance(&mut other, &mut object, ms(3_310));
     let second = other.step(ms(3_320), || 0, None);
     object.apply(&first);
     let end = object.apply(&second);
     other.write_done(ms(3_330), end);
     advance(&mut other, &mut object, ms(3_340));
-    let tenure = other.lease().unwrap();
-    assert_eq!(tenure.token, Token(2));
-    // Counted from when the write that took effect was sent.
-    assert_eq!(tenure.valid_until, ms(3_010 + 2_700));
-    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
+    let lease = other.lease().unwrap();
+    assert_eq!(lease.token, Token(2));
+    // Counted from the sending of the write that took effect.
+    assert_eq!(lease.valid_until, ms(3_010 + 2_700));
+    assert!(matches!(lease.predecessor, Predecessor::Lapsed(_)));
 }
 
 #[test]
 fn race_has_one_winner() {
     let mut object = Object::default();
-    let (mut a, mut b) = (contest(1), contest(2));
+    let (mut a, mut b) = (elector(1), elector(2));
     advance(&mut a, &mut object, ms(0));
     advance(&mut b, &mut object, ms(0));
     let (first, second) = (a.step(ms(1), || 0, None), b.step(ms(1), || 0, None));
@@ -225,7 +226,7 @@
 fn release_hands_over_at_once() {
     let mut object = Object::default();
     let mut held = holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     let entries = Some(BTreeSet::from(["vm-1/1".to_owned()]));
     let step = held.step(ms(100), || 0, Some(&entries));
@@ -235,21 +236,21 @@
     assert_eq!(held.step(ms(5_000), || 0, Some(&entries)), Step::Wait);
     other.observe(ms(102), object.read());
     advance(&mut other, &mut object, ms(102));
-    let tenure = other.lease().unwrap();
-    assert_eq!(tenure.token, Token(2));
-    assert_eq!(tenure.predecessor, Predecessor::Released(entries));
+    let lease = other.lease().unwrap();
+    assert_eq!(lease.token, Token(2));
+    assert_eq!(lease.predecessor, Predecessor::Released(entries));
 }
 
 #[test]
-fn restart_takes_its_own_lease() {
+fn restarted_process_takes_over_at_once() {
     let mut object = Object::default();
     holder(&mut object);
     let mut again = Elector::new(candidate(1, 2), Timing::default());
     advance(&mut again, &mut object, ms(50));
     advance(&mut again, &mut object, ms(50));
-    let tenure = again.lease().unwrap();
+    let lease = again.lease().unwrap();
     assert_eq!(
-        (tenure.token, &tenure.predecessor),
+        (lease.token, &lease.predecessor),
         (Token(2), &Predecessor::Ended)
     );
 }
@@ -259,7 +260,7 @@
     let mut object = Object::default();
     holder(&mut object);
     let before = object.read();
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     advance(&mut other, &mut object, ms(3_010));
     other.observe(ms(3_020), before);
@@ -270,27 +271,27 @@
 fn watch_before_the_answer() {
     let mut object = Object::default();
     holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     let step = other.step(ms(3_010), || 0, None);
     let end = object.apply(&step);
     other.observe(ms(3_011), object.read());
-    let tenure = other.lease().unwrap().clone();
-    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
+    let lease = other.lease().unwrap().clone();
+    assert!(matches!(lease.predecessor, Predecessor::Lapsed(_)));
     other.write_done(ms(3_012), end);
-    assert_eq!(other.lease(), Some(&tenure));
+    assert_eq!(other.lease(), Some(&lease));
 }
 
 #[rstest]
-#[case::before_it_settled(false, Predecessor::Unsettled)]
-#[case::after(true, Predecessor::Released(Some(BTreeSet::new())))]
+#[case::before_settling(false, Predecessor::Unsettled)]
+#[case::after_settling(true, Predecessor::Released(Some(BTreeSet::new())))]
 fn release_of_a_successor(#[case] settled: bool, #[case] predecessor: Predecessor) {
     let mut object = Object::default();
     holder(&mut object);
-    let mut second = contest(2);
+    let mut second = elector(2);
     advance(&mut second, &mut object, ms(10));
     advance(&mut second, &mut object, ms(3_010));
-    // The first may be paused and unaware; the second gives up at once.
+    // The first holder may be paused; the second releases the lease at once.
     if settled {
         second.set_settled(Token(2));
     }
@@ -298,14 +299,14 @@
     let step = second.step(ms(3_100), || 0, Some(&stop));
     let end = object.apply(&step);
     second.write_done(ms(3_101), end);
-    let mut third = contest(3);
+    let mut third = elector(3);
     advance(&mut third, &mut object, ms(3_200));
     advance(&mut third, &mut object, ms(3_200));
     assert_eq!(third.lease().unwrap().predecessor, predecessor);
 }
 
 #[test]
-fn resigned_lease_lapses() {
+fn resigned_lease_expires() {
     let mut object = Object::default();
     let mut c = holder(&mut object);
     c.resign(Token(1));
@@ -320,18 +321,18 @@
 fn deleted_object_keeps_tokens_rising() {
     let mut object = Object::default();
     holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
     object.record = None;
     other.observe(ms(20), None);
     advance(&mut other, &mut object, ms(20));
-    let tenure = other.lease().unwrap();
-    assert_eq!(tenure.token, Token(2));
-    assert!(matches!(tenure.predecessor, Predecessor::Lapsed(_)));
+    let lease = other.lease().unwrap();
+    assert_eq!(lease.token, Token(2));
+    assert!(matches!(lease.predecessor, Predecessor::Lapsed(_)));
 }
 
 #[test]
-fn outage_keeps_the_tenure() {
+fn outage_keeps_the_lease() {
     let mut object = Object::default();
     let mut c = holder(&mut object);
     for t in 1..100 {
@@ -339,21 +340,21 @@
             c.write_done(ms(t * 1_000), WriteOutcome::NotApplied);
         }
     }
-    let tenure = c.lease().unwrap();
-    assert_eq!((tenure.token, tenure.valid_until), (Token(1), ms(2_700)));
+    let lease = c.lease().unwrap();
+    assert_eq!((lease.token, lease.valid_until), (Token(1), ms(2_700)));
 }
 
 #[test]
-fn outage_over_holder_renews_first() {
+fn holder_renews_first_after_an_outage() {
     let mut object = Object::default();
     let mut held = holder(&mut object);
-    let mut other = contest(2);
+    let mut other = elector(2);
     advance(&mut other, &mut object, ms(10));
-    // An hour without the platform; then both find it at the same time.
-    let back = ms(3_600_000);
-    other.restart_ttl(back);
-    assert_eq!(advance(&mut other, &mut object, back), Step::Wait);
-    advance(&mut held, &mut object, back);
+    // After an outage of an hour both reach the platform at the same time.
+    let end = ms(3_600_000);
+    other.restart_ttl(end);
+    assert_eq!(advance(&mut other, &mut object, end), Step::Wait);
+    advance(&mut held, &mut object, end);
     assert_eq!(held.lease().unwrap().valid_until, ms(3_602_700));
     assert_eq!(token(&other), None);
 }
