--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -1,4 +1,4 @@
-//! The owner's view of its pool's journal.
+//! The state machine of a pool's claim journal.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,143 +17,152 @@
 
 #[derive(Clone, Debug)]
 struct Claim {
-    who: Option<Claimant>,
+    // `None` if an earlier owner recorded the claim.
+    claimant: Option<Claimant>,
     state: State,
-    // The segment that holds it, once it is recorded.
-    place: Option<u64>,
-    // It may have run: never free again.
-    touched: bool,
-    at: Moment,
+    // The segment that contains it, once it is durable.
+    segment: Option<u64>,
+    // The call may have run, so its key must not be freed.
+    started: bool,
+    updated_at: Moment,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Place {
+struct SegmentState {
+    // `None` until the segment is created.
     version: Option<String>,
-    // Since when a change waits to be written.
-    dirty: Option<Moment>,
+    // Since when it has unwritten changes.
+    dirty_since: Option<Moment>,
 }
 
-/// The journal of one pool in the hands of one owner.
+/// The claim journal of one pool, as kept by one owner.
 #[derive(Clone, Debug)]
 pub struct Journal {
     limits: Limits,
     token: Token,
     claims: BTreeMap<ClaimKey, Claim>,
-    places: BTreeMap<u64, Place>,
+    segments: BTreeMap<u64, SegmentState>,
+    // The segment that takes new claims.
     head: u64,
+    // Claims to be made durable by the next commits.
     pending: BTreeSet<ClaimKey>,
     // The segment that is being written and the claims that are new in it.
-    flying: Option<(u64, BTreeMap<ClaimKey, Option<Claimant>>)>,
-    last: Moment,
-    orders: u64,
+    in_flight: Option<(u64, BTreeMap<ClaimKey, Option<Claimant>>)>,
+    last_write: Moment,
+    write_count: u64,
     ready: bool,
     deposed: bool,
 }
 
 impl Journal {
-    /// A journal that has read nothing yet and grants nothing.
+    /// Creates a journal that has not been read yet and admits no claims.
     pub fn new(token: Token, limits: Limits) -> Self {
         Self {
             limits,
             token,
             claims: BTreeMap::new(),
-            places: BTreeMap::new(),
+            segments: BTreeMap::new(),
             head: 0,
             pending: BTreeSet::new(),
-            flying: None,
-            last: Moment(0),
-            orders: 0,
+            in_flight: None,
+            last_write: Moment(0),
+            write_count: 0,
             ready: false,
             deposed: false,
         }
     }
 
-    /// Takes in all segments of the pool as read now.
+    /// Loads all segments of the pool, as just read from the platform.
     ///
-    /// A claim that an earlier owner left running is `Unknown` from here on:
-    /// its outcome goes to the owner that granted it. Then [`Journal::seal`]
-    /// gives the writes that keep the earlier owner from adding claims.
+    /// Claims that an earlier owner left running become `Unknown`, since their
+    /// outcome is reported to the owner that granted them. Afterwards
+    /// [`Journal::seal`] returns the writes that keep the earlier owner from
+    /// adding claims.
     pub fn recover(&mut self, now: Moment, segments: &[(Segment, String)]) {
         self.claims.clear();
-        self.places.clear();
+        self.segments.clear();
         for (segment, version) in segments {
-            let place = Place {
+            let loaded = SegmentState {
                 version: Some(version.clone()),
-                dirty: None,
+                dirty_since: None,
             };
-            self.places.insert(segment.number, place);
+            self.segments.insert(segment.number, loaded);
             for (key, state) in &segment.claims {
                 let state = match state {
                     State::Running => State::Unknown,
                     other => *other,
                 };
                 let claim = Claim {
-                    who: None,
+                    claimant: None,
                     state,
-                    place: Some(segment.number),
-                    touched: true,
-                    at: now,
+                    segment: Some(segment.number),
+                    started: true,
+                    updated_at: now,
                 };
                 self.claims.insert(key.clone(), claim);
             }
         }
-        self.head = self.places.keys().last().copied().unwrap_or(0);
+        self.head = self.segments.keys().last().copied().unwrap_or(0);
     }
 
-    /// The writes that shut an earlier owner out, in this order: the last
-    /// segment is replaced, so that its next commit conflicts; the following
-    /// one is created, so that it cannot be by anyone else.
+    /// Returns the writes that fence off an earlier owner, in order: the last
+    /// segment is replaced, so that the earlier owner's next commit conflicts,
+    /// and the following one is created, so that nobody else can create it.
     ///
-    /// All must be `Done`; otherwise the journal is read again.
+    /// All must succeed; otherwise the journal is read again.
     pub fn seal(&mut self) -> Vec<Write> {
-        let old = self.places.get(&self.head).and_then(|p| p.version.clone());
+        let old = self
+            .segments
+            .get(&self.head)
+            .and_then(|s| s.version.clone());
         let mut writes = Vec::new();
         if let Some(version) = old {
             writes.push(Write {
                 version: Some(version),
-                segment: self.content(self.head),
+                segment: self.segment_content(self.head),
             });
         }
         let number = self.head + 1;
         writes.push(Write {
             version: None,
-            segment: self.content(number),
+            segment: self.segment_content(number),
         });
         writes
     }
 
-    /// The writes of [`Journal::seal`] are done, with these versions in order.
+    /// Records that the writes of [`Journal::seal`] succeeded, with the new
+    /// versions in the same order.
     pub fn seal_done(&mut self, versions: &[String]) {
         let old = versions.len().saturating_sub(1);
         if let Some(version) = versions.first().filter(|_| old > 0)
-            && let Some(place) = self.places.get_mut(&self.head)
+            && let Some(sealed) = self.segments.get_mut(&self.head)
         {
-            place.version = Some(version.clone());
+            sealed.version = Some(version.clone());
         }
         self.head += 1;
-        let place = Place {
+        let created = SegmentState {
             version: versions.last().cloned(),
-            dirty: None,
+            dirty_since: None,
         };
-        self.places.insert(self.head, place);
+        self.segments.insert(self.head, created);
         self.ready = true;
     }
 
-    /// Whether keyed calls can be granted.
+    /// Returns whether calls with a key can be granted.
     pub fn is_ready(&self) -> bool {
         self.ready && !self.deposed
     }
 
-    /// Whether a later owner has shut this one out.
+    /// Returns whether a later owner has fenced this one off.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// A request with a key arrives. A fresh key is the request's from now on,
-    /// in memory only; nothing was written.
-    pub fn claim(&mut self, now: Moment, key: &ClaimKey, who: &Claimant) -> ClaimResult {
+    /// Claims a key for a request, in memory only. [`Journal::record`] makes the
+    /// claim durable.
+    pub fn claim(&mut self, now: Moment, key: &ClaimKey, claimant: &Claimant) -> ClaimResult {
         match self.claims.get(key) {
-            Some(claim) if claim.who.as_ref() == Some(who) => match claim.touched {
+            Some(claim) if claim.claimant.as_ref() == Some(claimant) => match claim.started {
                 false => ClaimResult::Claimed,
                 true => ClaimResult::Duplicate(State::Unknown),
             },
@@ -161,11 +170,11 @@
             None if self.is_full() => ClaimResult::Full,
             None => {
                 let claim = Claim {
-                    who: Some(who.clone()),
+                    claimant: Some(claimant.clone()),
                     state: State::Running,
-                    place: None,
-                    touched: false,
-                    at: now,
+                    segment: None,
+                    started: false,
+                    updated_at: now,
                 };
                 self.claims.insert(key.clone(), claim);
                 ClaimResult::Claimed
@@ -173,12 +182,11 @@
         }
     }
 
-    /// The pool granted the request. `Durable` when its claim is durable
-    /// already (a second try of the same request); otherwise it waits for a
-    /// commit.
+    /// Queues the claim of a granted request for the next commit, unless it is
+    /// durable already from an earlier attempt of the same request.
     pub fn record(&mut self, key: &ClaimKey) -> Durability {
         match self.claims.get(key) {
-            Some(claim) if claim.place.is_some() => Durability::Durable,
+            Some(claim) if claim.segment.is_some() => Durability::Durable,
             Some(_) => {
                 self.pending.insert(key.clone());
                 Durability::Pending
@@ -187,126 +195,134 @@
         }
     }
 
-    /// A dispatch of the request may have run.
+    /// Records that a dispatch of the request may have run.
     pub fn mark_started(&mut self, key: &ClaimKey) {
         if let Some(claim) = self.claims.get_mut(key) {
-            claim.touched = true;
+            claim.started = true;
         }
     }
 
-    /// The request was refused: its key is free again, unless an earlier
-    /// dispatch of it may have run.
+    /// Frees the key of a refused request, unless an earlier dispatch of it may
+    /// have run.
     pub fn free(&mut self, now: Moment, key: &ClaimKey) {
         self.pending.remove(key);
-        if self.claims.get(key).is_some_and(|c| c.touched) {
+        if self.claims.get(key).is_some_and(|c| c.started) {
             self.set_outcome(now, key, State::Unknown);
             return;
         }
         if let Some(claim) = self.claims.remove(key) {
-            self.soil(now, claim.place);
+            self.mark_dirty(now, claim.segment);
         }
     }
 
-    /// The request ended.
+    /// Records the final state of a request.
     pub fn set_outcome(&mut self, now: Moment, key: &ClaimKey, state: State) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
         claim.state = state;
-        claim.touched = true;
-        claim.at = now;
-        let place = claim.place;
-        self.soil(now, place);
+        claim.started = true;
+        claim.updated_at = now;
+        let segment = claim.segment;
+        self.mark_dirty(now, segment);
     }
 
-    /// The next write, when one is due. Its end goes to [`Journal::write_done`].
+    /// Returns the next write, if one is due. The caller reports its outcome to
+    /// [`Journal::write_done`].
     pub fn next_write(&mut self, now: Moment) -> Option<Write> {
         if !self.is_ready()
-            || self.flying.is_some()
-            || now < self.last.after(self.limits.write_interval)
+            || self.in_flight.is_some()
+            || now < self.last_write.after(self.limits.write_interval)
         {
             return None;
         }
         let number = match self.pending.is_empty() {
-            false => self.place_pending(),
+            false => self.segment_for_pending(),
             true => self.oldest_dirty(now)?,
         };
         let keys = self.take_pending(number);
-        self.last = now;
-        let segment = self.content_with(number, &keys);
-        let who = |key: &ClaimKey| self.claims.get(key).and_then(|c| c.who.clone());
-        let flying = keys.iter().map(|k| (k.clone(), who(k))).collect();
-        self.flying = Some((number, flying));
+        self.last_write = now;
+        let segment = self.segment_with(number, &keys);
+        let claimant = |key: &ClaimKey| self.claims.get(key).and_then(|c| c.claimant.clone());
+        let in_flight = keys.iter().map(|k| (k.clone(), claimant(k))).collect();
+        self.in_flight = Some((number, in_flight));
         Some(Write {
-            version: self.places.get(&number).and_then(|p| p.version.clone()),
+            version: self.segments.get(&number).and_then(|s| s.version.clone()),
             segment,
         })
     }
 
-    /// When [`Journal::next_write`] is wanted next.
+    /// Returns when [`Journal::next_write`] is to be called next.
     pub fn next_wake(&self) -> Option<Moment> {
-        if !self.is_ready() || self.flying.is_some() {
+        if !self.is_ready() || self.in_flight.is_some() {
             return None;
         }
-        let paced = self.last.after(self.limits.write_interval);
+        let earliest = self.last_write.after(self.limits.write_interval);
         if !self.pending.is_empty() {
-            return Some(paced);
+            return Some(earliest);
         }
-        let oldest = self.places.values().filter_map(|p| p.dirty).min()?;
-        Some(oldest.after(self.limits.outcome_delay).max(paced))
+        let oldest = self.segments.values().filter_map(|s| s.dirty_since).min()?;
+        Some(oldest.after(self.limits.outcome_delay).max(earliest))
     }
 
-    /// A write ended: the keys it was to record, and whether it did.
+    /// Processes the outcome of a write. Returns the keys that it was to make
+    /// durable, and whether it did.
     ///
-    /// Those that it did not record are free again; should the lost write take
-    /// effect later, the next write to the segment leaves them out.
-    pub fn write_done(&mut self, now: Moment, end: WriteOutcome) -> (Vec<ClaimKey>, bool) {
-        let Some((number, keys)) = self.flying.take() else {
+    /// If it did not, the keys are free again; should the write take effect
+    /// later, the next write to the segment removes them.
+    pub fn write_done(&mut self, now: Moment, outcome: WriteOutcome) -> (Vec<ClaimKey>, bool) {
+        let Some((number, keys)) = self.in_flight.take() else {
             return (Vec::new(), false);
         };
-        let done = match end {
+        let done = match outcome {
             WriteOutcome::Done(version) => {
-                let place = self.places.entry(number).or_default();
-                place.version = Some(version);
-                place.dirty = None;
+                let written = self.segments.entry(number).or_default();
+                written.version = Some(version);
+                written.dirty_since = None;
                 true
             }
             WriteOutcome::Unconfirmed(found) => {
-                self.adopt(number, found);
+                self.update_version(number, found);
                 false
             }
         };
-        for (key, who) in &keys {
-            // Another request may hold the key by now; recorded is recorded.
+        for (key, claimant) in &keys {
+            // Also if another request has claimed the key by now: the written
+            // segment contains it.
             if done && let Some(claim) = self.claims.get_mut(key) {
-                claim.place = Some(number);
+                claim.segment = Some(number);
                 continue;
             }
-            self.soil(now, Some(number));
-            if !done && self.claims.get(key).is_some_and(|c| c.who == *who) {
+            self.mark_dirty(now, Some(number));
+            if !done
+                && self
+                    .claims
+                    .get(key)
+                    .is_some_and(|c| c.claimant == *claimant)
+            {
                 self.claims.remove(key);
             }
         }
         (keys.into_keys().collect(), done)
     }
 
-    /// Drops claims that ended a retention ago; gives segments that can be
-    /// deleted.
+    /// Drops claims whose retention has passed; returns the numbers of segments
+    /// that can be deleted.
     pub fn expire(&mut self, now: Moment) -> Vec<u64> {
         let retention = self.limits.retention;
         self.claims
-            .retain(|_, c| c.state == State::Running || now < c.at.after(retention));
-        let used: BTreeSet<u64> = self.claims.values().filter_map(|c| c.place).collect();
-        let flying = self.flying.as_ref().map(|(n, _)| *n);
+            .retain(|_, c| c.state == State::Running || now < c.updated_at.after(retention));
+        let used: BTreeSet<u64> = self.claims.values().filter_map(|c| c.segment).collect();
+        let in_flight = self.in_flight.as_ref().map(|(n, _)| *n);
         let head = self.head;
         let empty: Vec<u64> = self
-            .places
+            .segments
             .keys()
             .copied()
-            .filter(|n| *n != head && Some(*n) != flying && !used.contains(n))
+            .filter(|n| *n != head && Some(*n) != in_flight && !used.contains(n))
             .collect();
         for number in &empty {
-            self.places.remove(number);
+            self.segments.remove(number);
         }
         empty
     }
@@ -315,30 +331,30 @@
         self.claims.len() >= self.limits.segment_size * self.limits.max_segments
     }
 
-    fn soil(&mut self, now: Moment, place: Option<u64>) {
-        if let Some(place) = place.and_then(|n| self.places.get_mut(&n)) {
-            place.dirty = place.dirty.or(Some(now));
+    fn mark_dirty(&mut self, now: Moment, segment: Option<u64>) {
+        if let Some(segment) = segment.and_then(|n| self.segments.get_mut(&n)) {
+            segment.dirty_since = segment.dirty_since.or(Some(now));
         }
     }
 
-    fn count(&self, number: u64) -> usize {
-        let here = |c: &&Claim| c.place == Some(number);
-        self.claims.values().filter(here).count()
+    fn claim_count(&self, number: u64) -> usize {
+        let in_segment = |c: &&Claim| c.segment == Some(number);
+        self.claims.values().filter(in_segment).count()
     }
 
-    // The segment for new claims; a full one gives way to the next.
-    fn place_pending(&mut self) -> u64 {
-        if self.count(self.head) >= self.limits.segment_size {
+    // Returns the segment for new claims; starts another when the head is full.
+    fn segment_for_pending(&mut self) -> u64 {
+        if self.claim_count(self.head) >= self.limits.segment_size {
             self.head += 1;
-            self.places.insert(self.head, Place::default());
+            self.segments.insert(self.head, SegmentState::default());
         }
         self.head
     }
 
     fn oldest_dirty(&self, now: Moment) -> Option<u64> {
-        self.places
+        self.segments
             .iter()
-            .filter_map(|(n, p)| Some((p.dirty?, *n)))
+            .filter_map(|(n, s)| Some((s.dirty_since?, *n)))
             .min()
             .filter(|(at, _)| now >= at.after(self.limits.outcome_delay))
             .map(|(_, n)| n)
@@ -348,34 +364,38 @@
         if number != self.head {
             return BTreeSet::new();
         }
-        let room = self.limits.segment_size.saturating_sub(self.count(number));
+        let room = self
+            .limits
+            .segment_size
+            .saturating_sub(self.claim_count(number));
         let keys: BTreeSet<_> = self.pending.iter().take(room).cloned().collect();
         self.pending.retain(|k| !keys.contains(k));
         keys
     }
 
-    fn content(&mut self, number: u64) -> Segment {
-        self.content_with(number, &BTreeSet::new())
+    fn segment_content(&mut self, number: u64) -> Segment {
+        self.segment_with(number, &BTreeSet::new())
     }
 
-    fn content_with(&mut self, number: u64, keys: &BTreeSet<ClaimKey>) -> Segment {
-        self.orders += 1;
+    fn segment_with(&mut self, number: u64, keys: &BTreeSet<ClaimKey>) -> Segment {
+        self.write_count += 1;
         let claims = self
             .claims
             .iter()
-            .filter(|(key, c)| c.place == Some(number) || keys.contains(*key))
+            .filter(|(key, c)| c.segment == Some(number) || keys.contains(*key))
             .map(|(key, c)| (key.clone(), c.state))
             .collect();
         Segment {
             token: self.token,
             number,
-            operation: format!("{}-{}", self.token.0, self.orders),
+            operation: format!("{}-{}", self.token.0, self.write_count),
             claims,
         }
     }
 
-    // An own write may have taken effect late: then only its version is new.
-    fn adopt(&mut self, number: u64, found: Option<(Segment, String)>) {
+    // Takes over the version that was read back: an earlier write of this owner
+    // may have taken effect late.
+    fn update_version(&mut self, number: u64, found: Option<(Segment, String)>) {
         let Some((segment, version)) = found else {
             return;
         };
@@ -383,6 +403,6 @@
             self.deposed = true;
             return;
         }
-        self.places.entry(number).or_default().version = Some(version);
+        self.segments.entry(number).or_default().version = Some(version);
     }
 }
--- a/lib/src/claims/mod.rs
+++ b/lib/src/claims/mod.rs
@@ -1,8 +1,9 @@
-//! At most once: the journal of claims, apart from input and output.
+//! At-most-once execution of calls with an idempotency key, without I/O.
 //!
-//! A keyed call is claimed before it is granted. The claim is durable when the
-//! journal segment that holds it was written to the platform; until then no
-//! grant leaves the owner. `docs/design/0006-at-most-once.md` has the proof.
+//! The owner claims a call's key before it grants the call. A claim is durable
+//! once the journal segment that contains it is written to the platform; until
+//! then the owner sends no grant. `docs/design/0006-at-most-once.md` has the
+//! proof.
 
 mod journal;
 mod segment;
--- a/lib/src/claims/segment.rs
+++ b/lib/src/claims/segment.rs
@@ -1,4 +1,4 @@
-//! What the platform holds of the journal.
+//! The journal objects as stored on the platform.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -10,16 +10,16 @@
 
 use crate::ids::Token;
 
-/// Bytes of the hash that stands for a key: 128 bits, so that among the
-/// journal's thousands of keys two never meet.
-const KEY_BYTES: usize = 16;
+/// Bytes of a key's hash: 128 bits, so that collisions among the journal's
+/// thousands of keys are negligible.
+const HASH_BYTES: usize = 16;
 
-/// A caller's idempotency key, hashed.
+/// The hash of a caller's idempotency key.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ClaimKey(String);
 
 impl ClaimKey {
-    /// The key for a claim text (the team and the caller's key, joined).
+    /// Hashes a claim, which is the team and the caller's key, joined.
     ///
     /// ```
     /// use banyangauge::claims::ClaimKey;
@@ -27,8 +27,8 @@
     /// assert_ne!(ClaimKey::new("a/1"), ClaimKey::new("a/2"));
     /// ```
     pub fn new(claim: &str) -> Self {
-        let mut text = String::with_capacity(2 * KEY_BYTES);
-        for byte in Sha256::digest(claim.as_bytes()).iter().take(KEY_BYTES) {
+        let mut text = String::with_capacity(2 * HASH_BYTES);
+        for byte in Sha256::digest(claim.as_bytes()).iter().take(HASH_BYTES) {
             // Writing to a string cannot fail.
             let _ = write!(text, "{byte:02x}");
         }
@@ -36,22 +36,22 @@
     }
 }
 
-/// What became of a claim.
+/// The state of a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum State {
-    /// Granted; not known to have ended.
+    /// Granted, and not known to have ended.
     #[serde(rename = "r")]
     Running,
-    /// Its caller was given an answer.
+    /// The caller received an answer.
     #[serde(rename = "a")]
     Answered,
-    /// It was granted, and whether it ran is not known.
+    /// Granted, and not known whether it ran.
     #[serde(rename = "u")]
     Unknown,
 }
 
 impl State {
-    /// The word for it on the wire.
+    /// Returns the name used on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Running => "running",
@@ -61,15 +61,16 @@
     }
 }
 
-/// The content of one journal object, `<pool>-<number>`.
+/// One segment of the journal, stored as the object `<pool>-<number>`.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The owner that wrote it last.
+    /// The fencing token of the owner that wrote it last.
     pub token: Token,
-    /// Its place in the journal.
+    /// Its position in the journal.
     pub number: u64,
-    /// The write that made this content; settles a lost answer.
+    /// Identifies the write that stored this content, so that a writer that
+    /// lost the answer can tell whether its write took effect.
     pub operation: String,
-    /// The claims.
+    /// The state of each claimed key.
     pub claims: BTreeMap<ClaimKey, State>,
 }
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -1,24 +1,26 @@
-//! What goes into the journal and what comes out.
+//! Inputs and outputs of a [`Journal`](crate::claims::Journal).
 
 use crate::claims::Segment;
 use crate::claims::State;
 use crate::pool::Span;
 
-/// Bounds of the journal.
+/// Limits of the journal's size and of its rate of writes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// How long a claim is kept after it ended, or after an owner change.
+    /// How long a claim is kept after it ended or was recovered by a new owner.
     pub retention: Span,
-    /// Claims in one segment. Each commit rewrites one segment, about 40 bytes
-    /// a claim: 1,000 keep a commit near 40 KB, far below the megabyte.
+    /// Claims in one segment. Each commit rewrites one segment, with about 40
+    /// bytes a claim: 1,000 claims keep a commit near 40 KB, far below the limit
+    /// of 1 MB.
     pub segment_size: usize,
-    /// Segments; with `segment_size` this bounds memory and what a takeover reads.
-    /// 64,000 claims in 10 minutes are 106 keyed calls a second.
+    /// The number of segments; with `segment_size` this bounds memory and the
+    /// amount read on a takeover. 64,000 claims kept for 10 minutes allow 106
+    /// keyed calls a second.
     pub max_segments: usize,
-    /// The shortest time between two writes: ten a second at the most, whatever
-    /// the rate of keyed calls.
+    /// The shortest time between two writes: at most ten writes a second at any
+    /// rate of keyed calls.
     pub write_interval: Span,
-    /// How long an outcome may wait for a commit to travel with.
+    /// How long an outcome may wait to be written together with new claims.
     pub outcome_delay: Span,
 }
 
@@ -34,21 +36,21 @@
     }
 }
 
-/// The request that claims a key: an entry's own number for it.
+/// The request that claims a key.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Claimant {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
-    /// Its number for the request.
+    /// The entry's number of the request.
     pub request: u64,
 }
 
-/// What the journal says of a request with a key.
+/// The result of claiming a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimResult {
-    /// The key is this request's; it may be granted once it is recorded.
+    /// The request has the key; it may be granted once the claim is durable.
     Claimed,
-    /// Another request had the key.
+    /// The key was used before; contains the state of that claim.
     Duplicate(State),
     /// The journal is full.
     Full,
@@ -57,15 +59,15 @@
 /// Whether a claim is durable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Durability {
-    /// It is.
+    /// The claim is durable.
     Durable,
-    /// The next commit makes it so.
+    /// A later commit makes it durable.
     Pending,
-    /// The journal does not hold it: the request may not be granted.
+    /// The journal does not contain it; the request must not be granted.
     Missing,
 }
 
-/// A write to the platform that the journal wants.
+/// A write to the platform that the caller must carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Write {
     /// The version to replace; `None` creates the segment.
@@ -74,11 +76,12 @@
     pub segment: Segment,
 }
 
-/// How a write, with its reading back where that was needed, ended.
+/// The outcome of a write, after reading back where that was needed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// Done; the new version.
+    /// It took effect; contains the new version.
     Done(String),
-    /// Not done, or not known. What the platform holds now, when it was read.
+    /// It had no effect, or that is not known. Contains the segment as read back,
+    /// if that succeeded.
     Unconfirmed(Option<(Segment, String)>),
 }
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -1,4 +1,4 @@
-//! The journal of claims: at most once, whatever the platform loses.
+//! The claim journal: at-most-once execution with lost and late writes.
 
 use banyangauge::claims::ClaimKey;
 use banyangauge::claims::ClaimResult;
@@ -23,14 +23,14 @@
     ClaimKey::new(&format!("team/{n}"))
 }
 
-fn who(n: u64) -> Claimant {
+fn claimant(n: u64) -> Claimant {
     Claimant {
         entry: "vm-1/1".to_owned(),
         request: n,
     }
 }
 
-/// The platform's objects of one pool.
+/// The journal objects of one pool, as the platform stores them.
 #[derive(Default)]
 struct Store {
     version: u64,
@@ -53,7 +53,7 @@
         Some(version)
     }
 
-    /// What a writer finds when it reads back.
+    /// The outcome that a writer finds by reading back.
     fn read_back(&self, write: &Write) -> WriteOutcome {
         let found = self
             .segments
@@ -83,7 +83,10 @@
 }
 
 fn claim(journal: &mut Journal, now: Moment, n: u64) {
-    assert_eq!(journal.claim(now, &key(n), &who(n)), ClaimResult::Claimed);
+    assert_eq!(
+        journal.claim(now, &key(n), &claimant(n)),
+        ClaimResult::Claimed
+    );
     assert_eq!(journal.record(&key(n)), Durability::Pending);
 }
 
@@ -93,7 +96,7 @@
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
     assert_eq!(
-        j.claim(ms(200), &key(1), &who(2)),
+        j.claim(ms(200), &key(1), &claimant(2)),
         ClaimResult::Duplicate(State::Running)
     );
     let write = j.next_write(ms(200)).unwrap();
@@ -101,18 +104,19 @@
     assert_eq!((keys, done), (vec![key(1)], true));
     j.set_outcome(ms(300), &key(1), State::Answered);
     assert_eq!(
-        j.claim(ms(400), &key(1), &who(3)),
+        j.claim(ms(400), &key(1), &claimant(3)),
         ClaimResult::Duplicate(State::Answered)
     );
 }
 
 #[test]
-fn commit_gathers_what_waits() {
+fn commit_batches_pending_claims() {
     let mut store = Store::default();
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 0);
     let first = j.next_write(ms(200)).unwrap();
-    // Fifty come while the first commit is on its way: one more is enough.
+    // Fifty claims arrive while the first commit is in flight: one more commit
+    // writes them all.
     for n in 1..=50 {
         claim(&mut j, ms(201), n);
     }
@@ -146,7 +150,7 @@
     claim(&mut j, ms(200), 1);
     let lost = j.next_write(ms(200)).unwrap();
     let (_, done) = j.write_done(ms(300), store.read_back(&lost));
-    // Its caller was told "not run", and may try again.
+    // The caller was told that the call did not run, and may retry.
     assert!(!done);
     store.apply(&lost).unwrap();
     claim(&mut j, ms(400), 1);
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn takeover_shuts_the_former_out() {
+fn takeover_fences_off_the_previous_owner() {
     let mut store = Store::default();
     let mut old = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut old, ms(200), 1);
@@ -171,7 +175,7 @@
     // The old owner is paused before the write is sent.
     let mut new = store.open(ms(9_000), 2, Limits::default()).unwrap();
     assert_eq!(
-        new.claim(ms(9_100), &key(1), &who(7)),
+        new.claim(ms(9_100), &key(1), &claimant(7)),
         ClaimResult::Duplicate(State::Unknown)
     );
     claim(&mut new, ms(9_100), 2);
@@ -193,7 +197,7 @@
     old.write_done(ms(201), store.commit(&write));
     claim(&mut old, ms(400), 2);
     let rotation = old.next_write(ms(400)).unwrap();
-    // The new owner reads before the new segment is there.
+    // The new owner reads before the new segment is created.
     let mut new = Journal::new(Token(2), limits);
     new.recover(ms(9_000), &store.segments.clone());
     let seal = new.seal();
@@ -201,40 +205,43 @@
     assert!(done);
     let versions: Option<Vec<_>> = seal.iter().map(|w| store.apply(w)).collect();
     assert_eq!(versions, None);
-    // So it reads again, and knows the claim.
+    // It reads again and finds the claim.
     let mut new = store.open(ms(9_100), 2, limits).unwrap();
     assert_eq!(
-        new.claim(ms(9_200), &key(2), &who(7)),
+        new.claim(ms(9_200), &key(2), &claimant(7)),
         ClaimResult::Duplicate(State::Unknown)
     );
 }
 
 #[rstest]
-#[case::refused_before_any_try(false, ClaimResult::Claimed)]
-#[case::refused_after_a_broken_try(true, ClaimResult::Duplicate(State::Unknown))]
-fn free_after(#[case] touched: bool, #[case] verdict: ClaimResult) {
+#[case::refused_before_dispatch(false, ClaimResult::Claimed)]
+#[case::refused_after_a_broken_dispatch(true, ClaimResult::Duplicate(State::Unknown))]
+fn free_after(#[case] started: bool, #[case] result: ClaimResult) {
     let mut store = Store::default();
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
     let write = j.next_write(ms(200)).unwrap();
     j.write_done(ms(201), store.commit(&write));
-    if touched {
+    if started {
         j.mark_started(&key(1));
     }
     j.free(ms(300), &key(1));
-    assert_eq!(j.claim(ms(400), &key(1), &who(9)), verdict);
+    assert_eq!(j.claim(ms(400), &key(1), &claimant(9)), result);
 }
 
 #[test]
-fn freed_on_the_way_and_claimed_again() {
+fn freed_in_flight_and_claimed_again() {
     let mut store = Store::default();
     let mut j = store.open(ms(0), 1, Limits::default()).unwrap();
     claim(&mut j, ms(200), 1);
     j.next_write(ms(200)).unwrap();
     j.free(ms(201), &key(1));
-    assert_eq!(j.claim(ms(202), &key(1), &who(2)), ClaimResult::Claimed);
+    assert_eq!(
+        j.claim(ms(202), &key(1), &claimant(2)),
+        ClaimResult::Claimed
+    );
     j.write_done(ms(203), WriteOutcome::Unconfirmed(None));
-    // The commit failed for the first request; the second still has the key.
+    // The commit of the first request failed; the second keeps the key.
     assert_eq!(j.record(&key(1)), Durability::Pending);
     let write = j.next_write(ms(400)).unwrap();
     let (keys, done) = j.write_done(ms(401), store.commit(&write));
@@ -255,7 +262,7 @@
     j.write_done(ms(1_301), store.commit(&write));
     let mut new = store.open(ms(5_000), 2, Limits::default()).unwrap();
     assert_eq!(
-        new.claim(ms(5_001), &key(1), &who(4)),
+        new.claim(ms(5_001), &key(1), &claimant(4)),
         ClaimResult::Duplicate(State::Answered)
     );
 }
@@ -276,9 +283,12 @@
         j.write_done(ms(200 * (n + 1)), store.commit(&write));
         j.set_outcome(ms(1_000), &key(n), State::Answered);
     }
-    assert_eq!(j.claim(ms(1_000), &key(9), &who(9)), ClaimResult::Full);
+    assert_eq!(j.claim(ms(1_000), &key(9), &claimant(9)), ClaimResult::Full);
     assert!(j.expire(ms(10_999)).is_empty());
-    // All but the segment for new claims can be deleted.
+    // The segment for new claims is kept.
     assert_eq!(j.expire(ms(11_000)), vec![1]);
-    assert_eq!(j.claim(ms(11_000), &key(9), &who(9)), ClaimResult::Claimed);
+    assert_eq!(
+        j.claim(ms(11_000), &key(9), &claimant(9)),
+        ClaimResult::Claimed
+    );
 }
--- a/lib/tests/test_claims_owner.rs
+++ b/lib/tests/test_claims_owner.rs
@@ -1,4 +1,5 @@
-//! Keyed calls through owners, with the journal on the platform stand-in.
+//! Calls with an idempotency key through owners, with the journal on the
+//! platform stand-in.
 
 use serde_json::Value;
 use serde_json::json;
@@ -14,7 +15,7 @@
     honours: true,
 };
 
-/// States in the journal's segments, in the order of the segments.
+/// The states of all claims in the journal, in the order of the segments.
 async fn recorded(rig: &Rig) -> Vec<Value> {
     let mut states = Vec::new();
     for number in 1..8 {
@@ -33,7 +34,7 @@
     let mut entry = rig.enter(first, "e", &[]).await;
     let grant = entry.granted_keyed(1, "a", "k").await;
     assert_eq!(recorded(&rig).await, ["r"]);
-    // The same key again, from elsewhere.
+    // Another entry uses the same key.
     let mut other = rig.enter(first, "f", &[]).await;
     other.acquire(1, "a", "k").await;
     let refusal = other.refused().await;
@@ -56,7 +57,7 @@
     rig.controls[first] = None;
     let second = rig.owner(2).await;
     let mut other = rig.enter(second, "f", &[]).await;
-    // Until the journal is read, nothing keyed is granted.
+    // Calls with a key are refused until the journal is read.
     let mut request = 0;
     let refusal = loop {
         request += 1;
@@ -81,7 +82,7 @@
     rig.controls[first] = None;
     let second = rig.owner(2).await;
     let entry = rig.enter(second, "e", std::slice::from_ref(&grant)).await;
-    // The next owner has read the journal once it has its segment.
+    // The next owner has read the journal once its own segment exists.
     until(async || rig.object("claims", "p-2").await).await;
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     entry.answer(&grant, "k").await;
@@ -93,7 +94,7 @@
     let rig = Rig::start(TWO).await;
     let first = rig.owner(1).await;
     let mut entry = rig.enter(first, "e", &[]).await;
-    // The journal is read, so that what fails is the commit.
+    // A first grant shows that the journal is read, so that only the commit fails.
     entry.granted_keyed(9, "a", "other").await;
     rig.faults(json!({"down": true})).await;
     entry.acquire(1, "a", "k").await;
@@ -101,7 +102,7 @@
     entry.acquire(2, "a", "").await;
     entry.granted().await;
     rig.faults(json!({"down": false})).await;
-    // It did not run, so its caller may try again.
+    // The refused call did not run, so its key can be used again.
     entry.acquire(3, "a", "k").await;
     entry.granted().await;
     assert_eq!(recorded(&rig).await, ["r", "r"]);
@@ -113,7 +114,7 @@
     let first = rig.owner(1).await;
     let mut entry = rig.enter(first, "e", &[]).await;
     entry.granted_keyed(9, "a", "other").await;
-    // Renewals of the lease may lose theirs too; both are read back.
+    // Lease renewals may lose their answers too; both are read back.
     rig.faults(json!({"lose_after_write": 3})).await;
     entry.acquire(1, "a", "k").await;
     entry.granted().await;
