--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -120,8 +120,8 @@
     /// forgotten some time after their last dispatch has ended.
     pub fn set_replicas(&mut self, now: Moment, specs: &[ReplicaSpec]) {
         let keep: BTreeSet<_> = specs.iter().map(|s| s.name.clone()).collect();
-        let gone: Vec<_> = self.replicas.keys().cloned().collect();
-        for name in gone.iter().filter(|name| !keep.contains(*name)) {
+        let names: Vec<_> = self.replicas.keys().cloned().collect();
+        for name in names.iter().filter(|name| !keep.contains(*name)) {
             self.update_replica(now, name, |r| r.configured = false);
             self.removed.insert(name.clone());
         }
--- a/lib/tests/test_pool_commands.rs
+++ b/lib/tests/test_pool_commands.rs
@@ -1,4 +1,4 @@
-//! Carries out what the pool decides, and checks what must always hold.
+//! Executes the commands of the pool and checks invariants on each.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -8,27 +8,27 @@
 use banyangauge::pool::*;
 
 use crate::test_pool_rig::Event;
-use crate::test_pool_rig::Got;
+use crate::test_pool_rig::RequestState;
 use crate::test_pool_rig::Rig;
 
-/// From dispatch to the crash of a replica by a request that crashes it.
-const FUSE: Span = Span::from_millis(20);
+/// Time from the dispatch of a poison request to the crash of its replica.
+const CRASH_DELAY: Span = Span::from_millis(20);
 
 impl Rig {
-    /// Carries out what the pool decided, and checks it.
-    pub(crate) fn obey(&mut self) {
+    /// Executes and checks all pending commands.
+    pub(crate) fn run_commands(&mut self) {
         loop {
             let commands = self.pool.take_commands();
             if commands.is_empty() {
                 return;
             }
             for command in commands {
-                self.carry_out(command);
+                self.execute(command);
             }
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         let now = self.now;
         match command {
             Command::Grant {
@@ -42,13 +42,17 @@
                 reason,
                 retry_after,
             } => {
-                assert_eq!(self.got.get(&ticket), Some(&Got::Waits), "two ends");
-                let got = Got::Refused {
+                assert_eq!(
+                    self.states.get(&ticket),
+                    Some(&RequestState::Waiting),
+                    "request ended twice"
+                );
+                let got = RequestState::Refused {
                     why: reason,
                     at: now,
                     after: retry_after,
                 };
-                self.got.insert(ticket, got);
+                self.states.insert(ticket, got);
             }
             Command::Load {
                 order,
@@ -57,17 +61,20 @@
                 adapter,
                 evict,
             } => {
-                assert!(now >= self.frozen, "a load in the quarantine");
+                assert!(now >= self.slot_freeze, "load ordered during a slot freeze");
                 self.loads.push((now, replica.clone(), adapter.clone()));
                 if let Some(old) = evict {
-                    assert!(now >= self.keeping, "an eviction in the quarantine");
+                    assert!(
+                        now >= self.evict_freeze,
+                        "eviction ordered during an eviction freeze"
+                    );
                     self.evict(&replica, incarnation, &old);
                 }
                 self.orders.insert(order, (replica, incarnation, adapter));
-                self.at(now.after(self.load), Event::Loaded(order));
+                self.schedule(now.after(self.load_time), Event::LoadEnd(order));
             }
             Command::Block { fingerprint, .. } => {
-                self.convicted.insert(fingerprint);
+                self.blocked.insert(fingerprint);
             }
         }
     }
@@ -79,38 +86,46 @@
         if e.incarnation != inc.0 {
             return;
         }
-        let uses = |t: &Ticket| self.sent[t].0.adapter.as_ref() == Some(old);
-        assert!(!e.running.iter().any(uses), "evicted while in use");
+        let uses = |t: &Ticket| self.submitted[t].0.adapter.as_ref() == Some(old);
+        assert!(!e.running.iter().any(uses), "evicted an adapter in use");
         e.loaded.remove(old);
     }
 
     fn run(&mut self, ticket: Ticket, name: ReplicaName, inc: Incarnation) {
-        assert_eq!(self.got.get(&ticket), Some(&Got::Waits), "two ends");
-        self.got.insert(ticket, Got::Granted(name.clone()));
+        assert_eq!(
+            self.states.get(&ticket),
+            Some(&RequestState::Waiting),
+            "request ended twice"
+        );
+        self.states
+            .insert(ticket, RequestState::Granted(name.clone()));
         let now = self.now;
-        let sent = self.sent.get_mut(&ticket).unwrap();
+        let sent = self.submitted.get_mut(&ticket).unwrap();
         sent.2 = now;
         let a = sent.0.clone();
         let e = self.engines.get_mut(&name).unwrap();
         if !e.up || e.incarnation != inc.0 {
-            self.break_off(ticket, &name, Outcome::NotRun);
+            self.fail(ticket, &name, Outcome::NotRun);
             return;
         }
         if let Some(adapter) = &a.adapter {
-            assert!(e.loaded.contains(adapter), "granted where not loaded");
+            assert!(
+                e.loaded.contains(adapter),
+                "granted to a replica without the adapter"
+            );
         }
         e.running.insert(ticket);
-        assert!(e.running.len() <= e.batch as usize, "more than the batch");
+        assert!(e.running.len() <= e.batch as usize, "batch limit exceeded");
         let running = e.running.iter();
-        let longs = running.filter(|t| self.sent[*t].0.class == Class::Long);
+        let longs = running.filter(|t| self.submitted[*t].0.class == Class::Long);
         let longs = longs.count();
         let peak = self.peak.entry(name.clone()).or_default();
         *peak = (peak.0.max(e.running.len()), peak.1.max(longs));
-        let time = Span(u64::from(a.max_tokens) * self.step.0 * e.slow / 100);
+        let time = Span(u64::from(a.max_tokens) * self.step_time.0 * e.time_percent / 100);
         if self.poison.contains(&a.fingerprint) {
-            self.at(now.after(FUSE), Event::Crash(name, inc));
+            self.schedule(now.after(CRASH_DELAY), Event::Crash(name, inc));
         } else {
-            self.at(now.after(time), Event::Ends(ticket));
+            self.schedule(now.after(time), Event::End(ticket));
         }
     }
 }
--- a/lib/tests/test_pool_invariants.rs
+++ b/lib/tests/test_pool_invariants.rs
@@ -1,16 +1,16 @@
-//! What must always hold, over random schedules.
+//! Invariants of the pool over random schedules.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests")]
 
 use banyangauge::pool::*;
 use proptest::prelude::*;
 
-use crate::test_pool_rig::Got;
+use crate::test_pool_rig::RequestState;
 use crate::test_pool_rig::Rig;
 use crate::test_pool_rig::arrival;
 
-/// The longest deadline in these schedules, in milliseconds.
-const LONGEST: u64 = 20_000;
+/// Longest deadline in these schedules, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 20_000;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -38,7 +38,7 @@
         0..4u8,
         0..12u8,
         any::<bool>(),
-        1..LONGEST,
+        1..MAX_DEADLINE_MS,
         1..400u32,
         prop::bool::weighted(0.02),
         0..6u8,
@@ -68,7 +68,7 @@
 }
 
 fn adapter_name(adapter: u8) -> String {
-    // The first stands for the bare model.
+    // 0 is the bare model.
     match adapter {
         0 => String::new(),
         n => format!("a{n}@1"),
@@ -105,7 +105,7 @@
         Step::Crash(r) => rig.crash_in(0, &format!("r{r}")),
         Step::Health(r, h) => {
             let all = [Health::Live, Health::Suspect, Health::Leaving, Health::Gone];
-            rig.health(&format!("r{r}"), all[usize::from(*h)]);
+            rig.set_health(&format!("r{r}"), all[usize::from(*h)]);
         }
         Step::Remove(0) => rig.configure(&[]),
         Step::Remove(r) => rig.configure(&[&format!("r{r}")]),
@@ -113,16 +113,16 @@
             if *a > 0 {
                 let name = adapter_name(*a).parse().unwrap();
                 match on {
-                    true => rig.broken.insert(name),
-                    false => rig.broken.remove(&name),
+                    true => rig.failing_loads.insert(name),
+                    false => rig.failing_loads.remove(&name),
                 };
             }
         }
-        Step::Freeze(ms) => rig.freeze(rig.now.after(Span::from_millis(*ms))),
+        Step::Freeze(ms) => rig.freeze_slots(rig.now.after(Span::from_millis(*ms))),
         Step::FreezeEvictions(ms) => {
-            // A shorter one does not end a longer one.
+            // A shorter freeze does not end a longer one.
             let until = rig.now.after(Span::from_millis(*ms));
-            rig.freeze_evictions(until.max(rig.keeping));
+            rig.freeze_evictions(until.max(rig.evict_freeze));
         }
         Step::Wait(ms) => rig.run_for(*ms),
     }
@@ -132,7 +132,7 @@
     #![proptest_config(ProptestConfig { cases: 192, ..ProptestConfig::default() })]
 
     /// Each request is granted or refused exactly once, unless its caller goes
-    /// away first; the rig checks each grant, load and eviction as it comes.
+    /// away first. The rig checks each grant, load and eviction.
     #[test]
     fn every_wait_ends_random(
         steps in prop::collection::vec(step(), 1..160),
@@ -144,15 +144,15 @@
         for (serial, step) in steps.iter().enumerate() {
             apply(&mut rig, serial as u64, step);
         }
-        rig.run_for(LONGEST + 60_000);
+        rig.run_for(MAX_DEADLINE_MS + 60_000);
         prop_assert_eq!(rig.waiting(), 0);
-        let open = |g: &Got| matches!(g, Got::Granted(_));
-        prop_assert!(!rig.got.values().any(open));
+        let open = |g: &RequestState| matches!(g, RequestState::Granted(_));
+        prop_assert!(!rig.states.values().any(open));
         let view = rig.pool.view();
         prop_assert_eq!((view.queued, view.granted), (0, 0));
-        // A replica that crashes for another reason just while a suspect has
-        // it alone convicts the suspect; nothing could tell them apart.
+        // If a replica crashes for another reason while a suspect runs alone on
+        // it, the suspect is blocked; the two causes cannot be distinguished.
         let crashed = steps.iter().any(|s| matches!(s, Step::Crash(_)));
-        prop_assert!(crashed || rig.convicted.is_subset(&rig.poison), "convicted an innocent");
+        prop_assert!(crashed || rig.blocked.is_subset(&rig.poison), "blocked an innocent request");
     }
 }
--- a/lib/tests/test_pool_outcomes.rs
+++ b/lib/tests/test_pool_outcomes.rs
@@ -1,17 +1,17 @@
-//! What callers get under load; no sockets, no clock.
+//! Results and latencies of requests under load; no sockets, no clock.
 
 use banyangauge::ids::TeamName;
 use banyangauge::pool::*;
 use rstest::rstest;
 
-use crate::test_pool_rig::Got;
+use crate::test_pool_rig::RequestState;
 use crate::test_pool_rig::Rig;
 use crate::test_pool_rig::arrival;
-use crate::test_pool_rig::due;
 use crate::test_pool_rig::settings;
+use crate::test_pool_rig::with_deadline;
 
-fn part(sorted: &[Span], hundredths: usize) -> u64 {
-    sorted[(sorted.len() - 1) * hundredths / 100].as_millis()
+fn percentile(sorted: &[Span], percent: usize) -> u64 {
+    sorted[(sorted.len() - 1) * percent / 100].as_millis()
 }
 
 #[test]
@@ -22,7 +22,7 @@
     }
     rig.run_for(2_000);
     assert_eq!(rig.loads.len(), 1);
-    assert_eq!(rig.totals(|_| true).len(), 10);
+    assert_eq!(rig.latencies(|_| true).len(), 10);
 }
 
 #[test]
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn burst_leaves_other_teams_places() {
+fn burst_spares_other_teams() {
     let mut rig = Rig::new(settings(), 2, 2, 4);
-    // The pool answers 16 a second. One team offers 60 a second for ten
-    // seconds, the other 4 a second.
+    // The pool answers 16 requests per second. One team sends 60 per second for
+    // ten seconds, the other 4 per second.
     for i in 0..600 {
         let a = arrival(i, "burst", "");
-        rig.offer_in(i * 1_000 / 60, due(&rig, 4_000 + i * 17, a));
+        rig.offer_in(i * 1_000 / 60, with_deadline(&rig, 4_000 + i * 17, a));
     }
     for i in 0..40 {
         let a = arrival(1_000 + i, "steady", "");
-        rig.offer_in(i * 250, due(&rig, 4_000 + i * 250, a));
+        rig.offer_in(i * 250, with_deadline(&rig, 4_000 + i * 250, a));
     }
     rig.run_for(30_000);
     let steady: TeamName = "steady".parse().unwrap();
-    let times = rig.totals(|a| a.team == steady);
-    assert_eq!(times.len(), 40, "the steady team lost some");
-    assert!(part(&times, 99) <= 1_200, "{times:?}");
+    let times = rig.latencies(|a| a.team == steady);
+    assert_eq!(times.len(), 40, "requests of the steady team were refused");
+    assert!(percentile(&times, 99) <= 1_200, "{times:?}");
     assert_eq!(rig.waiting(), 0);
 }
 
@@ -73,13 +73,13 @@
     for i in 0..400 {
         for (k, team) in ["one", "two"].into_iter().enumerate() {
             let a = arrival(i * 2 + k as u64, team, "");
-            rig.offer_in(i * 25, due(&rig, 5_000, a));
+            rig.offer_in(i * 25, with_deadline(&rig, 5_000, a));
         }
     }
     rig.run_for(10_000);
     let of = |t: &str| {
         let t: TeamName = t.parse().unwrap();
-        rig.totals(|a| a.team == t).len() as f64
+        rig.latencies(|a| a.team == t).len() as f64
     };
     let ratio = of("one") / of("two");
     let want = f64::from(first) / f64::from(second);
@@ -89,95 +89,102 @@
 #[test]
 fn shift_served_within_seconds() {
     let mut rig = Rig::new(settings(), 2, 2, 16);
-    // Four adapters are busy for a minute and then fall silent; four others
+    // Four adapters are busy for a minute and then get no requests; four others
     // are busy from then on.
     for i in 0..1_200u64 {
         let new = if i < 600 { 0 } else { 4 };
         let a = arrival(i, "t", &format!("a{}@1", new + i % 4));
-        rig.offer_in(i * 100, due(&rig, i * 100 + 10_000, a));
+        rig.offer_in(i * 100, with_deadline(&rig, i * 100 + 10_000, a));
     }
     rig.run_for(66_000);
     let new = |a: &Arrival| a.ticket.0 >= 600;
-    let times = rig.totals(new);
+    let times = rig.latencies(new);
     assert!(times.len() > 40);
     assert!(times.last().unwrap().as_millis() <= 3_500, "{times:?}");
     rig.run_for(60_000);
-    // Once shifted, no load is needed any more.
+    // After the shift no further load is needed.
     let late = rig.loads.iter().filter(|l| l.0 > Moment(75_000_000));
-    assert_eq!(late.count(), 0, "thrashing");
+    assert_eq!(late.count(), 0, "loads continue after the shift");
 }
 
 #[test]
 fn slow_upstream_gets_less() {
     let mut rig = Rig::new(settings(), 3, 0, 16);
-    rig.slow("r1", 1_000);
+    rig.slow_down("r1", 1_000);
     for i in 0..1_200 {
         rig.offer_in(i * 50, arrival(i, "t", ""));
     }
     rig.run_for(70_000);
-    let times = rig.totals(|a| a.ticket.0 >= 200);
-    assert!(part(&times, 90) <= 600, "{:?}", part(&times, 90));
-    assert_eq!(rig.totals(|_| true).len(), 1_200);
+    let times = rig.latencies(|a| a.ticket.0 >= 200);
+    assert!(
+        percentile(&times, 90) <= 600,
+        "{:?}",
+        percentile(&times, 90)
+    );
+    assert_eq!(rig.latencies(|_| true).len(), 1_200);
 }
 
 #[test]
-fn long_work_leaves_counters_their_places() {
+fn long_work_leaves_room_for_short() {
     let mut rig = Rig::new(settings(), 2, 2, 8);
     for i in 0..200 {
         let mut a = arrival(i, "archive", "");
         a.class = Class::Long;
         a.max_tokens = 500;
-        rig.offer_in(0, due(&rig, 400_000, a));
+        rig.offer_in(0, with_deadline(&rig, 400_000, a));
     }
     for i in 0..100 {
         rig.offer_in(1_000 + i * 200, arrival(1_000 + i, "counter", ""));
     }
     rig.run_for(300_000);
-    let short = rig.totals(|a| a.class == Class::Interactive);
+    let short = rig.latencies(|a| a.class == Class::Interactive);
     assert_eq!(short.len(), 100);
-    assert!(part(&short, 99) <= 550, "{short:?}");
-    assert_eq!(rig.totals(|a| a.class == Class::Long).len(), 200);
+    assert!(percentile(&short, 99) <= 550, "{short:?}");
+    assert_eq!(rig.latencies(|a| a.class == Class::Long).len(), 200);
     let capped = rig.peak.values().all(|(_, long)| *long <= 6);
     assert!(capped, "{:?}", rig.peak);
 }
 
 #[test]
-fn counters_leave_long_work_its_floor() {
+fn short_work_leaves_long_floor() {
     let mut rig = Rig::new(settings(), 1, 0, 8);
-    // Twice as much short work as the replica can do, for a minute.
+    // Twice the short work that the replica can do, for a minute.
     for i in 0..1_920 {
         let a = arrival(i, "counter", "");
-        rig.offer_in(i * 31, due(&rig, i * 31 + 5_000, a));
+        rig.offer_in(i * 31, with_deadline(&rig, i * 31 + 5_000, a));
     }
     for i in 0..10 {
         let mut a = arrival(5_000 + i, "archive", "");
         a.class = Class::Long;
         a.max_tokens = 500;
-        rig.offer_in(500, due(&rig, 60_000, a));
+        rig.offer_in(500, with_deadline(&rig, 60_000, a));
     }
     rig.run_for(60_000);
-    assert_eq!(rig.totals(|a| a.class == Class::Long).len(), 10);
-    assert!(rig.totals(|a| a.class == Class::Interactive).len() > 500);
+    assert_eq!(rig.latencies(|a| a.class == Class::Long).len(), 10);
+    assert!(rig.latencies(|a| a.class == Class::Interactive).len() > 500);
 }
 
 #[test]
-fn saturation_refused_truthfully() {
+fn saturation_ends_every_request() {
     let mut rig = Rig::new(settings(), 2, 0, 4);
     for i in 0..2_000 {
         let a = arrival(i, &format!("t{}", i % 5), "");
-        rig.offer_in(i * 20, due(&rig, i * 20 + 2_000, a));
+        rig.offer_in(i * 20, with_deadline(&rig, i * 20 + 2_000, a));
     }
     rig.run_for(60_000);
     assert_eq!(rig.waiting(), 0);
-    let times = rig.totals(|_| true);
-    // 16 a second for 40 seconds, all that the replicas can do.
+    let times = rig.latencies(|_| true);
+    // 16 per second for 40 seconds, the full capacity of the replicas.
     assert!(times.len() >= 600, "{}", times.len());
-    assert!(times.last().unwrap().as_millis() <= 2_000, "late answers");
+    assert!(
+        times.last().unwrap().as_millis() <= 2_000,
+        "answers after the deadline"
+    );
     let refused: Vec<_> = rig
-        .got
+        .states
         .values()
         .filter_map(|g| match g {
-            Got::Refused { after, .. } => Some(*after),
+            RequestState::Refused { after, .. } => Some(*after),
             _ => None,
         })
         .collect();
@@ -188,7 +195,7 @@
 #[test]
 fn deadline_unreachable_refused_at_once() {
     let mut rig = Rig::new(settings(), 1, 2, 4);
-    rig.offer_in(0, due(&rig, 300, arrival(0, "t", "a@1")));
+    rig.offer_in(0, with_deadline(&rig, 300, arrival(0, "t", "a@1")));
     rig.run_for(0);
     assert_eq!(rig.refused(Reason::Deadline), 1);
 }
@@ -198,12 +205,12 @@
     let mut rig = Rig::new(settings(), 2, 2, 4);
     for i in 0..400 {
         let a = arrival(i, "t", "hot@1");
-        rig.offer_in(i * 80, due(&rig, i * 80 + 10_000, a));
+        rig.offer_in(i * 80, with_deadline(&rig, i * 80 + 10_000, a));
     }
     rig.run_for(40_000);
-    assert_eq!(rig.loads.len(), 2, "one load a copy");
-    let times = rig.totals(|a| a.ticket.0 > 200);
-    assert!(part(&times, 99) <= 800, "{times:?}");
+    assert_eq!(rig.loads.len(), 2, "expected one load per copy");
+    let times = rig.latencies(|a| a.ticket.0 > 200);
+    assert!(percentile(&times, 99) <= 800, "{times:?}");
 }
 
 #[test]
@@ -216,42 +223,42 @@
     assert_eq!(rig.loads.len(), 1);
 }
 
-fn gathering() -> Rig {
+fn batching_rig() -> Rig {
     let mut s = settings();
     s.objective = Objective::Batch;
     Rig::new(s, 2, 2, 10)
 }
 
-fn reading(rig: &Rig, ticket: u64, ms: u64) -> Arrival {
+fn long_arrival(rig: &Rig, ticket: u64, ms: u64) -> Arrival {
     let mut a = arrival(ticket, "archive", "a@1");
     a.class = Class::Long;
-    due(rig, ms, a)
+    with_deadline(rig, ms, a)
 }
 
 #[rstest]
 #[case::no_longer_than_set(600_000, 10_600)]
 #[case::a_tenth_of_its_time(30_000, 3_600)]
-fn long_alone_starts_in_time(#[case] deadline: u64, #[case] most: u64) {
-    let mut rig = gathering();
+fn long_work_alone_starts_within_delay(#[case] deadline: u64, #[case] most: u64) {
+    let mut rig = batching_rig();
     rig.offer_in(0, arrival(0, "counter", "a@1"));
     rig.run_for(2_000);
-    rig.offer_in(0, reading(&rig, 1, deadline));
+    rig.offer_in(0, long_arrival(&rig, 1, deadline));
     rig.run_for(most - 1_000);
-    assert_eq!(rig.totals(|a| a.class == Class::Long).len(), 0);
+    assert_eq!(rig.latencies(|a| a.class == Class::Long).len(), 0);
     rig.run_for(1_000);
-    assert_eq!(rig.totals(|a| a.class == Class::Long).len(), 1);
+    assert_eq!(rig.latencies(|a| a.class == Class::Long).len(), 1);
 }
 
 #[test]
-fn long_in_company_starts_at_once() {
-    let mut rig = gathering();
+fn long_work_filling_batch_starts_at_once() {
+    let mut rig = batching_rig();
     rig.offer_in(0, arrival(0, "counter", "a@1"));
     rig.run_for(2_000);
     for i in 1..=6 {
-        rig.offer_in(i * 10, reading(&rig, i, 600_000));
+        rig.offer_in(i * 10, long_arrival(&rig, i, 600_000));
     }
     rig.run_for(600);
-    assert_eq!(rig.totals(|a| a.class == Class::Long).len(), 6);
+    assert_eq!(rig.latencies(|a| a.class == Class::Long).len(), 6);
 }
 
 #[test]
@@ -263,11 +270,11 @@
         rig.offer_in(0, a);
     }
     rig.run_for(700);
-    // All come while the other replica is full, none later.
+    // All arrive while the other replica is full, none later.
     for i in 10..60 {
         rig.offer_in(0, arrival(i, "t", "a@1"));
     }
     rig.run_for(12_000);
     assert_eq!(rig.loads.len(), 3, "{:?}", rig.loads);
-    assert_eq!(rig.totals(|_| true).len(), 52);
+    assert_eq!(rig.latencies(|_| true).len(), 52);
 }
--- a/lib/tests/test_pool_rig.rs
+++ b/lib/tests/test_pool_rig.rs
@@ -1,5 +1,5 @@
-//! Fake replicas and callers around a pool, in virtual time; every command is
-//! checked against what must always hold.
+//! Fake replicas and callers around a pool, in virtual time. Every command is
+//! checked against the invariants of the pool.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -12,16 +12,16 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::*;
 
-/// How long a crashed replica is away.
-const AWAY: Span = Span::from_millis(1_000);
-/// How often replicas report, and how old a report is on arrival.
-const REPORT: Span = Span::from_millis(250);
-const LAG: Span = Span::from_millis(100);
+/// Time until a crashed replica restarts.
+const DOWNTIME: Span = Span::from_millis(1_000);
+/// Interval between reports of a replica, and the age of a report on arrival.
+const REPORT_INTERVAL: Span = Span::from_millis(250);
+const REPORT_LAG: Span = Span::from_millis(100);
 
-/// What became of a request.
+/// State of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Got {
-    Waits,
+pub(crate) enum RequestState {
+    Waiting,
     Granted(ReplicaName),
     Answered {
         wait: Span,
@@ -40,11 +40,11 @@
 pub(crate) enum Event {
     Offer(Arrival),
     Abandon(Ticket),
-    Ends(Ticket),
+    End(Ticket),
     Crash(ReplicaName, Incarnation),
-    Back(ReplicaName),
-    Loaded(OrderId),
-    Snap(ReplicaName),
+    Restart(ReplicaName),
+    LoadEnd(OrderId),
+    Sample(ReplicaName),
     Report(LoadReport),
     Tick,
 }
@@ -57,40 +57,41 @@
     pub(crate) batch: u32,
     pub(crate) loaded: BTreeSet<AdapterVersion>,
     pub(crate) running: BTreeSet<Ticket>,
-    /// Hundredths of the usual time.
-    pub(crate) slow: u64,
+    /// Duration of a step in percent of the normal duration.
+    pub(crate) time_percent: u64,
 }
 
 /// A pool with fake replicas and callers.
 pub(crate) struct Rig {
     pub(crate) pool: Pool,
     pub(crate) now: Moment,
-    pub(crate) got: BTreeMap<Ticket, Got>,
-    /// Loads that fail.
-    pub(crate) broken: BTreeSet<AdapterVersion>,
+    pub(crate) states: BTreeMap<Ticket, RequestState>,
+    /// Adapters whose loads fail.
+    pub(crate) failing_loads: BTreeSet<AdapterVersion>,
     /// Requests that crash their replica.
     pub(crate) poison: BTreeSet<Fingerprint>,
-    /// Retries of a broken request by its caller.
+    /// Number of retries of a broken request by its caller.
     pub(crate) retries: u32,
     pub(crate) crashes: u32,
-    pub(crate) convicted: BTreeSet<Fingerprint>,
+    pub(crate) blocked: BTreeSet<Fingerprint>,
     pub(crate) loads: Vec<(Moment, ReplicaName, AdapterVersion)>,
-    /// Most requests that a replica ran at once, long ones apart.
+    /// Maximum number of requests and of long requests that a replica ran at
+    /// once.
     pub(crate) peak: BTreeMap<ReplicaName, (usize, usize)>,
     pub(crate) engines: BTreeMap<ReplicaName, Engine>,
-    pub(crate) sent: BTreeMap<Ticket, (Arrival, Moment, Moment)>,
+    pub(crate) submitted: BTreeMap<Ticket, (Arrival, Moment, Moment)>,
     pub(crate) orders: BTreeMap<OrderId, (ReplicaName, Incarnation, AdapterVersion)>,
-    /// The request that a retry stands for.
-    pub(crate) first: BTreeMap<Ticket, Ticket>,
+    /// Original ticket of a retry.
+    pub(crate) original: BTreeMap<Ticket, Ticket>,
     events: BTreeMap<(Moment, u64), Event>,
     serial: u64,
-    pub(crate) step: Span,
-    pub(crate) load: Span,
-    pub(crate) frozen: Moment,
-    pub(crate) keeping: Moment,
+    pub(crate) step_time: Span,
+    pub(crate) load_time: Span,
+    pub(crate) slot_freeze: Moment,
+    pub(crate) evict_freeze: Moment,
 }
 
-/// A plain arrival; tests change what they are about.
+/// Creates an arrival with default values; tests change the fields they need.
 pub(crate) fn arrival(ticket: u64, team: &str, adapter: &str) -> Arrival {
     Arrival {
         ticket: Ticket(ticket),
@@ -108,47 +109,48 @@
     }
 }
 
-/// Settings of most of these tests.
+/// Returns the settings of most of these tests.
 pub(crate) fn settings() -> PoolSettings {
-    // Round numbers: 50 tokens take half a second, a load takes as long.
+    // Round numbers: 50 tokens take half a second, and a load takes as long.
     PoolSettings::builder()
         .loads_per_s(2.0)
         .step_us(10_000)
         .build()
 }
 
-/// Gives an arrival a deadline.
-pub(crate) fn due(rig: &Rig, ms: u64, mut a: Arrival) -> Arrival {
+/// Sets the deadline of an arrival to `ms` from now.
+pub(crate) fn with_deadline(rig: &Rig, ms: u64, mut a: Arrival) -> Arrival {
     a.deadline = rig.now.after(Span::from_millis(ms));
     a
 }
 
 impl Rig {
-    /// `count` replicas named `r1`, `r2` and so on, which have reported.
+    /// Creates `count` replicas named `r1`, `r2` and so on, which have
+    /// reported.
     pub(crate) fn new(settings: PoolSettings, count: u32, slots: u32, batch: u32) -> Self {
-        let step = Span(settings.step_us);
-        let load = Span((1e6 / settings.loads_per_s) as u64);
+        let step_time = Span(settings.step_us);
+        let load_time = Span((1e6 / settings.loads_per_s) as u64);
         let mut rig = Self {
             pool: Pool::new(settings),
             now: Moment(1_000_000),
-            got: BTreeMap::new(),
-            broken: BTreeSet::new(),
+            states: BTreeMap::new(),
+            failing_loads: BTreeSet::new(),
             poison: BTreeSet::new(),
             retries: 0,
             crashes: 0,
-            convicted: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             loads: Vec::new(),
             peak: BTreeMap::new(),
             engines: BTreeMap::new(),
-            sent: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             orders: BTreeMap::new(),
-            first: BTreeMap::new(),
+            original: BTreeMap::new(),
             events: BTreeMap::new(),
             serial: 0,
-            step,
-            load,
-            frozen: Moment(0),
-            keeping: Moment(0),
+            step_time,
+            load_time,
+            slot_freeze: Moment(0),
+            evict_freeze: Moment(0),
         };
         for i in 1..=count {
             let engine = Engine {
@@ -156,7 +158,7 @@
                 incarnation: 1,
                 slots,
                 batch,
-                slow: 100,
+                time_percent: 100,
                 ..Engine::default()
             };
             rig.engines.insert(format!("r{i}").parse().unwrap(), engine);
@@ -164,14 +166,14 @@
         rig.configure(&[]);
         let names: Vec<_> = rig.engines.keys().cloned().collect();
         for name in names {
-            rig.at(rig.now, Event::Snap(name));
+            rig.schedule(rig.now, Event::Sample(name));
         }
-        rig.at(rig.now, Event::Tick);
+        rig.schedule(rig.now, Event::Tick);
         rig.run_for(500);
         rig
     }
 
-    /// Configures all replicas but those named.
+    /// Configures all replicas except those named.
     pub(crate) fn configure(&mut self, without: &[&str]) {
         let names = self.engines.iter();
         let specs: Vec<_> = names
@@ -183,53 +185,53 @@
             })
             .collect();
         self.pool.set_replicas(self.now, &specs);
-        self.obey();
+        self.run_commands();
     }
 
     pub(crate) fn freeze_evictions(&mut self, until: Moment) {
-        self.keeping = until;
+        self.evict_freeze = until;
         self.pool.freeze_evictions(until);
     }
 
-    pub(crate) fn freeze(&mut self, until: Moment) {
-        self.frozen = until;
+    pub(crate) fn freeze_slots(&mut self, until: Moment) {
+        self.slot_freeze = until;
         self.pool.freeze_slots(until);
     }
 
-    pub(crate) fn health(&mut self, name: &str, health: Health) {
+    pub(crate) fn set_health(&mut self, name: &str, health: Health) {
         self.pool
             .set_health(self.now, &name.parse().unwrap(), health);
-        self.obey();
+        self.run_commands();
     }
 
     pub(crate) fn drain(&mut self) {
         self.pool.drain(self.now);
-        self.obey();
+        self.run_commands();
     }
 
-    pub(crate) fn slow(&mut self, name: &str, hundredths: u64) {
+    pub(crate) fn slow_down(&mut self, name: &str, percent: u64) {
         if let Some(e) = self.engines.get_mut(name) {
-            e.slow = hundredths;
+            e.time_percent = percent;
         }
     }
 
-    /// A request arrives `ms` from now.
+    /// Submits a request `ms` from now.
     pub(crate) fn offer_in(&mut self, ms: u64, a: Arrival) {
-        self.at(self.now.after(Span::from_millis(ms)), Event::Offer(a));
+        self.schedule(self.now.after(Span::from_millis(ms)), Event::Offer(a));
     }
 
-    /// A caller goes away `ms` from now.
+    /// Lets a caller go away `ms` from now.
     pub(crate) fn abandon_in(&mut self, ms: u64, ticket: u64) {
         let event = Event::Abandon(Ticket(ticket));
-        self.at(self.now.after(Span::from_millis(ms)), event);
+        self.schedule(self.now.after(Span::from_millis(ms)), event);
     }
 
-    /// A replica crashes `ms` from now and comes back empty.
+    /// Crashes a replica `ms` from now; it restarts empty.
     pub(crate) fn crash_in(&mut self, ms: u64, name: &str) {
         let name: ReplicaName = name.parse().unwrap();
         let inc = self.engines.get(&name).map_or(0, |e| e.incarnation);
         let event = Event::Crash(name, Incarnation(inc));
-        self.at(self.now.after(Span::from_millis(ms)), event);
+        self.schedule(self.now.after(Span::from_millis(ms)), event);
     }
 
     pub(crate) fn run_for(&mut self, ms: u64) {
@@ -239,79 +241,79 @@
             && let Some(((at, _), event)) = self.events.pop_first()
         {
             self.now = at;
-            self.happen(event);
-            self.obey();
+            self.handle(event);
+            self.run_commands();
         }
         self.now = end;
     }
 
-    pub(crate) fn at(&mut self, when: Moment, event: Event) {
+    pub(crate) fn schedule(&mut self, when: Moment, event: Event) {
         self.serial += 1;
         self.events.insert((when, self.serial), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Offer(a) => {
-                let old = self.got.insert(a.ticket, Got::Waits);
+                let old = self.states.insert(a.ticket, RequestState::Waiting);
                 assert!(old.is_none());
-                self.sent.insert(a.ticket, (a.clone(), now, now));
+                self.submitted.insert(a.ticket, (a.clone(), now, now));
                 self.pool.offer(now, a);
             }
             Event::Abandon(ticket) => {
-                if let Some(got @ Got::Waits) = self.got.get_mut(&ticket) {
-                    *got = Got::Abandoned;
+                if let Some(got @ RequestState::Waiting) = self.states.get_mut(&ticket) {
+                    *got = RequestState::Abandoned;
                     self.pool.abandon(now, ticket);
                 }
             }
-            Event::Ends(ticket) => self.end(ticket),
+            Event::End(ticket) => self.end(ticket),
             Event::Crash(name, inc) => self.crash(&name, inc),
-            Event::Back(name) => {
+            Event::Restart(name) => {
                 if let Some(e) = self.engines.get_mut(&name) {
                     e.up = true;
-                    self.at(now, Event::Snap(name));
+                    self.schedule(now, Event::Sample(name));
                 }
             }
-            Event::Loaded(order) => self.loaded(order),
-            Event::Snap(name) => self.snap(name),
+            Event::LoadEnd(order) => self.end_load(order),
+            Event::Sample(name) => self.sample(name),
             Event::Report(report) => self.pool.report(now, report),
             Event::Tick => {
                 self.pool.tick(now);
-                self.at(now.after(Span::from_millis(10)), Event::Tick);
+                self.schedule(now.after(Span::from_millis(10)), Event::Tick);
             }
         }
     }
 
-    fn snap(&mut self, name: ReplicaName) {
+    fn sample(&mut self, name: ReplicaName) {
         let Some(e) = self.engines.get(&name).filter(|e| e.up) else {
             return;
         };
         let report = LoadReport {
             replica: name.clone(),
             incarnation: Incarnation(e.incarnation),
-            age: LAG,
+            age: REPORT_LAG,
             running: e.running.len() as u32,
             waiting: 0,
             loaded: e.loaded.clone(),
         };
-        self.at(self.now.after(LAG), Event::Report(report));
-        self.at(self.now.after(REPORT), Event::Snap(name));
+        self.schedule(self.now.after(REPORT_LAG), Event::Report(report));
+        self.schedule(self.now.after(REPORT_INTERVAL), Event::Sample(name));
     }
 
     fn end(&mut self, ticket: Ticket) {
-        let Some(Got::Granted(name)) = self.got.get(&ticket).cloned() else {
+        let Some(RequestState::Granted(name)) = self.states.get(&ticket).cloned() else {
             return;
         };
         if let Some(e) = self.engines.get_mut(&name) {
             e.running.remove(&ticket);
         }
-        let (a, offered, granted) = self.sent[&ticket].clone();
-        let got = Got::Answered {
+        let (a, offered, granted) = self.submitted[&ticket].clone();
+        let got = RequestState::Answered {
             wait: granted.since(offered),
             total: self.now.since(offered),
         };
-        self.got.insert(ticket, got);
+        self.states.insert(ticket, got);
         self.finish(ticket, Outcome::Answered, a.max_tokens, granted);
     }
 
@@ -321,7 +323,7 @@
             ticket,
             outcome,
             tokens,
-            first_byte: Span(total.0.min(self.step.0)),
+            first_byte: Span(total.0.min(self.step_time.0)),
             total,
         };
         self.pool.finish(self.now, finish);
@@ -339,33 +341,34 @@
         e.loaded.clear();
         self.crashes += 1;
         let lost = std::mem::take(&mut e.running);
-        self.at(self.now.after(AWAY), Event::Back(name.clone()));
+        self.schedule(self.now.after(DOWNTIME), Event::Restart(name.clone()));
         for ticket in lost {
-            self.break_off(ticket, name, Outcome::BrokenEarly);
+            self.fail(ticket, name, Outcome::BrokenEarly);
         }
     }
 
-    /// A dispatch ended without an answer; its caller may try again.
-    pub(crate) fn break_off(&mut self, ticket: Ticket, name: &ReplicaName, outcome: Outcome) {
-        self.got.insert(ticket, Got::Broken(name.clone()));
-        let (mut a, _, granted) = self.sent[&ticket].clone();
+    /// Ends a dispatch without an answer; its caller may retry.
+    pub(crate) fn fail(&mut self, ticket: Ticket, name: &ReplicaName, outcome: Outcome) {
+        self.states
+            .insert(ticket, RequestState::Broken(name.clone()));
+        let (mut a, _, granted) = self.submitted[&ticket].clone();
         self.finish(ticket, outcome, 0, granted);
         if a.attempt < self.retries {
-            let first = self.first.get(&ticket).copied().unwrap_or(ticket);
+            let first = self.original.get(&ticket).copied().unwrap_or(ticket);
             a.attempt += 1;
             a.avoid.insert(name.clone());
             a.ticket = Ticket(1_000_000 + self.serial);
             self.serial += 1;
-            self.first.insert(a.ticket, first);
-            self.at(self.now, Event::Offer(a));
+            self.original.insert(a.ticket, first);
+            self.schedule(self.now, Event::Offer(a));
         }
     }
 
-    fn loaded(&mut self, order: OrderId) {
+    fn end_load(&mut self, order: OrderId) {
         let Some((name, inc, adapter)) = self.orders.remove(&order) else {
             return;
         };
-        let fails = self.broken.contains(&adapter);
+        let fails = self.failing_loads.contains(&adapter);
         let Some(e) = self.engines.get_mut(&name) else {
             return;
         };
@@ -373,7 +376,7 @@
         let end = match (same, fails) {
             (true, false) => {
                 e.loaded.insert(adapter);
-                assert!(e.loaded.len() <= e.slots as usize, "more than the slots");
+                assert!(e.loaded.len() <= e.slots as usize, "slot limit exceeded");
                 OrderEnd::Done
             }
             (true, true) => OrderEnd::Failed,
@@ -382,19 +385,23 @@
         self.pool.order_end(self.now, order, end);
     }
 
-    /// Requests that neither ended nor run.
+    /// Returns the number of waiting requests.
     pub(crate) fn waiting(&self) -> usize {
-        self.got.values().filter(|g| **g == Got::Waits).count()
+        self.states
+            .values()
+            .filter(|g| **g == RequestState::Waiting)
+            .count()
     }
 
-    /// Times from offer to the end of the answers that match, sorted.
-    pub(crate) fn totals(&self, test: impl Fn(&Arrival) -> bool) -> Vec<Span> {
+    /// Returns the sorted times from submission to answer of the requests that
+    /// match.
+    pub(crate) fn latencies(&self, test: impl Fn(&Arrival) -> bool) -> Vec<Span> {
         let mut all: Vec<_> = self
-            .got
+            .states
             .iter()
-            .filter(|(t, _)| test(&self.sent[*t].0))
+            .filter(|(t, _)| test(&self.submitted[*t].0))
             .filter_map(|(_, g)| match g {
-                Got::Answered { total, .. } => Some(*total),
+                RequestState::Answered { total, .. } => Some(*total),
                 _ => None,
             })
             .collect();
@@ -402,9 +409,10 @@
         all
     }
 
-    /// Requests that match and were refused for a reason.
+    /// Returns the number of requests refused for a reason.
     pub(crate) fn refused(&self, reason: Reason) -> usize {
-        let why = |g: &&Got| matches!(g, Got::Refused { why, .. } if *why == reason);
-        self.got.values().filter(why).count()
+        let why =
+            |g: &&RequestState| matches!(g, RequestState::Refused { why, .. } if *why == reason);
+        self.states.values().filter(why).count()
     }
 }
