--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -27,15 +27,15 @@
 
 /// How long the answer of a VM that lends is waited for: it is a millisecond or
 /// two away, and callers of plain services wait for a tenth of a second.
-const ANSWER_WAIT: Duration = Duration::from_millis(40);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// The pause before the next question where no VM is known to lend: all that
 /// start at the same moment know each other within a few of these.
-const LENDER_WAIT: Duration = Duration::from_millis(100);
+const NO_LENDER_PAUSE: Duration = Duration::from_millis(100);
 
 /// Questions for one request: the first VM in the order, again as a datagram may
 /// be lost, and the one after it.
-const QUESTIONS: [usize; 3] = [0, 0, 1];
+const LENDER_RANKS: [usize; 3] = [0, 0, 1];
 
 /// What a request took of its organisation's limit; if it did not run, that is
 /// given back when this is dropped.
@@ -43,14 +43,14 @@
     node: Rc<Node>,
     organisation: OrganisationName,
     weight: f64,
-    ran: Cell<bool>,
+    may_have_run: Cell<bool>,
 }
 
 impl Charge {
     /// The request is sent, and may run from now on.
-    pub(in crate::serving) fn begin(&self) -> Sent<'_> {
-        let before = self.ran.replace(true);
-        Sent {
+    pub(in crate::serving) fn mark_sent(&self) -> ChargedSend<'_> {
+        let before = self.may_have_run.replace(true);
+        ChargedSend {
             charge: self,
             before,
         }
@@ -58,30 +58,34 @@
 }
 
 /// A send of a charged request.
-pub(in crate::serving) struct Sent<'a> {
+pub(in crate::serving) struct ChargedSend<'a> {
     charge: &'a Charge,
     before: bool,
 }
 
-impl Sent<'_> {
+impl ChargedSend<'_> {
     /// It did not run by this send.
-    pub(in crate::serving) fn undo(&self) {
-        self.charge.ran.set(self.before);
+    pub(in crate::serving) fn revert(&self) {
+        self.charge.may_have_run.set(self.before);
     }
 }
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        let outcome = if self.ran.get() { "ran" } else { "not_run" };
-        count(&self.organisation, outcome, self.weight);
-        if !self.ran.get() {
+        let outcome = if self.may_have_run.get() {
+            "ran"
+        } else {
+            "not_run"
+        };
+        count_usage(&self.organisation, outcome, self.weight);
+        if !self.may_have_run.get() {
             let mut b = self.node.state();
             b.borrower.give_back(now(), &self.organisation, self.weight);
         }
     }
 }
 
-fn count(organisation: &OrganisationName, outcome: &'static str, weight: f64) {
+fn count_usage(organisation: &OrganisationName, outcome: &'static str, weight: f64) {
     let organisation = organisation.to_string();
     metrics::counter!("serve_organisation_use_total",
         "organisation" => organisation, "outcome" => outcome)
@@ -89,7 +93,7 @@
 }
 
 /// Takes what a request weighs out of its organisation's limit.
-pub(in crate::serving) async fn take(
+pub(in crate::serving) async fn acquire(
     node: &Rc<Node>,
     organisation: &Organisation,
     ask: &RequestInfo,
@@ -103,17 +107,17 @@
         node: node.clone(),
         organisation: name.clone(),
         weight,
-        ran: Cell::new(false),
+        may_have_run: Cell::new(false),
     };
     let over = |after: Span, why: &'static str| {
-        count(name, "over_limit", weight);
+        count_usage(name, "over_limit", weight);
         slog::info!(node.log, "over limit"; "id" => &ask.id, "organisation" => name.as_str(),
             "weight" => weight, "rate" => limit.rate, "burst" => limit.burst,
             "after_ms" => after.as_millis(), "by" => why);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
     let lenders = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
-    for place in QUESTIONS.into_iter().filter(|_| lenders) {
+    for place in LENDER_RANKS.into_iter().filter(|_| lenders) {
         let spend = node.state().borrower.spend(now(), name, weight);
         let question = match spend {
             Spend::Spent => return Ok(Some(charge())),
@@ -121,10 +125,10 @@
             Spend::Ask(question) => question,
         };
         let answer = match ask_lender(node, name, limit, place, question).await {
-            Asked::Answer(answer) => answer,
-            Asked::Unanswered => continue,
-            Asked::Nobody => {
-                tokio::time::sleep(LENDER_WAIT).await;
+            LenderReply::Answer(answer) => answer,
+            LenderReply::Unanswered => continue,
+            LenderReply::NoLender => {
+                tokio::time::sleep(NO_LENDER_PAUSE).await;
                 continue;
             }
         };
@@ -151,11 +155,11 @@
 }
 
 /// What came of a question to a VM that lends.
-enum Asked {
+enum LenderReply {
     Answer(Answer),
     Unanswered,
     /// No VM is known to lend.
-    Nobody,
+    NoLender,
 }
 
 /// Asks the VM at this place in the order of those that lend.
@@ -165,7 +169,7 @@
     limit: &RateLimit,
     place: usize,
     mut question: LeaseAsk,
-) -> Asked {
+) -> LenderReply {
     if !node.settings.experiment.is_enabled(Mechanism::LimitsAhead) {
         question.ahead = 0.0;
     }
@@ -174,18 +178,18 @@
         let b = &mut *b;
         let lenders = b.members.lenders(now(), lender_seed(name));
         let Some(lender) = lenders.get(place).or(lenders.first()).copied() else {
-            return Asked::Nobody;
+            return LenderReply::NoLender;
         };
         if *lender == node.settings.vm {
             let part = b.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
             let answer = b.lender.ask(now(), name, limit, part, first, question);
-            return Asked::Answer(answer);
+            return LenderReply::Answer(answer);
         }
         b.members.address(lender)
     };
     let Some(address) = address else {
-        return Asked::Unanswered;
+        return LenderReply::Unanswered;
     };
     let number = node.next_id();
     let waiting = node.lease_calls.register(number);
@@ -196,21 +200,23 @@
         need: question.need,
         ahead: question.ahead,
     };
-    tell(node, Body::LeaseAsk(ask), address).await;
-    let (outcome, asked) = match waiting.wait(ANSWER_WAIT).await {
-        Some(answer) if answer.declined => ("declined", Asked::Unanswered),
-        Some(answer) if answer.lent > 0.0 => ("lent", Asked::Answer(Answer::Lent(answer.lent))),
+    send_message(node, Body::LeaseAsk(ask), address).await;
+    let (outcome, asked) = match waiting.wait(ANSWER_TIMEOUT).await {
+        Some(answer) if answer.declined => ("declined", LenderReply::Unanswered),
+        Some(answer) if answer.lent > 0.0 => {
+            ("lent", LenderReply::Answer(Answer::Lent(answer.lent)))
+        }
         Some(answer) => {
             let after = Span(answer.after_us);
-            ("short", Asked::Answer(Answer::Short(after)))
+            ("short", LenderReply::Answer(Answer::Short(after)))
         }
-        None => ("unanswered", Asked::Unanswered),
+        None => ("unanswered", LenderReply::Unanswered),
     };
     metrics::counter!("serve_lease_asks_total", "outcome" => outcome).increment(1);
     asked
 }
 
-async fn tell(node: &Node, body: Body, address: std::net::SocketAddr) {
+async fn send_message(node: &Node, body: Body, address: std::net::SocketAddr) {
     let datagram = wire::Datagram { body: Some(body) };
     send(node, &datagram.encode_to_vec(), address).await;
 }
@@ -240,7 +246,7 @@
         Some(Answer::Short(after)) => answer.after_us = after.0,
         None => answer.declined = true,
     }
-    tell(node, Body::LeaseAnswer(answer), address).await;
+    send_message(node, Body::LeaseAnswer(answer), address).await;
 }
 
 /// `None` where this VM does not lend for the organisation.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -27,8 +27,8 @@
 use crate::serving::path::charge::Charge;
 use crate::serving::path::codec::ForwardHeaders;
 use crate::serving::path::codec::Reply;
-use crate::serving::path::prefill::Turn;
-use crate::serving::path::prefill::take_turn;
+use crate::serving::path::prefill::PrefillTurn;
+use crate::serving::path::prefill::wait_for_turn;
 use crate::serving::path::types::Instance;
 use crate::serving::path::types::KeyDigest;
 use crate::serving::path::types::SharedPrefix;
@@ -40,7 +40,7 @@
 use crate::upstream::SendError;
 
 /// A caller's request, kept until its answer is whole.
-pub(in crate::serving) struct Held {
+pub(in crate::serving) struct BufferedRequest {
     pub(in crate::serving) method: Method,
     pub(in crate::serving) path: Uri,
     pub(in crate::serving) headers: HeaderMap,
@@ -55,7 +55,7 @@
     /// On whose behalf it runs.
     pub(in crate::serving) caller: Caller,
     /// When the final answer is due.
-    pub(in crate::serving) limit: Moment,
+    pub(in crate::serving) deadline: Moment,
 }
 
 /// Who calls, and what that was charged to.
@@ -72,17 +72,17 @@
 pub(in crate::serving) struct Run {
     node: Rc<Node>,
     pub(in crate::serving) replica: ReplicaName,
-    born: u64,
+    started_ms: u64,
     target: Option<Target>,
     cost: Load,
-    number: u64,
-    heard: bool,
+    id: u64,
+    responded: bool,
     /// While its prompt is read.
-    turn: Option<Turn>,
+    prefill_turn: Option<PrefillTurn>,
 }
 
 impl Run {
-    fn begin(node: &Rc<Node>, held: &Held, replica: &ReplicaName) -> Self {
+    fn begin(node: &Rc<Node>, held: &BufferedRequest, replica: &ReplicaName) -> Self {
         let number = node.next_id();
         let mut b = node.state();
         b.begin_run(replica, held.target.as_ref(), held.cost);
@@ -90,40 +90,40 @@
         Self {
             node: node.clone(),
             replica: replica.clone(),
-            born,
+            started_ms: born,
             target: held.target.clone(),
             cost: held.cost,
-            number,
-            heard: false,
-            turn: None,
+            id: number,
+            responded: false,
+            prefill_turn: None,
         }
     }
 
     /// Waits until the replica can read the prompt; it is sent next.
-    async fn ready(&mut self, limit: Moment) {
+    async fn wait_for_turn(&mut self, limit: Moment) {
         if self.cost.unread >= LONG_PROMPT {
             let node = self.node.clone();
-            let turn = take_turn(&node, &self.replica, self.number, self.cost.unread, limit);
-            self.turn = turn.await;
+            let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.unread, limit);
+            self.prefill_turn = turn.await;
         }
         let mut b = self.node.state();
-        b.fleet.await_first(now(), &self.replica, self.number);
+        b.fleet.await_first(now(), &self.replica, self.id);
     }
 
     /// Bytes of the answer came.
-    pub(in crate::serving) fn heard(&mut self) {
-        self.heard = true;
-        self.turn = None;
+    pub(in crate::serving) fn on_data(&mut self) {
+        self.responded = true;
+        self.prefill_turn = None;
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.read(&self.replica, self.cost.unread);
-            b.fleet.heard(now(), &self.replica, self.number, true);
+            b.fleet.heard(now(), &self.replica, self.id, true);
         }
         self.cost.unread = 0;
     }
 
     /// The run ended so.
-    pub(in crate::serving) fn learn(&self, end: End) {
+    pub(in crate::serving) fn record_end(&self, end: End) {
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.learn(now(), &self.replica, end);
@@ -134,7 +134,7 @@
     pub(in crate::serving) fn instance(&self) -> Instance {
         Instance {
             name: self.replica.clone(),
-            started_ms: self.born,
+            started_ms: self.started_ms,
         }
     }
 }
@@ -143,8 +143,8 @@
     fn drop(&mut self) {
         let mut b = self.node.state();
         b.end_run(&self.instance(), self.target.as_ref(), self.cost);
-        if !self.heard {
-            b.fleet.heard(now(), &self.replica, self.number, false);
+        if !self.responded {
+            b.fleet.heard(now(), &self.replica, self.id, false);
         }
         drop(b);
         self.node.placement_wake.notify_waiters();
@@ -152,7 +152,7 @@
 }
 
 /// An answer that may be passed on.
-pub(in crate::serving) struct Begun {
+pub(in crate::serving) struct StartedResponse {
     pub(in crate::serving) answer: Answer,
     pub(in crate::serving) run: Run,
     /// Whether the replica says that it failed.
@@ -162,58 +162,58 @@
 /// Sends a request to a replica and waits for the head of its answer.
 pub(in crate::serving) async fn forward(
     node: &Rc<Node>,
-    held: &Held,
+    held: &BufferedRequest,
     replica: &ReplicaName,
     resume_at: Option<u64>,
-) -> Result<Begun, Ended> {
+) -> Result<StartedResponse, Ended> {
     let address = {
         let b = node.state();
         let listing = b.fleet.listing(replica).ok_or(Ended::NotSent)?;
         listing.address
     };
     let mut run = Run::begin(node, held, replica);
-    run.ready(held.limit).await;
+    run.wait_for_turn(held.deadline).await;
     if resume_at.is_none() {
         check_key(node, held)?;
     }
-    let request = message(node, held, replica, resume_at);
-    let sending = held.caller.charge.as_ref().map(Charge::begin);
-    let left = Duration::from_micros(held.limit.since(now()).0);
+    let request = build_request(node, held, replica, resume_at);
+    let sending = held.caller.charge.as_ref().map(Charge::mark_sent);
+    let left = Duration::from_micros(held.deadline.since(now()).0);
     let sent = tokio::time::timeout(left, node.upstreams.send(address, request)).await;
     let answer = match sent {
         Err(_) => return Err(Ended::Overdue),
         Ok(Err(SendError::NotSent(_))) => {
-            run.learn(End::Unreached);
-            sending.inspect(|s| s.undo());
+            run.record_end(End::Unreached);
+            sending.inspect(|s| s.revert());
             return Err(Ended::NotSent);
         }
         Ok(Err(SendError::Broken(_))) => {
-            run.learn(End::Broken);
-            strike(node, held, &run.instance());
+            run.record_end(End::Broken);
+            record_strike(node, held, &run.instance());
             return Err(Ended::Broken);
         }
         Ok(Ok(answer)) => answer,
     };
-    run.heard();
+    run.on_data();
     let read = node.border.classify_response;
     match read(answer.head.status, &answer.head.headers, &held.id, replica) {
-        Reply::Answer => Ok(Begun {
+        Reply::Answer => Ok(StartedResponse {
             answer,
             run,
             failed: false,
         }),
-        Reply::Failed => Ok(Begun {
+        Reply::Failed => Ok(StartedResponse {
             answer,
             run,
             failed: true,
         }),
         Reply::NotRun(why) => {
-            sending.inspect(|s| s.undo());
-            refused(node, held, &run, why);
+            sending.inspect(|s| s.revert());
+            record_refusal(node, held, &run, why);
             Err(Ended::NotRun(why))
         }
         Reply::Invalid(what) => {
-            run.learn(End::Broken);
+            run.record_end(End::Broken);
             Err(Ended::Spoilt(what))
         }
     }
@@ -221,7 +221,7 @@
 
 /// Whether the key of a request still holds: it may have waited for a place for
 /// long, or this VM may have been suspended meanwhile.
-fn check_key(node: &Node, held: &Held) -> Result<(), Ended> {
+fn check_key(node: &Node, held: &BufferedRequest) -> Result<(), Ended> {
     let Some(key) = &held.caller.key else {
         return Ok(());
     };
@@ -232,11 +232,16 @@
     admitted.map(|_| ()).map_err(Ended::Denied)
 }
 
-fn refused(node: &Node, held: &Held, run: &Run, why: crate::serving::path::codec::NotRun) {
+fn record_refusal(
+    node: &Node,
+    held: &BufferedRequest,
+    run: &Run,
+    why: crate::serving::path::codec::NotRun,
+) {
     use crate::serving::path::codec::NotRun;
     match why {
-        NotRun::Gone => run.learn(End::Gone),
-        NotRun::Full => run.learn(End::Full),
+        NotRun::Gone => run.record_end(End::Gone),
+        NotRun::Full => run.record_end(End::Full),
         NotRun::NotLoaded => {
             if let Some(target) = &held.target {
                 let mut b = node.state();
@@ -247,16 +252,16 @@
 }
 
 /// Notes that an upstream broke while it ran this request.
-pub(in crate::serving) fn strike(node: &Node, held: &Held, replica: &Instance) {
+pub(in crate::serving) fn record_strike(node: &Node, held: &BufferedRequest, replica: &Instance) {
     let news = node.state().strikes.note(now(), held.fingerprint, replica);
     if news {
         node.beacon_wake.notify_one();
     }
 }
 
-fn message(
+fn build_request(
     node: &Node,
-    held: &Held,
+    held: &BufferedRequest,
     replica: &ReplicaName,
     resume_at: Option<u64>,
 ) -> Request<Parts> {
@@ -272,7 +277,7 @@
     let headers = request.headers_mut();
     *headers = held.headers.clone();
     let sending = ForwardHeaders {
-        timeout: Duration::from_micros(held.limit.since(now).0),
+        timeout: Duration::from_micros(held.deadline.since(now).0),
         replica,
         version,
         resume_after: resume_at,
@@ -283,7 +288,7 @@
 }
 
 /// Takes out the headers that concern only one connection.
-pub(in crate::serving) fn strip_hop(headers: &mut HeaderMap) {
+pub(in crate::serving) fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -308,8 +313,8 @@
 }
 
 /// Takes out what the connection to a replica sets by itself.
-pub(in crate::serving) fn strip_request(headers: &mut HeaderMap) {
-    strip_hop(headers);
+pub(in crate::serving) fn strip_request_headers(headers: &mut HeaderMap) {
+    strip_hop_headers(headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove("expect");
 }
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -9,7 +9,7 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::serving::decisions::fleet::Load;
-use crate::serving::path::forward::Held;
+use crate::serving::path::forward::BufferedRequest;
 use crate::serving::peers::beacons::send;
 use crate::serving::peers::load_reports;
 use crate::serving::program::experiment::Mechanism;
@@ -18,22 +18,26 @@
 
 /// How long an answer is waited for: owners are a millisecond or two away, and
 /// one that is lost or busy must not hold a request up.
-const ANSWER_WAIT: Duration = Duration::from_millis(40);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Whether a request may go to a replica, by its owner's word.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(in crate::serving) enum Word {
+pub(in crate::serving) enum Admission {
     /// It may, or there is nobody to ask.
-    Go,
+    Admitted,
     /// The replica is busier than was believed, or lacks the adapter; what is
     /// believed is mended.
-    LookAgain,
+    ChooseAgain,
 }
 
 /// Asks whether a request may be sent to a replica.
-pub(in crate::serving) async fn ask(node: &Node, held: &Held, replica: &ReplicaName) -> Word {
+pub(in crate::serving) async fn ask_owner(
+    node: &Node,
+    held: &BufferedRequest,
+    replica: &ReplicaName,
+) -> Admission {
     let Some(target) = held.target.as_ref().filter(|t| t.adapter.is_some()) else {
-        return Word::Go;
+        return Admission::Admitted;
     };
     let number = node.next_id();
     let (address, ask) = {
@@ -44,7 +48,7 @@
         let address = owner.and_then(|vm| b.members.address(vm));
         let asks = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
         let Some(address) = address.filter(|_| asks) else {
-            return Word::Go;
+            return Admission::Admitted;
         };
         let believed = b.fleet.total(at, replica).unwrap_or_default();
         let ask = wire::PlaceAsk {
@@ -63,7 +67,7 @@
         body: Some(Body::PlaceAsk(ask)),
     };
     send(node, &datagram.encode_to_vec(), address).await;
-    let answer = question.wait(ANSWER_WAIT).await;
+    let answer = question.wait(ANSWER_TIMEOUT).await;
     let outcome = match &answer {
         Some(answer) if answer.granted => "granted",
         Some(answer) if answer.lacks => "lacks",
@@ -72,7 +76,7 @@
     };
     metrics::counter!("serve_place_asks_total", "outcome" => outcome).increment(1);
     let Some(answer) = answer else {
-        return Word::Go;
+        return Admission::Admitted;
     };
     let mut b = node.state();
     if answer.lacks {
@@ -82,8 +86,8 @@
         load_reports::apply_total(&mut b, now(), load);
     }
     match answer.granted {
-        true => Word::Go,
-        false => Word::LookAgain,
+        true => Admission::Admitted,
+        false => Admission::ChooseAgain,
     }
 }
 
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -19,10 +19,10 @@
 use crate::serving::program::node::time_until;
 
 /// How long the task that gives turns sleeps without any to give.
-const IDLE: Duration = Duration::from_secs(1);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A turn that was asked for; its owner hears of its end when it is dropped.
-pub(in crate::serving) struct Turn {
+pub(in crate::serving) struct PrefillTurn {
     node: Rc<Node>,
     replica: ReplicaName,
     number: u64,
@@ -30,13 +30,13 @@
 
 /// Asks for a turn and waits for it, where prompts take turns and the replica
 /// has an owner that lives. After the longest wait the prompt is sent anyway.
-pub(in crate::serving) async fn take_turn(
+pub(in crate::serving) async fn wait_for_turn(
     node: &Rc<Node>,
     replica: &ReplicaName,
     number: u64,
     tokens: u64,
     limit: Moment,
-) -> Option<Turn> {
+) -> Option<PrefillTurn> {
     let at = now();
     let owner = {
         let b = node.state();
@@ -45,7 +45,7 @@
         owner.filter(|vm| b.strain.active(at) && b.members.is_live(at, vm))?
     };
     let granted = node.turn_calls.register(number);
-    let turn = Turn {
+    let turn = PrefillTurn {
         node: node.clone(),
         replica: replica.clone(),
         number,
@@ -61,7 +61,7 @@
             replica: replica.to_string(),
             tokens,
         };
-        tell(node, &owner, Body::TurnAsk(ask)).await;
+        send_message(node, &owner, Body::TurnAsk(ask)).await;
     }
     let end = at.after(LONGEST_WAIT).min(limit);
     if granted.wait(time_until(end)).await.is_none() {
@@ -70,7 +70,7 @@
     Some(turn)
 }
 
-impl Drop for Turn {
+impl Drop for PrefillTurn {
     fn drop(&mut self) {
         let vm = self.node.settings.vm.clone();
         let owner = self.node.state().ownership.owner(&self.replica).cloned();
@@ -92,11 +92,13 @@
             replica: self.replica.to_string(),
         };
         let node = self.node.clone();
-        tokio::task::spawn_local(async move { tell(&node, &owner, Body::TurnEnd(end)).await });
+        tokio::task::spawn_local(
+            async move { send_message(&node, &owner, Body::TurnEnd(end)).await },
+        );
     }
 }
 
-async fn tell(node: &Node, vm: &VmName, body: Body) {
+async fn send_message(node: &Node, vm: &VmName, body: Body) {
     let Some(address) = node.state().members.address(vm) else {
         return;
     };
@@ -105,7 +107,7 @@
 }
 
 /// Gives turns at our replicas until the process ends.
-pub(in crate::serving) async fn keep(node: Rc<Node>) {
+pub(in crate::serving) async fn grant_turns(node: Rc<Node>) {
     loop {
         let (grants, wake) = {
             let mut b = node.state();
@@ -117,9 +119,11 @@
                 continue;
             }
             let grant = wire::TurnGrant { number: id.number };
-            tell(&node, &id.vm, Body::TurnGrant(grant)).await;
+            send_message(&node, &id.vm, Body::TurnGrant(grant)).await;
         }
-        let wait = wake.map_or(IDLE, |w| time_until(w).max(Duration::from_millis(1)));
+        let wait = wake.map_or(IDLE_INTERVAL, |w| {
+            time_until(w).max(Duration::from_millis(1))
+        });
         // Woken by news or by time, the turns are looked through anew.
         tokio::time::timeout(wait, node.turns_wake.notified())
             .await
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -36,19 +36,19 @@
 use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::path::charge;
-use crate::serving::path::forward::Begun;
+use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::forward::Caller;
-use crate::serving::path::forward::Held;
+use crate::serving::path::forward::StartedResponse;
 use crate::serving::path::forward::forward;
-use crate::serving::path::forward::strip_hop;
-use crate::serving::path::forward::strip_request;
-use crate::serving::path::placement::find_place;
+use crate::serving::path::forward::strip_hop_headers;
+use crate::serving::path::forward::strip_request_headers;
+use crate::serving::path::placement::wait_for_replica;
 use crate::serving::path::response::AnswerBody;
-use crate::serving::path::response::Events;
-use crate::serving::path::response::Passing;
+use crate::serving::path::response::EventTracker;
+use crate::serving::path::response::ResponseStream;
 use crate::serving::path::response::Timing;
-use crate::serving::path::response::passing;
-use crate::serving::path::response::whole;
+use crate::serving::path::response::full_body;
+use crate::serving::path::response::stream_body;
 use crate::serving::path::routes::pick_service;
 use crate::serving::path::types::Instance;
 use crate::serving::path::types::Organisation;
@@ -63,20 +63,20 @@
 use crate::serving::program::node::to_span;
 
 /// The longest time that a caller waits who names none.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bytes of an answer that are read before its head is passed on: a short one
 /// is then whole, and can be asked for again where it breaks off.
-const READ_AHEAD: usize = 64 << 10;
+const READ_AHEAD_BYTES: usize = 64 << 10;
 
 /// When a request that crashes its upstreams may come back.
-const CONVICTED_COME_BACK: Duration = Duration::from_secs(30);
+const BLOCKED_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// The part of the most tokens that an answer takes on average.
-const OUTPUT_PART: f64 = 0.6;
+const MEAN_OUTPUT_RATIO: f64 = 0.6;
 
 /// A request with its route.
-pub(in crate::serving) struct Asked {
+pub(in crate::serving) struct RoutedRequest {
     pub(in crate::serving) route: Rc<Route>,
     pub(in crate::serving) service: ServiceName,
 }
@@ -89,17 +89,17 @@
     let open = node.track_request();
     let arrived = now();
     let ask = (node.border.parse_request)(request.headers());
-    let mut waiting = Waiting {
+    let mut waiting = DisconnectLog {
         node: node.clone(),
         id: ask.id.clone(),
         arrived,
-        ended: false,
+        answered: false,
     };
-    let mut answer = match answer(&node, request, ask, arrived, open).await {
+    let mut answer = match handle(&node, request, ask, arrived, open).await {
         Ok(answer) => answer,
-        Err(refusal) => refuse(&node, &waiting.id, arrived, &refusal),
+        Err(refusal) => refusal_response(&node, &waiting.id, arrived, &refusal),
     };
-    waiting.ended = true;
+    waiting.answered = true;
     if node.phase() != Phase::Serving {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
@@ -109,31 +109,36 @@
 
 /// A request without an answer yet; when it is dropped before it has one, its
 /// caller has left.
-struct Waiting {
+struct DisconnectLog {
     node: Rc<Node>,
     id: String,
     arrived: Moment,
-    ended: bool,
+    answered: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectLog {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.answered {
             slog::info!(self.node.log, "caller left"; "id" => &self.id,
                 "held_ms" => now().since(self.arrived).as_millis());
-            count("caller_left");
+            count_outcome("caller_left");
         }
     }
 }
 
-fn refuse(node: &Node, id: &str, arrived: Moment, refusal: &Refusal) -> Response<AnswerBody> {
+fn refusal_response(
+    node: &Node,
+    id: &str,
+    arrived: Moment,
+    refusal: &Refusal,
+) -> Response<AnswerBody> {
     let config = node.state().active.as_ref().map(|a| a.config.version);
     let after = refusal.retry_after.map(|after| after.as_millis());
     slog::info!(node.log, "refused"; "id" => id, "why" => refusal.reason,
         "status" => refusal.status.as_u16(), "retry_after_ms" => after,
         "held_ms" => now().since(arrived).as_millis(), "config" => config);
-    count(refusal.reason);
-    let mut answer = Response::new(whole(Bytes::new()));
+    count_outcome(refusal.reason);
+    let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = refusal.status;
     if let Some(after) = refusal.retry_after {
         let text = format!("{:.2}", after.as_secs_f64());
@@ -144,7 +149,7 @@
     answer
 }
 
-async fn answer(
+async fn handle(
     node: &Rc<Node>,
     request: Request<Incoming>,
     ask: RequestInfo,
@@ -161,23 +166,23 @@
     let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
     let (head, body) = request.into_parts();
     let asked = find_route(&active, &head.uri, &head.headers, &ask)?;
-    let organisation = find_caller(node, &active, &asked, &ask)?;
-    let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE);
+    let organisation = authorize(node, &active, &asked, &ask)?;
+    let patience = ask.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let time = patience.min(asked.route.timeout);
     let limit = arrived.after(to_span(time));
     let charge = match &organisation {
-        Some(organisation) => charge::take(node, organisation, &ask).await?,
+        Some(organisation) => charge::acquire(node, organisation, &ask).await?,
         None => None,
     };
     let body = read_body(body, active.config.limits.body_bytes, limit).await?;
     let mut headers = head.headers;
-    strip_request(&mut headers);
-    let held = Held {
+    strip_request_headers(&mut headers);
+    let held = BufferedRequest {
         method: head.method,
         fingerprint: fingerprint(&head.uri, &body),
         path: origin_form(&head.uri),
         headers,
-        cost: cost(&active, &asked.service, &ask),
+        cost: estimate_load(&active, &asked.service, &ask),
         shared: ask.shared,
         caller: Caller {
             key: ask
@@ -189,10 +194,10 @@
         body,
         id: ask.id,
         target: ask.target,
-        limit,
+        deadline: limit,
     };
-    check_convicted(node, &held)?;
-    run(node, Rc::new(asked), held, arrived, open).await
+    check_blocked(node, &held)?;
+    run_request(node, Rc::new(asked), held, arrived, open).await
 }
 
 /// The route of a request and the service that it goes to.
@@ -201,24 +206,24 @@
     uri: &Uri,
     headers: &HeaderMap,
     ask: &RequestInfo,
-) -> Result<Asked, Refusal> {
+) -> Result<RoutedRequest, Refusal> {
     let host = headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(uri.host()).unwrap_or_default();
     let route = active.routes.find(host, uri.path());
     let unknown = Refusal::denied(StatusCode::NOT_FOUND, "no_route");
     let route = route.ok_or(unknown)?;
     let service = pick_service(route, &ask.id).ok_or(unknown)?;
-    Ok(Asked {
+    Ok(RoutedRequest {
         route: route.clone(),
         service: service.clone(),
     })
 }
 
 /// The organisation on whose behalf a request runs.
-fn find_caller(
+fn authorize(
     node: &Node,
     active: &ActiveConfig,
-    asked: &Asked,
+    asked: &RoutedRequest,
     ask: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
     let (freshness, bounds) = {
@@ -271,10 +276,12 @@
 }
 
 /// What a request is expected to hold of an engine's memory.
-fn cost(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
+fn estimate_load(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
-        Some(_) => u64::from(ask.prompt_tokens) + (f64::from(ask.max_tokens) * OUTPUT_PART) as u64,
+        Some(_) => {
+            u64::from(ask.prompt_tokens) + (f64::from(ask.max_tokens) * MEAN_OUTPUT_RATIO) as u64
+        }
         None => 0,
     };
     Load {
@@ -288,20 +295,20 @@
     }
 }
 
-fn check_convicted(node: &Node, held: &Held) -> Result<(), Refusal> {
+fn check_blocked(node: &Node, held: &BufferedRequest) -> Result<(), Refusal> {
     let b = node.state();
     let now = now();
     let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.standing(now, &r.name) != "live";
     match b.strikes.convicted(now, held.fingerprint, down) {
-        true => Err(Refusal::not_run("crashes_upstreams", CONVICTED_COME_BACK)),
+        true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
     }
 }
 
-async fn run(
+async fn run_request(
     node: &Rc<Node>,
-    asked: Rc<Asked>,
-    held: Held,
+    asked: Rc<RoutedRequest>,
+    held: BufferedRequest,
     arrived: Moment,
     open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
@@ -312,7 +319,7 @@
     };
     let mut avoid = BTreeSet::new();
     node.state().budget.first(now(), &asked.service);
-    let mut begun = first(node, &asked, &held, &mut tries, &mut avoid).await?;
+    let mut begun = first_attempt(node, &asked, &held, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
     let stream = asked.route.kind == RouteKind::Stream;
@@ -320,11 +327,11 @@
         match read_ahead(&mut begun, &held, &mut ahead).await {
             Ok(read) if begun.failed && tries.idempotent => {
                 whole = read;
-                begun.run.learn(End::Failed);
+                begun.run.record_end(End::Failed);
                 tries.note(Ended::Failed);
                 let pieces = std::mem::take(&mut ahead);
                 avoid.insert(begun.run.replica.clone());
-                let next = again(
+                let next = retry(
                     node,
                     &asked,
                     &held,
@@ -350,29 +357,29 @@
                 break;
             }
             Err(ended) => {
-                begun.run.learn(End::Broken);
-                crate::serving::path::forward::strike(node, &held, &begun.run.instance());
+                begun.run.record_end(End::Broken);
+                crate::serving::path::forward::record_strike(node, &held, &begun.run.instance());
                 tries.note(ended);
                 avoid.insert(begun.run.replica.clone());
                 drop(begun);
                 ahead.clear();
-                begun = again(node, &asked, &held, &mut tries, &mut avoid, ended, None).await?;
+                begun = retry(node, &asked, &held, &mut tries, &mut avoid, ended, None).await?;
             }
         }
     }
     let mut response = Response::new(());
     *response.status_mut() = begun.answer.head.status;
     let mut headers = std::mem::take(&mut begun.answer.head.headers);
-    strip_hop(&mut headers);
+    strip_hop_headers(&mut headers);
     *response.headers_mut() = headers;
-    let events = (stream && has_events(response.headers())).then(Events::default);
+    let events = (stream && is_event_stream(response.headers())).then(EventTracker::default);
     tries.answered = true;
-    let mut passed = Passing {
+    let mut passed = ResponseStream {
         node: node.clone(),
-        asked,
-        held,
-        begun: Some(begun),
-        ahead,
+        routed: asked,
+        request: held,
+        response: Some(begun),
+        buffered: ahead,
         tries,
         avoid,
         events,
@@ -380,12 +387,12 @@
         _open: open,
     };
     if whole {
-        passed.finish_read();
+        passed.finish_buffered();
     }
-    Ok(response.map(|()| passing(passed)))
+    Ok(response.map(|()| stream_body(passed)))
 }
 
-fn has_events(headers: &HeaderMap) -> bool {
+fn is_event_stream(headers: &HeaderMap) -> bool {
     let kind = headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
     kind.is_some_and(|k| k.starts_with("text/event-stream"))
 }
@@ -393,13 +400,13 @@
 /// Reads a short answer whole; of a longer one, the beginning. Gives whether
 /// it came to its end.
 async fn read_ahead(
-    begun: &mut Begun,
-    held: &Held,
+    begun: &mut StartedResponse,
+    held: &BufferedRequest,
     ahead: &mut VecDeque<Bytes>,
 ) -> Result<bool, Ended> {
     let mut read = 0;
-    while read < READ_AHEAD {
-        match tokio::time::timeout_at(to_instant(held.limit), begun.answer.data()).await {
+    while read < READ_AHEAD_BYTES {
+        match tokio::time::timeout_at(to_instant(held.deadline), begun.answer.data()).await {
             Err(_) => return Err(Ended::Overdue),
             Ok(None) => return Ok(true),
             Ok(Some(Err(_))) => return Err(Ended::Broken),
@@ -413,35 +420,35 @@
 }
 
 /// The first try, and those that follow it until an answer begins.
-async fn first(
+async fn first_attempt(
     node: &Rc<Node>,
-    asked: &Asked,
-    held: &Held,
+    asked: &RoutedRequest,
+    held: &BufferedRequest,
     tries: &mut Tries,
     avoid: &mut BTreeSet<ReplicaName>,
-) -> Result<Begun, Refusal> {
-    let at = find_place(node, asked, held, avoid).await?;
+) -> Result<StartedResponse, Refusal> {
+    let at = wait_for_replica(node, asked, held, avoid).await?;
     match forward(node, held, &at, None).await {
         Ok(begun) => Ok(begun),
         Err(ended) => {
             tries.note(ended);
-            log_try(node, held, &at, tries, ended);
+            log_attempt(node, held, &at, tries, ended);
             avoid.insert(at);
-            again(node, asked, held, tries, avoid, ended, None).await
+            retry(node, asked, held, tries, avoid, ended, None).await
         }
     }
 }
 
 /// Tries other replicas after a try that ended so, and is noted already.
-pub(in crate::serving) async fn again(
+pub(in crate::serving) async fn retry(
     node: &Rc<Node>,
-    asked: &Asked,
-    held: &Held,
+    asked: &RoutedRequest,
+    held: &BufferedRequest,
     tries: &mut Tries,
     avoid: &mut BTreeSet<ReplicaName>,
     ended: Ended,
     resume_at: Option<u64>,
-) -> Result<Begun, Refusal> {
+) -> Result<StartedResponse, Refusal> {
     let mut ended = ended;
     loop {
         if !tries.again(ended) {
@@ -451,44 +458,44 @@
             // Only a replica's word on an adapter was wrong, not the replica.
             avoid.clear();
         }
-        let at = match find_place(node, asked, held, avoid).await {
+        let at = match wait_for_replica(node, asked, held, avoid).await {
             Ok(at) => at,
             Err(refusal) if tries.runs == 0 => return Err(refusal),
             Err(_) => return Err(Refusal::after(tries, ended)),
         };
-        if ended.arrived() && !spend(node, asked) {
+        if ended.arrived() && !spend_retry(node, asked) {
             return Err(Refusal::after(tries, ended));
         }
         ended = match forward(node, held, &at, resume_at).await {
             // A failure cannot go on an answer that has begun.
             Ok(begun) if tries.answered && !begun.answer.head.status.is_success() => {
-                begun.run.learn(End::Failed);
+                begun.run.record_end(End::Failed);
                 Ended::Failed
             }
             Ok(begun) => return Ok(begun),
             Err(next) => next,
         };
         tries.note(ended);
-        log_try(node, held, &at, tries, ended);
+        log_attempt(node, held, &at, tries, ended);
         avoid.insert(at);
     }
 }
 
-fn spend(node: &Node, asked: &Asked) -> bool {
+fn spend_retry(node: &Node, asked: &RoutedRequest) -> bool {
     let mut b = node.state();
     let vms = b.members.count();
     b.budget.spend(now(), &asked.service, vms)
 }
 
-fn log_try(node: &Node, held: &Held, at: &ReplicaName, tries: &Tries, ended: Ended) {
+fn log_attempt(node: &Node, held: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: Ended) {
     let standing = node.state().fleet.standing(now(), at);
     slog::info!(node.log, "try ended"; "id" => &held.id, "replica" => at.as_str(),
         "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
-        "runs" => tries.runs, "left_ms" => held.limit.since(now()).as_millis());
+        "runs" => tries.runs, "left_ms" => held.deadline.since(now()).as_millis());
     metrics::counter!("serve_tries_total", "end" => ended.word()).increment(1);
 }
 
 /// Counts the end of a request.
-pub(in crate::serving) fn count(outcome: &'static str) {
+pub(in crate::serving) fn count_outcome(outcome: &'static str) {
     metrics::counter!("serve_requests_total", "outcome" => outcome).increment(1);
 }
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
 
-use crate::serving::path::response::whole;
+use crate::serving::path::response::full_body;
 use crate::serving::path::serve::serve;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
@@ -30,13 +30,13 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Time for a head to come while no configuration says otherwise.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Bytes of a head while no configuration says otherwise.
-const HEAD_BYTES: usize = 64 << 10;
+const DEFAULT_HEADER_BYTES: usize = 64 << 10;
 
 /// The least buffer of a connection that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Listens on an address.
 ///
@@ -54,11 +54,11 @@
 }
 
 /// Serves callers until the process ends.
-pub(in crate::serving) async fn callers(node: Rc<Node>, listener: TcpListener) {
+pub(in crate::serving) async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(node.clone(), stream));
+                tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(e) => {
                 slog::warn!(node.log, "accept failed"; "error" => %e);
@@ -68,14 +68,16 @@
     }
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream) {
+async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
         slog::debug!(node.log, "no nodelay"; "error" => %e);
     }
     let limits = node.state().active.as_ref().map(|a| a.config.limits);
     // One timer serves for the head and for the idle time before it.
-    let head_time = limits.map_or(HEAD_TIME, |l| l.header_timeout.max(l.idle_timeout));
-    let head_bytes = limits.map_or(HEAD_BYTES, |l| l.header_bytes * 2);
+    let head_time = limits.map_or(DEFAULT_HEADER_TIMEOUT, |l| {
+        l.header_timeout.max(l.idle_timeout)
+    });
+    let head_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |l| l.header_bytes * 2);
     let shared = node.clone();
     let service = service_fn(move |request| {
         let node = shared.clone();
@@ -85,7 +87,7 @@
     server
         .timer(TokioTimer::new())
         .header_read_timeout(head_time)
-        .max_buf_size(head_bytes.max(LEAST_BUFFER));
+        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES));
     let served = server.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(served);
     let mut phase = node.phase.subscribe();
@@ -107,7 +109,7 @@
 }
 
 /// Answers the balancer until the process ends.
-pub(in crate::serving) async fn readiness(node: Rc<Node>, listener: TcpListener) {
+pub(in crate::serving) async fn serve_readiness(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -118,7 +120,7 @@
             let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
                 let ready = node.phase() == Phase::Serving && is_ready(&node);
                 let asked = request.uri().path() == node.border.ready_path;
-                let mut answer = Response::new(whole(Bytes::new()));
+                let mut answer = Response::new(full_body(Bytes::new()));
                 *answer.status_mut() = match (asked, ready) {
                     (true, true) => StatusCode::OK,
                     (true, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -108,8 +108,8 @@
     pub(in crate::serving) beacon_wake: Notify,
     pub(in crate::serving) phase: watch::Sender<Phase>,
     state: RefCell<NodeState>,
-    numbers: Cell<u64>,
-    open: Cell<usize>,
+    last_id: Cell<u64>,
+    in_flight: Cell<usize>,
     /// Runs that wait for their turn.
     pub(in crate::serving) turn_calls: PendingCalls<()>,
     /// Questions to owners of replicas.
@@ -151,8 +151,8 @@
             beacon_wake: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             state: RefCell::new(state),
-            numbers: Cell::new(0),
-            open: Cell::new(0),
+            last_id: Cell::new(0),
+            in_flight: Cell::new(0),
             turn_calls: PendingCalls::default(),
             place_calls: PendingCalls::default(),
             lease_calls: PendingCalls::default(),
@@ -168,8 +168,8 @@
 
     /// A number that is used once.
     pub(in crate::serving) fn next_id(&self) -> u64 {
-        self.numbers.set(self.numbers.get() + 1);
-        self.numbers.get()
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
     }
 
     pub(in crate::serving) fn phase(&self) -> Phase {
@@ -178,13 +178,13 @@
 
     /// Counts a request that is under way, until the guard is dropped.
     pub(in crate::serving) fn track_request(self: &std::rc::Rc<Self>) -> InFlight {
-        self.open.set(self.open.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         InFlight(self.clone())
     }
 
     /// Requests under way.
     pub(in crate::serving) fn in_flight(&self) -> usize {
-        self.open.get()
+        self.in_flight.get()
     }
 }
 
@@ -193,7 +193,9 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get().saturating_sub(1));
+        self.0
+            .in_flight
+            .set(self.0.in_flight.get().saturating_sub(1));
     }
 }
 
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -25,54 +25,54 @@
 use crate::upstream::collect;
 
 /// The longest wait for the answer to an order or for a report.
-const LONGEST_ANSWER: Duration = Duration::from_millis(800);
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The wait for the answer to an order; replicas take one at once, a few
 /// milliseconds away. It doubles with each order in a row that was not
 /// answered. Measured on twelve replicas that left a third of their orders
 /// unanswered, in three spans of two seconds: 12, 13 and 19 loads with a wait of
 /// 0.8 s and a look, 70, 67 and 89 with this one.
-const FIRST_ANSWER: Duration = Duration::from_millis(80);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// The longest report that is read.
-const MOST_REPORT: usize = 256 << 10;
+const MAX_REPORT_BYTES: usize = 256 << 10;
 
 /// Loads of weights a second where the configuration names no rate.
-const LEAST_LOADS: f64 = 0.1;
+const MIN_LOAD_RATE: f64 = 0.1;
 
 /// How much longer a VM pauses between loads from the weight store than its
 /// part of the rate: all VMs may begin at the same moment.
-const WEIGHT_SHARE: f64 = 2.0;
+const LOAD_PAUSE_FACTOR: f64 = 2.0;
 
 /// The least such pause: the window over which the weight store counts.
-const WEIGHT_PAUSE: Span = Span::from_millis(5_000);
+const MIN_LOAD_PAUSE: Span = Span::from_millis(5_000);
 
 /// Doublings after which the wait is the longest anyway.
-const MOST_DOUBLED: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// How often ownerships are looked through without any news.
-const TICK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A loop that comes back later than this was suspended: what it owned may
 /// have been given to others meanwhile.
-const SUSPENDED: Span = Span::from_millis(1_200);
+const SUSPEND_THRESHOLD: Span = Span::from_millis(1_200);
 
 /// Gives orders until the process ends.
-pub(in crate::serving) async fn order(node: Rc<Node>) {
+pub(in crate::serving) async fn issue_orders(node: Rc<Node>) {
     let mut last = now();
     loop {
         let at = now();
-        if at.since(last) > SUSPENDED {
+        if at.since(last) > SUSPEND_THRESHOLD {
             slog::warn!(node.log, "was suspended"; "ms" => at.since(last).as_millis());
             node.state().ownership.invalidate();
             node.owners_wake.notify_one();
         }
         last = at;
-        for (name, token, step) in due(&node, at) {
-            tokio::task::spawn_local(carry_out(node.clone(), name, token, step));
+        for (name, token, step) in due_steps(&node, at) {
+            tokio::task::spawn_local(execute(node.clone(), name, token, step));
         }
         let wake = node.state().books.next_wake(at);
-        let wait = wake.map_or(TICK, |w| time_until(w).min(TICK));
+        let wait = wake.map_or(CHECK_INTERVAL, |w| time_until(w).min(CHECK_INTERVAL));
         // Woken by news or by time, the books are asked anew.
         let wait = wait.max(Duration::from_millis(5));
         tokio::time::timeout(wait, node.orders_wake.notified())
@@ -82,16 +82,16 @@
 }
 
 /// What is due at each of our replicas.
-fn due(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, Step)> {
+fn due_steps(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, Step)> {
     if node.phase() == Phase::Draining {
         return Vec::new();
     }
     let mut b = node.state();
     b.sync_books(at);
     let b = &mut *b;
-    let loads = b.fleet.weight_loads().max(LEAST_LOADS);
-    let pause = Span((b.members.count() as f64 / loads * WEIGHT_SHARE * 1e6) as u64);
-    b.books.set_pause(pause.max(WEIGHT_PAUSE));
+    let loads = b.fleet.weight_loads().max(MIN_LOAD_RATE);
+    let pause = Span((b.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
+    b.books.set_pause(pause.max(MIN_LOAD_PAUSE));
     let engines = b.fleet.engines().count();
     b.books.set_fetches(b.fleet.coming(at), engines);
     b.books.set_news(b.members.report_delay());
@@ -109,15 +109,15 @@
     due
 }
 
-async fn carry_out(node: Rc<Node>, name: ReplicaName, token: Token, step: Step) {
+async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, step: Step) {
     match &step {
         Step::Look => {
-            let report = look(&node, &name).await;
+            let report = fetch_report(&node, &name).await;
             let mut b = node.state();
             b.books.looked(now(), &name, report);
         }
         _ => {
-            let end = give(&node, &name, token, &step).await;
+            let end = send_order(&node, &name, token, &step).await;
             let mut b = node.state();
             let took = b.books.ended(now(), &name, &step, end);
             if matches!(end, OrderEnd::Fenced) {
@@ -162,9 +162,9 @@
         "took_ms" => took.map(|t| t.most.as_millis()));
 }
 
-async fn look(node: &Node, name: &ReplicaName) -> Option<Report> {
+async fn fetch_report(node: &Node, name: &ReplicaName) -> Option<Report> {
     let request = (node.border.encode_report_request)().ok()?;
-    let (status, body) = call(node, name, request, LONGEST_ANSWER).await?;
+    let (status, body) = call(node, name, request, MAX_ANSWER_TIMEOUT).await?;
     if !status.is_success() {
         return None;
     }
@@ -182,7 +182,7 @@
     }
 }
 
-async fn give(node: &Node, name: &ReplicaName, token: Token, step: &Step) -> OrderEnd {
+async fn send_order(node: &Node, name: &ReplicaName, token: Token, step: &Step) -> OrderEnd {
     let (load, target, version, expected) = match step {
         Step::Load {
             target,
@@ -208,10 +208,10 @@
     if node.state().ownership.token(now(), name) != Some(token) {
         return OrderEnd::Refused;
     }
-    let unanswered = node.state().books.unanswered(name).min(MOST_DOUBLED);
+    let unanswered = node.state().books.unanswered(name).min(MAX_DOUBLINGS);
     let wait = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
-        true => (FIRST_ANSWER * (1 << unanswered)).min(LONGEST_ANSWER),
-        false => LONGEST_ANSWER,
+        true => (FIRST_ANSWER_TIMEOUT * (1 << unanswered)).min(MAX_ANSWER_TIMEOUT),
+        false => MAX_ANSWER_TIMEOUT,
     };
     match call(node, name, request, wait).await {
         Some((status, _)) => (node.border.parse_order_end)(status),
@@ -228,7 +228,7 @@
     let address = node.state().fleet.listing(name)?.address;
     let work = async {
         let mut answer = node.upstreams.send(address, request).await.ok()?;
-        let body = collect(&mut answer, MOST_REPORT).await.ok()?;
+        let body = collect(&mut answer, MAX_REPORT_BYTES).await.ok()?;
         Some((answer.head.status, body))
     };
     tokio::time::timeout(wait, work).await.ok().flatten()
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -37,24 +37,24 @@
 use crate::serving::store::port::Store;
 
 /// How often the owner table is looked through.
-const UPKEEP: Duration = Duration::from_millis(300);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How long after its start a VM proposes owners: all VMs of a first start
 /// know each other by then.
-const SETTLED: Span = Span::from_millis(2_000);
+const PROPOSE_DELAY: Span = Span::from_millis(2_000);
 
 /// How long a VM is silent until its entry is removed.
-const VM_GONE: Span = Span::from_millis(30_000);
+const VM_EXPIRY: Span = Span::from_millis(30_000);
 
 /// How long a stopping process takes new connections: the balancer asks once a
 /// second and believes the second refusal.
-const LEAVE_TIME: Duration = Duration::from_millis(3_000);
+const UNREADY_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// The part of the grace that is kept for the end of the process.
-const END_TIME: Duration = Duration::from_millis(500);
+const EXIT_RESERVE: Duration = Duration::from_millis(500);
 
 /// How often a stopping process looks whether all requests have ended.
-const END_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL: Duration = Duration::from_millis(50);
 
 /// Why the process could not run.
 #[derive(Debug)]
@@ -107,17 +107,17 @@
         }
         let node = Rc::new(Node::new(settings, border, store, log, socket));
         spawn_followers(&node);
-        tokio::task::spawn_local(server::callers(node.clone(), callers));
-        tokio::task::spawn_local(server::readiness(node.clone(), readiness));
+        tokio::task::spawn_local(server::serve_callers(node.clone(), callers));
+        tokio::task::spawn_local(server::serve_readiness(node.clone(), readiness));
         tokio::task::spawn_local(beacons::send_beacons(node.clone()));
         tokio::task::spawn_local(load_reports::send_reports(node.clone()));
         tokio::task::spawn_local(beacons::receive(node.clone()));
-        tokio::task::spawn_local(prefill::keep(node.clone()));
-        tokio::task::spawn_local(orders::order(node.clone()));
+        tokio::task::spawn_local(prefill::grant_turns(node.clone()));
+        tokio::task::spawn_local(orders::issue_orders(node.clone()));
         tokio::task::spawn_local(register(node.clone()));
-        tokio::task::spawn_local(reread(node.clone()));
+        tokio::task::spawn_local(reload_owners(node.clone()));
         tokio::task::spawn_local(renewal::renew(node.clone()));
-        tokio::task::spawn_local(upkeep(node.clone()));
+        tokio::task::spawn_local(maintain(node.clone()));
         Ok(Self { node })
     }
 
@@ -127,19 +127,19 @@
         let node = &self.node;
         slog::info!(node.log, "stopping"; "open" => node.in_flight());
         let began = tokio::time::Instant::now();
-        let end = began + node.settings.grace.saturating_sub(END_TIME);
+        let end = began + node.settings.grace.saturating_sub(EXIT_RESERVE);
         node.phase.send_replace(Phase::Unready);
         node.beacon_wake.notify_one();
-        tokio::time::sleep(LEAVE_TIME).await;
+        tokio::time::sleep(UNREADY_PERIOD).await;
         node.phase.send_replace(Phase::Draining);
         // Connections that are idle are closed first.
-        tokio::time::sleep(END_POLL).await;
+        tokio::time::sleep(DRAIN_POLL).await;
         while node.in_flight() > 0 && tokio::time::Instant::now() < end {
-            tokio::time::sleep(END_POLL).await;
+            tokio::time::sleep(DRAIN_POLL).await;
         }
-        let name = vm_name(node);
+        let name = vm_entry_name(node);
         let removed = with_timeout(
-            END_TIME / 2,
+            EXIT_RESERVE / 2,
             (node.store.delete)(node.border.kinds.internal, &name),
         );
         if let Err(e) = removed.await {
@@ -201,7 +201,7 @@
     }
 }
 
-fn vm_name(node: &Node) -> String {
+fn vm_entry_name(node: &Node) -> String {
     format!("{VM_PREFIX}{}", node.settings.vm)
 }
 
@@ -215,7 +215,7 @@
     let Ok(spec) = to_raw_value(&entry) else {
         return;
     };
-    let name = vm_name(&node);
+    let name = vm_entry_name(&node);
     loop {
         let call = (node.store.create)(node.border.kinds.internal, &name, &spec);
         match with_timeout(follow::CALL_TIMEOUT, call).await {
@@ -223,12 +223,12 @@
             Ok(_) | Err(PlatformError::Conflict) => return,
             Err(e) => slog::warn!(node.log, "entry not written"; "error" => %e),
         }
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
     }
 }
 
 /// Reads the owner table anew after a suspension.
-async fn reread(node: Rc<Node>) {
+async fn reload_owners(node: Rc<Node>) {
     loop {
         node.owners_wake.notified().await;
         loop {
@@ -241,25 +241,25 @@
                 }
                 Err(e) => slog::warn!(node.log, "owners not read"; "error" => %e),
             }
-            tokio::time::sleep(UPKEEP).await;
+            tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         }
     }
 }
 
 /// Repairs the owner table and forgets what is over.
-async fn upkeep(node: Rc<Node>) {
+async fn maintain(node: Rc<Node>) {
     let began = now();
     loop {
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         follow::drop_lapsed(&node);
         node.state().update_lender(now());
-        if now().since(began) >= SETTLED && node.phase() == Phase::Serving {
-            repair(&node).await;
+        if now().since(began) >= PROPOSE_DELAY && node.phase() == Phase::Serving {
+            repair_owners(&node).await;
         }
     }
 }
 
-async fn repair(node: &Node) {
+async fn repair_owners(node: &Node) {
     let at = now();
     let (table, revision, live) = {
         let mut b = node.state();
@@ -308,7 +308,7 @@
         let b = node.state();
         let first = b.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
-            true => b.members.silent_for(at, VM_GONE),
+            true => b.members.silent_for(at, VM_EXPIRY),
             false => Vec::new(),
         }
     };
