--- a/cli/src/bin/banyan-serve.rs
+++ b/cli/src/bin/banyan-serve.rs
@@ -1,4 +1,4 @@
-//! `banyan-serve`: serves callers on one VM of the users' platform.
+//! `banyan-serve`: serves callers' requests on one VM.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,20 +12,20 @@
 use banyangauge_platform::SETTINGS_VARIABLE;
 use banyangauge_platform::load_settings;
 
-/// Serves callers on one VM; its settings are named by BANYANGAUGE_CONFIG.
+/// Serves callers' requests on one VM; BANYANGAUGE_CONFIG names the settings file.
 #[derive(FromArgs)]
 struct Options {
-    /// settings file, in place of the one that the environment names
+    /// settings file; overrides the one that BANYANGAUGE_CONFIG names
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// where to serve metrics; nowhere when left out
+    /// address on which to serve metrics; no metrics when left out
     #[argh(option)]
     metrics: Option<SocketAddr>,
     /// a TOML file whose table `experiment` switches mechanisms off, to measure
-    /// what they are worth
+    /// their effect
     #[argh(option)]
     experiment: Option<PathBuf>,
-    /// check the settings, and stop
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
@@ -44,7 +44,9 @@
 fn start(options: &Options) -> Result<(), Box<dyn std::error::Error>> {
     let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
     let path = options.settings.clone().or(named);
-    let path = path.ok_or(format!("no settings file; {SETTINGS_VARIABLE} names none"))?;
+    let path = path.ok_or(format!(
+        "no settings file: pass --settings or set {SETTINGS_VARIABLE}"
+    ))?;
     let mut settings = load_settings(&path)?;
     if let Some(file) = &options.experiment {
         settings.experiment = Experiment::parse(&std::fs::read_to_string(file)?)?;
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -1,4 +1,4 @@
-//! What a border to the outside gives: bytes into our types and back.
+//! Interface of the codec that converts a platform's formats to and from our types.
 
 use std::fmt;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::serving::store::port::Item;
 use crate::upstream::Parts;
 
-/// A record that is not of the published form.
+/// Error for a stored record or a message that does not have the published format.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BadRecord(pub String);
 
@@ -33,103 +33,107 @@
 
 impl std::error::Error for BadRecord {}
 
-/// The kinds of objects in the store.
+/// Names of the object kinds in the store.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectKinds {
-    /// The configuration.
+    /// Configurations.
     pub config: &'static str,
-    /// The replicas.
+    /// Replicas.
     pub replicas: &'static str,
-    /// Announced versions of adapters.
+    /// Announced adapter versions.
     pub versions: &'static str,
-    /// Our own: VMs and owners.
+    /// Objects that the serving VMs write themselves: VM entries and the owner table.
     pub internal: &'static str,
 }
 
-/// What we set on a request that goes to a replica.
+/// Values for the headers that are set on a request forwarded to a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardHeaders<'a> {
-    /// How long the answer is worth waiting for.
+    /// Time until the caller's deadline.
     pub timeout: Duration,
-    /// The replica that it is meant for.
+    /// The replica that must run the request.
     pub replica: &'a ReplicaName,
-    /// The version of the adapter that it must begin on.
+    /// The adapter version that the run must start with.
     pub version: Option<u32>,
-    /// The event after which a broken stream goes on.
+    /// ID of the last event that the caller received, when a stream is resumed.
     pub resume_after: Option<u64>,
-    /// On whose behalf it is sent; the caller's key is never passed on.
+    /// The organisation that the request is sent for; the caller's API key is never
+    /// forwarded.
     pub organisation: Option<&'a OrganisationName>,
 }
 
 /// Why a replica did not run a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NotRun {
-    /// Another replica has the address now.
+    /// Another replica uses the address now.
     Gone,
-    /// It does not hold the adapter, or not in this version.
+    /// The adapter is not loaded, or not in the expected version.
     NotLoaded,
-    /// It is full, or leaving.
+    /// The replica is at capacity or draining.
     Full,
 }
 
-/// What the head of an answer says.
+/// Classification of a response by its status and headers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// The replica's answer to this request.
+    /// The replica's response to this request.
     Answer,
-    /// The same, and it says that the replica failed.
+    /// The replica's response to this request, reporting that the replica failed.
     Failed,
-    /// The replica did not run it and will not.
+    /// The replica has not run the request and will not.
     NotRun(NotRun),
-    /// Another request's answer, or not an answer that may be passed on.
+    /// The response to another request, or one that must not be forwarded; holds the
+    /// reason.
     Invalid(&'static str),
 }
 
-/// An order to a replica.
+/// An order to a replica to load or unload an adapter or a model.
 #[derive(Clone, Copy, Debug)]
 pub struct Order<'a> {
-    /// Whether to load; else to unload.
+    /// True for a load, false for an unload.
     pub load: bool,
-    /// The adapter.
+    /// The adapter or model.
     pub target: &'a Target,
-    /// The version to load; the newest if none is named.
+    /// The version to load; the newest if `None`.
     pub version: Option<u32>,
-    /// Orders that the replica is expected to have accepted.
+    /// Number of orders that the replica is expected to have accepted before this one.
     pub expected: u64,
-    /// Who orders.
+    /// The VM that sends the order.
     pub vm: &'a VmName,
-    /// The fencing token.
+    /// Fencing token of that VM's ownership of the replica.
     pub token: Token,
-    /// The replica that it is meant for.
+    /// The replica that must execute the order.
     pub replica: &'a ReplicaName,
 }
 
-/// The functions of a border. None of them waits, repeats or chooses.
+/// Functions that parse and encode a platform's formats.
+///
+/// None of them blocks, retries or makes decisions.
 #[derive(Clone, Copy)]
 pub struct Codec {
-    /// Kinds of objects.
+    /// Names of the object kinds.
     pub kinds: ObjectKinds,
-    /// The path on which the balancer asks whether we are ready.
+    /// Path of the load balancer's readiness check.
     pub ready_path: &'static str,
-    /// Reads what a caller's request says of itself.
+    /// Parses the headers of a caller's request.
     pub parse_request: fn(&HeaderMap) -> RequestInfo,
-    /// Takes out what only we may set, and sets it.
+    /// Removes the headers that callers must not set, and sets them for the replica.
     pub set_headers: fn(&mut HeaderMap, &ForwardHeaders<'_>),
-    /// Reads the head of an answer to the request with this id from this
-    /// replica.
+    /// Classifies a response by its status and headers, given the request ID and the
+    /// replica that were addressed.
     pub classify_response: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
-    /// Reads the configuration.
+    /// Parses a configuration.
     pub parse_config: fn(&Item) -> Result<Config, BadRecord>,
-    /// Reads a replica's entry.
+    /// Parses a replica's record.
     pub parse_replica: fn(&Item) -> Result<ReplicaInfo, BadRecord>,
-    /// Reads an announced version.
+    /// Parses an announced adapter version.
     pub parse_version: fn(&Item) -> Result<AnnouncedVersion, BadRecord>,
-    /// Writes an order.
+    /// Encodes an order as a request to its replica.
     pub encode_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
-    /// Reads its answer.
+    /// Maps the status of the response to an order to its outcome.
     pub parse_order_end: fn(StatusCode) -> OrderEnd,
-    /// Asks for a report.
+    /// Encodes a request for a replica's status report.
     pub encode_report_request: fn() -> Result<Request<Parts>, BadRecord>,
-    /// Reads a report.
+    /// Parses a replica's status report.
     pub parse_report: fn(&[u8]) -> Result<Report, BadRecord>,
 }
--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -1,4 +1,4 @@
-//! The path of a request: from its connection to the last byte of its answer.
+//! The request path: from a caller's connection to the last byte of the response.
 
 pub(super) mod charge;
 pub(super) mod codec;
--- a/lib/src/serving/path/routes.rs
+++ b/lib/src/serving/path/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which of its services.
+//! Selects the route of a request and one of the route's services.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,15 +8,15 @@
 use crate::ids::ServiceName;
 use crate::serving::path::types::Route;
 
-/// The routes of one configuration, by host.
+/// The routes of one configuration, indexed by host.
 #[derive(Debug, Default)]
 pub struct Routes {
-    /// The routes of a host, the longest prefix first.
+    /// The routes of each host, longest path prefix first.
     hosts: BTreeMap<String, Vec<Rc<Route>>>,
 }
 
 impl Routes {
-    /// Indexes the routes of a configuration.
+    /// Builds the index for the routes of a configuration.
     pub fn new(routes: &[Route]) -> Self {
         let mut hosts: BTreeMap<String, Vec<_>> = BTreeMap::new();
         for route in routes {
@@ -29,7 +29,7 @@
         Self { hosts }
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route of the host whose path prefix is the longest match.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let host = host_name(host);
         let list = self.hosts.get(&host)?;
@@ -37,7 +37,7 @@
     }
 }
 
-/// A host in lower case and without its port.
+/// Returns a host in lower case and without its port.
 fn host_name(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
@@ -46,20 +46,21 @@
     name.to_ascii_lowercase()
 }
 
-/// The service that a request goes to: its part of the weights by a hash of
-/// its id, so that each VM sends it to the same one.
+/// Picks the service for a request in proportion to the route's weights.
+///
+/// The choice depends only on a hash of the request ID, so that every VM makes the same one.
 pub fn pick_service<'a>(route: &'a Route, id: &str) -> Option<&'a ServiceName> {
     let total: u64 = route.services.iter().map(|(_, w)| u64::from(*w)).sum();
     if total == 0 {
         return route.services.first().map(|(s, _)| s);
     }
-    let mut at = xxh3_64(id.as_bytes()) % total;
+    let mut offset = xxh3_64(id.as_bytes()) % total;
     for (service, weight) in &route.services {
         let weight = u64::from(*weight);
-        if at < weight {
+        if offset < weight {
             return Some(service);
         }
-        at -= weight;
+        offset -= weight;
     }
     None
 }
--- a/lib/src/serving/path/types.rs
+++ b/lib/src/serving/path/types.rs
@@ -1,4 +1,4 @@
-//! What the request path speaks of: requests, routes, services, replicas.
+//! Types of the request path: requests, routes, services, organisations, replicas.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 use crate::ids::ServiceName;
 use crate::ids::ZoneName;
 
-/// A base model, or an adapter on it: what a request names.
+/// A base model, or an adapter of one, as a request names it.
 ///
 /// ```
 /// use banyangauge::serving::Target;
@@ -28,12 +28,12 @@
 pub struct Target {
     /// The base model.
     pub model: ModelName,
-    /// The adapter, if one is named.
+    /// The adapter; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
 }
 
 impl Target {
-    /// Reads `MODEL` or `MODEL/ADAPTER`.
+    /// Parses `MODEL` or `MODEL/ADAPTER`.
     pub fn parse(text: &str) -> Option<Self> {
         let (model, adapter) = match text.split_once('/') {
             Some((model, adapter)) => (model, Some(AdapterName::new(adapter).ok()?)),
@@ -45,7 +45,7 @@
 }
 
 impl ModelName {
-    /// The model itself, without an adapter.
+    /// Returns the target for the base model without an adapter.
     pub fn target(&self) -> Target {
         Target {
             model: self.clone(),
@@ -63,78 +63,79 @@
     }
 }
 
-/// The beginning of a prompt that other requests have as well.
+/// A prompt prefix that several requests have in common.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SharedPrefix {
-    /// Tells it from others.
+    /// Hash that identifies the prefix.
     pub key: u64,
-    /// Its tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
 }
 
-/// What a caller's request says of itself.
+/// The properties of a request that its caller states in headers.
 #[derive(Clone, Debug, Default)]
 pub struct RequestInfo {
-    /// The caller's id of this attempt; empty if it sent none.
+    /// The caller's ID for this attempt; empty if it sent none.
     pub id: String,
-    /// The model or adapter; `None` for a plain service.
+    /// The model or adapter; `None` for a service without models.
     pub target: Option<Target>,
-    /// Tokens in the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// The beginning of the prompt that it shares with others.
+    /// The prompt prefix that it has in common with other requests.
     pub shared: Option<SharedPrefix>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// The last event that the caller has already.
+    /// ID of the last event that the caller has received, when it resumes a stream.
     pub resume_after: Option<u64>,
-    /// The key that it bears, if it bears one that can be read.
+    /// Digest of the API key, if the request has a readable one.
     pub key: Option<KeyDigest>,
 }
 
-/// What may be repeated.
+/// How the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Safe,
-    /// It runs at most once.
+    /// A request runs at most once.
     Unsafe,
-    /// A stream of events; it runs at most once, unless it may be resumed.
+    /// The response is an event stream; a request runs at most once, unless the stream is
+    /// resumable.
     Stream,
 }
 
-/// Where requests of one host and path go.
+/// A route: how requests for one host and path prefix are served.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The operator's name for the route.
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// How the path begins; it ends with a slash.
+    /// The path prefix; it ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How requests may be retried.
     pub kind: RouteKind,
-    /// The longest time until the final answer.
+    /// Maximum time until the response is complete.
     pub timeout: Duration,
-    /// The latency objective.
+    /// Latency objective: time until the first byte of the response.
     pub objective: Duration,
-    /// Replicas that may run one request.
+    /// Maximum number of replicas that may run one request.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// The services and their weights.
+    /// The services and their traffic weights.
     pub services: Vec<(ServiceName, u32)>,
-    /// Whether a stream may go on at another replica.
+    /// Whether a broken stream may be resumed on another replica.
     pub resumable: bool,
-    /// The longest pause between events that is in time.
+    /// Longest gap between events that meets the route's objective.
     pub max_gap: Option<Duration>,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -144,21 +145,20 @@
     }
 }
 
-/// The engine of a service that serves models.
+/// The inference engine of a service that serves models.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that the KV memory holds.
+    /// Capacity of the KV cache in tokens.
     pub kv_tokens: u64,
-    /// Adapters that a replica holds.
+    /// Number of adapters that a replica can have loaded.
     pub adapter_slots: u32,
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     pub event_tokens: u32,
-    /// The models, with the number of their adapters.
+    /// The base models, with the number of adapters of each.
     pub models: BTreeMap<ModelName, u32>,
-    /// Loads of weights a second that the weight store allows, over all
-    /// replicas.
+    /// Loads per second that the weight store allows over all replicas.
     pub load_rate: f64,
 }
 
@@ -167,27 +167,28 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one replica accepts from all callers.
+    /// Maximum number of connections that one replica accepts.
     pub connections: u32,
-    /// Its engine; `None` for a plain application.
+    /// Its inference engine; `None` for a service without models.
     pub engine: Option<Engine>,
 }
 
-/// What a caller may send, and how slowly.
+/// Size and time limits for callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of the request line and headers in bytes.
     pub header_bytes: usize,
-    /// Bytes of its body.
+    /// Maximum size of the body in bytes.
     pub body_bytes: usize,
-    /// Time for the head to come.
+    /// Maximum time to receive the request line and headers.
     pub header_timeout: Duration,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
-/// What stands for a caller's key: keys themselves are kept nowhere, so that
-/// none can get into a log line or an error.
+/// SHA-256 digest of a caller's API key.
+///
+/// The keys themselves are not kept, so that none can get into a log line or an error.
 ///
 /// ```
 /// use banyangauge::serving::KeyDigest;
@@ -198,8 +199,8 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key. Only digests are compared, so the time that a
-    /// comparison takes tells nothing of a key.
+    /// Returns the digest of a key. Only digests are compared, so the duration of a
+    /// comparison reveals nothing about a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -211,118 +212,119 @@
     }
 }
 
-/// A customer whose people and programs call.
+/// An organisation: a customer whose users and programs send requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Organisation {
     /// Its name.
     pub name: OrganisationName,
-    /// The keys that its callers bear.
+    /// Digests of the API keys of its callers.
     pub keys: BTreeSet<KeyDigest>,
-    /// What it may use; `None` for any amount.
+    /// Its rate limit over all VMs; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
 
-/// How much an organisation may use, over all VMs: a token bucket.
+/// An organisation's rate limit over all VMs: the parameters of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// What flows into the bucket a second.
+    /// Refill per second, in units of `weight`.
     pub rate: f64,
-    /// What the bucket holds.
+    /// Capacity of the bucket, in units of `weight`.
     pub burst: f64,
-    /// What a request takes out.
+    /// What a request is charged.
     pub weight: Weight,
 }
 
 impl Eq for RateLimit {}
 
-/// What a request takes out of its organisation's bucket.
+/// What a request is charged against its organisation's rate limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Weight {
-    /// One.
+    /// One unit for each request.
     Request,
-    /// The tokens of its prompt and the most that it may generate; so many
-    /// where it names none.
+    /// The tokens of the prompt plus the maximum number of generated tokens.
     Tokens {
-        /// For a request that names no tokens.
+        /// Charged for a request that states neither number.
         default: u32,
     },
 }
 
 impl Weight {
-    /// What this request takes.
+    /// Returns the charge for a request.
     ///
     /// ```
     /// use banyangauge::serving::{RequestInfo, Weight};
-    /// let ask = RequestInfo { prompt_tokens: 90, max_tokens: 10, ..RequestInfo::default() };
+    /// let request = RequestInfo { prompt_tokens: 90, max_tokens: 10, ..RequestInfo::default() };
     /// let tokens = Weight::Tokens { default: 7 };
-    /// assert_eq!(tokens.of(&ask), 100.0);
+    /// assert_eq!(tokens.of(&request), 100.0);
     /// assert_eq!(tokens.of(&RequestInfo::default()), 7.0);
-    /// assert_eq!(Weight::Request.of(&ask), 1.0);
+    /// assert_eq!(Weight::Request.of(&request), 1.0);
     /// ```
-    pub fn of(self, ask: &RequestInfo) -> f64 {
+    pub fn of(self, request: &RequestInfo) -> f64 {
         match self {
             Self::Request => 1.0,
-            Self::Tokens { default: plain } if ask.prompt_tokens == 0 && ask.max_tokens == 0 => {
-                f64::from(plain)
+            Self::Tokens { default } if request.prompt_tokens == 0 && request.max_tokens == 0 => {
+                f64::from(default)
             }
-            Self::Tokens { .. } => f64::from(ask.prompt_tokens) + f64::from(ask.max_tokens),
+            Self::Tokens { .. } => f64::from(request.prompt_tokens) + f64::from(request.max_tokens),
         }
     }
 }
 
-/// All that the operator configured, at one version.
+/// One version of the operator's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// It only rises.
+    /// Version number; it only increases.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: BTreeMap<ServiceName, Service>,
-    /// What callers may send.
+    /// Limits for callers' requests.
     pub limits: Limits,
-    /// Who may call; `None` where callers need no keys.
+    /// The organisations whose callers are admitted; `None` if callers need no API keys.
     pub organisations: Option<Vec<Organisation>>,
 }
 
-/// One start of a replica: a replica may start again under its name, and then
-/// holds and knows nothing of before.
+/// One incarnation of a replica.
+///
+/// A replica may restart under the same name; it has then lost all that was loaded and
+/// running before.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Instance {
     /// The name of the replica.
     pub name: ReplicaName,
-    /// When it started, in Unix milliseconds; 0 where replicas do not say.
+    /// Start time in Unix milliseconds; 0 if replicas do not report it.
     pub started_ms: u64,
 }
 
-/// A replica as it is listed in the store.
+/// A replica as recorded in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaInfo {
-    /// Its name; a restarted replica may have another.
+    /// Its name; it may change with a restart.
     pub name: ReplicaName,
-    /// When it started, in Unix milliseconds; 0 where replicas do not say.
+    /// Start time in Unix milliseconds; 0 if replicas do not report it.
     pub started_ms: u64,
-    /// What it serves.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is draining before it stops.
     pub draining: bool,
-    /// The base models that it holds.
+    /// The base models that are loaded.
     pub models: BTreeSet<ModelName>,
-    /// The adapters that it holds, with their versions.
+    /// The adapters that are loaded, with their versions.
     pub adapters: BTreeMap<Target, u32>,
 }
 
-/// An adapter and a version of it that was announced.
+/// A version of an adapter that the catalog has announced.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AnnouncedVersion {
     /// The adapter.
     pub target: Target,
-    /// Its version.
+    /// The announced version.
     pub version: u32,
 }
--- a/lib/src/serving/program/experiment.rs
+++ b/lib/src/serving/program/experiment.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that can be switched off, to measure what each is worth.
+//! Mechanisms that can be switched off to measure their effect.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,60 +6,60 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A mechanism that decides something; no promise depends on any of them.
+/// An optional mechanism; no guarantee depends on any of them.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// A request waits for a copy of its adapter behind a busy holder.
+    /// While the only replicas with a request's adapter are busy, the request may wait until
+    /// the adapter is loaded on another one.
     CopyWaits,
-    /// Adapters of busy holders get second copies.
+    /// Adapters of busy replicas are also loaded on a second replica.
     SecondCopies,
-    /// Adapters are loaded at the first replica in the order of a hash;
-    /// without it, at the least busy one.
+    /// Adapters are loaded on the replica that rendezvous hashing ranks first; without it, on
+    /// the least busy one.
     Homes,
-    /// Among the holders of an adapter, requests that share a beginning meet
-    /// at one.
+    /// Requests with a common prompt prefix go to the same one of the replicas that have their
+    /// adapter loaded.
     KeptPrompts,
     /// Replicas in the VM's own availability zone are preferred.
     NearZone,
-    /// Replicas whose runs failed lately seem busier.
+    /// Replicas with recent failures are ranked as if they were busier.
     FailureWeight,
-    /// Fetches from the weight store are held to what it serves.
+    /// Concurrent fetches from the weight store are limited to its capacity.
     FetchPace,
-    /// What the weight store serves is learned; without it the first guess
-    /// stands.
+    /// The capacity of the weight store is learned; without it the initial estimate is kept.
     FetchWidth,
-    /// VMs that wait for a load hear of it at once.
+    /// VMs that wait for a load are notified at once when it completes.
     LoadNews,
-    /// Owners hear of requests at their replicas within a few engine steps;
-    /// without it, with the next beacon.
+    /// Owners learn of requests sent to their replicas within a few engine steps; without it,
+    /// with the next beacon.
     EarlyReports,
-    /// Long prompts take turns where they hold up streams.
+    /// Prefills of long prompts take turns where they stall streams.
     PromptTurns,
-    /// Orders without an answer are given again soon.
+    /// Orders without a response are repeated after a short timeout.
     OrderRepeats,
-    /// One VM asks the store and tells the others; without it each asks.
+    /// One VM polls the store and notifies the others; without it each VM polls.
     StoreNews,
-    /// A replica's owner is asked before a request is sent there.
+    /// The owner of a replica is asked before a request is sent there.
     PlaceAsks,
-    /// VMs tell each other when the keys were surely the newest; without it
-    /// each asks the store for itself.
+    /// VMs share the time at which the API keys were confirmed to be current; without it each
+    /// VM asks the store.
     KeyWitnesses,
-    /// One VM for each organisation lends parts of its limit; without it each
+    /// One VM per organisation lends parts of its rate limit to the others; without it each VM
     /// has an equal part.
     LimitLenders,
-    /// More is borrowed than a request at hand needs where they come often.
+    /// Under frequent requests, a VM borrows more of a rate limit than the current request needs.
     LimitsAhead,
-    /// Beacons cross once to each other availability zone and are passed on
-    /// there; without it each VM sends its own to all.
+    /// Beacons are sent once to each other availability zone and relayed there; without it each
+    /// VM sends its own to all VMs.
     ZoneRelays,
 }
 
-/// The table `experiment` of a settings file: what runs without a mechanism.
+/// The table `experiment` of a settings file: the mechanisms to switch off.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Mechanisms that are switched off; none by default.
+    /// The mechanisms that are switched off; none by default.
     #[serde(default)]
     pub off: BTreeSet<Mechanism>,
 }
@@ -70,7 +70,7 @@
     experiment: Experiment,
 }
 
-/// Why a file with an experiment was refused.
+/// Error for a file whose `experiment` table is invalid.
 #[derive(Debug)]
 pub struct BadExperiment(String);
 
@@ -83,7 +83,7 @@
 impl std::error::Error for BadExperiment {}
 
 impl Experiment {
-    /// Reads the table from TOML.
+    /// Parses the `experiment` table from TOML.
     ///
     /// ```
     /// use banyangauge::serving::{Experiment, Mechanism};
@@ -94,14 +94,14 @@
     ///
     /// # Errors
     ///
-    /// When it names what is no mechanism, or anything else.
+    /// If the text is no valid TOML, names an unknown mechanism or has any other key or table.
     pub fn parse(text: &str) -> Result<Self, BadExperiment> {
         let file: Result<File, _> = toml::from_str(text);
         file.map(|f| f.experiment)
             .map_err(|e| BadExperiment(e.to_string()))
     }
 
-    /// Whether a mechanism runs.
+    /// Returns whether a mechanism is switched on.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
--- a/lib/src/serving/program/mod.rs
+++ b/lib/src/serving/program/mod.rs
@@ -1,4 +1,4 @@
-//! The process: settings, start and stop, and what its tasks share.
+//! The serving process: settings, start and stop, and the state that its tasks share.
 
 pub(super) mod experiment;
 pub(super) mod node;
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -1,4 +1,4 @@
-//! What a serving process is told at its start.
+//! Settings that the serving process gets at its start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,38 +14,38 @@
 /// The settings of the serving process.
 #[derive(Builder, Clone, Debug)]
 pub struct ServeSettings {
-    /// This VM; unlike a host name, never another machine's.
+    /// Name of this VM; unlike a host name, it is never reused for another machine.
     pub vm: VmName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether we are ready.
+    /// Address of the load balancer's readiness check.
     pub readiness_address: SocketAddr,
-    /// Where datagrams of the other VMs come in.
+    /// UDP address for datagrams from the other VMs.
     pub peer_address: SocketAddr,
-    /// The store.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// Time from the signal to stop until the process is killed.
+    /// Time between the stop signal and the kill.
     pub grace: Duration,
-    /// How long a leaving replica may still get requests.
+    /// How long a draining replica may still get requests.
     pub drain: Duration,
-    /// Within how long a configuration is in force everywhere.
+    /// Maximum time until a new configuration is in force on every VM.
     pub config_apply: Duration,
-    /// Within how long a new version of an adapter is used everywhere.
+    /// Maximum time until a new adapter version is used on every VM.
     pub version_apply: Duration,
-    /// How long an ownership of a replica outlives its last use.
+    /// How long the ownership of a replica outlives its last use.
     pub lease: Duration,
     /// Whether replicas refuse orders with a lower fencing token.
     pub fencing: bool,
-    /// Within how long a key that was taken away must be heeded by every VM,
-    /// whether it reaches the store or not; `None` where only VMs that do must.
+    /// Maximum time until every VM refuses a revoked API key, whether or not the VM can
+    /// reach the store; `None` if the bound holds only for VMs that can.
     pub key_revocation: Option<Duration>,
-    /// What may be used beyond organisations' limits.
+    /// Usage that is tolerated above the organisations' limits.
     pub allowance: Allowance,
-    /// How many requests may be sent again.
+    /// Retry budget: how many requests may be sent again.
     pub budget: BudgetLimits,
-    /// What is switched off to measure it; nothing in service.
+    /// Mechanisms that are switched off for measurements; none in production.
     #[builder(default)]
     pub experiment: Experiment,
 }
