--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -16,17 +16,17 @@
 use crate::serving::store::port::Item;
 
 /// How long a change is told: three beacons.
-const TOLD_FOR: Span = Span::from_millis(1_300);
+const SHARE_TTL: Span = Span::from_millis(1_300);
 
 /// The most bytes of changes that are told at a time, packed: a beacon must fit
 /// a datagram, and its copies for a zone the link of a small VM. Who misses
 /// more asks the store.
-const MOST_TOLD: usize = 8 << 10;
+const MAX_UPDATE_BYTES: usize = 8 << 10;
 
 /// The first VMs in the order of asking, which tell what they know. Others
 /// that ask, as they missed something, would all tell it again to all: with
 /// 195 VMs that filled their links (served 0.90 -> 0.76 of what was owed).
-const TELLERS: u64 = 3;
+const SENDER_COUNT: u64 = 3;
 
 /// What to do next about a topic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct SyncPoint {
     revision: u64,
     as_of: Moment,
 }
@@ -55,27 +55,27 @@
 /// off VM keeps a change from another. The store stays the only truth.
 #[derive(Debug)]
 pub struct Feed {
-    rhythm: PollPolicy,
-    known: Option<Known>,
+    policy: PollPolicy,
+    synced: Option<SyncPoint>,
     /// The objects that are there.
     names: BTreeSet<String>,
     /// The newest change of each object, with the time until which it is told.
-    recent: BTreeMap<String, (Moment, TopicChange)>,
+    shared: BTreeMap<String, (Moment, TopicChange)>,
     /// All changes after this revision are among the recent ones.
-    since: u64,
+    history_start: u64,
     /// The part of that over which a list stepped.
-    blind: Option<SkippedRange>,
+    skipped: Option<SkippedRange>,
     /// When this VM last had an answer.
-    answered: Option<Moment>,
+    last_answer: Option<Moment>,
     /// Since when changes are missing that others know of.
-    gap: Option<Moment>,
+    gap_since: Option<Moment>,
     /// The revisions of changes that were taken beyond the one known, as
     /// others before them are missing.
-    ahead: BTreeMap<String, u64>,
+    taken_ahead: BTreeMap<String, u64>,
     /// Whether the store failed to answer since the last answer.
-    outage: bool,
+    failing: bool,
     failures: u32,
-    retry: Option<Moment>,
+    retry_at: Option<Moment>,
     /// Whether the store forgot what changed since our revision.
     expired: bool,
 }
@@ -84,65 +84,65 @@
     /// Nothing is known yet.
     pub fn new(rhythm: PollPolicy) -> Self {
         Self {
-            rhythm,
-            known: None,
+            policy: rhythm,
+            synced: None,
             names: BTreeSet::new(),
-            recent: BTreeMap::new(),
-            since: 0,
-            blind: None,
-            answered: None,
-            gap: None,
-            ahead: BTreeMap::new(),
-            outage: false,
+            shared: BTreeMap::new(),
+            history_start: 0,
+            skipped: None,
+            last_answer: None,
+            gap_since: None,
+            taken_ahead: BTreeMap::new(),
+            failing: false,
             failures: 0,
-            retry: None,
+            retry_at: None,
             expired: false,
         }
     }
 
     /// The revision up to which all is known.
     pub fn revision(&self) -> u64 {
-        self.known.map_or(0, |k| k.revision)
+        self.synced.map_or(0, |k| k.revision)
     }
 
     /// How old the knowledge is; `None` before there is any.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.known.map(|k| now.since(k.as_of))
+        self.synced.map(|k| now.since(k.as_of))
     }
 
     /// Whether others know of changes that are missing here.
     pub fn has_gap(&self) -> bool {
-        self.gap.is_some()
+        self.gap_since.is_some()
     }
 
     /// Whether the store failed to answer this VM last.
     pub fn is_failing(&self) -> bool {
-        self.outage
+        self.failing
     }
 
     /// Whether a call failed a moment ago, so that the next one waits.
     pub fn is_backing_off(&self, now: Moment) -> bool {
-        self.retry.is_some_and(|at| at > now)
+        self.retry_at.is_some_and(|at| at > now)
     }
 
     /// What the VM at place `rank` in the order of asking does next; `None`
     /// where each VM asks for itself.
     pub fn next_action(&self, now: Moment, rank: Option<u64>) -> FeedAction {
-        if let Some(retry) = self.retry.filter(|at| *at > now) {
+        if let Some(retry) = self.retry_at.filter(|at| *at > now) {
             return FeedAction::Wait(retry);
         }
-        let Some(known) = self.known.filter(|_| !self.expired) else {
+        let Some(known) = self.synced.filter(|_| !self.expired) else {
             return FeedAction::List;
         };
         let Some(rank) = rank else {
-            return FeedAction::Watch(self.rhythm.solo_wait());
+            return FeedAction::Watch(self.policy.solo_wait());
         };
         if rank == 0 {
-            return FeedAction::Watch(self.rhythm.shared_wait());
+            return FeedAction::Watch(self.policy.shared_wait());
         }
-        let spread = self.rhythm.stagger(rank);
-        let gap = self.gap.map(|at| at.after(Span(spread.0 / 2)));
-        let due = known.as_of.after(self.rhythm.max_age(rank));
+        let spread = self.policy.stagger(rank);
+        let gap = self.gap_since.map(|at| at.after(Span(spread.0 / 2)));
+        let due = known.as_of.after(self.policy.max_age(rank));
         let due = gap.map_or(due, |gap| gap.min(due));
         match due <= now {
             true => FeedAction::Watch(Duration::ZERO),
@@ -153,8 +153,8 @@
     /// The pause after an answer with changes.
     pub fn pause(&self, rank: Option<u64>) -> Duration {
         match rank {
-            None => self.rhythm.solo_pause,
-            Some(_) => self.rhythm.shared_pause,
+            None => self.policy.solo_pause,
+            Some(_) => self.policy.shared_pause,
         }
     }
 
@@ -168,24 +168,24 @@
         items: &[Item],
     ) -> Vec<TopicChange> {
         let names: BTreeSet<_> = items.iter().map(|i| i.name.clone()).collect();
-        let Some(known) = self.known else {
+        let Some(known) = self.synced else {
             let newest = items.iter().map(|i| i.revision).max().unwrap_or(0);
             // What was removed before is not known.
-            self.since = match self.rhythm.has_removals {
+            self.history_start = match self.policy.has_removals {
                 true => revision,
                 false => newest,
             };
             self.names = names;
             // It may be seconds old: it is told to nobody, and followed on from
             // as soon as any other knowledge that gets too old.
-            self.take_answer(now, asked, revision);
-            self.answered = None;
+            self.record_answer(now, asked, revision);
+            self.last_answer = None;
             return Vec::new();
         };
         // Another VM told of all up to a later revision since it was asked for:
         // what is not in the list may have come after it.
         if revision <= known.revision {
-            self.take_answer(now, asked, revision);
+            self.record_answer(now, asked, revision);
             return Vec::new();
         }
         let present = items
@@ -194,27 +194,27 @@
         let gone = self.names.difference(&names).map(|name| {
             let mut item = Item::empty(name);
             item.revision = revision;
-            TopicChange::new(item, true, self.outage)
+            TopicChange::new(item, true, self.failing)
         });
-        let changes = self.admit(present.chain(gone).collect());
+        let changes = self.accept_new(present.chain(gone).collect());
         // What is never removed cannot have come and gone in between.
-        if self.rhythm.has_removals {
-            self.step_over(SkippedRange {
+        if self.policy.has_removals {
+            self.record_skipped(SkippedRange {
                 from: known.revision,
                 to: revision,
             });
         }
-        self.take_answer(now, asked, revision);
+        self.record_answer(now, asked, revision);
         changes
     }
 
-    fn step_over(&mut self, blind: SkippedRange) {
-        self.blind = Some(self.blind.map_or(blind, |b| b.merge(blind)));
+    fn record_skipped(&mut self, blind: SkippedRange) {
+        self.skipped = Some(self.skipped.map_or(blind, |b| b.merge(blind)));
     }
 
     /// The part of the history that is told over which a list stepped.
     pub fn skipped(&self) -> Option<SkippedRange> {
-        self.blind.filter(|b| b.to > self.since)
+        self.skipped.filter(|b| b.to > self.history_start)
     }
 
     /// What changed, asked for at `asked` by a question that waited at least
@@ -234,16 +234,20 @@
                 .min(now),
             false => asked,
         };
-        let changes = self.dated(revision, changes);
-        let changes = self.admit(changes);
-        self.take_answer(now, as_of, revision);
+        let changes = self.with_removal_revisions(revision, changes);
+        let changes = self.accept_new(changes);
+        self.record_answer(now, as_of, revision);
         changes
     }
 
     /// The changes of an answer as they are told. The revision of an object that
     /// is gone may be that of its content: it is gone as of the answer, or until
     /// its next change.
-    fn dated(&self, revision: u64, changes: Vec<(Item, bool)>) -> Vec<TopicChange> {
+    fn with_removal_revisions(
+        &self,
+        revision: u64,
+        changes: Vec<(Item, bool)>,
+    ) -> Vec<TopicChange> {
         let mut next = BTreeMap::new();
         let mut told = Vec::new();
         for (mut item, removed) in changes.into_iter().rev() {
@@ -252,18 +256,18 @@
                 item.revision = after - 1;
             }
             next.insert(item.name.clone(), item.revision);
-            told.push(TopicChange::new(item, removed, removed && self.outage));
+            told.push(TopicChange::new(item, removed, removed && self.failing));
         }
         told.reverse();
         told
     }
 
     /// Those changes that are news, which are known from now on.
-    fn admit(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
+    fn accept_new(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
         let changes: Vec<_> = changes.into_iter().filter(|c| self.is_new(c)).collect();
         for c in &changes {
             let name = c.item.name.clone();
-            self.ahead.insert(name.clone(), c.item.revision);
+            self.taken_ahead.insert(name.clone(), c.item.revision);
             match c.removed {
                 true => self.names.remove(&name),
                 false => self.names.insert(name),
@@ -278,28 +282,28 @@
     /// knows the older one would believe that it knows all.
     fn is_new(&self, change: &TopicChange) -> bool {
         let revision = change.item.revision;
-        let ahead = self.ahead.get(&change.item.name);
+        let ahead = self.taken_ahead.get(&change.item.name);
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
     }
 
     /// All changes up to a revision are known.
     fn advance(&mut self, revision: u64, as_of: Moment) {
-        let old = self.known.unwrap_or(Known { revision, as_of });
-        let known = Known {
+        let old = self.synced.unwrap_or(SyncPoint { revision, as_of });
+        let known = SyncPoint {
             revision: old.revision.max(revision),
             as_of: old.as_of.max(as_of),
         };
-        self.ahead.retain(|_, taken| *taken > known.revision);
-        self.known = Some(known);
+        self.taken_ahead.retain(|_, taken| *taken > known.revision);
+        self.synced = Some(known);
     }
 
-    fn take_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
+    fn record_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
         self.advance(revision, as_of);
-        self.answered = Some(now);
-        self.gap = None;
-        self.outage = false;
+        self.last_answer = Some(now);
+        self.gap_since = None;
+        self.failing = false;
         self.failures = 0;
-        self.retry = None;
+        self.retry_at = None;
         self.expired = false;
     }
 
@@ -308,17 +312,17 @@
         if change.compressed.is_empty() {
             change.compressed = compress(change.item.spec.get());
         }
-        let until = now.after(TOLD_FOR);
-        self.recent
+        let until = now.after(SHARE_TTL);
+        self.shared
             .insert(change.item.name.clone(), (until, change));
     }
 
     /// The store did not answer, or with a failure.
     pub fn record_failure(&mut self, now: Moment, rank: Option<u64>) {
-        self.outage = true;
-        let pause = self.rhythm.retry_backoff(rank, self.failures);
+        self.failing = true;
+        let pause = self.policy.retry_backoff(rank, self.failures);
         self.failures += 1;
-        self.retry = Some(now.after(pause));
+        self.retry_at = Some(now.after(pause));
     }
 
     /// The store forgot what changed since our revision: all is read anew.
@@ -333,7 +337,7 @@
     /// turns away is not left on an old configuration that way, though only the
     /// store can fill its gap.
     pub fn apply_update(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
-        let Some(known) = &mut self.known else {
+        let Some(known) = &mut self.synced else {
             return Vec::new();
         };
         if said.revision <= known.revision {
@@ -341,17 +345,17 @@
             return Vec::new();
         }
         let follows = said.since <= known.revision;
-        let changes = self.admit(said.changes);
+        let changes = self.accept_new(said.changes);
         for c in &changes {
             self.share(now, c.clone());
         }
         if follows {
             self.advance(said.revision, said.as_of);
-            self.gap = None;
-            self.outage = false;
+            self.gap_since = None;
+            self.failing = false;
             self.expired = false;
         } else {
-            self.gap.get_or_insert(now);
+            self.gap_since.get_or_insert(now);
         }
         changes
     }
@@ -370,7 +374,7 @@
         let to = said.revision;
         let changes = self.apply_update(now, said);
         if self.revision() == to {
-            self.step_over(blind);
+            self.record_skipped(blind);
         }
         changes
     }
@@ -378,24 +382,24 @@
     /// What this VM tells the others: nothing unless it is one of the first to
     /// ask, and had an answer lately.
     pub fn outgoing_update(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
-        let known = self.known?;
+        let known = self.synced?;
         let over = |(until, _): &(Moment, TopicChange)| *until <= now;
-        for (_, (_, change)) in self.recent.extract_if(.., |_, kept| over(kept)) {
-            self.since = self.since.max(change.item.revision);
+        for (_, (_, change)) in self.shared.extract_if(.., |_, kept| over(kept)) {
+            self.history_start = self.history_start.max(change.item.revision);
         }
-        let answered = self.answered?;
-        let tells = rank.is_some_and(|rank| rank < TELLERS);
-        if !tells || now.since(answered) >= self.rhythm.max_staleness {
+        let answered = self.last_answer?;
+        let tells = rank.is_some_and(|rank| rank < SENDER_COUNT);
+        if !tells || now.since(answered) >= self.policy.max_staleness {
             return None;
         }
-        let mut newest: Vec<_> = self.recent.values().map(|(_, c)| c).collect();
+        let mut newest: Vec<_> = self.shared.values().map(|(_, c)| c).collect();
         newest.sort_by_key(|c| std::cmp::Reverse(c.item.revision));
-        let mut since = self.since;
+        let mut since = self.history_start;
         let mut bytes = 0;
         let mut changes = Vec::new();
         for change in newest {
             bytes += change.item.name.len() + change.compressed.len();
-            if bytes > MOST_TOLD {
+            if bytes > MAX_UPDATE_BYTES {
                 since = since.max(change.item.revision);
                 break;
             }
--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -13,7 +13,7 @@
 /// Replicas that left whose last owner is remembered. A replica whose entry
 /// comes back, or that starts again under its name, may still get orders of
 /// that owner; more than so many do not leave within a lease.
-const MOST_GONE: usize = 64;
+const MAX_GONE: usize = 64;
 
 /// One replica's owner.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -91,7 +91,9 @@
             *count += 1;
             let vm = (*vm).clone();
             let owner = Owner {
-                former: old.map(|o| o.passed_to(&vm)).unwrap_or_default(),
+                former: old
+                    .map(|o| o.former_after_transfer(&vm))
+                    .unwrap_or_default(),
                 vm,
                 token,
             };
@@ -113,7 +115,7 @@
 
 impl Owner {
     /// Who may still give orders after another VM took over.
-    fn passed_to(&self, vm: &VmName) -> BTreeSet<VmName> {
+    fn former_after_transfer(&self, vm: &VmName) -> BTreeSet<VmName> {
         let mut former = self.former.clone();
         former.insert(self.vm.clone());
         former.remove(vm);
@@ -122,7 +124,7 @@
 }
 
 fn forget_oldest(gone: &mut BTreeMap<ReplicaName, Owner>) {
-    while gone.len() > MOST_GONE {
+    while gone.len() > MAX_GONE {
         let oldest = gone.iter().min_by_key(|(_, o)| o.token);
         let Some(name) = oldest.map(|(name, _)| name.clone()) else {
             return;
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -12,11 +12,11 @@
 
 /// How much later each further VM proposes a change than the one before it by
 /// name: a proposal is in force everywhere within about a second.
-const PROPOSER_STEP: Span = Span::from_millis(1_200);
+const PROPOSAL_STAGGER: Span = Span::from_millis(1_200);
 
 /// How long an owner whose replicas check fences may not have heard of its
 /// loss: the pace of the watch and one slow call.
-const NEWS_LAG: Span = Span::from_millis(1_500);
+const LOSS_DETECTION_DELAY: Span = Span::from_millis(1_500);
 
 /// How long a VM owns its replicas after the table was known to be the newest.
 /// It is confirmed each 0.6 s by one VM and told with the beacons, each 0.4 s:
@@ -25,40 +25,40 @@
 
 /// How old the first VM by name lets the confirmation become: with a beat and
 /// one lost beacon on top, the others still learn of it in time.
-const FIRST_ASKS: Span = Span::from_millis(600);
+const FIRST_CONFIRM_AGE: Span = Span::from_millis(600);
 
 /// The same for the others, which hear of it from the first one: about two of
 /// its questions and a beat.
-const OTHERS_ASK: Span = Span::from_millis(1_600);
+const OTHERS_CONFIRM_AGE: Span = Span::from_millis(1_600);
 
 /// How much later each further VM asks, so that not all ask at once when the
 /// first one is lost.
-const ASK_STEP: Span = Span::from_millis(120);
+const CONFIRM_STAGGER: Span = Span::from_millis(120);
 
 /// VMs by name after which the step grows no more: the last one must ask
 /// before it is out of office.
-const MOST_STEPS: usize = 4;
+const MAX_STAGGER_STEPS: usize = 4;
 
 /// How long an order may take to its replica after the lease was looked at:
 /// the time that an answer is waited for, and a third as much on the way.
-const ORDER_REACH: Span = Span::from_millis(1_100);
+const MAX_ORDER_DELAY: Span = Span::from_millis(1_100);
 
 /// How long after the last confirmation a VM stays in office because all
 /// members hear it.
-const MOST_VOUCHED: Span = Span::from_millis(15_000);
+const MAX_UNCONFIRMED: Span = Span::from_millis(15_000);
 
 /// How long a new member takes no VM for lost that does not know of it: longer
 /// than one stays in office without the store.
-pub(in crate::serving) const UNAWARE_KEPT: Span = Span::from_millis(20_000);
+pub(in crate::serving) const NEW_MEMBER_GRACE: Span = Span::from_millis(20_000);
 
 /// Our ownership of one replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Term {
     token: Token,
     /// From when it may be used.
-    from: Moment,
+    usable_from: Moment,
     /// The revision of the table that gave it to us.
-    since: u64,
+    granted_revision: u64,
     /// Who has not said yet that it knows of its loss.
     unaware: BTreeSet<VmName>,
 }
@@ -85,15 +85,15 @@
     /// Tokens that a replica refused.
     refused: BTreeMap<ReplicaName, Token>,
     /// Since when a change has been due.
-    due: Option<Moment>,
+    proposal_due: Option<Moment>,
     /// When no table newer than this one was in the store yet.
     confirmed: Option<Moment>,
     /// Until when no other VM can take this one for lost.
-    vouched: Option<Moment>,
+    acknowledged_until: Option<Moment>,
     /// The newest revision that another VM told of.
-    told: u64,
+    max_peer_revision: u64,
     /// The same for each VM.
-    told_by: BTreeMap<VmName, u64>,
+    peer_revisions: BTreeMap<VmName, u64>,
     /// Since which revision, and when, this VM is known to be a member.
     joined: Option<(u64, Moment)>,
 }
@@ -109,11 +109,11 @@
             revision: 0,
             terms: BTreeMap::new(),
             refused: BTreeMap::new(),
-            due: None,
+            proposal_due: None,
             confirmed: None,
-            vouched: None,
-            told: 0,
-            told_by: BTreeMap::new(),
+            acknowledged_until: None,
+            max_peer_revision: 0,
+            peer_revisions: BTreeMap::new(),
             joined: None,
         }
     }
@@ -123,18 +123,18 @@
         if revision <= self.revision {
             return false;
         }
-        let wait = self.longest_wait();
+        let wait = self.max_takeover_wait();
         let mine = table.owners.iter().filter(|(_, o)| o.vm == self.vm);
         let mut terms = BTreeMap::new();
         for (name, owner) in mine {
             let old = self.terms.remove(name).filter(|t| t.token == owner.token);
             let term = old.unwrap_or_else(|| Term {
                 token: owner.token,
-                from: match owner.former.is_empty() {
+                usable_from: match owner.former.is_empty() {
                     true => now,
                     false => now.after(wait),
                 },
-                since: revision,
+                granted_revision: revision,
                 unaware: owner.former.clone(),
             });
             terms.insert(name.clone(), term);
@@ -146,15 +146,15 @@
         };
         self.table = table;
         self.revision = revision;
-        self.due = None;
+        self.proposal_due = None;
         true
     }
 
     /// How long a new owner waits that hears nothing of the one before.
-    fn longest_wait(&self) -> Span {
+    fn max_takeover_wait(&self) -> Span {
         match self.fenced {
-            true => Span(self.lease.0 + NEWS_LAG.0),
-            false => Span(OWNERSHIP_TTL.0 + self.lease.0 + ORDER_REACH.0),
+            true => Span(self.lease.0 + LOSS_DETECTION_DELAY.0),
+            false => Span(OWNERSHIP_TTL.0 + self.lease.0 + MAX_ORDER_DELAY.0),
         }
     }
 
@@ -197,11 +197,11 @@
         let Some(confirmed) = self.confirmed.filter(|_| !self.fenced) else {
             return false;
         };
-        let steps = rank.min(MOST_STEPS) as u64;
+        let steps = rank.min(MAX_STAGGER_STEPS) as u64;
         let after = match rank {
-            0 => FIRST_ASKS,
+            0 => FIRST_CONFIRM_AGE,
             _ if self.terms.is_empty() => return false,
-            _ => Span(OTHERS_ASK.0 + ASK_STEP.0 * steps),
+            _ => Span(OTHERS_CONFIRM_AGE.0 + CONFIRM_STAGGER.0 * steps),
         };
         now.since(confirmed) >= after
     }
@@ -210,7 +210,7 @@
     /// over, or another VM could have for a moment, only the store's word
     /// brings this VM back into office.
     pub fn set_acknowledged_until(&mut self, now: Moment, until: Option<Moment>) {
-        self.vouched = until.filter(|_| self.is_valid(now));
+        self.acknowledged_until = until.filter(|_| self.is_valid(now));
     }
 
     /// The members that this VM may not take for lost yet: those that have not
@@ -224,8 +224,8 @@
             let Some((revision, at)) = self.joined else {
                 return true;
             };
-            let told = self.told_by.get(*vm).copied().unwrap_or(0);
-            told < revision && now.since(at) < UNAWARE_KEPT
+            let told = self.peer_revisions.get(*vm).copied().unwrap_or(0);
+            told < revision && now.since(at) < NEW_MEMBER_GRACE
         };
         members.filter(unaware).cloned().collect()
     }
@@ -233,14 +233,17 @@
     /// A VM told which table it holds: those before it that lost a replica to
     /// us know it. Gives whether its table is newer than ours.
     pub fn record_peer_revision(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
-        self.told = self.told.max(revision);
-        let told = self.told_by.entry(vm.clone()).or_default();
+        self.max_peer_revision = self.max_peer_revision.max(revision);
+        let told = self.peer_revisions.entry(vm.clone()).or_default();
         *told = revision.max(*told);
-        let after = now.after(Span(self.lease.0 + ORDER_REACH.0));
-        let known = self.terms.values_mut().filter(|t| t.since <= revision);
+        let after = now.after(Span(self.lease.0 + MAX_ORDER_DELAY.0));
+        let known = self
+            .terms
+            .values_mut()
+            .filter(|t| t.granted_revision <= revision);
         for term in known {
             if term.unaware.remove(vm) && term.unaware.is_empty() {
-                term.from = term.from.min(after);
+                term.usable_from = term.usable_from.min(after);
             }
         }
         revision > self.revision
@@ -256,18 +259,20 @@
         if self.fenced {
             return true;
         }
-        let (Some(confirmed), true) = (self.confirmed, self.told <= self.revision) else {
+        let (Some(confirmed), true) = (self.confirmed, self.max_peer_revision <= self.revision)
+        else {
             return false;
         };
-        let vouched = self.vouched.unwrap_or(Moment(0));
-        now < confirmed.after(OWNERSHIP_TTL) || now < vouched.min(confirmed.after(MOST_VOUCHED))
+        let vouched = self.acknowledged_until.unwrap_or(Moment(0));
+        now < confirmed.after(OWNERSHIP_TTL) || now < vouched.min(confirmed.after(MAX_UNCONFIRMED))
     }
 
     /// Our replicas that may get orders now, with their tokens.
     pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
         let holds = self.is_valid(now);
         let terms = self.terms.iter().filter(move |_| holds);
-        let usable = terms.filter(move |(name, t)| t.from <= now && !self.is_refused(name, t));
+        let usable =
+            terms.filter(move |(name, t)| t.usable_from <= now && !self.is_refused(name, t));
         usable.map(|(name, t)| (name, t.token))
     }
 
@@ -283,7 +288,7 @@
     /// Our token for a replica, if it may get orders now.
     pub fn token(&self, now: Moment, name: &ReplicaName) -> Option<Token> {
         let term = self.terms.get(name)?;
-        let usable = self.is_valid(now) && term.from <= now && !self.is_refused(name, term);
+        let usable = self.is_valid(now) && term.usable_from <= now && !self.is_refused(name, term);
         usable.then_some(term.token)
     }
 
@@ -316,12 +321,12 @@
         replicas: &BTreeSet<ReplicaName>,
     ) -> Option<OwnerTable> {
         let Some(table) = self.repaired(now, live, replicas) else {
-            self.due = None;
-            return self.settled(now);
+            self.proposal_due = None;
+            return self.without_expired_waits(now);
         };
-        let since = *self.due.get_or_insert(now);
+        let since = *self.proposal_due.get_or_insert(now);
         let rank = live.iter().position(|vm| *vm == self.vm)? as u64;
-        (now.since(since).0 >= PROPOSER_STEP.0 * rank).then_some(table)
+        (now.since(since).0 >= PROPOSAL_STAGGER.0 * rank).then_some(table)
     }
 
     /// The table that this VM would have. One that is no member yet changes
@@ -349,9 +354,9 @@
     }
 
     /// The table with the waits of our replicas that are over.
-    fn settled(&self, now: Moment) -> Option<OwnerTable> {
+    fn without_expired_waits(&self, now: Moment) -> Option<OwnerTable> {
         let mut table = self.table.clone();
-        let over = |name: &ReplicaName| self.terms.get(name).is_some_and(|t| t.from <= now);
+        let over = |name: &ReplicaName| self.terms.get(name).is_some_and(|t| t.usable_from <= now);
         for (name, owner) in &mut table.owners {
             if owner.vm == self.vm && over(name) {
                 owner.former.clear();
@@ -362,6 +367,6 @@
 
     /// A proposal was sent: the next one waits its turn again.
     pub fn record_proposal(&mut self, now: Moment) {
-        self.due = Some(now);
+        self.proposal_due = Some(now);
     }
 }
--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -9,22 +9,22 @@
 
 /// How long the store's watches may hear nothing of changes that are made, as
 /// it drops its history: an answer "nothing changed" may be wrong for so long.
-const DEAF: Span = Span::from_millis(1_100);
+const MAX_WATCH_LAG: Span = Span::from_millis(1_100);
 
 /// The part of the bound on revoked keys after which a VM asks the store for
 /// itself: what is left is for its call, and for one more after a failed one.
-const ASK_PART: f64 = 0.5;
+const PROOF_AGE_FRACTION: f64 = 0.5;
 
 /// The part of that bound over which the VMs' own questions are spread: the
 /// answers to the first ones spare the others theirs.
-const SPREAD_PART: f64 = 0.12;
+const STAGGER_FRACTION: f64 = 0.12;
 
 /// VMs in the order of asking after which the spread grows no more.
-const MOST_RANKS: u64 = 16;
+const MAX_STAGGER_RANK: u64 = 16;
 
 /// The VMs that are told in one beacon of their own last ones; others follow
 /// with the next.
-const MOST_TOLD: usize = 128;
+const MAX_WITNESSES: usize = 128;
 
 /// When a VM's configuration was surely the newest, by its own clock.
 ///
@@ -39,20 +39,20 @@
 pub struct Recency {
     as_of: Option<Moment>,
     /// Whether the newest configuration could not be read.
-    unread: bool,
+    unreadable: bool,
 }
 
 impl Recency {
     /// The store was read at `asked`, and what it held is known.
     pub fn confirm_list(&mut self, asked: Moment) {
-        self.prove(asked);
+        self.advance(asked);
     }
 
     /// The store was asked at `asked` to wait for changes, and named none that
     /// are not known for at least `waited`.
     pub fn confirm_watch(&mut self, asked: Moment, waited: Span) {
         let until = asked.after(waited);
-        self.prove(Moment(until.0.saturating_sub(DEAF.0)));
+        self.advance(Moment(until.0.saturating_sub(MAX_WATCH_LAG.0)));
     }
 
     /// Another VM got our beacon of the moment `sent`, and last knew our
@@ -60,35 +60,35 @@
     pub fn confirm_witness(&mut self, now: Moment, sent: Moment, after: i64) {
         let at = sent.0.saturating_add_signed(after);
         // It cannot know of what is to come.
-        self.prove(Moment(at.min(now.0)));
+        self.advance(Moment(at.min(now.0)));
     }
 
-    fn prove(&mut self, at: Moment) {
+    fn advance(&mut self, at: Moment) {
         self.as_of = Some(self.as_of.map_or(at, |known| known.max(at)));
     }
 
     /// Whether the newest configuration that came could be read.
     pub fn set_readable(&mut self, done: bool) {
-        self.unread = !done;
+        self.unreadable = !done;
     }
 
     /// How long ago the configuration was surely the newest; `None` if that is
     /// not known.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        let as_of = self.as_of.filter(|_| !self.unread)?;
+        let as_of = self.as_of.filter(|_| !self.unreadable)?;
         Some(now.since(as_of))
     }
 
     /// Whether the VM at this place in the order of asking asks the store now.
     pub fn is_due(&self, now: Moment, revoke: Span, rank: u64) -> bool {
-        let spread = SPREAD_PART * rank.min(MOST_RANKS) as f64 / MOST_RANKS as f64;
-        let limit = Span((revoke.0 as f64 * (ASK_PART + spread)) as u64);
+        let spread = STAGGER_FRACTION * rank.min(MAX_STAGGER_RANK) as f64 / MAX_STAGGER_RANK as f64;
+        let limit = Span((revoke.0 as f64 * (PROOF_AGE_FRACTION + spread)) as u64);
         self.age(now).is_none_or(|age| age >= limit)
     }
 
     /// When it was the newest, in microseconds after `heard`.
-    fn after(&self, heard: Moment) -> Option<i64> {
-        let as_of = self.as_of.filter(|_| !self.unread)?;
+    fn offset_from(&self, heard: Moment) -> Option<i64> {
+        let as_of = self.as_of.filter(|_| !self.unreadable)?;
         Some(as_of.0.wrapping_sub(heard.0).cast_signed())
     }
 }
@@ -129,7 +129,7 @@
                 Some(Witness {
                     reader: reader_id(vm, incarnation),
                     sent,
-                    after_us: recency.after(at)?,
+                    after_us: recency.offset_from(at)?,
                 })
             })
             .collect();
@@ -137,7 +137,7 @@
             return all;
         }
         let from = self.next % all.len();
-        let count = all.len().min(MOST_TOLD);
+        let count = all.len().min(MAX_WITNESSES);
         self.next = from + count;
         all.into_iter().cycle().skip(from).take(count).collect()
     }
--- a/lib/src/serving/cluster/subscriptions.rs
+++ b/lib/src/serving/cluster/subscriptions.rs
@@ -10,7 +10,7 @@
 
 /// How long after its last wish a VM waits for news of a replica: wishes are
 /// renewed more often than that as long as a request waits for a load.
-const ASKED_KEPT: Span = Span::from_millis(1_000);
+const SUBSCRIPTION_TTL: Span = Span::from_millis(1_000);
 
 /// The VMs that wait for loads at the replicas that this VM owns.
 ///
@@ -20,41 +20,41 @@
 /// 60 loads a second were 20,000 datagrams a second between 71 VMs.
 #[derive(Debug, Default)]
 pub struct Subscriptions {
-    asked: BTreeMap<ReplicaName, BTreeMap<VmName, Moment>>,
-    owed: BTreeMap<VmName, BTreeSet<ReplicaName>>,
+    subscribers: BTreeMap<ReplicaName, BTreeMap<VmName, Moment>>,
+    pending: BTreeMap<VmName, BTreeSet<ReplicaName>>,
 }
 
 impl Subscriptions {
     /// A VM wishes for something at a replica; `known` says that it is there
     /// already, so that the VM's picture is old.
     pub fn subscribe(&mut self, now: Moment, vm: &VmName, replica: &ReplicaName, known: bool) {
-        let asked = self.asked.entry(replica.clone()).or_default();
+        let asked = self.subscribers.entry(replica.clone()).or_default();
         asked.insert(vm.clone(), now);
         if known {
-            self.owe(vm, replica);
+            self.mark_pending(vm, replica);
         }
     }
 
     /// What a replica holds changed.
     pub fn record_change(&mut self, now: Moment, replica: &ReplicaName) {
-        let Some(asked) = self.asked.get_mut(replica) else {
+        let Some(asked) = self.subscribers.get_mut(replica) else {
             return;
         };
-        asked.retain(|_, at| now.since(*at) < ASKED_KEPT);
+        asked.retain(|_, at| now.since(*at) < SUBSCRIPTION_TTL);
         let waiting: Vec<_> = asked.keys().cloned().collect();
         if waiting.is_empty() {
-            self.asked.remove(replica);
+            self.subscribers.remove(replica);
         }
-        waiting.iter().for_each(|vm| self.owe(vm, replica));
+        waiting.iter().for_each(|vm| self.mark_pending(vm, replica));
     }
 
-    fn owe(&mut self, vm: &VmName, replica: &ReplicaName) {
-        let owed = self.owed.entry(vm.clone()).or_default();
+    fn mark_pending(&mut self, vm: &VmName, replica: &ReplicaName) {
+        let owed = self.pending.entry(vm.clone()).or_default();
         owed.insert(replica.clone());
     }
 
     /// Whom to tell of which replicas; each is told once.
     pub fn take_pending(&mut self) -> BTreeMap<VmName, BTreeSet<ReplicaName>> {
-        std::mem::take(&mut self.owed)
+        std::mem::take(&mut self.pending)
     }
 }
