--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -33,13 +33,13 @@
 use crate::serving::store::follow;
 
 /// The least time between two beacons that carry news.
-const NEWS_PAUSE: Duration = Duration::from_millis(30);
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(30);
 
 /// For how long a strike is told again: lost datagrams are made good.
-const STRIKES_TOLD: Span = Span::from_millis(5_000);
+const STRIKE_TTL: Span = Span::from_millis(5_000);
 
 /// The longest datagram that is read.
-const MOST_BYTES: usize = 64 << 10;
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 /// Tells all others what this VM owns and has seen break, and the owners of
 /// replicas what it has under way there.
@@ -51,7 +51,7 @@
         let (sendings, beat) = {
             let mut b = node.state();
             let beat = Duration::from_micros(b.members.beacon_interval().0);
-            (complete(&node, &mut b, number), beat)
+            (full_beacons(&node, &mut b, number), beat)
         };
         for (bytes, address) in sendings {
             send(&node, &bytes, address).await;
@@ -62,15 +62,15 @@
             .is_ok()
         {
             let stops = std::mem::replace(&mut phase, node.phase()) != node.phase();
-            tell_news(&node, &mut number, stops).await;
-            tokio::time::sleep(NEWS_PAUSE).await;
+            send_updates(&node, &mut number, stops).await;
+            tokio::time::sleep(MIN_UPDATE_INTERVAL).await;
         }
     }
 }
 
 /// Tells the VMs that wait what our replicas hold, and all which are leaving,
 /// or that this VM begins to stop.
-async fn tell_news(node: &Node, number: &mut u64, stops: bool) {
+async fn send_updates(node: &Node, number: &mut u64, stops: bool) {
     let mut sendings = Vec::new();
     {
         let mut b = node.state();
@@ -86,16 +86,19 @@
         for (vm, names) in b.subscriptions.take_pending() {
             if let Some(address) = b.members.address(&vm) {
                 *number += 1;
-                let mut told = beacon(node, b, *number);
-                told.books = names.iter().filter_map(|n| book(b, now, n)).collect();
+                let mut told = new_beacon(node, b, *number);
+                told.books = names
+                    .iter()
+                    .filter_map(|n| encode_book(b, now, n))
+                    .collect();
                 sendings.push((told, vec![address]));
             }
         }
         let leaving = std::mem::take(&mut b.leaving);
         if !leaving.is_empty() || stops {
             *number += 1;
-            let mut told = beacon(node, b, *number);
-            told.leaving = leaving.iter().map(write_leaving).collect();
+            let mut told = new_beacon(node, b, *number);
+            told.leaving = leaving.iter().map(encode_leaving).collect();
             sendings.push((told, b.members.peers().map(|(_, at)| at).collect()));
         }
     }
@@ -118,7 +121,7 @@
     }
 }
 
-fn beacon(node: &Node, b: &NodeState, number: u64) -> wire::Beacon {
+fn new_beacon(node: &Node, b: &NodeState, number: u64) -> wire::Beacon {
     let now = now();
     wire::Beacon {
         vm: node.settings.vm.to_string(),
@@ -134,13 +137,16 @@
 }
 
 /// What every VM is told in one beat.
-fn common(node: &Node, b: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
+fn common_beacon(node: &Node, b: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
     let names: Vec<_> = b.books.names().cloned().collect();
     b.books.take_changed();
-    let mut told = beacon(node, b, number);
+    let mut told = new_beacon(node, b, number);
     told.owners = b.ownership.revision;
     told.turns_ms = b.strain.left(now).as_millis();
-    told.books = names.iter().filter_map(|n| book(b, now, n)).collect();
+    told.books = names
+        .iter()
+        .filter_map(|n| encode_book(b, now, n))
+        .collect();
     for name in &names {
         if let Some(held) = b.books.held(name) {
             b.fleet.hear_book(now, name, held);
@@ -151,7 +157,7 @@
         .filter_map(|n| load_reports::total_load(b, now, n))
         .collect();
     told.store = follow::outgoing_updates(node, b, now);
-    let strikes = b.strikes.recent(now, STRIKES_TOLD);
+    let strikes = b.strikes.recent(now, STRIKE_TTL);
     told.strikes = strikes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
@@ -164,9 +170,9 @@
 }
 
 /// The datagrams of one beat.
-fn complete(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
+fn full_beacons(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
-    let told = common(node, b, now, number);
+    let told = common_beacon(node, b, now, number);
     if b.members.uses_relays() {
         let mut sendings = relay::relay_datagrams(b, now, told);
         sendings.extend(load_reports::full_reports(node, b, now));
@@ -203,7 +209,7 @@
 }
 
 /// What a replica of ours holds.
-fn book(b: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
+fn encode_book(b: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
     let held = b.books.held(name)?;
     let token = b.ownership.token(now, name)?;
     let here = held.here.iter().map(|(t, v)| (t, *v, false));
@@ -225,24 +231,24 @@
 
 /// Takes in datagrams until the process ends.
 pub(in crate::serving) async fn receive(node: Rc<Node>) {
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match node.socket.recv_from(&mut buffer).await {
             Ok(read) => read,
             Err(e) => {
                 slog::debug!(node.log, "datagram not read"; "error" => %e);
-                tokio::time::sleep(NEWS_PAUSE).await;
+                tokio::time::sleep(MIN_UPDATE_INTERVAL).await;
                 continue;
             }
         };
         let datagram = wire::Datagram::decode(&buffer[..length]);
         match datagram.map(|d| d.body) {
-            Ok(Some(Body::Beacon(beacon))) => take_beacon(&node, *beacon, from),
+            Ok(Some(Body::Beacon(beacon))) => handle_beacon(&node, *beacon, from),
             Ok(Some(Body::Bundle(bundle))) => {
                 let beacons = bundle.beacons.into_iter();
-                beacons.for_each(|beacon| take_beacon(&node, beacon, from));
+                beacons.for_each(|beacon| handle_beacon(&node, beacon, from));
             }
-            Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
+            Ok(Some(Body::Wish(wish))) => handle_load_request(&node, &wish),
             Ok(Some(Body::Report(report))) => load_reports::handle_report(&node, &report),
             Ok(Some(Body::PlaceAsk(ask))) => owner_check::handle_place_ask(&node, &ask).await,
             Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
@@ -256,7 +262,7 @@
     }
 }
 
-fn take_beacon(node: &Node, beacon: wire::Beacon, from: SocketAddr) {
+fn handle_beacon(node: &Node, beacon: wire::Beacon, from: SocketAddr) {
     let Ok(vm) = beacon.vm.parse::<VmName>() else {
         return;
     };
@@ -281,7 +287,7 @@
     b.members.set_lends(&vm, beacon.lends);
     renewal::handle_beacon(node, &mut b, now, &vm, &beacon);
     for book in &beacon.books {
-        take_book(&mut b, now, &vm, book);
+        apply_book(&mut b, now, &vm, book);
     }
     for l in &beacon.leaving {
         if let Some(replica) = parse_instance(&l.replica, l.born)
@@ -315,7 +321,7 @@
     }
 }
 
-fn write_leaving(replica: &Instance) -> wire::Leaving {
+fn encode_leaving(replica: &Instance) -> wire::Leaving {
     wire::Leaving {
         replica: replica.name.to_string(),
         born: replica.started_ms,
@@ -341,7 +347,7 @@
     b.fleet.is_current(&replica).then_some(replica.name)
 }
 
-fn take_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
+fn apply_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
     let Some(name) = current_replica(b, &book.replica, book.born) else {
         return;
     };
@@ -394,7 +400,7 @@
     send(node, &datagram.encode_to_vec(), address).await;
 }
 
-fn take_wish(node: &Node, wish: &wire::Wish) {
+fn handle_load_request(node: &Node, wish: &wire::Wish) {
     let Ok(name) = wish.replica.parse::<ReplicaName>() else {
         return;
     };
--- a/lib/src/serving/peers/compression.rs
+++ b/lib/src/serving/peers/compression.rs
@@ -9,7 +9,7 @@
 
 /// The longest text that is unpacked: an object of the store is a megabyte at
 /// most.
-const MOST_BYTES: u64 = 1 << 20;
+const MAX_TEXT_BYTES: u64 = 1 << 20;
 
 /// Packs a text. Unpacked, the copies of a configuration of 6 KB for the 38
 /// other VMs of a zone take a link of 20 Mbit/s for 0.09 s, and most were lost
@@ -34,7 +34,7 @@
 /// Unpacks a text; `None` if that is none, or too long.
 pub fn decompress(bytes: &[u8]) -> Option<String> {
     let mut text = String::new();
-    let mut decoder = DeflateDecoder::new(bytes).take(MOST_BYTES + 1);
+    let mut decoder = DeflateDecoder::new(bytes).take(MAX_TEXT_BYTES + 1);
     let length = decoder.read_to_string(&mut text).ok()?;
-    (length as u64 <= MOST_BYTES).then_some(text)
+    (length as u64 <= MAX_TEXT_BYTES).then_some(text)
 }
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -27,7 +27,7 @@
 
 /// The pause between two reports to the owners of replicas: a few engine steps,
 /// so that what is sent in one moment is told at once.
-const REPORT_PAUSE: Duration = Duration::from_millis(60);
+const REPORT_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Tells the owners of replicas soon what changed there of this VM's requests,
 /// until the process ends. What an owner tells all others is then older by its
@@ -37,7 +37,7 @@
         return;
     }
     loop {
-        tokio::time::sleep(REPORT_PAUSE).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let mut sendings = Vec::new();
         {
             let mut b = node.state();
@@ -45,7 +45,7 @@
             let names: BTreeSet<_> = b.fleet.unreported().cloned().collect();
             for (vm, flights) in flights_by_owner(&node, b, now(), names) {
                 if let Some(address) = b.members.address(&vm) {
-                    sendings.push((write_report(&node, flights, false), address));
+                    sendings.push((encode_report(&node, flights, false), address));
                 }
             }
         }
@@ -56,7 +56,7 @@
 }
 
 /// A report to the owner of these replicas.
-fn write_report(node: &Node, flights: Vec<wire::Flight>, complete: bool) -> Vec<u8> {
+fn encode_report(node: &Node, flights: Vec<wire::Flight>, complete: bool) -> Vec<u8> {
     let report = wire::FlightReport {
         vm: node.settings.vm.to_string(),
         incarnation: node.incarnation.0,
@@ -82,7 +82,7 @@
     let flights = flights_by_owner(node, b, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
         let address = b.members.address(&vm)?;
-        Some((write_report(node, flights, true), address))
+        Some((encode_report(node, flights, true), address))
     });
     reports.collect()
 }
@@ -113,7 +113,7 @@
             requests: load.requests,
             tokens: load.tokens,
             unread: load.unread,
-            uses: adapter_uses(&uses),
+            uses: encode_uses(&uses),
             born: b.fleet.born(&name).unwrap_or_default(),
         });
     }
@@ -145,7 +145,7 @@
     })
 }
 
-fn adapter_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
+fn encode_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
     let uses = uses.iter().map(|(t, u)| wire::AdapterUse {
         target: t.to_string(),
         running: u.running,
@@ -195,7 +195,7 @@
         apply_counts(&mut b, now, &vm, &report.flights);
         return;
     }
-    for (name, load) in read_flights(&mut b, now, &vm, &report.flights) {
+    for (name, load) in apply_flights(&mut b, now, &vm, &report.flights) {
         b.fleet.hear_count(now, &vm, &name, load);
     }
 }
@@ -207,12 +207,12 @@
     vm: &VmName,
     flights: &[wire::Flight],
 ) {
-    let counts = read_flights(b, now, vm, flights);
+    let counts = apply_flights(b, now, vm, flights);
     b.fleet.hear_counts(now, vm, &counts);
 }
 
 /// A VM's loads at replicas of ours; the books learn of its uses.
-fn read_flights(
+fn apply_flights(
     b: &mut NodeState,
     now: Moment,
     vm: &VmName,
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -20,37 +20,37 @@
 use crate::serving::store::port::Consistency;
 
 /// How often it is looked whether to ask.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The pause after a question that had no answer.
-const FAILED_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How long the store waits for news before it answers: it is only asked for
 /// what is there.
-const NO_WAIT: Duration = Duration::from_millis(1);
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
 
 /// Asks the store as long as the process lives.
 pub(in crate::serving) async fn renew(node: Rc<Node>) {
     if node.settings.fencing {
         return;
     }
-    let mut office = Office::default();
+    let mut office = ValidityLog::default();
     let mut since = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
-        office.look(&node);
-        if !due(&node) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        office.update(&node);
+        if !is_due(&node) {
             continue;
         }
-        if let Err(e) = ask(&node, &mut since).await {
+        if let Err(e) = confirm_table(&node, &mut since).await {
             slog::info!(node.log, "owners not confirmed"; "error" => %e);
-            tokio::time::sleep(FAILED_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Whether the confirmation is so old that this VM asks itself.
-fn due(node: &Node) -> bool {
+fn is_due(node: &Node) -> bool {
     let b = node.state();
     let at = now();
     let live = b.members.live_vms(at);
@@ -59,7 +59,7 @@
 }
 
 /// Asks for what changed since the last answer.
-async fn ask(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
+async fn confirm_table(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
     let kind = node.border.kinds.internal;
     let asked = now();
     if *since == 0 {
@@ -67,7 +67,7 @@
         apply_cluster(node, &StoreUpdate::List(&items));
         *since = revision;
     } else {
-        let call = (node.store.watch)(kind, *since, NO_WAIT);
+        let call = (node.store.watch)(kind, *since, MIN_WATCH_WAIT);
         let answer = with_timeout(follow::CALL_TIMEOUT, call).await;
         follow::count_call(kind, answer.is_ok());
         if answer.is_err() {
@@ -88,10 +88,10 @@
 /// Whether the VM was in office when it was last looked; a change is worth a
 /// line.
 #[derive(Default)]
-struct Office(bool);
+struct ValidityLog(bool);
 
-impl Office {
-    fn look(&mut self, node: &Node) {
+impl ValidityLog {
+    fn update(&mut self, node: &Node) {
         let mut b = node.state();
         let at = now();
         let vouched = b.members.acknowledged_until(&b.ownership.table.members);
