--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -103,21 +103,21 @@
             true
         }
         StoreUpdate::Change(told) if told.removed => {
-            unlist(node, &told.item, "removed");
+            remove_replica(node, &told.item, "removed");
             true
         }
         StoreUpdate::Change(told) => match read(&told.item) {
-            Ok(listing) => take_replica(node, &told.item, listing),
+            Ok(listing) => apply_replica(node, &told.item, listing),
             // It names no replica to use, whatever it named before.
             Err(()) => {
-                unlist(node, &told.item, "unreadable");
+                remove_replica(node, &told.item, "unreadable");
                 true
             }
         },
     }
 }
 
-fn take_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
+fn apply_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
     let born = listing.started_ms;
     let news = node.state().fleet.is_news(&listing);
@@ -129,7 +129,7 @@
     news
 }
 
-fn unlist(node: &Node, item: &Item, why: &'static str) {
+fn remove_replica(node: &Node, item: &Item, why: &'static str) {
     let Ok(name) = item.name.parse::<ReplicaName>() else {
         return;
     };
@@ -177,7 +177,9 @@
 
 /// Takes our own objects: VMs and the owner table.
 pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    news.items().iter().for_each(|i| take_own_item(node, i));
+    news.items()
+        .iter()
+        .for_each(|i| apply_cluster_item(node, i));
     if matches!(news, StoreUpdate::List(_)) {
         node.state().members.mark_listed();
     }
@@ -192,7 +194,7 @@
     true
 }
 
-fn take_own_item(node: &Node, item: &Item) {
+fn apply_cluster_item(node: &Node, item: &Item) {
     let bad = |e: serde_json::Error| {
         slog::error!(node.log, "bad entry"; "name" => &item.name, "error" => %e);
     };
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -33,24 +33,24 @@
 use crate::serving::store::port::Page;
 
 /// How often a VM that has nothing to ask looks whether it is its turn.
-const LOOK: Span = Span::from_millis(500);
+const IDLE_CHECK_INTERVAL: Span = Span::from_millis(500);
 
 /// The part of the time that a leaving replica may still get requests, after
 /// which a VM that asks for itself alone reads the entries again at the latest:
 /// some change with each heartbeat.
-const REPLICA_PAUSE_PART: f64 = 0.75;
+const REPLICA_PAUSE_FRACTION: f64 = 0.75;
 
 /// The part of the time within which a version must be used everywhere that
 /// may pass until all know of it: the replicas have yet to load it.
-const VERSION_PART: f64 = 0.5;
+const VERSION_FRACTION: f64 = 0.5;
 
 /// Within how long a change of owners is known everywhere: beacons tell who
 /// lives, and until then an adapter is loaded at another replica.
-const OWN_BOUND: Span = Span::from_millis(6_000);
+const CLUSTER_STALENESS: Span = Span::from_millis(6_000);
 
 /// VMs that were heard so lately are told when the configuration was the newest
 /// after their last beacon.
-const WITNESSED: Span = Span::from_millis(4_000);
+const WITNESS_WINDOW: Span = Span::from_millis(4_000);
 
 /// How a topic is asked about.
 pub(in crate::serving) fn poll_policy(settings: &ServeSettings, topic: Topic) -> PollPolicy {
@@ -68,12 +68,12 @@
         Topic::Replicas => PollPolicy {
             max_staleness: to_span(settings.drain),
             max_solo_wait: millis(4_000),
-            solo_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
+            solo_pause: settings.drain.mul_f64(REPLICA_PAUSE_FRACTION),
             shared_pause: millis(400),
             has_removals: true,
         },
         Topic::Versions => PollPolicy {
-            max_staleness: to_span(settings.version_apply.mul_f64(VERSION_PART)),
+            max_staleness: to_span(settings.version_apply.mul_f64(VERSION_FRACTION)),
             max_solo_wait: millis(8_000),
             // They come by the dozen.
             solo_pause: millis(1_000),
@@ -81,7 +81,7 @@
             has_removals: false,
         },
         Topic::Cluster => PollPolicy {
-            max_staleness: OWN_BOUND,
+            max_staleness: CLUSTER_STALENESS,
             max_solo_wait: millis(15_000),
             solo_pause: millis(600),
             shared_pause: millis(300),
@@ -91,7 +91,7 @@
 }
 
 /// The store's name for a topic.
-fn kind(node: &Node, topic: Topic) -> &'static str {
+fn store_kind(node: &Node, topic: Topic) -> &'static str {
     let kinds = node.border.kinds;
     match topic {
         Topic::Config => kinds.config,
@@ -102,7 +102,7 @@
 }
 
 /// What news of a topic changes; gives whether others should hear of it.
-fn take(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
+fn apply_update(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
     match topic {
         Topic::Config => apply::apply_config(node, news),
         Topic::Replicas => apply::apply_replicas(node, news),
@@ -126,14 +126,14 @@
         };
         let outcome = match next {
             FeedAction::Wait(until) => {
-                let until = until.min(at.after(LOOK));
+                let until = until.min(at.after(IDLE_CHECK_INTERVAL));
                 let asked =
                     tokio::time::timeout_at(to_instant(until), node.catch_up_wake.notified());
                 asked.await.ok();
                 continue;
             }
-            FeedAction::List => list_all(&node, topic).await.map(|()| false),
-            FeedAction::Watch(wait) => watch(&node, topic, rank, wait).await,
+            FeedAction::List => sync_by_list(&node, topic).await.map(|()| false),
+            FeedAction::Watch(wait) => sync_by_watch(&node, topic, rank, wait).await,
         };
         match outcome {
             Ok(true) => {
@@ -141,36 +141,36 @@
                 tokio::time::sleep(pause).await;
             }
             Ok(false) => {}
-            Err(e) => log_lost(&node, topic, rank, &e),
+            Err(e) => log_failure(&node, topic, rank, &e),
         }
     }
 }
 
-fn log_lost(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
+fn log_failure(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
     let mut b = node.state();
     let feed = b.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
         feed.mark_expired();
-        slog::info!(node.log, "history gone"; "kind" => kind(node, topic),
+        slog::info!(node.log, "history gone"; "kind" => store_kind(node, topic),
             "revision" => feed.revision());
         return;
     }
     if !feed.is_failing() {
-        slog::warn!(node.log, "store lost"; "kind" => kind(node, topic), "error" => %e,
+        slog::warn!(node.log, "store lost"; "kind" => store_kind(node, topic), "error" => %e,
             "revision" => feed.revision(), "rank" => rank);
     }
     feed.record_failure(now(), rank);
 }
 
-fn log_regained(node: &Node, topic: Topic, out: bool, revision: u64) {
+fn log_recovery(node: &Node, topic: Topic, out: bool, revision: u64) {
     if out {
-        slog::info!(node.log, "store regained"; "kind" => kind(node, topic),
+        slog::info!(node.log, "store regained"; "kind" => store_kind(node, topic),
             "revision" => revision);
     }
 }
 
 /// Reads a topic whole.
-async fn list_all(node: &Node, topic: Topic) -> Result<(), PlatformError> {
+async fn sync_by_list(node: &Node, topic: Topic) -> Result<(), PlatformError> {
     let asked = now();
     let first = node.state().feeds.get(topic).age(asked).is_none();
     // What came since is read, or heard, next. Where replicas check no fences,
@@ -187,7 +187,7 @@
         true => Consistency::BoundedStale,
         false => Consistency::Latest,
     };
-    let (items, revision) = list(node, kind(node, topic), freshness).await?;
+    let (items, revision) = list(node, store_kind(node, topic), freshness).await?;
     let (out, changes) = {
         let mut b = node.state();
         let feed = b.feeds.get(topic);
@@ -195,15 +195,15 @@
         (out, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
-    slog::info!(node.log, "listed"; "kind" => kind(node, topic), "count" => items.len(),
+    slog::info!(node.log, "listed"; "kind" => store_kind(node, topic), "count" => items.len(),
         "revision" => revision, "newest" => newest, "first" => first);
-    log_regained(node, topic, out, revision);
+    log_recovery(node, topic, out, revision);
     if first {
-        take(node, topic, &StoreUpdate::List(&items));
+        apply_update(node, topic, &StoreUpdate::List(&items));
     }
-    take_changes(node, topic, changes);
+    apply_changes(node, topic, changes);
     if freshness == Consistency::Latest {
-        confirm(node, topic, asked);
+        confirm_ownership(node, topic, asked);
         if topic == Topic::Config {
             node.state().recency.confirm_list(asked);
         }
@@ -213,14 +213,14 @@
 }
 
 /// Asks what changed; gives whether something did.
-async fn watch(
+async fn sync_by_watch(
     node: &Node,
     topic: Topic,
     rank: Option<u64>,
     wait: Duration,
 ) -> Result<bool, PlatformError> {
     let asked = now();
-    let kind = kind(node, topic);
+    let kind = store_kind(node, topic);
     let revision = {
         let mut b = node.state();
         let feed = b.feeds.get(topic);
@@ -237,7 +237,7 @@
     let answer = with_timeout(wait + CALL_MARGIN, call).await;
     count_call(kind, answer.is_ok());
     let answer = answer?;
-    log_unread(node, kind, answer.unreadable);
+    log_unreadable(node, kind, answer.unreadable);
     let changes = answer.changes.into_iter().map(|c| (c.item, c.removed));
     let changes: Vec<_> = changes.collect();
     let some = !changes.is_empty();
@@ -251,9 +251,9 @@
             feed.apply_changes(now(), asked, wait, revision, changes),
         )
     };
-    log_regained(node, topic, out, answer.revision);
-    take_changes(node, topic, changes);
-    confirm(node, topic, asked);
+    log_recovery(node, topic, out, answer.revision);
+    apply_changes(node, topic, changes);
+    confirm_ownership(node, topic, asked);
     if topic == Topic::Config {
         let waited = if some { Duration::ZERO } else { wait };
         node.state().recency.confirm_watch(asked, to_span(waited));
@@ -266,13 +266,13 @@
 
 /// Takes changes that this VM read itself, and keeps those that others should
 /// hear of.
-fn take_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
+fn apply_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
             apply::announce_leaving(node, &change);
         }
         let news = StoreUpdate::Change(&change);
-        if take(node, topic, &news) {
+        if apply_update(node, topic, &news) {
             if !change.removed && topic == Topic::Replicas {
                 apply::announce_leaving(node, &change);
             }
@@ -297,7 +297,7 @@
             // Without a measure of its way it may be of any age.
             let delay = b.members.beacon_delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
-            let changes: Option<Vec<_>> = news.changes.iter().map(read_change).collect();
+            let changes: Option<Vec<_>> = news.changes.iter().map(decode_change).collect();
             let said = TopicUpdate {
                 revision: news.revision,
                 as_of: Moment(at.0.saturating_sub(age)),
@@ -316,17 +316,17 @@
                 _ => feed.apply_update_over(at, said, blind),
             };
             if feed.has_gap() && !before {
-                slog::info!(node.log, "news missed"; "kind" => kind(node, topic),
+                slog::info!(node.log, "news missed"; "kind" => store_kind(node, topic),
                     "revision" => feed.revision(), "since" => news.since, "told_by" => vm.as_str());
                 node.catch_up_wake.notify_waiters();
             }
             changes
         };
         for change in &changes {
-            take(node, topic, &StoreUpdate::Change(change));
+            apply_update(node, topic, &StoreUpdate::Change(change));
         }
         if topic == Topic::Config {
-            take_witnesses(node, &mut node.state(), at, news);
+            apply_witnesses(node, &mut node.state(), at, news);
         }
         if !changes.is_empty() {
             node.placement_wake.notify_waiters();
@@ -334,7 +334,7 @@
     }
 }
 
-fn read_change(change: &wire::StoreChange) -> Option<TopicChange> {
+fn decode_change(change: &wire::StoreChange) -> Option<TopicChange> {
     let spec = RawValue::from_string(decompress(&change.spec)?).ok()?;
     Some(TopicChange {
         item: Item {
@@ -390,7 +390,7 @@
 
 /// What this VM tells the others of when the configuration was the newest.
 fn witnesses(b: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
-    let heard = b.members.recent_beacons(at, WITNESSED);
+    let heard = b.members.recent_beacons(at, WITNESS_WINDOW);
     let told = b.witnesses.next_batch(&b.recency, heard).into_iter();
     told.map(|w| wire::Witness {
         reader: w.reader,
@@ -402,7 +402,7 @@
 
 /// Takes when another VM knew our configuration to be the newest. It must know
 /// no revision that we do not know.
-fn take_witnesses(node: &Node, b: &mut NodeState, at: Moment, news: &wire::StoreNews) {
+fn apply_witnesses(node: &Node, b: &mut NodeState, at: Moment, news: &wire::StoreNews) {
     if b.feeds.get(Topic::Config).revision() < news.revision {
         return;
     }
@@ -414,7 +414,7 @@
 }
 
 /// All that was in the store of a topic when it was asked is known now.
-fn confirm(node: &Node, topic: Topic, asked: Moment) {
+fn confirm_ownership(node: &Node, topic: Topic, asked: Moment) {
     if topic == Topic::Cluster {
         node.state().ownership.confirm(asked);
     }
@@ -448,12 +448,12 @@
     let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
     count_call(kind, page.is_ok());
     let page = page?;
-    log_unread(node, kind, page.unreadable);
+    log_unreadable(node, kind, page.unreadable);
     Ok(page)
 }
 
 /// What is no object names nothing; the others hold.
-fn log_unread(node: &Node, kind: &str, count: usize) {
+fn log_unreadable(node: &Node, kind: &str, count: usize) {
     if count > 0 {
         slog::warn!(node.log, "objects not read"; "kind" => kind, "count" => count);
     }
