--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -49,9 +49,9 @@
     loop {
         number += 1;
         let (sendings, beat) = {
-            let mut b = node.state();
-            let beat = Duration::from_micros(b.members.beacon_interval().0);
-            (full_beacons(&node, &mut b, number), beat)
+            let mut state = node.state();
+            let beat = Duration::from_micros(state.members.beacon_interval().0);
+            (full_beacons(&node, &mut state, number), beat)
         };
         for (bytes, address) in sendings {
             send(&node, &bytes, address).await;
@@ -73,33 +73,33 @@
 async fn send_updates(node: &Node, number: &mut u64, stops: bool) {
     let mut sendings = Vec::new();
     {
-        let mut b = node.state();
-        let b = &mut *b;
+        let mut state = node.state();
+        let state = &mut *state;
         let now = now();
-        for name in b.books.take_changed() {
-            b.subscriptions.record_change(now, &name);
+        for name in state.books.take_changed() {
+            state.subscriptions.record_change(now, &name);
             // This VM believes it as well.
-            if let Some(held) = b.books.held(&name) {
-                b.fleet.hear_book(now, &name, held);
+            if let Some(held) = state.books.held(&name) {
+                state.fleet.hear_book(now, &name, held);
             }
         }
-        for (vm, names) in b.subscriptions.take_pending() {
-            if let Some(address) = b.members.address(&vm) {
+        for (vm, names) in state.subscriptions.take_pending() {
+            if let Some(address) = state.members.address(&vm) {
                 *number += 1;
-                let mut told = new_beacon(node, b, *number);
+                let mut told = new_beacon(node, state, *number);
                 told.books = names
                     .iter()
-                    .filter_map(|n| encode_book(b, now, n))
+                    .filter_map(|n| encode_book(state, now, n))
                     .collect();
                 sendings.push((told, vec![address]));
             }
         }
-        let leaving = std::mem::take(&mut b.leaving);
+        let leaving = std::mem::take(&mut state.leaving);
         if !leaving.is_empty() || stops {
             *number += 1;
-            let mut told = new_beacon(node, b, *number);
+            let mut told = new_beacon(node, state, *number);
             told.leaving = leaving.iter().map(encode_leaving).collect();
-            sendings.push((told, b.members.peers().map(|(_, at)| at).collect()));
+            sendings.push((told, state.members.peers().map(|(_, at)| at).collect()));
         }
     }
     for (told, addresses) in sendings {
@@ -121,7 +121,7 @@
     }
 }
 
-fn new_beacon(node: &Node, b: &NodeState, number: u64) -> wire::Beacon {
+fn new_beacon(node: &Node, state: &NodeState, number: u64) -> wire::Beacon {
     let now = now();
     wire::Beacon {
         vm: node.settings.vm.to_string(),
@@ -129,7 +129,7 @@
         number,
         stopping: node.phase() != Phase::Serving,
         sent_us: now.0,
-        lends: b.members.lends(now),
+        lends: state.members.lends(now),
         zone: node.settings.zone.to_string(),
         address: node.settings.peer_address.to_string(),
         ..wire::Beacon::default()
@@ -137,27 +137,27 @@
 }
 
 /// What every VM is told in one beat.
-fn common_beacon(node: &Node, b: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
-    let names: Vec<_> = b.books.names().cloned().collect();
-    b.books.take_changed();
-    let mut told = new_beacon(node, b, number);
-    told.owners = b.ownership.revision;
-    told.turns_ms = b.strain.left(now).as_millis();
+fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
+    let names: Vec<_> = state.books.names().cloned().collect();
+    state.books.take_changed();
+    let mut told = new_beacon(node, state, number);
+    told.owners = state.ownership.revision;
+    told.turns_ms = state.strain.left(now).as_millis();
     told.books = names
         .iter()
-        .filter_map(|n| encode_book(b, now, n))
+        .filter_map(|n| encode_book(state, now, n))
         .collect();
     for name in &names {
-        if let Some(held) = b.books.held(name) {
-            b.fleet.hear_book(now, name, held);
+        if let Some(held) = state.books.held(name) {
+            state.fleet.hear_book(now, name, held);
         }
     }
-    let owned = b.ownership.owned();
+    let owned = state.ownership.owned();
     told.loads = owned
-        .filter_map(|n| load_reports::total_load(b, now, n))
+        .filter_map(|n| load_reports::total_load(state, now, n))
         .collect();
-    told.store = follow::outgoing_updates(node, b, now);
-    let strikes = b.strikes.recent(now, STRIKE_TTL);
+    told.store = follow::outgoing_updates(node, state, now);
+    let strikes = state.strikes.recent(now, STRIKE_TTL);
     told.strikes = strikes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
@@ -170,21 +170,21 @@
 }
 
 /// The datagrams of one beat.
-fn full_beacons(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
+fn full_beacons(node: &Node, state: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
-    let told = common_beacon(node, b, now, number);
-    if b.members.uses_relays() {
-        let mut sendings = relay::relay_datagrams(b, now, told);
-        sendings.extend(load_reports::full_reports(node, b, now));
+    let told = common_beacon(node, state, now, number);
+    if state.members.uses_relays() {
+        let mut sendings = relay::relay_datagrams(state, now, told);
+        sendings.extend(load_reports::full_reports(node, state, now));
         return sendings;
     }
     let mut told = told;
     told.complete = true;
-    let peers = b.members.peers();
+    let peers = state.members.peers();
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
-    let names = b.local_uses.keys().chain(b.fleet.to_report());
+    let names = state.local_uses.keys().chain(state.fleet.to_report());
     let names = names.cloned().collect();
-    let mut flights = load_reports::flights_by_owner(node, b, now, names);
+    let mut flights = load_reports::flights_by_owner(node, state, now, names);
     // What is the same for all is encoded once; each receiver's own part
     // follows it, as messages can be joined.
     let common = encode(told);
@@ -193,7 +193,7 @@
         let mut bytes = common.clone();
         bytes.extend(encode(wire::Beacon {
             flights: flights.remove(&vm).unwrap_or_default(),
-            echo: renewal::echo_for(node, b, &vm),
+            echo: renewal::echo_for(node, state, &vm),
             ..wire::Beacon::default()
         }));
         sendings.push((bytes, address));
@@ -209,9 +209,9 @@
 }
 
 /// What a replica of ours holds.
-fn encode_book(b: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
-    let held = b.books.held(name)?;
-    let token = b.ownership.token(now, name)?;
+fn encode_book(state: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
+    let held = state.books.held(name)?;
+    let token = state.ownership.token(now, name)?;
     let here = held.here.iter().map(|(t, v)| (t, *v, false));
     let coming = held.coming.iter().map(|t| (t, 0, true));
     let slots = here
@@ -225,7 +225,7 @@
         replica: name.to_string(),
         token: token.0,
         slots: slots.collect(),
-        born: b.books.born(name)?,
+        born: state.books.born(name)?,
     })
 }
 
@@ -267,51 +267,56 @@
         return;
     };
     let now = now();
-    let mut b = node.state();
-    let kept = b.members.failure_timeout();
-    b.fleet.set_word_kept(kept);
+    let mut state = node.state();
+    let kept = state.members.failure_timeout();
+    state.fleet.set_word_kept(kept);
     let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
         number: beacon.number,
         sent: Moment(beacon.sent_us),
     };
-    if !b.members.record_beacon(now, &vm, stamp, beacon.stopping) {
+    if !state
+        .members
+        .record_beacon(now, &vm, stamp, beacon.stopping)
+    {
         return;
     }
     // One that was passed on comes from another VM's address.
     let address = beacon.address.parse().unwrap_or(from);
-    b.members.set_address(vm.clone(), address);
+    state.members.set_address(vm.clone(), address);
     if let Ok(zone) = beacon.zone.parse() {
-        b.members.set_zone(&vm, zone);
+        state.members.set_zone(&vm, zone);
     }
-    b.members.set_lends(&vm, beacon.lends);
-    renewal::handle_beacon(node, &mut b, now, &vm, &beacon);
+    state.members.set_lends(&vm, beacon.lends);
+    renewal::handle_beacon(node, &mut state, now, &vm, &beacon);
     for book in &beacon.books {
-        apply_book(&mut b, now, &vm, book);
+        apply_book(&mut state, now, &vm, book);
     }
     for l in &beacon.leaving {
         if let Some(replica) = parse_instance(&l.replica, l.born)
-            && b.fleet.leave(&replica)
+            && state.fleet.leave(&replica)
         {
             slog::info!(node.log, "replica"; "replica" => &l.replica, "draining" => true,
                 "told_by" => vm.as_str());
         }
     }
     if beacon.turns_ms > 0 {
-        b.strain.told(now, Span::from_millis(beacon.turns_ms));
+        state.strain.told(now, Span::from_millis(beacon.turns_ms));
     }
     for note in &beacon.strikes {
         if let Some(replica) = parse_instance(&note.replica, note.born) {
-            b.strikes.hear(now, Fingerprint(note.fingerprint), &replica);
+            state
+                .strikes
+                .hear(now, Fingerprint(note.fingerprint), &replica);
         }
     }
     if beacon.complete {
-        load_reports::apply_counts(&mut b, now, &vm, &beacon.flights);
+        load_reports::apply_counts(&mut state, now, &vm, &beacon.flights);
     }
     for load in &beacon.loads {
-        load_reports::handle_load(&mut b, now, &vm, load);
+        load_reports::handle_load(&mut state, now, &vm, load);
     }
-    drop(b);
+    drop(state);
     follow::apply_updates(node, now, &beacon.store, &vm);
     if !beacon.books.is_empty() {
         node.placement_wake.notify_waiters();
@@ -339,20 +344,24 @@
 
 /// The replica that a word is about, if it has not started anew since.
 pub(in crate::serving) fn current_replica(
-    b: &NodeState,
+    state: &NodeState,
     name: &str,
     born: u64,
 ) -> Option<ReplicaName> {
     let replica = parse_instance(name, born)?;
-    b.fleet.is_current(&replica).then_some(replica.name)
+    state.fleet.is_current(&replica).then_some(replica.name)
 }
 
-fn apply_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
-    let Some(name) = current_replica(b, &book.replica, book.born) else {
+fn apply_book(state: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
+    let Some(name) = current_replica(state, &book.replica, book.born) else {
         return;
     };
     // One that lost the replica and has not heard of it speaks no more for it.
-    if b.ownership.owner(&name).is_some_and(|owner| owner != vm) {
+    if state
+        .ownership
+        .owner(&name)
+        .is_some_and(|owner| owner != vm)
+    {
         return;
     }
     let mut held = Held::default();
@@ -369,22 +378,22 @@
             }
         }
     }
-    b.fleet.hear_book(now, &name, held);
+    state.fleet.hear_book(now, &name, held);
 }
 
 /// Asks the owner of a replica to load an adapter there.
 pub(in crate::serving) async fn request_load(node: &Node, replica: &ReplicaName, target: &Target) {
     let address = {
-        let mut b = node.state();
-        let Some(owner) = b.ownership.owner(replica).cloned() else {
+        let mut state = node.state();
+        let Some(owner) = state.ownership.owner(replica).cloned() else {
             return;
         };
         if owner == node.settings.vm {
-            b.books.wish(now(), replica, target);
+            state.books.wish(now(), replica, target);
             node.orders_wake.notify_one();
             return;
         }
-        b.members.address(&owner)
+        state.members.address(&owner)
     };
     let Some(address) = address else {
         return;
@@ -411,16 +420,16 @@
         return;
     };
     let now = now();
-    let mut b = node.state();
-    if !b.books.wish(now, &name, &target) {
+    let mut state = node.state();
+    if !state.books.wish(now, &name, &target) {
         return;
     }
-    let held = b.books.held(&name).unwrap_or_default();
+    let held = state.books.held(&name).unwrap_or_default();
     let known = held.here.contains_key(&target) || held.coming.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
-        b.subscriptions.subscribe(now, &vm, &name, known);
+        state.subscriptions.subscribe(now, &vm, &name, known);
     }
-    drop(b);
+    drop(state);
     node.orders_wake.notify_one();
     if known {
         node.beacon_wake.notify_one();
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -40,11 +40,11 @@
         tokio::time::sleep(REPORT_INTERVAL).await;
         let mut sendings = Vec::new();
         {
-            let mut b = node.state();
-            let b = &mut *b;
-            let names: BTreeSet<_> = b.fleet.unreported().cloned().collect();
-            for (vm, flights) in flights_by_owner(&node, b, now(), names) {
-                if let Some(address) = b.members.address(&vm) {
+            let mut state = node.state();
+            let state = &mut *state;
+            let names: BTreeSet<_> = state.fleet.unreported().cloned().collect();
+            for (vm, flights) in flights_by_owner(&node, state, now(), names) {
+                if let Some(address) = state.members.address(&vm) {
                     sendings.push((encode_report(&node, flights, false), address));
                 }
             }
@@ -74,14 +74,14 @@
 /// of others lapse there.
 pub(in crate::serving) fn full_reports(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let names = b.local_uses.keys().chain(b.fleet.to_report());
+    let names = state.local_uses.keys().chain(state.fleet.to_report());
     let names = names.cloned().collect();
-    let flights = flights_by_owner(node, b, now, names);
+    let flights = flights_by_owner(node, state, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
-        let address = b.members.address(&vm)?;
+        let address = state.members.address(&vm)?;
         Some((encode_report(node, flights, true), address))
     });
     reports.collect()
@@ -90,21 +90,23 @@
 /// What this VM has under way at some replicas, by their owners.
 pub(in crate::serving) fn flights_by_owner(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     names: BTreeSet<ReplicaName>,
 ) -> BTreeMap<VmName, Vec<wire::Flight>> {
     let own = &node.settings.vm;
     let mut flights: BTreeMap<VmName, Vec<wire::Flight>> = BTreeMap::new();
     for name in names {
-        let Some(owner) = b.ownership.owner(&name).cloned() else {
+        let Some(owner) = state.ownership.owner(&name).cloned() else {
             continue;
         };
-        let uses = b.take_uses(&name);
-        let load = b.fleet.report(&name);
+        let uses = state.take_uses(&name);
+        let load = state.fleet.report(&name);
         if owner == *own {
             for (target, u) in uses {
-                b.books.used(now, &name, own, &target, u.running, u.started);
+                state
+                    .books
+                    .used(now, &name, own, &target, u.running, u.started);
             }
             continue;
         }
@@ -114,7 +116,7 @@
             tokens: load.tokens,
             unread: load.unread,
             uses: encode_uses(&uses),
-            born: b.fleet.born(&name).unwrap_or_default(),
+            born: state.fleet.born(&name).unwrap_or_default(),
         });
     }
     flights
@@ -122,17 +124,17 @@
 
 /// What all VMs have under way at a replica of ours.
 pub(in crate::serving) fn total_load(
-    b: &NodeState,
+    state: &NodeState,
     now: Moment,
     name: &ReplicaName,
 ) -> Option<wire::ReplicaLoad> {
-    let load = b.fleet.total(now, name)?;
-    encode_load(b, name, load)
+    let load = state.fleet.total(now, name)?;
+    encode_load(state, name, load)
 }
 
 /// A load at a replica, for other VMs.
 pub(in crate::serving) fn encode_load(
-    b: &NodeState,
+    state: &NodeState,
     name: &ReplicaName,
     load: Load,
 ) -> Option<wire::ReplicaLoad> {
@@ -141,7 +143,7 @@
         requests: load.requests,
         tokens: load.tokens,
         unread: load.unread,
-        born: b.fleet.born(name)?,
+        born: state.fleet.born(name)?,
     })
 }
 
@@ -156,26 +158,30 @@
 
 /// An owner tells what all VMs have under way at its replica.
 pub(in crate::serving) fn handle_load(
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     vm: &VmName,
     load: &wire::ReplicaLoad,
 ) {
     let name = load.replica.parse::<ReplicaName>();
-    if name.is_ok_and(|name| b.ownership.owner(&name) == Some(vm)) {
-        apply_total(b, now, load);
+    if name.is_ok_and(|name| state.ownership.owner(&name) == Some(vm)) {
+        apply_total(state, now, load);
     }
 }
 
 /// The owner of a replica says what all VMs have under way there.
-pub(in crate::serving) fn apply_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
-    if let Some(name) = current_replica(b, &load.replica, load.born) {
+pub(in crate::serving) fn apply_total(
+    state: &mut NodeState,
+    now: Moment,
+    load: &wire::ReplicaLoad,
+) {
+    if let Some(name) = current_replica(state, &load.replica, load.born) {
         let total = Load {
             requests: load.requests,
             tokens: load.tokens,
             unread: load.unread,
         };
-        b.fleet.hear_total(now, &name, total);
+        state.fleet.hear_total(now, &name, total);
     }
 }
 
@@ -185,47 +191,49 @@
         return;
     };
     let now = now();
-    let mut b = node.state();
+    let mut state = node.state();
     let stamp = (Incarnation(report.incarnation), report.number);
-    if b.last_reports.get(&vm).is_some_and(|old| *old >= stamp) {
+    if state.last_reports.get(&vm).is_some_and(|old| *old >= stamp) {
         return;
     }
-    b.last_reports.insert(vm.clone(), stamp);
+    state.last_reports.insert(vm.clone(), stamp);
     if report.complete {
-        apply_counts(&mut b, now, &vm, &report.flights);
+        apply_counts(&mut state, now, &vm, &report.flights);
         return;
     }
-    for (name, load) in apply_flights(&mut b, now, &vm, &report.flights) {
-        b.fleet.hear_count(now, &vm, &name, load);
+    for (name, load) in apply_flights(&mut state, now, &vm, &report.flights) {
+        state.fleet.hear_count(now, &vm, &name, load);
     }
 }
 
 /// A VM tells all that it has under way at replicas of ours.
 pub(in crate::serving) fn apply_counts(
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
 ) {
-    let counts = apply_flights(b, now, vm, flights);
-    b.fleet.hear_counts(now, vm, &counts);
+    let counts = apply_flights(state, now, vm, flights);
+    state.fleet.hear_counts(now, vm, &counts);
 }
 
 /// A VM's loads at replicas of ours; the books learn of its uses.
 fn apply_flights(
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
 ) -> BTreeMap<ReplicaName, Load> {
     let mut counts = BTreeMap::new();
     for flight in flights {
-        let Some(name) = current_replica(b, &flight.replica, flight.born) else {
+        let Some(name) = current_replica(state, &flight.replica, flight.born) else {
             continue;
         };
         for u in &flight.uses {
             if let Some(target) = Target::parse(&u.target) {
-                b.books.used(now, &name, vm, &target, u.running, u.begun);
+                state
+                    .books
+                    .used(now, &name, vm, &target, u.running, u.begun);
             }
         }
         let load = Load {
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -51,11 +51,11 @@
 
 /// Whether the confirmation is so old that this VM asks itself.
 fn is_due(node: &Node) -> bool {
-    let b = node.state();
+    let state = node.state();
     let at = now();
-    let live = b.members.live_vms(at);
+    let live = state.members.live_vms(at);
     let rank = live.iter().position(|vm| *vm == node.settings.vm);
-    b.ownership.should_confirm(at, rank.unwrap_or(0))
+    state.ownership.should_confirm(at, rank.unwrap_or(0))
 }
 
 /// Asks for what changed since the last answer.
@@ -92,42 +92,48 @@
 
 impl ValidityLog {
     fn update(&mut self, node: &Node) {
-        let mut b = node.state();
+        let mut state = node.state();
         let at = now();
-        let vouched = b.members.acknowledged_until(&b.ownership.table.members);
-        b.ownership.set_acknowledged_until(at, vouched);
-        let holds = b.ownership.is_valid(at);
+        let vouched = state
+            .members
+            .acknowledged_until(&state.ownership.table.members);
+        state.ownership.set_acknowledged_until(at, vouched);
+        let holds = state.ownership.is_valid(at);
         if std::mem::replace(&mut self.0, holds) != holds {
-            let age = b.ownership.confirmed().map(|c| at.since(c).as_millis());
+            let age = state.ownership.confirmed().map(|c| at.since(c).as_millis());
             let vouched = vouched.map(|until| until.since(at).as_millis());
             slog::info!(node.log, "office"; "holds" => holds, "confirmed_ms" => age,
-                "vouched_ms" => vouched, "revision" => b.ownership.revision);
+                "vouched_ms" => vouched, "revision" => state.ownership.revision);
         }
     }
 }
 
 /// What is told a VM of its last beacon.
-pub(in crate::serving) fn echo_for(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
+pub(in crate::serving) fn echo_for(
+    node: &Node,
+    state: &NodeState,
+    vm: &VmName,
+) -> Option<wire::Echo> {
     if node.settings.fencing {
         return None;
     }
-    let (incarnation, sent, heard) = b.members.last_beacon(vm)?;
+    let (incarnation, sent, heard) = state.members.last_beacon(vm)?;
     Some(wire::Echo {
         incarnation: incarnation.0,
         sent_us: sent.0,
-        confirmed_us: b.ownership.confirmation_offset(heard),
+        confirmed_us: state.ownership.confirmation_offset(heard),
     })
 }
 
 /// Takes what a beacon says of the owner table and of our own beacons.
 pub(in crate::serving) fn handle_beacon(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     at: Moment,
     vm: &VmName,
     beacon: &wire::Beacon,
 ) {
-    let newer = beacon.owners > 0 && b.ownership.record_peer_revision(at, vm, beacon.owners);
+    let newer = beacon.owners > 0 && state.ownership.record_peer_revision(at, vm, beacon.owners);
     // Where replicas check fences the news of the store is soon enough.
     if newer && !node.settings.fencing {
         node.owners_wake.notify_one();
@@ -139,8 +145,10 @@
         return;
     }
     let sent = Moment(echo.sent_us);
-    b.members.record_echo(vm, sent);
+    state.members.record_echo(vm, sent);
     if let Some(after) = echo.confirmed_us {
-        b.ownership.confirm_from_peer(beacon.owners, sent, after);
+        state
+            .ownership
+            .confirm_from_peer(beacon.owners, sent, after);
     }
 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -57,10 +57,10 @@
         match (node.border.parse_config)(item) {
             Ok(config) => {
                 let version = config.version;
-                let mut b = node.state();
-                b.recency.set_readable(true);
-                let taken = b.apply_config(config);
-                drop(b);
+                let mut state = node.state();
+                state.recency.set_readable(true);
+                let taken = state.apply_config(config);
+                drop(state);
                 slog::info!(node.log, "configuration"; "version" => version,
                     "bytes" => item.spec.get().len(),
                     "revision" => item.revision, "in_force" => taken);
@@ -89,9 +89,9 @@
         StoreUpdate::List(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas"; "count" => all.len());
-            let mut b = node.state();
-            b.apply_listings(at, all);
-            b.replicas_listed = true;
+            let mut state = node.state();
+            state.apply_listings(at, all);
+            state.replicas_listed = true;
             true
         }
         StoreUpdate::Change(told) if told.lapsed => {
@@ -144,17 +144,17 @@
     let Ok(name) = told.item.name.parse::<ReplicaName>() else {
         return;
     };
-    let mut b = node.state();
-    let drains = b.fleet.listing(&name).is_some_and(|l| l.draining);
+    let mut state = node.state();
+    let drains = state.fleet.listing(&name).is_some_and(|l| l.draining);
     let leaves = told.removed || drains;
-    let Some(born) = b.fleet.born(&name).filter(|_| leaves) else {
+    let Some(born) = state.fleet.born(&name).filter(|_| leaves) else {
         return;
     };
-    b.leaving.insert(Instance {
+    state.leaving.insert(Instance {
         name,
         started_ms: born,
     });
-    drop(b);
+    drop(state);
     node.beacon_wake.notify_one();
 }
 
@@ -213,11 +213,11 @@
     }
     match serde_json::from_str::<VmEntry>(item.spec.get()) {
         Ok(entry) => {
-            let mut b = node.state();
+            let mut state = node.state();
             if let Some(zone) = entry.zone {
-                b.members.set_zone(&entry.vm, zone);
+                state.members.set_zone(&entry.vm, zone);
             }
-            b.members.set_address(entry.vm, entry.address);
+            state.members.set_address(entry.vm, entry.address);
         }
         Err(e) => bad(e),
     }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -116,10 +116,10 @@
     loop {
         let at = now();
         let (next, rank) = {
-            let mut b = node.state();
-            let rank = b.poll_rank(at, &node.settings, topic);
-            let proof = topic == Topic::Config && b.proof_due(at, rank);
-            match b.feeds.get(topic).next_action(at, rank) {
+            let mut state = node.state();
+            let rank = state.poll_rank(at, &node.settings, topic);
+            let proof = topic == Topic::Config && state.proof_due(at, rank);
+            match state.feeds.get(topic).next_action(at, rank) {
                 FeedAction::Wait(_) if proof => (FeedAction::List, rank),
                 next => (next, rank),
             }
@@ -147,8 +147,8 @@
 }
 
 fn log_failure(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
-    let mut b = node.state();
-    let feed = b.feeds.get(topic);
+    let mut state = node.state();
+    let feed = state.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
         feed.mark_expired();
         slog::info!(node.log, "history gone"; "kind" => store_kind(node, topic),
@@ -189,8 +189,8 @@
     };
     let (items, revision) = list(node, store_kind(node, topic), freshness).await?;
     let (out, changes) = {
-        let mut b = node.state();
-        let feed = b.feeds.get(topic);
+        let mut state = node.state();
+        let feed = state.feeds.get(topic);
         let out = feed.is_failing();
         (out, feed.apply_list(now(), asked, revision, &items))
     };
@@ -222,8 +222,8 @@
     let asked = now();
     let kind = store_kind(node, topic);
     let revision = {
-        let mut b = node.state();
-        let feed = b.feeds.get(topic);
+        let mut state = node.state();
+        let feed = state.feeds.get(topic);
         if rank.is_some_and(|rank| rank > 0) {
             slog::info!(node.log, "news overdue"; "kind" => kind, "revision" => feed.revision(),
                 "age_ms" => feed.age(asked).map(Span::as_millis), "missed" => feed.has_gap(),
@@ -242,8 +242,8 @@
     let changes: Vec<_> = changes.collect();
     let some = !changes.is_empty();
     let (out, changes) = {
-        let mut b = node.state();
-        let feed = b.feeds.get(topic);
+        let mut state = node.state();
+        let feed = state.feeds.get(topic);
         let out = feed.is_failing();
         let revision = answer.revision;
         (
@@ -293,9 +293,9 @@
             continue;
         };
         let changes = {
-            let mut b = node.state();
+            let mut state = node.state();
             // Without a measure of its way it may be of any age.
-            let delay = b.members.beacon_delay(vm);
+            let delay = state.members.beacon_delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
             let changes: Option<Vec<_>> = news.changes.iter().map(decode_change).collect();
             let said = TopicUpdate {
@@ -305,7 +305,7 @@
                 since: changes.as_ref().map_or(news.revision, |_| news.since),
                 changes: changes.unwrap_or_default(),
             };
-            let feed = b.feeds.get(topic);
+            let feed = state.feeds.get(topic);
             let before = feed.has_gap();
             let blind = SkippedRange {
                 from: news.blind_from,
@@ -351,12 +351,12 @@
 /// What this VM tells the others of the store.
 pub(in crate::serving) fn outgoing_updates(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     at: Moment,
 ) -> Vec<wire::StoreNews> {
     let said = |topic: Topic| {
-        let rank = b.poll_rank(at, &node.settings, topic);
-        let feed = b.feeds.get(topic);
+        let rank = state.poll_rank(at, &node.settings, topic);
+        let feed = state.feeds.get(topic);
         let said = feed.outgoing_update(at, rank)?;
         let blind = feed.skipped();
         let changes = said.changes.into_iter().map(|c| wire::StoreChange {
@@ -372,8 +372,8 @@
             age_us: at.since(said.as_of).0,
             since: said.since,
             changes: changes.collect(),
-            blind_from: blind.map_or(0, |b| b.from),
-            blind_to: blind.map_or(0, |b| b.to),
+            blind_from: blind.map_or(0, |r| r.from),
+            blind_to: blind.map_or(0, |r| r.to),
             witnesses: Vec::new(),
         })
     };
@@ -383,15 +383,18 @@
         && node.settings.key_revocation.is_some()
         && node.settings.experiment.is_enabled(Mechanism::KeyWitnesses)
     {
-        news.witnesses = witnesses(b, at);
+        news.witnesses = witnesses(state, at);
     }
     all
 }
 
 /// What this VM tells the others of when the configuration was the newest.
-fn witnesses(b: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
-    let heard = b.members.recent_beacons(at, WITNESS_WINDOW);
-    let told = b.witnesses.next_batch(&b.recency, heard).into_iter();
+fn witnesses(state: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
+    let heard = state.members.recent_beacons(at, WITNESS_WINDOW);
+    let told = state
+        .witnesses
+        .next_batch(&state.recency, heard)
+        .into_iter();
     told.map(|w| wire::Witness {
         reader: w.reader,
         sent_us: w.sent.0,
@@ -402,13 +405,15 @@
 
 /// Takes when another VM knew our configuration to be the newest. It must know
 /// no revision that we do not know.
-fn apply_witnesses(node: &Node, b: &mut NodeState, at: Moment, news: &wire::StoreNews) {
-    if b.feeds.get(Topic::Config).revision() < news.revision {
+fn apply_witnesses(node: &Node, state: &mut NodeState, at: Moment, news: &wire::StoreNews) {
+    if state.feeds.get(Topic::Config).revision() < news.revision {
         return;
     }
     for w in &news.witnesses {
         if w.reader == node.reader_id && w.sent_us <= at.0 {
-            b.recency.confirm_witness(at, Moment(w.sent_us), w.after_us);
+            state
+                .recency
+                .confirm_witness(at, Moment(w.sent_us), w.after_us);
         }
     }
 }
