--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -1,5 +1,5 @@
-//! What a VM knows of each kind of objects in the store, how old that is, and
-//! who asks the store for news.
+//! Tracks how far a VM has followed each kind of stored objects, how old that
+//! state is, and which VM polls the store next.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,27 +15,28 @@
 use crate::serving::peers::compression::compress;
 use crate::serving::store::port::Item;
 
-/// How long a change is told: three beacons.
+/// How long a change is repeated in beacons: three beacon intervals.
 const SHARE_TTL: Span = Span::from_millis(1_300);
 
-/// The most bytes of changes that are told at a time, packed: a beacon must fit
-/// a datagram, and its copies for a zone the link of a small VM. Who misses
-/// more asks the store.
+/// The size limit of the changes in one update, compressed. A beacon must fit a
+/// datagram, and its copies for a zone must fit the link of a small VM. VMs
+/// that miss changes because of the limit poll the store.
 const MAX_UPDATE_BYTES: usize = 8 << 10;
 
-/// The first VMs in the order of asking, which tell what they know. Others
-/// that ask, as they missed something, would all tell it again to all: with
-/// 195 VMs that filled their links (served 0.90 -> 0.76 of what was owed).
+/// How many of the first VMs in polling order send updates. If every VM that
+/// polls because it missed changes sent them on, the copies would fill the
+/// links: with 195 VMs the share of requests served in time fell from 0.90 to
+/// 0.76.
 const SENDER_COUNT: u64 = 3;
 
-/// What to do next about a topic.
+/// The next action of a feed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FeedAction {
-    /// Nothing before this moment.
+    /// Do nothing before this moment.
     Wait(Moment),
-    /// Read all of it.
+    /// List all objects of the topic.
     List,
-    /// Ask what changed, and have the store wait so long for a change.
+    /// Watch for changes, with this long-poll timeout.
     Watch(Duration),
 }
 
@@ -45,43 +46,44 @@
     as_of: Moment,
 }
 
-/// What a VM knows of one topic.
+/// The synchronization state of one topic.
 ///
-/// Made for hundreds of VMs that must all know what changed within seconds,
-/// where each call to the store is paid for and a waiting one as well. One VM
-/// asks; what it hears goes to the others with its beacons, with the revision
-/// and the time at which the store had nothing newer. A VM whose knowledge gets
-/// too old asks for itself, whatever the reason, so that no lost, frozen or cut
-/// off VM keeps a change from another. The store stays the only truth.
+/// Hundreds of VMs must learn of each change within seconds, and every call to
+/// the store has a cost, also one that only waits. One VM therefore watches the
+/// store and passes the changes on with its beacons, along with the revision
+/// and the time at which the store had nothing newer. A VM whose state gets too
+/// old polls the store itself, whatever the reason, so that a VM that failed,
+/// froze or was partitioned cannot withhold changes from the others. The store
+/// remains the only source of truth.
 #[derive(Debug)]
 pub struct Feed {
     policy: PollPolicy,
     synced: Option<SyncPoint>,
-    /// The objects that are there.
+    /// The names of the objects that exist.
     names: BTreeSet<String>,
-    /// The newest change of each object, with the time until which it is told.
+    /// The newest change of each object that is being shared, and until when.
     shared: BTreeMap<String, (Moment, TopicChange)>,
-    /// All changes after this revision are among the recent ones.
+    /// All changes after this revision are in `shared`.
     history_start: u64,
-    /// The part of that over which a list stepped.
+    /// The revisions after `history_start` that a list skipped.
     skipped: Option<SkippedRange>,
-    /// When this VM last had an answer.
+    /// When the store last answered this VM.
     last_answer: Option<Moment>,
-    /// Since when changes are missing that others know of.
+    /// Since when another VM is known to have changes that are missing here.
     gap_since: Option<Moment>,
-    /// The revisions of changes that were taken beyond the one known, as
-    /// others before them are missing.
+    /// Changes that were applied beyond the synced revision while earlier ones
+    /// are missing: the revision by object name.
     taken_ahead: BTreeMap<String, u64>,
-    /// Whether the store failed to answer since the last answer.
+    /// Whether a call failed since the last answer of the store.
     failing: bool,
     failures: u32,
     retry_at: Option<Moment>,
-    /// Whether the store forgot what changed since our revision.
+    /// Whether the store no longer has the history after the synced revision.
     expired: bool,
 }
 
 impl Feed {
-    /// Nothing is known yet.
+    /// Creates a feed that has no state yet.
     pub fn new(rhythm: PollPolicy) -> Self {
         Self {
             policy: rhythm,
@@ -100,33 +102,33 @@
         }
     }
 
-    /// The revision up to which all is known.
+    /// Returns the revision up to which all changes are known.
     pub fn revision(&self) -> u64 {
         self.synced.map_or(0, |k| k.revision)
     }
 
-    /// How old the knowledge is; `None` before there is any.
+    /// Returns the age of the state, or `None` before the first list.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.synced.map(|k| now.since(k.as_of))
     }
 
-    /// Whether others know of changes that are missing here.
+    /// Whether another VM has changes that are missing here.
     pub fn has_gap(&self) -> bool {
         self.gap_since.is_some()
     }
 
-    /// Whether the store failed to answer this VM last.
+    /// Whether the last call to the store failed.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
 
-    /// Whether a call failed a moment ago, so that the next one waits.
+    /// Whether the next call waits because one failed recently.
     pub fn is_backing_off(&self, now: Moment) -> bool {
         self.retry_at.is_some_and(|at| at > now)
     }
 
-    /// What the VM at place `rank` in the order of asking does next; `None`
-    /// where each VM asks for itself.
+    /// Returns what the VM at position `rank` in polling order does next.
+    /// `rank` is `None` where each VM polls for itself.
     pub fn next_action(&self, now: Moment, rank: Option<u64>) -> FeedAction {
         if let Some(retry) = self.retry_at.filter(|at| *at > now) {
             return FeedAction::Wait(retry);
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The pause after an answer with changes.
+    /// Returns the pause after an answer that had changes.
     pub fn pause(&self, rank: Option<u64>) -> Duration {
         match rank {
             None => self.policy.solo_pause,
@@ -158,8 +160,8 @@
         }
     }
 
-    /// The whole topic, asked for at `asked`. Gives what changed since what was
-    /// known; the first time there is nothing that it could follow on from.
+    /// Applies a complete list requested at `asked`. Returns the changes
+    /// against the previous state; there are none after the first list.
     pub fn apply_list(
         &mut self,
         now: Moment,
@@ -170,20 +172,20 @@
         let names: BTreeSet<_> = items.iter().map(|i| i.name.clone()).collect();
         let Some(known) = self.synced else {
             let newest = items.iter().map(|i| i.revision).max().unwrap_or(0);
-            // What was removed before is not known.
+            // Removals before the list are unknown.
             self.history_start = match self.policy.has_removals {
                 true => revision,
                 false => newest,
             };
             self.names = names;
-            // It may be seconds old: it is told to nobody, and followed on from
-            // as soon as any other knowledge that gets too old.
+            // The first list may be seconds old. It is not shared, and its age
+            // makes this VM poll again like any other old state.
             self.record_answer(now, asked, revision);
             self.last_answer = None;
             return Vec::new();
         };
-        // Another VM told of all up to a later revision since it was asked for:
-        // what is not in the list may have come after it.
+        // Another VM's update went beyond the list since it was requested:
+        // objects missing from the list may have been created after it.
         if revision <= known.revision {
             self.record_answer(now, asked, revision);
             return Vec::new();
@@ -197,7 +199,8 @@
             TopicChange::new(item, true, self.failing)
         });
         let changes = self.accept_new(present.chain(gone).collect());
-        // What is never removed cannot have come and gone in between.
+        // Objects that are never removed cannot have been created and removed
+        // in between.
         if self.policy.has_removals {
             self.record_skipped(SkippedRange {
                 from: known.revision,
@@ -212,14 +215,14 @@
         self.skipped = Some(self.skipped.map_or(blind, |b| b.merge(blind)));
     }
 
-    /// The part of the history that is told over which a list stepped.
+    /// Returns the skipped revisions within the history that is shared.
     pub fn skipped(&self) -> Option<SkippedRange> {
         self.skipped.filter(|b| b.to > self.history_start)
     }
 
-    /// What changed, asked for at `asked` by a question that waited at least
-    /// `waited`: an answer without changes says that there were none so long.
-    /// Gives the changes, with what is to be told of each.
+    /// Applies the changes returned by a watch that was sent at `asked` and
+    /// waited at least `waited`. An answer without changes proves that there
+    /// were none during that wait. Returns the changes that are new.
     pub fn apply_changes(
         &mut self,
         now: Moment,
@@ -240,9 +243,9 @@
         changes
     }
 
-    /// The changes of an answer as they are told. The revision of an object that
-    /// is gone may be that of its content: it is gone as of the answer, or until
-    /// its next change.
+    /// Converts the changes of an answer. The store may report a removal with
+    /// the revision of the object's last content, so a removal gets the
+    /// revision of the answer, or the one before the object's next change.
     fn with_removal_revisions(
         &self,
         revision: u64,
@@ -262,7 +265,7 @@
         told
     }
 
-    /// Those changes that are news, which are known from now on.
+    /// Records the changes that are new and returns them.
     fn accept_new(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
         let changes: Vec<_> = changes.into_iter().filter(|c| self.is_new(c)).collect();
         for c in &changes {
@@ -276,17 +279,17 @@
         changes
     }
 
-    /// Whether a change is newer than what is known of its object. A question
-    /// may be answered after another VM told of something newer: taken late, an
-    /// older change would be told on in place of the newer one, and whoever
-    /// knows the older one would believe that it knows all.
+    /// Whether a change is newer than the known state of its object. An answer
+    /// may arrive after another VM shared something newer. If the older change
+    /// were applied, it would be shared in place of the newer one, and a VM
+    /// that already has the older change would conclude that it is up to date.
     fn is_new(&self, change: &TopicChange) -> bool {
         let revision = change.item.revision;
         let ahead = self.taken_ahead.get(&change.item.name);
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
     }
 
-    /// All changes up to a revision are known.
+    /// Records that all changes up to a revision are known.
     fn advance(&mut self, revision: u64, as_of: Moment) {
         let old = self.synced.unwrap_or(SyncPoint { revision, as_of });
         let known = SyncPoint {
@@ -307,7 +310,7 @@
         self.expired = false;
     }
 
-    /// A change is worth telling the other VMs.
+    /// Shares a change with the other VMs.
     pub fn share(&mut self, now: Moment, mut change: TopicChange) {
         if change.compressed.is_empty() {
             change.compressed = compress(change.item.spec.get());
@@ -317,7 +320,7 @@
             .insert(change.item.name.clone(), (until, change));
     }
 
-    /// The store did not answer, or with a failure.
+    /// Records that a call to the store failed or timed out.
     pub fn record_failure(&mut self, now: Moment, rank: Option<u64>) {
         self.failing = true;
         let pause = self.policy.retry_backoff(rank, self.failures);
@@ -325,17 +328,18 @@
         self.retry_at = Some(now.after(pause));
     }
 
-    /// The store forgot what changed since our revision: all is read anew.
+    /// Records that the store no longer has the history needed: the next action
+    /// is a list.
     pub fn mark_expired(&mut self) {
         self.expired = true;
     }
 
-    /// Another VM tells what it knows. Gives the changes that are news.
+    /// Applies an update from another VM. Returns the changes that are new.
     ///
-    /// They are news also where others before them are missing: the newest
-    /// content of an object holds whatever was missed. A VM that the store
-    /// turns away is not left on an old configuration that way, though only the
-    /// store can fill its gap.
+    /// Changes are applied even if earlier ones are missing, as the newest
+    /// content of an object replaces everything that was missed. A VM that the
+    /// store rejects thus still gets the current configuration, although only
+    /// the store can close its gap.
     pub fn apply_update(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
         let Some(known) = &mut self.synced else {
             return Vec::new();
@@ -360,8 +364,9 @@
         changes
     }
 
-    /// The same where the other VM stepped over a part of the history: within
-    /// that, an object may have come that this VM knows of, and gone again.
+    /// Applies an update from a VM whose list skipped a range of revisions. An
+    /// object that this VM knows may have been created and removed within that
+    /// range, so a state inside it has a gap.
     pub fn apply_update_over(
         &mut self,
         now: Moment,
@@ -379,8 +384,9 @@
         changes
     }
 
-    /// What this VM tells the others: nothing unless it is one of the first to
-    /// ask, and had an answer lately.
+    /// Returns the update to share with the other VMs. There is none unless
+    /// this VM is among the first in polling order and had an answer from the
+    /// store recently.
     pub fn outgoing_update(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
         let known = self.synced?;
         let over = |(until, _): &(Moment, TopicChange)| *until <= now;
@@ -415,7 +421,7 @@
     }
 }
 
-/// The topics of a VM.
+/// The feeds of all topics.
 #[derive(Debug)]
 pub struct Feeds {
     config: Feed,
@@ -425,7 +431,7 @@
 }
 
 impl Feeds {
-    /// Nothing is known yet of any.
+    /// Creates feeds that have no state yet.
     pub fn new(rhythm: impl Fn(Topic) -> PollPolicy) -> Self {
         let feed = |topic| Feed::new(rhythm(topic));
         Self {
@@ -436,7 +442,7 @@
         }
     }
 
-    /// One of them.
+    /// Returns the feed of a topic.
     pub fn get(&mut self, topic: Topic) -> &mut Feed {
         match topic {
             Topic::Config => &mut self.config,
--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -1,4 +1,4 @@
-//! Which VMs there are, and which of them live.
+//! Tracks the VMs of the fleet and which of them are alive.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,66 +13,68 @@
 use crate::pool::Span;
 use crate::serving::cluster::ownership::NEW_MEMBER_GRACE;
 
-/// The pause between two beacons of a VM in a small fleet.
+/// The interval between two beacons of a VM in a small fleet.
 const BEACON_INTERVAL: Span = Span::from_millis(400);
 
-/// VMs up to which the pause stays so; with more it grows in proportion, so
-/// that what a VM spends on beacons does not grow with the fleet: it hears 240
-/// a second at most. The age of a VM's picture is what misplaces requests.
-/// Measured at 71 VMs on a calm day, with a pause of 1.2 s and of 0.4 s: served
-/// in time 0.669 and 0.788 of what was owed, processor 0.015 and 0.022 cores.
+/// The largest fleet with the shortest beacon interval. In larger fleets the
+/// interval grows in proportion, so that the cost of beacons to a VM does not:
+/// it receives at most 240 a second. Requests are misplaced when a VM's view is
+/// old. At 71 VMs on a calm day, intervals of 1.2 s and 0.4 s gave 0.669 and
+/// 0.788 of requests served in time at 0.015 and 0.022 cores.
 const SMALL_FLEET: usize = 96;
 
-/// VMs from which beacons cross between availability zones by relays: with
-/// fewer, a VM's picture is younger where each sends to all.
+/// The smallest fleet that relays beacons between availability zones. In
+/// smaller fleets direct beacons give a more recent view.
 const RELAY_MIN_VMS: usize = 16;
 
-/// VMs up to which the pause stays so where beacons are relayed: a VM then
-/// hears a datagram from each VM of its zone, with what those passed on.
+/// The largest fleet with the shortest beacon interval where beacons are
+/// relayed: a VM then receives one datagram from each VM of its zone, which
+/// includes the relayed beacons.
 const RELAYED_SMALL_FLEET: usize = 240;
 
-/// VMs from which one asks the store for all where replicas check no fences.
+/// The smallest fleet without fencing in which one VM polls the store for all.
 const SHARED_UPDATES_MIN_VMS: usize = 16;
 
-/// Beats that a VM's beacons are missed where they are relayed: any of two
-/// datagrams may be lost.
+/// Missed relayed beacons after which a VM is considered failed: either of the
+/// two datagrams of a relayed beacon may be lost.
 const RELAYED_MISSED_BEACONS: u64 = 7;
 
-/// Beacons of an incarnation from which the shortest way of one is known.
+/// Beacons of an incarnation that are needed to estimate the least delay.
 const DELAY_MIN_BEACONS: u32 = 3;
 
-/// Beats that are missed until a VM is taken for lost: a lossy link does not
-/// make it so.
+/// Missed beacons after which a VM is considered failed. A lossy link must not
+/// trigger it.
 const MISSED_BEACONS: u64 = 5;
 
-/// Beats that a VM's beacons are missed until others lend in its place: any of
-/// two datagrams, and of two more, may be lost.
+/// Missed beacons after which another VM lends in place of a lender. Any of two
+/// datagrams, and of two more, may be lost.
 const LENDER_MISSED_BEACONS: u64 = 4;
 
-/// Beats that a VM's beacons are missed until it no longer counts among those
-/// that a lender hears: until then the VM may use its own part on top of what is
-/// lent.
+/// Missed beacons after which a VM no longer counts as reachable for a lender.
+/// Until then it may use its own share of a limit in addition to what is lent.
 const REACHABLE_MISSED_BEACONS: u64 = 3;
 
-/// How late a beacon may come on a busy VM.
+/// The delay of a beacon on a busy VM.
 const BEACON_DELAY_MARGIN: Span = Span::from_millis(100);
 
-/// How long a VM that was stopped as planned keeps what it owns: it is usually
-/// back before others could order in its place.
+/// How long a VM that was stopped as planned keeps its replicas: it is usually
+/// back before a new owner could give orders.
 const STOPPED_RETENTION: Span = Span::from_millis(6_000);
 
-/// How long a VM that hears nobody waits until it takes itself for the only
-/// one: a VM that is cut off must not take what the others own.
+/// How long a VM that receives no beacons waits before it assumes to be the
+/// only one. A partitioned VM must not take over the others' replicas.
 const ISOLATION_TIMEOUT: Span = Span::from_millis(6_000);
 
-/// How long a VM that was stopped as planned, and is started again, takes nobody
-/// for lost: as a new member, less what its word was on its way.
+/// How long a VM that was stopped as planned and is started again considers
+/// nobody failed: the grace of a new member, less the delay of its last beacon.
 const STOPPED_GRACE: Span = Span(NEW_MEMBER_GRACE.0 - 5_000_000);
 
-/// How long after its start a VM knows the others: a few beats.
+/// How long after its start a VM may not know the others yet: a few beacon
+/// intervals.
 const STARTUP_PERIOD: Span = Span::from_millis(1_500);
 
-/// The place of a VM in an order that differs by seed, so that duties spread.
+/// The position of a VM in an order that depends on the seed, to spread duties
+/// over the VMs.
 fn hash_order(vm: &VmName, seed: u64) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), seed)
 }
@@ -83,52 +85,53 @@
     incarnation: Incarnation,
     number: u64,
     stopping: bool,
-    /// When it was sent, on the other VM's clock.
+    /// When it was sent, on the sender's clock.
     sent: Moment,
-    /// The least difference of the clocks over a beacon's way, in microseconds.
+    /// The least clock offset seen, in microseconds; it includes the least
+    /// delay.
     min_offset: i64,
-    /// Beacons of this incarnation.
+    /// The number of beacons received from this incarnation.
     count: u32,
-    /// Whether it lends parts of organisations' limits.
+    /// Whether the VM lends shares of organisations' limits.
     lends: bool,
 }
 
 impl PeerBeacon {
-    /// The difference of the clocks over the way of the last beacon.
+    /// The clock difference plus the delay of the last beacon, in microseconds.
     fn clock_offset(&self) -> i64 {
         self.received_at.0.wrapping_sub(self.sent.0).cast_signed()
     }
 }
 
-/// What a beacon says of itself.
+/// Identifies a beacon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BeaconStamp {
     /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Its number; it rises.
+    /// The number of the beacon, which increases.
     pub number: u64,
     /// When it was sent, on the sender's clock.
     pub sent: Moment,
 }
 
-/// The VMs by their entries in the store and their beacons.
+/// The VMs known from their entries in the store and from their beacons.
 #[derive(Debug)]
 pub struct Members {
     own: VmName,
     started_at: Moment,
     addresses: BTreeMap<VmName, SocketAddr>,
     beacons: BTreeMap<VmName, PeerBeacon>,
-    /// When the newest of our beacons that each VM heard was sent.
+    /// When the newest of our beacons that each VM acknowledged was sent.
     echoes: BTreeMap<VmName, Moment>,
     zones: BTreeMap<VmName, ZoneName>,
-    /// Whether the store said once which VMs there are.
+    /// Whether the VM entries were read from the store.
     listed: bool,
-    /// Our own, where beacons may be relayed.
+    /// Our availability zone if relaying is enabled.
     zone: Option<ZoneName>,
 }
 
 impl Members {
-    /// Only this VM, as of now.
+    /// Creates a table that has only this VM.
     pub fn new(own: VmName, now: Moment) -> Self {
         Self {
             own,
@@ -142,35 +145,35 @@
         }
     }
 
-    /// This VM.
+    /// Returns the name of this VM.
     pub fn local(&self) -> &VmName {
         &self.own
     }
 
-    /// Lets beacons be relayed between availability zones; ours is this one.
+    /// Enables relaying of beacons between availability zones; `zone` is ours.
     pub fn enable_relays(&mut self, zone: ZoneName) {
         self.zone = Some(zone);
     }
 
-    /// A VM's availability zone.
+    /// Sets the availability zone of a VM.
     pub fn set_zone(&mut self, vm: &VmName, zone: ZoneName) {
         if self.zones.get(vm) != Some(&zone) {
             self.zones.insert(vm.clone(), zone);
         }
     }
 
-    /// Whether beacons go to other availability zones by relays.
+    /// Whether beacons are relayed between availability zones.
     ///
-    /// Made for fleets in which each VM hears hundreds of others. Sent by each
-    /// to all, four fifths of the beacons of five zones cross between them, and
-    /// a VM wakes for each. One relay a zone and beat passes them on within it,
-    /// together with its own: they cross once for each zone.
+    /// In a fleet of hundreds of VMs in five zones, four fifths of direct
+    /// beacons cross zones, and a VM wakes up for each of them. With relaying,
+    /// a beacon crosses to each zone once per interval, and one VM there passes
+    /// it on together with its own.
     pub fn uses_relays(&self) -> bool {
         self.zone.is_some() && self.count() >= RELAY_MIN_VMS
     }
 
-    /// The VMs that get our beacons themselves: those of our zone, and those
-    /// whose zone is not known yet.
+    /// Returns the VMs that get our beacons directly: those in our zone and
+    /// those whose zone is unknown.
     pub fn direct_peers(&self) -> impl Iterator<Item = (&VmName, SocketAddr)> {
         let near = |vm: &VmName| {
             self.zones
@@ -180,8 +183,9 @@
         self.peers().filter(move |(vm, _)| near(vm))
     }
 
-    /// Who passes our beacon of this number on, one VM in each other zone: each
-    /// time another one, so that one that is lost costs one beacon.
+    /// Returns the address of the VM in each other zone that relays our beacon
+    /// of this number. The choice rotates, so that a failed relay costs one
+    /// beacon.
     pub fn relay_targets(&self, now: Moment, number: u64) -> Vec<SocketAddr> {
         let mut zones: BTreeMap<&ZoneName, Vec<(bool, SocketAddr)>> = BTreeMap::new();
         for (vm, address) in self.peers() {
@@ -208,8 +212,9 @@
         self.beacons.get(vm).is_some_and(|h| h.stopping)
     }
 
-    /// Our place among the live VMs in the order of a hash with this seed. A VM
-    /// that has just started does not know the others yet and is not the first.
+    /// Returns our position among the live VMs in the hash order of this seed.
+    /// A VM that has just started does not know the others yet and is never
+    /// first.
     pub fn rank(&self, now: Moment, seed: u64) -> u64 {
         let own = hash_order(&self.own, seed);
         let before = self.beacons.iter().filter(|(vm, h)| {
@@ -222,9 +227,9 @@
         before + u64::from(new)
     }
 
-    /// How much longer the last beacon of a VM was on its way than the quickest
-    /// one; `None` while too few came to tell. One that was read long after it
-    /// came, as this VM was suspended, shows here.
+    /// Returns how much longer the last beacon of a VM took than its quickest
+    /// one, or `None` if too few have arrived to compare. The delay includes
+    /// the time that a datagram waited while this VM was suspended.
     pub fn beacon_delay(&self, vm: &VmName) -> Option<Span> {
         let heard = self
             .beacons
@@ -234,27 +239,27 @@
         Some(Span(late.unsigned_abs()))
     }
 
-    /// A VM's entry in the store, or where its beacon came from.
+    /// Sets the address of a VM, from its entry in the store or from its
+    /// beacon.
     pub fn set_address(&mut self, vm: VmName, address: SocketAddr) {
         if vm != self.own {
             self.addresses.insert(vm, address);
         }
     }
 
-    /// The store said which VMs there are.
+    /// Records that the VM entries were read from the store.
     pub fn mark_listed(&mut self) {
         self.listed = true;
     }
 
-    /// A VM's entry was removed.
+    /// Removes a VM whose entry was removed.
     pub fn remove(&mut self, vm: &VmName) {
         self.addresses.remove(vm);
         self.zones.remove(vm);
         self.echoes.remove(vm);
     }
 
-    /// A beacon came; gives whether it is newer than the last one, and whether
-    /// the VM was not heard of before.
+    /// Records a beacon. Returns whether it is newer than the VM's last one.
     pub fn record_beacon(
         &mut self,
         now: Moment,
@@ -289,15 +294,16 @@
         true
     }
 
-    /// What was heard of a VM last: its incarnation, when that was sent on its
-    /// clock, and when it came.
+    /// Returns the last beacon of a VM: its incarnation, when it was sent by
+    /// the VM's clock, and when it was received.
     pub fn last_beacon(&self, vm: &VmName) -> Option<(Incarnation, Moment, Moment)> {
         let heard = self.beacons.get(vm)?;
         Some((heard.incarnation, heard.sent, heard.received_at))
     }
 
-    /// All VMs that were heard within `span`: the incarnation of each, when its
-    /// last beacon was sent on its clock, and when that came.
+    /// Returns the VMs whose last beacon was received within `span`: name,
+    /// incarnation, when it was sent by the VM's clock, and when it was
+    /// received.
     pub fn recent_beacons(
         &self,
         now: Moment,
@@ -310,14 +316,14 @@
         recent.map(|(vm, h)| (vm, h.incarnation, h.sent, h.received_at))
     }
 
-    /// Whether a VM lends, by its last beacon.
+    /// Records whether a VM lends, according to its last beacon.
     pub fn set_lends(&mut self, vm: &VmName, lends: bool) {
         if let Some(heard) = self.beacons.get_mut(vm) {
             heard.lends = lends;
         }
     }
 
-    /// The part of the VMs that this one heard a moment ago, itself among them.
+    /// Returns the fraction of all VMs that are reachable, including this one.
     pub fn reachable_fraction(&self, now: Moment) -> f64 {
         let recent = self.recent_beacons(
             now,
@@ -327,17 +333,17 @@
         (listed.count() + 1) as f64 / self.count() as f64
     }
 
-    /// Whether this VM lends parts of organisations' limits: it hears most of
-    /// the others, so that no two sides of a cut do.
+    /// Whether this VM lends shares of organisations' limits. It must reach
+    /// most of the VMs, so that two sides of a partition never both lend.
     pub fn lends(&self, now: Moment) -> bool {
-        // One that knows nobody yet may be one of many.
+        // A VM that knows no others yet may be one of many.
         let alone = self.addresses.is_empty() && !self.listed;
         let new = alone && now.since(self.started_at) < STARTUP_PERIOD;
         !new && self.reachable_fraction(now) > 0.5
     }
 
-    /// Who lends, in the order of a hash with this seed: the first one, and
-    /// those that are asked in its place when it does not answer.
+    /// Returns the lenders in the hash order of this seed: the first one is
+    /// asked, the others if it does not answer.
     pub fn lenders(&self, now: Moment, seed: u64) -> Vec<&VmName> {
         let kept = self.lender_timeout();
         let others = self.beacons.iter().filter(|(vm, h)| {
@@ -352,21 +358,22 @@
         all
     }
 
-    /// How long a VM that is silent is still asked to lend: each request of an
-    /// organisation waits for it in vain meanwhile.
+    /// How long a silent lender is still asked. Each request of an organisation
+    /// waits for it in vain meanwhile.
     fn lender_timeout(&self) -> Span {
         Span(self.beacon_interval().0 * LENDER_MISSED_BEACONS)
     }
 
-    /// A VM heard our beacon that was sent at `sent`.
+    /// Records that a VM received our beacon that was sent at `sent`.
     pub fn record_echo(&mut self, vm: &VmName, sent: Moment) {
         let echo = self.echoes.entry(vm.clone()).or_insert(sent);
         *echo = sent.max(*echo);
     }
 
-    /// Until when none of the `members` takes this VM for lost: each heard it,
-    /// and judges nobody whom it heard that lately, or was stopped as planned.
-    /// `None` if one of them has not said so.
+    /// Returns until when none of the `members` can consider this VM failed, or
+    /// `None` if one of them has not acknowledged a beacon. A member that
+    /// received our beacon waits for the failure timeout, and one that was
+    /// stopped as planned for its grace.
     pub fn acknowledged_until(&self, members: &BTreeSet<VmName>) -> Option<Moment> {
         if !members.contains(&self.own) {
             return None;
@@ -386,17 +393,17 @@
         }
     }
 
-    /// The others, and where they are.
+    /// Returns the other VMs and their addresses.
     pub fn peers(&self) -> impl Iterator<Item = (&VmName, SocketAddr)> {
         self.addresses.iter().map(|(vm, address)| (vm, *address))
     }
 
-    /// Where a VM is.
+    /// Returns the address of a VM.
     pub fn address(&self, vm: &VmName) -> Option<SocketAddr> {
         self.addresses.get(vm).copied()
     }
 
-    /// Whether a VM's beacons come; this VM always lives.
+    /// Whether a VM is alive by its beacons. This VM always is.
     pub fn is_live(&self, now: Moment, vm: &VmName) -> bool {
         if *vm == self.own {
             return true;
@@ -405,7 +412,7 @@
         heard.is_some_and(|h| now.since(h.received_at) < self.failure_timeout())
     }
 
-    /// The pause between two beacons of a VM.
+    /// Returns the interval between two beacons of a VM.
     pub fn beacon_interval(&self) -> Span {
         let small = match self.uses_relays() {
             true => RELAYED_SMALL_FLEET,
@@ -414,17 +421,17 @@
         Span(BEACON_INTERVAL.0 * self.count().div_ceil(small) as u64)
     }
 
-    /// Within how long a VM's use of a replica is known to its owner: it is
-    /// reported at once, and a report that is lost is made good by the next
-    /// beacon. An adapter keeps its place as long after its last use. Measured
-    /// on a small deployment at high load (8 days, no processor time counted):
-    /// served in time 0.884 -> 0.901 of what was owed, with 0.54 s in place of
-    /// 0.9 s; this is 0.5 s, and 0.32 s served as much.
+    /// Returns how long a VM's use of a replica may take to reach the owner. It
+    /// is reported at once, and the next beacon makes up for a lost report. An
+    /// adapter stays loaded for this long after its last use. On a small
+    /// deployment at high load (8 days, processor time not counted), 0.54 s in
+    /// place of 0.9 s raised the share of requests served in time from 0.884 to
+    /// 0.901; the 0.5 s used here and 0.32 s did as well.
     pub fn report_delay(&self) -> Span {
         Span(self.beacon_interval().0 + BEACON_DELAY_MARGIN.0)
     }
 
-    /// A VM that was silent for so long is lost.
+    /// Returns how long a VM must be silent to be considered failed.
     pub fn failure_timeout(&self) -> Span {
         let missed = match self.uses_relays() {
             true => RELAYED_MISSED_BEACONS,
@@ -433,8 +440,8 @@
         Span(self.beacon_interval().0 * missed)
     }
 
-    /// The VMs that keep what they own: those that live, and those that were
-    /// stopped as planned a short while ago.
+    /// Returns the VMs that keep their replicas: the live ones and those that
+    /// were stopped as planned recently.
     pub fn live_vms(&self, now: Moment) -> BTreeSet<VmName> {
         let keeps = |h: &PeerBeacon| match h.stopping {
             true => now.since(h.received_at) < STOPPED_RETENTION,
@@ -445,8 +452,8 @@
         others.chain([self.own.clone()]).collect()
     }
 
-    /// Whether this VM may judge who is lost: it hears somebody, or has been
-    /// alone for so long that it is the only one.
+    /// Whether this VM may decide which others have failed: it receives
+    /// beacons, or has received none for so long that it is the only VM.
     pub fn can_detect_failures(&self, now: Moment) -> bool {
         let last = self.beacons.values().map(|h| h.received_at).max();
         let quiet = now.since(last.unwrap_or(self.started_at).max(self.started_at));
@@ -455,21 +462,20 @@
             || quiet >= ISOLATION_TIMEOUT
     }
 
-    /// Whether VMs tell each other what they hear of the store, in place of each
-    /// asking for itself. In a small fleet whose replicas check no fences each
-    /// asks: its calls cost little, and its callers are served better so under
-    /// high load.
+    /// Whether VMs share store updates instead of polling the store each for
+    /// itself. In a small fleet without fencing each VM polls: the calls cost
+    /// little, and requests are served better under high load.
     pub fn shares_updates(&self, fenced: bool) -> bool {
         let least = if fenced { 2 } else { SHARED_UPDATES_MIN_VMS };
         self.count() >= least
     }
 
-    /// How many VMs share the retry budget: those listed or heard.
+    /// Returns the number of VMs, including this one.
     pub fn count(&self) -> usize {
         self.addresses.len() + 1
     }
 
-    /// Listed VMs that have been silent for `span`.
+    /// Returns the listed VMs that have been silent for `span`.
     pub fn silent_for(&self, now: Moment, span: Span) -> Vec<VmName> {
         let heard = |vm: &VmName| {
             self.beacons
--- a/lib/src/serving/cluster/mod.rs
+++ b/lib/src/serving/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! What a VM believes: of the store, of the other VMs, of who owns what.
+//! What a VM knows of the stored objects, the other VMs and the owners of
+//! replicas.
 
 pub(super) mod feed;
 pub(super) mod members;
--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -1,4 +1,5 @@
-//! The owner table in the store: which VM orders loads at which replica.
+//! The table of replica owners in the store: which VM orders loads at which
+//! replica.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,52 +11,53 @@
 use crate::ids::Token;
 use crate::ids::VmName;
 
-/// Replicas that left whose last owner is remembered. A replica whose entry
-/// comes back, or that starts again under its name, may still get orders of
-/// that owner; more than so many do not leave within a lease.
+/// How many removed replicas have their last owner remembered. If the entry of
+/// a replica comes back, or it restarts under its name, it may still get orders
+/// from that owner. No more than this many replicas leave within a lease.
 const MAX_GONE: usize = 64;
 
-/// One replica's owner.
+/// The owner of one replica.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Owner {
-    /// The VM.
+    /// The owning VM.
     pub vm: VmName,
     /// The fencing token of this ownership.
     pub token: Token,
-    /// The VMs that owned the replica before and may not know yet that they
-    /// lost it. The owner clears this once it has waited, so that it need not
-    /// wait again when it is restarted.
+    /// Former owners that may not know of their loss yet. The owner clears this
+    /// after its wait, so that it does not wait again after a restart.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub former: BTreeSet<VmName>,
 }
 
-/// All owners, as kept in the store.
+/// The owners of all replicas, as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OwnerTable {
-    /// The highest token that was given; it only rises.
+    /// The highest token granted; it never decreases.
     pub term: Token,
-    /// The owners.
+    /// The owner of each replica.
     pub owners: BTreeMap<ReplicaName, Owner>,
-    /// The VMs that may change owners, where replicas check no fences: an owner
-    /// that cannot ask the store goes by whether all of these hear it.
+    /// The VMs that may change owners where replicas check no fencing tokens.
+    /// An owner that cannot reach the store relies on acknowledgements from all
+    /// of them.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub members: BTreeSet<VmName>,
-    /// The last owners of replicas that left.
+    /// The last owners of replicas that were removed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub gone: BTreeMap<ReplicaName, Owner>,
 }
 
 impl OwnerTable {
-    /// How many replicas have another owner than in an older table.
+    /// Returns how many replicas have another owner than in the table `old`.
     pub fn count_moved(&self, old: &Self) -> usize {
         let same = |name, owner: &Owner| old.owners.get(name).is_some_and(|o| o.vm == owner.vm);
         self.owners.iter().filter(|(n, o)| !same(*n, o)).count()
     }
 
-    /// The table after replicas came and went and VMs were lost; `None` if
-    /// nothing is to change. Replicas of live owners stay where they are: each
-    /// change of owner stops loads there for a lease. So do those of owners
-    /// that may not be judged yet, which get no others.
+    /// Returns the table after replicas were added or removed and VMs failed,
+    /// or `None` if nothing changes. Replicas keep live owners, as each change
+    /// of owner stops loads there for a lease. They also keep `unjudged`
+    /// owners, which may not be considered failed yet and get no further
+    /// replicas.
     pub fn reassigned(
         &self,
         live: &BTreeSet<VmName>,
@@ -114,7 +116,7 @@
 }
 
 impl Owner {
-    /// Who may still give orders after another VM took over.
+    /// Returns the VMs that may still give orders after `vm` takes over.
     fn former_after_transfer(&self, vm: &VmName) -> BTreeSet<VmName> {
         let mut former = self.former.clone();
         former.insert(self.vm.clone());
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -1,4 +1,4 @@
-//! Which replicas this VM may give orders to, and until when.
+//! Tracks which replicas this VM may give orders to, and until when.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,96 +10,99 @@
 use crate::pool::Span;
 use crate::serving::cluster::owner_table::OwnerTable;
 
-/// How much later each further VM proposes a change than the one before it by
-/// name: a proposal is in force everywhere within about a second.
+/// How much later each further VM in name order proposes a change. A proposal
+/// takes effect everywhere within about a second.
 const PROPOSAL_STAGGER: Span = Span::from_millis(1_200);
 
-/// How long an owner whose replicas check fences may not have heard of its
-/// loss: the pace of the watch and one slow call.
+/// How long an owner may not notice the loss of a replica that checks fencing
+/// tokens: the pause between watches and one slow call.
 const LOSS_DETECTION_DELAY: Span = Span::from_millis(1_500);
 
-/// How long a VM owns its replicas after the table was known to be the newest.
-/// It is confirmed each 0.6 s by one VM and told with the beacons, each 0.4 s:
-/// two lost beacons in a row leave it in office.
+/// How long an ownership lasts after the table was last confirmed to be the
+/// newest. One VM confirms it every 0.6 s, and beacons spread that every 0.4 s:
+/// the ownership survives two lost beacons in a row.
 pub const OWNERSHIP_TTL: Span = Span::from_millis(2_400);
 
-/// How old the first VM by name lets the confirmation become: with a beat and
-/// one lost beacon on top, the others still learn of it in time.
+/// The age of the confirmation at which the first VM in name order renews it.
+/// With a beacon interval and one lost beacon on top, the others still learn of
+/// it in time.
 const FIRST_CONFIRM_AGE: Span = Span::from_millis(600);
 
-/// The same for the others, which hear of it from the first one: about two of
-/// its questions and a beat.
+/// The age at which the other VMs confirm for themselves: about two
+/// confirmations of the first VM and a beacon interval.
 const OTHERS_CONFIRM_AGE: Span = Span::from_millis(1_600);
 
-/// How much later each further VM asks, so that not all ask at once when the
-/// first one is lost.
+/// How much later each further VM confirms, so that not all ask the store at
+/// once when the first one fails.
 const CONFIRM_STAGGER: Span = Span::from_millis(120);
 
-/// VMs by name after which the step grows no more: the last one must ask
-/// before it is out of office.
+/// The position in name order after which the stagger stops growing: the last
+/// VM must confirm before its ownership expires.
 const MAX_STAGGER_STEPS: usize = 4;
 
-/// How long an order may take to its replica after the lease was looked at:
-/// the time that an answer is waited for, and a third as much on the way.
+/// How long an order may take to reach its replica after the lease was checked:
+/// the response timeout, and a third as much in transit.
 const MAX_ORDER_DELAY: Span = Span::from_millis(1_100);
 
-/// How long after the last confirmation a VM stays in office because all
-/// members hear it.
+/// How long after the last confirmation an ownership lasts because all members
+/// acknowledge this VM.
 const MAX_UNCONFIRMED: Span = Span::from_millis(15_000);
 
-/// How long a new member takes no VM for lost that does not know of it: longer
-/// than one stays in office without the store.
+/// How long a new member does not consider a VM failed that may not know of it.
+/// This is longer than an ownership lasts without the store.
 pub(in crate::serving) const NEW_MEMBER_GRACE: Span = Span::from_millis(20_000);
 
 /// Our ownership of one replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Term {
     token: Token,
-    /// From when it may be used.
+    /// When it takes effect.
     usable_from: Moment,
-    /// The revision of the table that gave it to us.
+    /// The revision of the table that granted it.
     granted_revision: u64,
-    /// Who has not said yet that it knows of its loss.
+    /// The former owners that have not acknowledged their loss.
     unaware: BTreeSet<VmName>,
 }
 
-/// What a VM holds of the table: its own ownerships, since when, and whether
-/// they may be used.
+/// The owner table as this VM knows it, and which of its ownerships are valid.
 ///
-/// Made for VMs that are killed, frozen or cut off while they own replicas. A
-/// replica's orders must come from one VM at a time, with a lease between two.
-/// Where replicas check fences, a VM that lost one is stopped by the replica.
-/// Elsewhere the ownership ends by itself, [`OWNERSHIP_TTL`] after the store was last
-/// known to hold no newer table, and a new owner waits until that is over and
-/// a lease has passed, or until the ones before it say that they know.
+/// VMs may be killed, frozen or partitioned while they own replicas. Orders to
+/// a replica must come from one VM at a time, with a lease between two owners.
+/// Where replicas check fencing tokens, they reject the orders of a former
+/// owner. Elsewhere an ownership expires by itself, [`OWNERSHIP_TTL`] after the
+/// store was last known to hold no newer table. A new owner waits until that
+/// time and a lease have passed, or until the former owners acknowledge the
+/// loss.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     vm: VmName,
     lease: Span,
     fenced: bool,
-    /// The table and its revision in the store.
+    /// The table.
     pub table: OwnerTable,
-    /// The revision; 0 while there is no table.
+    /// Its revision in the store; 0 while there is no table.
     pub revision: u64,
     terms: BTreeMap<ReplicaName, Term>,
-    /// Tokens that a replica refused.
+    /// The tokens that replicas rejected.
     refused: BTreeMap<ReplicaName, Token>,
-    /// Since when a change has been due.
+    /// Since when a change has been needed.
     proposal_due: Option<Moment>,
-    /// When no table newer than this one was in the store yet.
+    /// When the table was last known to be the newest.
     confirmed: Option<Moment>,
-    /// Until when no other VM can take this one for lost.
+    /// Until when no other VM can consider this one failed.
     acknowledged_until: Option<Moment>,
-    /// The newest revision that another VM told of.
+    /// The newest revision announced by another VM.
     max_peer_revision: u64,
-    /// The same for each VM.
+    /// The newest revision announced by each VM.
     peer_revisions: BTreeMap<VmName, u64>,
-    /// Since which revision, and when, this VM is known to be a member.
+    /// The table revision by which this VM became a member, and when it was
+    /// read.
     joined: Option<(u64, Moment)>,
 }
 
 impl Ownership {
-    /// No table yet; `fenced` says whether replicas check tokens.
+    /// Creates the state without a table. `fenced` is set if replicas check
+    /// fencing tokens.
     pub fn new(vm: VmName, lease: Span, fenced: bool) -> Self {
         Self {
             vm,
@@ -118,7 +121,8 @@
         }
     }
 
-    /// Takes the table as the store has it; older revisions are dropped.
+    /// Applies the table from the store. Returns `false` for an older revision,
+    /// which is ignored.
     pub fn apply_table(&mut self, now: Moment, table: OwnerTable, revision: u64) -> bool {
         if revision <= self.revision {
             return false;
@@ -150,7 +154,7 @@
         true
     }
 
-    /// How long a new owner waits that hears nothing of the one before.
+    /// How long a new owner waits if the former ones acknowledge nothing.
     fn max_takeover_wait(&self) -> Span {
         match self.fenced {
             true => Span(self.lease.0 + LOSS_DETECTION_DELAY.0),
@@ -158,27 +162,29 @@
         }
     }
 
-    /// The store showed in answer to a call sent at `asked` that our table is
-    /// the newest.
+    /// Records that the store confirmed our table to be the newest by its
+    /// answer to a call sent at `asked`.
     pub fn confirm(&mut self, asked: Moment) {
         if self.revision > 0 {
             self.confirmed = self.confirmed.max(Some(asked));
         }
     }
 
-    /// How many microseconds after another VM's beacon was heard the table was
-    /// last known to be the newest; before it if negative. It is told that VM.
+    /// Returns when the table was last confirmed, in microseconds after
+    /// `heard`, the arrival of another VM's beacon; negative if before. It is
+    /// sent to that VM.
     pub fn confirmation_offset(&self, heard: Moment) -> Option<i64> {
         let confirmed = i64::try_from(self.confirmed?.0).ok()?;
         confirmed.checked_sub_unsigned(heard.0)
     }
 
-    /// Another VM knew the table of `revision` to be the newest `after`
-    /// microseconds after it heard the beacon that we sent at `sent`.
+    /// Records that another VM knew the table of `revision` to be the newest
+    /// `after` microseconds after it received the beacon that we sent at
+    /// `sent`.
     ///
-    /// It heard that after we sent it. So what it knew some time after it heard
-    /// it was so at least as long after we sent it, however long either
-    /// datagram was on its way.
+    /// That VM received the beacon after we sent it, so the same interval
+    /// counted from the sending is a safe lower bound, regardless of the delay
+    /// of either datagram.
     pub fn confirm_from_peer(&mut self, revision: u64, sent: Moment, after: i64) {
         let at = sent.0.checked_add_signed(after);
         if let Some(at) = at.filter(|_| revision <= self.revision) {
@@ -186,13 +192,13 @@
         }
     }
 
-    /// When the table was last known to be the newest.
+    /// Returns when the table was last confirmed to be the newest.
     pub fn confirmed(&self) -> Option<Moment> {
         self.confirmed
     }
 
-    /// Whether this VM, the `rank`th by name, is to ask the store now whether
-    /// the table is the newest.
+    /// Whether this VM, at position `rank` in name order, should confirm the
+    /// table with the store now.
     pub fn should_confirm(&self, now: Moment, rank: usize) -> bool {
         let Some(confirmed) = self.confirmed.filter(|_| !self.fenced) else {
             return false;
@@ -206,15 +212,16 @@
         now.since(confirmed) >= after
     }
 
-    /// Until `until` no other VM can take this one for lost. Once that was
-    /// over, or another VM could have for a moment, only the store's word
-    /// brings this VM back into office.
+    /// Sets until when no other VM can consider this one failed. Once that time
+    /// has passed, or another VM could have decided so for a moment, only a
+    /// confirmation by the store makes the ownerships valid again.
     pub fn set_acknowledged_until(&mut self, now: Moment, until: Option<Moment>) {
         self.acknowledged_until = until.filter(|_| self.is_valid(now));
     }
 
-    /// The members that this VM may not take for lost yet: those that have not
-    /// told that they know it for a member, and so do not ask to be heard by it.
+    /// Returns the members that this VM must not consider failed yet: they have
+    /// not announced a table that has this VM as a member, so they may not
+    /// require its acknowledgements.
     pub fn protected_members(&self, now: Moment) -> BTreeSet<VmName> {
         if self.fenced {
             return BTreeSet::new();
@@ -230,8 +237,9 @@
         members.filter(unaware).cloned().collect()
     }
 
-    /// A VM told which table it holds: those before it that lost a replica to
-    /// us know it. Gives whether its table is newer than ours.
+    /// Records the table revision announced by a VM, which acknowledges its
+    /// losses up to that revision. Returns whether its table is newer than
+    /// ours.
     pub fn record_peer_revision(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
         self.max_peer_revision = self.max_peer_revision.max(revision);
         let told = self.peer_revisions.entry(vm.clone()).or_default();
@@ -249,12 +257,12 @@
         revision > self.revision
     }
 
-    /// Whether this VM is still in office.
+    /// Whether the ownerships of this VM are valid.
     ///
-    /// It is as long as the table is known to be the newest not longer ago
-    /// than [`OWNERSHIP_TTL`]. While the store is away for all it cannot be changed
-    /// either: the VM then stays as long as each VM that could propose it
-    /// hears this one, and so does not take it for lost.
+    /// They are for [`OWNERSHIP_TTL`] after the table was last confirmed to be
+    /// the newest. During an outage of the store the table cannot be changed
+    /// either, so they stay valid as long as every VM that could propose a
+    /// change receives our beacons and thus does not consider this VM failed.
     pub fn is_valid(&self, now: Moment) -> bool {
         if self.fenced {
             return true;
@@ -267,7 +275,7 @@
         now < confirmed.after(OWNERSHIP_TTL) || now < vouched.min(confirmed.after(MAX_UNCONFIRMED))
     }
 
-    /// Our replicas that may get orders now, with their tokens.
+    /// Returns our replicas that may get orders now, with their tokens.
     pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
         let holds = self.is_valid(now);
         let terms = self.terms.iter().filter(move |_| holds);
@@ -280,25 +288,26 @@
         self.refused.get(name) == Some(&term.token)
     }
 
-    /// Our replicas, whether they may get orders yet or not.
+    /// Returns all our replicas, including those that may not get orders yet.
     pub fn owned(&self) -> impl Iterator<Item = &ReplicaName> {
         self.terms.keys()
     }
 
-    /// Our token for a replica, if it may get orders now.
+    /// Returns our token for a replica if it may get orders now.
     pub fn token(&self, now: Moment, name: &ReplicaName) -> Option<Token> {
         let term = self.terms.get(name)?;
         let usable = self.is_valid(now) && term.usable_from <= now && !self.is_refused(name, term);
         usable.then_some(term.token)
     }
 
-    /// A replica has seen a higher token than ours: no order more with it.
+    /// Records that a replica has seen a higher token: ours is not used any
+    /// more.
     pub fn record_refusal(&mut self, name: &ReplicaName, token: Token) {
         self.refused.insert(name.clone(), token);
     }
 
-    /// The VM was suspended or cut off: its ownerships are used again only
-    /// after the table was read anew.
+    /// Invalidates all ownerships after a suspension or partition, until the
+    /// table is read again.
     pub fn invalidate(&mut self) {
         self.terms.clear();
         self.revision = 0;
@@ -306,14 +315,14 @@
         self.joined = None;
     }
 
-    /// The owner of a replica.
+    /// Returns the owner of a replica.
     pub fn owner(&self, name: &ReplicaName) -> Option<&VmName> {
         self.table.owners.get(name).map(|o| &o.vm)
     }
 
-    /// The change that this VM proposes now. The first live VM by name
-    /// proposes at once, each further one a step later, so that a lost
-    /// proposer delays a repair and does not prevent it.
+    /// Returns the change that this VM should propose now. The first live VM in
+    /// name order proposes at once and each further one a step later, so that a
+    /// failed proposer only delays a change.
     pub fn proposal(
         &mut self,
         now: Moment,
@@ -329,8 +338,8 @@
         (now.since(since).0 >= PROPOSAL_STAGGER.0 * rank).then_some(table)
     }
 
-    /// The table that this VM would have. One that is no member yet changes
-    /// nothing but that: the owners must know of it first.
+    /// Returns the table with all changes needed. A VM that is not a member yet
+    /// only adds itself: the owners must learn of it first.
     fn repaired(
         &self,
         now: Moment,
@@ -353,7 +362,8 @@
         (table != self.table).then_some(table)
     }
 
-    /// The table with the waits of our replicas that are over.
+    /// Returns the table without the former owners whose wait is over at our
+    /// replicas.
     fn without_expired_waits(&self, now: Moment) -> Option<OwnerTable> {
         let mut table = self.table.clone();
         let over = |name: &ReplicaName| self.terms.get(name).is_some_and(|t| t.usable_from <= now);
@@ -365,7 +375,7 @@
         (table != self.table).then_some(table)
     }
 
-    /// A proposal was sent: the next one waits its turn again.
+    /// Records that a proposal was sent, so that the next one waits its turn.
     pub fn record_proposal(&mut self, now: Moment) {
         self.proposal_due = Some(now);
     }
--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -1,4 +1,4 @@
-//! When the configuration that a VM holds was surely the newest.
+//! Tracks when the configuration of a VM was last proven to be the newest.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -7,59 +7,60 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How long the store's watches may hear nothing of changes that are made, as
-/// it drops its history: an answer "nothing changed" may be wrong for so long.
+/// How long watches may miss changes while the store drops its history. An
+/// answer without changes may be wrong for this long.
 const MAX_WATCH_LAG: Span = Span::from_millis(1_100);
 
-/// The part of the bound on revoked keys after which a VM asks the store for
-/// itself: what is left is for its call, and for one more after a failed one.
+/// The fraction of the bound on revoked keys after which a VM asks the store
+/// itself. The rest is for its call and for one more if that fails.
 const PROOF_AGE_FRACTION: f64 = 0.5;
 
-/// The part of that bound over which the VMs' own questions are spread: the
-/// answers to the first ones spare the others theirs.
+/// The fraction of that bound over which the calls of the VMs are staggered:
+/// the answers to the first ones make the others unnecessary.
 const STAGGER_FRACTION: f64 = 0.12;
 
-/// VMs in the order of asking after which the spread grows no more.
+/// The position in polling order after which the stagger stops growing.
 const MAX_STAGGER_RANK: u64 = 16;
 
-/// The VMs that are told in one beacon of their own last ones; others follow
-/// with the next.
+/// The maximum number of witnesses in one beacon; further VMs follow with the
+/// next beacon.
 const MAX_WITNESSES: usize = 128;
 
-/// When a VM's configuration was surely the newest, by its own clock.
+/// The last moment, by this VM's clock, at which its configuration is proven to
+/// have been the newest.
 ///
-/// Made for keys that are taken away while VMs are frozen, cut off, or have a
-/// store that is silent: a VM goes by its keys only as long as this is recent.
-/// It is never the moment at which an answer came, which may have waited in a
-/// socket for as long as the VM was suspended, but that at which the question
-/// was sent. What another VM knows counts from the moment at which this VM sent
-/// the beacon that the other one names: an age that is told grows on the way by
-/// what nobody knows.
+/// Keys may be revoked while VMs are frozen or partitioned, or while the store
+/// does not answer, so a VM only trusts its keys while this proof is recent. A
+/// proof counts from the sending of the request and never from the arrival of
+/// its answer, which may have waited in a socket while the VM was suspended. A
+/// proof from another VM counts from the sending of our beacon that it names:
+/// an age that is sent instead would grow in transit by an unknown delay.
 #[derive(Debug, Default)]
 pub struct Recency {
     as_of: Option<Moment>,
-    /// Whether the newest configuration could not be read.
+    /// Whether the newest configuration could not be decoded.
     unreadable: bool,
 }
 
 impl Recency {
-    /// The store was read at `asked`, and what it held is known.
+    /// Records a list of the store requested at `asked`.
     pub fn confirm_list(&mut self, asked: Moment) {
         self.advance(asked);
     }
 
-    /// The store was asked at `asked` to wait for changes, and named none that
-    /// are not known for at least `waited`.
+    /// Records a watch sent at `asked` that returned no unknown change for at
+    /// least `waited`.
     pub fn confirm_watch(&mut self, asked: Moment, waited: Span) {
         let until = asked.after(waited);
         self.advance(Moment(until.0.saturating_sub(MAX_WATCH_LAG.0)));
     }
 
-    /// Another VM got our beacon of the moment `sent`, and last knew our
-    /// configuration to be the newest `after` microseconds after that.
+    /// Records that another VM received the beacon that we sent at `sent`, and
+    /// last knew our configuration to be the newest `after` microseconds after
+    /// receiving it.
     pub fn confirm_witness(&mut self, now: Moment, sent: Moment, after: i64) {
         let at = sent.0.saturating_add_signed(after);
-        // It cannot know of what is to come.
+        // The proof cannot lie in the future.
         self.advance(Moment(at.min(now.0)));
     }
 
@@ -67,58 +68,61 @@
         self.as_of = Some(self.as_of.map_or(at, |known| known.max(at)));
     }
 
-    /// Whether the newest configuration that came could be read.
+    /// Sets whether the newest configuration could be decoded.
     pub fn set_readable(&mut self, done: bool) {
         self.unreadable = !done;
     }
 
-    /// How long ago the configuration was surely the newest; `None` if that is
-    /// not known.
+    /// Returns how long ago the configuration was proven to be the newest, or
+    /// `None` if there is no proof.
     pub fn age(&self, now: Moment) -> Option<Span> {
         let as_of = self.as_of.filter(|_| !self.unreadable)?;
         Some(now.since(as_of))
     }
 
-    /// Whether the VM at this place in the order of asking asks the store now.
+    /// Whether the VM at this position in polling order should ask the store
+    /// now.
     pub fn is_due(&self, now: Moment, revoke: Span, rank: u64) -> bool {
         let spread = STAGGER_FRACTION * rank.min(MAX_STAGGER_RANK) as f64 / MAX_STAGGER_RANK as f64;
         let limit = Span((revoke.0 as f64 * (PROOF_AGE_FRACTION + spread)) as u64);
         self.age(now).is_none_or(|age| age >= limit)
     }
 
-    /// When it was the newest, in microseconds after `heard`.
+    /// Returns the time of the proof in microseconds after `heard`.
     fn offset_from(&self, heard: Moment) -> Option<i64> {
         let as_of = self.as_of.filter(|_| !self.unreadable)?;
         Some(as_of.0.wrapping_sub(heard.0).cast_signed())
     }
 }
 
-/// What one VM is told: when its last beacon was sent, on its own clock, and
-/// what is known since.
+/// A proof for one VM: the beacon that it sent last, and when the configuration
+/// was the newest after that.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Witness {
-    /// Tells the VM and its incarnation.
+    /// Identifies the VM and its incarnation.
     pub reader: u64,
-    /// When its last beacon that came was sent.
+    /// When its last beacon received was sent, by its own clock.
     pub sent: Moment,
-    /// When the configuration was the newest, in microseconds after it came.
+    /// When the configuration was the newest, in microseconds after that beacon
+    /// was received.
     pub after_us: i64,
 }
 
-/// What stands for a VM and its incarnation in a [`Witness`].
+/// Returns the identifier of a VM and its incarnation in a [`Witness`].
 pub fn reader_id(vm: &VmName, incarnation: Incarnation) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), incarnation.0)
 }
 
-/// What to tell the VMs that were heard, some with each beacon.
+/// Distributes the witnesses for all VMs over successive beacons.
 #[derive(Debug, Default)]
 pub struct WitnessQueue {
     next: usize,
 }
 
 impl WitnessQueue {
-    /// Those to tell now. Of each VM that was heard: its incarnation, when its
-    /// last beacon was sent by its clock, and when that came.
+    /// Returns the witnesses for the next beacon. `heard` has the last beacon
+    /// of each VM: its incarnation, when it was sent by the VM's clock, and
+    /// when it was received.
     pub fn next_batch<'a>(
         &mut self,
         recency: &Recency,
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -1,4 +1,4 @@
-//! All that one VM believes, in one place.
+//! The state that the tasks of one serving VM share.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -44,12 +44,12 @@
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::follow;
 
-/// A configuration that is in force.
+/// The configuration in force.
 #[derive(Debug)]
 pub(in crate::serving) struct ActiveConfig {
     pub(in crate::serving) config: Config,
     pub(in crate::serving) routes: Routes,
-    /// Who calls with which key; `None` where callers need none.
+    /// The keys of callers; `None` if callers need no key.
     pub(in crate::serving) keys: Option<Keys>,
     /// The limits of organisations that have one.
     pub(in crate::serving) use_limits: BTreeMap<OrganisationName, RateLimit>,
@@ -70,14 +70,14 @@
     }
 }
 
-/// Runs of one adapter at one replica, of this VM's requests.
+/// This VM's use of one adapter at one replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::serving) struct LocalUse {
     pub(in crate::serving) running: u32,
     pub(in crate::serving) started: u32,
 }
 
-/// The beliefs of one VM; tasks take them for a moment at a time.
+/// The state of one VM. Tasks borrow it briefly and never across an await.
 #[derive(Debug)]
 pub(in crate::serving) struct NodeState {
     pub(in crate::serving) active: Option<Rc<ActiveConfig>>,
@@ -90,32 +90,32 @@
     pub(in crate::serving) strain: Strain,
     pub(in crate::serving) turns: Turns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
-    /// Places at our replicas that were granted a moment ago.
+    /// Places at our replicas that were granted recently.
     pub(in crate::serving) reserved: Reserved,
-    /// Leaving replicas that the other VMs are to be told of.
+    /// Leaving replicas to announce to the other VMs.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
-    /// Who waits for news of which of our replicas.
+    /// VMs that wait for changes of our replicas.
     pub(in crate::serving) subscriptions: Subscriptions,
-    /// The newest report of each VM on its requests.
+    /// The incarnation and number of each VM's newest load report.
     pub(in crate::serving) last_reports: BTreeMap<VmName, (Incarnation, u64)>,
-    /// What is known of the store.
+    /// The synchronization state of the store's topics.
     pub(in crate::serving) feeds: Feeds,
-    /// Beacons from other availability zones that are to be passed on.
+    /// Beacons from other availability zones to pass on.
     pub(in crate::serving) relay_queue: BTreeMap<VmName, wire::Beacon>,
-    /// Whether the replicas were listed once.
+    /// Whether the replicas were listed at least once.
     pub(in crate::serving) replicas_listed: bool,
-    /// Within how long changes of keys must be heeded.
+    /// The time limits for applying changes of keys.
     pub(in crate::serving) key_bounds: Bounds,
-    /// When the configuration was surely the newest.
+    /// When the configuration was last proven to be the newest.
     pub(in crate::serving) recency: Recency,
     pub(in crate::serving) witnesses: WitnessQueue,
-    /// What this VM was lent of organisations' limits.
+    /// The shares of organisations' limits lent to this VM.
     pub(in crate::serving) borrower: Borrower,
-    /// What it lends of them.
+    /// The shares of organisations' limits that this VM lends.
     pub(in crate::serving) lender: Lender,
 }
 
-/// The seed of the order in which VMs lend for an organisation.
+/// Returns the seed of the order in which VMs lend for an organisation.
 pub(in crate::serving) fn lender_seed(name: &OrganisationName) -> u64 {
     xxh3_64(name.as_str().as_bytes())
 }
@@ -150,7 +150,7 @@
             borrower: Borrower::default(),
             lender: Lender::new(settings.allowance),
         };
-        // An owner whose replicas check no fences must be heard by each VM.
+        // Without fencing, an owner needs direct acknowledgements from each VM.
         if settings.fencing && settings.experiment.is_enabled(Mechanism::ZoneRelays) {
             beliefs.members.enable_relays(settings.zone.clone());
         }
@@ -159,8 +159,8 @@
         beliefs
     }
 
-    /// Our place in the order in which VMs ask the store about a topic; `None`
-    /// where each asks for itself.
+    /// Returns our position in the polling order of a topic, or `None` where
+    /// each VM polls for itself.
     pub(in crate::serving) fn poll_rank(
         &self,
         now: Moment,
@@ -172,7 +172,7 @@
         shared.then(|| self.members.rank(now, u64::from(topic.number())))
     }
 
-    /// How old what is known of the keys is.
+    /// Returns the age of the key configuration.
     pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> Freshness {
         Freshness {
             proven: self.recency.age(now),
@@ -180,14 +180,14 @@
         }
     }
 
-    /// Whether this VM may serve callers who need a key.
+    /// Whether this VM may serve callers that need a key.
     pub(in crate::serving) fn keys_valid(&mut self, now: Moment) -> bool {
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
         let freshness = self.key_freshness(now);
         !needed || self.key_bounds.holds(&freshness)
     }
 
-    /// Whether it is time to ask the store whether the keys still hold.
+    /// Whether the store must be asked now to prove that the keys are current.
     pub(in crate::serving) fn proof_due(&mut self, now: Moment, rank: Option<u64>) -> bool {
         let Some(revoke) = self.key_bounds.revoke else {
             return false;
@@ -197,7 +197,7 @@
         needed && !rests && self.recency.is_due(now, revoke, rank.unwrap_or(0))
     }
 
-    /// Takes the time that passed into the limits that this VM lends.
+    /// Advances the limits for which this VM is the first lender to `now`.
     pub(in crate::serving) fn update_lender(&mut self, now: Moment) {
         let Some(active) = self.active.clone() else {
             return;
@@ -217,7 +217,8 @@
         self.active.is_some() && self.replicas_listed
     }
 
-    /// Takes a configuration if it is newer than the one in force.
+    /// Applies a configuration. Returns `false` if it is not newer than the one
+    /// in force.
     pub(in crate::serving) fn apply_config(&mut self, config: Config) -> bool {
         let old = self.active.as_ref().map_or(0, |a| a.config.version);
         if config.version <= old {
@@ -231,8 +232,8 @@
         true
     }
 
-    /// Takes a replica's entry in the store; gives whether it changed what
-    /// requests may use.
+    /// Applies a replica's entry from the store. Returns whether it changed
+    /// what requests may use.
     pub(in crate::serving) fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
         let (name, born) = (listing.name.clone(), listing.started_ms);
         if self.fleet.born(&name).is_some_and(|old| old != born) {
@@ -241,7 +242,7 @@
         self.fleet.list(listing)
     }
 
-    /// Takes the whole list of replicas.
+    /// Applies the complete list of replicas.
     pub(in crate::serving) fn apply_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>) {
         for l in &all {
             if self
@@ -255,7 +256,7 @@
         self.fleet.relist(now, all, false);
     }
 
-    /// Whether somebody can load adapters at a replica now.
+    /// Whether the owner of a replica can load adapters there now.
     pub(in crate::serving) fn can_load(
         &self,
         now: Moment,
@@ -264,13 +265,14 @@
     ) -> bool {
         match self.ownership.owner(name) {
             Some(vm) if vm == own => self.ownership.token(now, name).is_some(),
-            // One that waits out the lease before it tells nothing yet.
+            // An owner that waits out the former owner's lease sends no
+            // contents yet.
             Some(vm) => self.members.is_live(now, vm) && self.fleet.has_word(now, name),
             None => false,
         }
     }
 
-    /// Takes the owner table; gives whether it is news.
+    /// Applies the owner table. Returns `false` if it is not newer.
     pub(in crate::serving) fn apply_owner_table(
         &mut self,
         now: Moment,
@@ -289,7 +291,7 @@
         true
     }
 
-    /// A run begins at a replica.
+    /// Counts a run that begins at a replica.
     pub(in crate::serving) fn begin_run(
         &mut self,
         name: &ReplicaName,
@@ -305,14 +307,14 @@
         }
     }
 
-    /// It ended there.
+    /// Counts the end of a run.
     pub(in crate::serving) fn end_run(
         &mut self,
         at: &Instance,
         target: Option<&Target>,
         cost: Load,
     ) {
-        // A replica that has started anew does not count it.
+        // A restarted replica no longer counts the run.
         if !self.fleet.is_current(at) {
             return;
         }
@@ -325,7 +327,8 @@
         }
     }
 
-    /// The uses at a replica to tell its owner; what was begun is told once.
+    /// Takes the uses at a replica to report to its owner. Started runs are
+    /// reported once.
     pub(in crate::serving) fn take_uses(
         &mut self,
         name: &ReplicaName,
@@ -342,14 +345,15 @@
         told
     }
 
-    /// Brings the books in step with what we own.
+    /// Opens books for the replicas that this VM owns and closes the others.
     pub(in crate::serving) fn sync_books(&mut self, now: Moment) {
         let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
             if let Some(listing) = self.fleet.listing(name) {
                 let most = self.fleet.engine_slots(listing);
-                // Plain replicas are owned for the count of their requests.
+                // Replicas without adapter slots need no book: they are owned
+                // to sum their requests.
                 if most > 0 {
                     self.books.open(now, listing, most);
                 }
--- a/lib/src/serving/cluster/subscriptions.rs
+++ b/lib/src/serving/cluster/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Which VMs are told at once what a replica holds.
+//! Tracks which VMs are notified as soon as the contents of a replica change.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,16 +8,16 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How long after its last wish a VM waits for news of a replica: wishes are
-/// renewed more often than that as long as a request waits for a load.
+/// How long a load request subscribes its VM to a replica. A VM repeats the
+/// request more often than that while a request of its own waits for the load.
 const SUBSCRIPTION_TTL: Span = Span::from_millis(1_000);
 
-/// The VMs that wait for loads at the replicas that this VM owns.
+/// The VMs that wait for loads at the replicas owned by this VM.
 ///
-/// Made for large fleets under many loads: a load changes what its replica
-/// holds several times, and only the VMs whose requests wait for it act on
-/// that. The others learn of it with the next beacon. Told to all, the news of
-/// 60 loads a second were 20,000 datagrams a second between 71 VMs.
+/// A load changes the contents of its replica several times, but only the VMs
+/// whose requests wait for it act on that; the others learn of it from the next
+/// beacon. Sending each change to all VMs cost 20,000 datagrams a second
+/// between 71 VMs at 60 loads a second.
 #[derive(Debug, Default)]
 pub struct Subscriptions {
     subscribers: BTreeMap<ReplicaName, BTreeMap<VmName, Moment>>,
@@ -25,8 +25,9 @@
 }
 
 impl Subscriptions {
-    /// A VM wishes for something at a replica; `known` says that it is there
-    /// already, so that the VM's picture is old.
+    /// Subscribes a VM that requested a load at a replica. `known` is set if
+    /// the adapter is loaded or loading already: the VM's view is out of date
+    /// then, and it is notified at once.
     pub fn subscribe(&mut self, now: Moment, vm: &VmName, replica: &ReplicaName, known: bool) {
         let asked = self.subscribers.entry(replica.clone()).or_default();
         asked.insert(vm.clone(), now);
@@ -35,7 +36,7 @@
         }
     }
 
-    /// What a replica holds changed.
+    /// Records that the contents of a replica changed.
     pub fn record_change(&mut self, now: Moment, replica: &ReplicaName) {
         let Some(asked) = self.subscribers.get_mut(replica) else {
             return;
@@ -53,7 +54,7 @@
         owed.insert(replica.clone());
     }
 
-    /// Whom to tell of which replicas; each is told once.
+    /// Takes the pending notifications: the changed replicas for each VM.
     pub fn take_pending(&mut self) -> BTreeMap<VmName, BTreeSet<ReplicaName>> {
         std::mem::take(&mut self.pending)
     }
--- a/lib/src/serving/cluster/topic.rs
+++ b/lib/src/serving/cluster/topic.rs
@@ -1,10 +1,10 @@
-//! The kinds of objects in the store that VMs follow, and when each is asked about.
+//! The kinds of stored objects that VMs follow, and how each is polled.
 
 use std::time::Duration;
 
 use crate::pool::Span;
 
-/// A kind of objects that every VM follows.
+/// A kind of stored objects that every VM follows.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Topic {
     /// The configuration.
@@ -13,111 +13,113 @@
     Replicas,
     /// Announced adapter versions.
     Versions,
-    /// Our own objects: VMs and the owner table.
+    /// The fleet's own objects: VM entries and the owner table.
     Cluster,
 }
 
 impl Topic {
-    /// All of them.
+    /// All topics.
     pub const ALL: [Self; 4] = [Self::Config, Self::Replicas, Self::Versions, Self::Cluster];
 
-    /// Its number between VMs, and the seed of the order in which they ask.
+    /// Returns the number of the topic in messages, which also seeds its
+    /// polling order.
     pub fn number(self) -> u32 {
         self as u32 + 1
     }
 
-    /// The topic of a number.
+    /// Returns the topic with this number.
     pub fn from_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|t| t.number() == number)
     }
 }
 
-/// How a topic is asked about.
+/// How a topic is polled.
 #[derive(Clone, Copy, Debug)]
 pub struct PollPolicy {
-    /// Within how long a change is to be known everywhere.
+    /// The time within which all VMs must know a change.
     pub max_staleness: Span,
-    /// The longest that a question of a VM that asks for itself alone waits for
-    /// a change; less where the bound asks for it.
+    /// The longest watch of a VM that polls for itself; it is shorter if
+    /// `max_staleness` requires it.
     pub max_solo_wait: Duration,
-    /// The pause after an answer with changes, of such a VM: changes in quick
-    /// succession cost one call.
+    /// The pause of such a VM after an answer with changes, so that changes in
+    /// quick succession cost one call.
     pub solo_pause: Duration,
-    /// The same, of a VM that asks for all.
+    /// The same pause for a VM that polls for all.
     pub shared_pause: Duration,
     /// Whether objects are ever removed.
     pub has_removals: bool,
 }
 
-/// How much longer than it should a call may take; the store answers in
+/// The timeout of a call beyond its wait; the store usually answers in
 /// milliseconds.
 pub(in crate::serving) const CALL_MARGIN: Duration = Duration::from_millis(900);
 
-/// The time for a question that is asked again after one that was given up:
-/// the pause before it, and its answer.
+/// The time reserved to repeat a watch that was given up: the pause before it
+/// and its answer.
 const RETRY_RESERVE: Duration = Duration::from_millis(200);
 
-/// The part of the bound that a question waits for a change. The one who asks
-/// for all tells with each answer that nothing else changed; with a beacon's
-/// pause and a lost one on top that is known everywhere before others ask.
+/// The fraction of `max_staleness` that a shared watch waits. Each answer also
+/// proves that nothing else changed, and with a beacon interval and one lost
+/// beacon on top all VMs know it before they would poll.
 const WATCH_FRACTION: f64 = 0.2;
 
-/// The part of the bound after which a VM that hears no news asks the store
-/// itself: the rest is for its call, and for one that has to be repeated.
+/// The fraction of `max_staleness` after which a VM without updates polls the
+/// store itself. The rest is for its call and for one repetition.
 const MAX_AGE_FRACTION: f64 = 0.6;
 
-/// The part of the bound over which the questions of VMs that hear nothing are
-/// spread: the first ones' answers spare the others theirs.
+/// The fraction of `max_staleness` over which these polls are staggered: the
+/// answers to the first ones make the others unnecessary.
 const STAGGER_FRACTION: f64 = 0.2;
 
-/// VMs in the order of asking after which the spread grows no more.
+/// The position in polling order after which the stagger stops growing.
 const MAX_STAGGER_RANK: u64 = 16;
 
-/// The pause after a call that failed; it doubles up to the longest.
+/// The pause after the first failed call; it doubles up to `MAX_BACKOFF`.
 const MIN_BACKOFF: Span = Span::from_millis(100);
 
-/// Doublings after which that pause is the longest anyway.
+/// The number of doublings after which the pause exceeds `MAX_BACKOFF` in any
+/// case.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// The longest pause of the first VMs in the order of asking: the store's
-/// return is noticed within it, and told to the others.
+/// The longest pause of the first VMs in polling order. They notice the return
+/// of the store within this time and inform the others.
 const MAX_BACKOFF: Span = Span::from_millis(800);
 
-/// VMs that look for the store's return so often: any of them may be cut off.
+/// How many VMs retry at that pace, as any of them may be partitioned.
 const FAST_RETRY_VMS: u64 = 3;
 
-/// The part of the bound that the others pause, who mostly hear of its return:
-/// all of a large fleet asking in vain at the pace of the first ones would be
-/// most of what its calls cost. With the spread and the time that a call may
-/// take, a VM that the store turned away, and that hears nothing of use, still
-/// knows a change within its bound.
+/// The fraction of `max_staleness` that the other VMs pause, which mostly learn
+/// of the store's return from the first ones. If all VMs of a large fleet
+/// retried at the same pace, failing calls would be most of the cost of
+/// polling. With the stagger and the call timeout, a VM that the store rejected
+/// and that gets no useful updates still learns of a change in time.
 const SLOW_RETRY_FRACTION: f64 = 0.3;
 
 impl PollPolicy {
-    /// How long a question of the VM that asks for all waits for a change.
+    /// Returns the wait of a watch on behalf of all VMs.
     pub(super) fn shared_wait(&self) -> Duration {
         Duration::from_micros(self.fraction(WATCH_FRACTION).0)
     }
 
-    /// How long a question of a VM that asks for itself waits: one that went
-    /// into a silent connection is given up and asked again within the bound.
+    /// Returns the wait of a watch by a VM that polls for itself. A watch on a
+    /// dead connection is given up and repeated within `max_staleness`.
     pub(super) fn solo_wait(&self) -> Duration {
         let reserve = CALL_MARGIN + RETRY_RESERVE;
         let most = Duration::from_micros(self.max_staleness.0).saturating_sub(reserve);
         self.max_solo_wait.min(most.max(self.shared_wait()))
     }
 
-    /// How old its knowledge is when the VM at this place in the order asks.
+    /// Returns the age of the state at which the VM at this position polls.
     pub(super) fn max_age(&self, rank: u64) -> Span {
         Span(self.fraction(MAX_AGE_FRACTION).0 + self.stagger(rank).0)
     }
 
-    /// How much later than the first ones a VM asks.
+    /// Returns the delay of the VM at this position against the first ones.
     pub(super) fn stagger(&self, rank: u64) -> Span {
         Span(self.fraction(STAGGER_FRACTION).0 * rank.min(MAX_STAGGER_RANK) / MAX_STAGGER_RANK)
     }
 
-    /// The pause after the last of so many failed calls in a row.
+    /// Returns the pause after a failed call that followed `failures` others.
     pub(super) fn retry_backoff(&self, rank: Option<u64>, failures: u32) -> Span {
         match rank {
             Some(rank) if rank >= FAST_RETRY_VMS => {
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -1,23 +1,24 @@
-//! What VMs tell each other of the store.
+//! Messages by which VMs share changes of stored objects.
 
 use crate::pool::Moment;
 use crate::serving::store::port::Item;
 
-/// A change that VMs tell each other.
+/// A change of a stored object, as VMs share it.
 #[derive(Clone, Debug)]
 pub struct TopicChange {
-    /// The object, as it is or as it last was.
+    /// The object, or its last state if it was removed.
     pub item: Item,
     /// Whether it was removed.
     pub removed: bool,
-    /// Whether that may be so because the store was away: it may come back.
+    /// Whether the removal may be due to an outage of the store, so that the
+    /// object may come back.
     pub lapsed: bool,
-    /// Its content as it is told, once it is kept to be told.
+    /// The compressed content, set once the change is shared.
     pub compressed: Vec<u8>,
 }
 
 impl TopicChange {
-    /// A change that is not told yet.
+    /// Creates a change that is not shared yet.
     pub fn new(item: Item, removed: bool, lapsed: bool) -> Self {
         Self {
             item,
@@ -28,37 +29,37 @@
     }
 }
 
-/// What one VM tells of a topic.
+/// An update on a topic from one VM.
 #[derive(Clone, Debug)]
 pub struct TopicUpdate {
-    /// The store's revision up to which it knows all.
+    /// The store revision up to which the sender knows all changes.
     pub revision: u64,
-    /// When that was so, on our clock.
+    /// When that was the newest revision, by our clock.
     pub as_of: Moment,
-    /// The changes follow on from this revision.
+    /// `changes` has all changes after this revision.
     pub since: u64,
     /// The changes.
     pub changes: Vec<TopicChange>,
 }
 
-/// A span of the store's history that a list stepped over. What was there only
-/// within it is not known: who knows a revision within it cannot follow on by
-/// what is told of the changes.
+/// A range of revisions that a list skipped. Objects that existed only within
+/// it are unknown, so a VM whose state is inside the range cannot continue from
+/// the changes shared.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SkippedRange {
-    /// All was known up to this revision.
+    /// The last revision known before the range.
     pub from: u64,
-    /// And again from this one on.
+    /// The first revision known after it.
     pub to: u64,
 }
 
 impl SkippedRange {
-    /// Whether a revision lies within it.
+    /// Whether a revision lies within the range.
     pub(super) fn contains(self, revision: u64) -> bool {
         self.from < revision && revision < self.to
     }
 
-    /// Both, and what lies between them.
+    /// Returns the range that covers both and everything between them.
     pub(super) fn merge(self, other: Self) -> Self {
         Self {
             from: self.from.min(other.from),
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -1,16 +1,16 @@
-//! The request path of a VM that decides and sends for itself.
+//! The request path of a VM, which routes and dispatches requests by itself.
 //!
-//! | folder | what is in it |
+//! | folder | contents |
 //! |---|---|
-//! | `path` | the path of a request; start at `path/serve.rs` |
-//! | `decisions` | what is decided, without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed try), [`Budget`] (how often), [`Books`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (whose request it is), [`quota`] (whether its organisation may use more) |
-//! | `cluster` | what is believed: [`Feed`] (of the store), [`Members`] (of the VMs), [`Ownership`] (of who may order what) |
-//! | `peers` | what VMs tell each other |
-//! | `store` | the store's port, and who follows it |
+//! | `path` | the path of a request, starting at `path/serve.rs` |
+//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`Budget`] (how many retries are allowed), [`Books`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
+//! | `cluster` | what the VM knows: [`Feed`] (of the stored objects), [`Members`] (of the VMs), [`Ownership`] (of who may give orders to which replica) |
+//! | `peers` | messages between VMs |
+//! | `store` | the interface of the store, and the tasks that follow it |
 //! | `program` | settings, start and stop |
 //!
-//! How requests, replicas and the store speak is a [`Codec`]'s and a
-//! [`Store`]'s matter.
+//! A [`Codec`] and a [`Store`] adapt it to the protocols of requests, replicas
+//! and the store.
 
 mod cluster;
 mod decisions;
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -1,5 +1,5 @@
-//! Datagrams between the VMs: beacons and wishes; [`crate::serving::peers::load_reports`] has what
-//! they say of requests under way.
+//! Sends and receives the datagrams between VMs;
+//! [`crate::serving::peers::load_reports`] has the reports of load in them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,17 +32,17 @@
 use crate::serving::program::node::now;
 use crate::serving::store::follow;
 
-/// The least time between two beacons that carry news.
+/// The minimum interval between two beacons that carry changes.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(30);
 
-/// For how long a strike is told again: lost datagrams are made good.
+/// How long a strike is repeated in beacons, to make up for lost datagrams.
 const STRIKE_TTL: Span = Span::from_millis(5_000);
 
-/// The longest datagram that is read.
+/// The largest datagram accepted.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Tells all others what this VM owns and has seen break, and the owners of
-/// replicas what it has under way there.
+/// Sends beacons until the process ends: the state of the replicas that this VM
+/// owns to all VMs, and its load on replicas to their owners.
 pub(in crate::serving) async fn send_beacons(node: Rc<Node>) {
     let mut number = 0;
     let mut phase = node.phase();
@@ -68,8 +68,8 @@
     }
 }
 
-/// Tells the VMs that wait what our replicas hold, and all which are leaving,
-/// or that this VM begins to stop.
+/// Sends the contents of changed replicas to the subscribed VMs, and to all VMs
+/// which replicas are leaving and that this VM stops.
 async fn send_updates(node: &Node, number: &mut u64, stops: bool) {
     let mut sendings = Vec::new();
     {
@@ -78,7 +78,7 @@
         let now = now();
         for name in state.books.take_changed() {
             state.subscriptions.record_change(now, &name);
-            // This VM believes it as well.
+            // Also apply it here.
             if let Some(held) = state.books.held(&name) {
                 state.fleet.hear_book(now, &name, held);
             }
@@ -116,7 +116,7 @@
 
 pub(in crate::serving) async fn send(node: &Node, bytes: &[u8], address: SocketAddr) {
     if let Err(e) = node.socket.send_to(bytes, address).await {
-        // The next one makes it good.
+        // The next beacon makes up for it.
         slog::debug!(node.log, "datagram not sent"; "to" => %address, "error" => %e);
     }
 }
@@ -136,7 +136,7 @@
     }
 }
 
-/// What every VM is told in one beat.
+/// Builds the part of a beacon that is the same for all VMs.
 fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
     let names: Vec<_> = state.books.names().cloned().collect();
     state.books.take_changed();
@@ -169,7 +169,7 @@
     told
 }
 
-/// The datagrams of one beat.
+/// Builds the datagrams for one beacon interval.
 fn full_beacons(node: &Node, state: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
     let told = common_beacon(node, state, now, number);
@@ -185,8 +185,8 @@
     let names = state.local_uses.keys().chain(state.fleet.to_report());
     let names = names.cloned().collect();
     let mut flights = load_reports::flights_by_owner(node, state, now, names);
-    // What is the same for all is encoded once; each receiver's own part
-    // follows it, as messages can be joined.
+    // The common part is encoded once. Protobuf messages are merged when
+    // concatenated, so each receiver's own part follows it.
     let common = encode(told);
     let mut sendings = Vec::new();
     for (vm, address) in peers {
@@ -208,7 +208,7 @@
     datagram.encode_to_vec()
 }
 
-/// What a replica of ours holds.
+/// Encodes the contents of a replica owned by this VM.
 fn encode_book(state: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
     let held = state.books.held(name)?;
     let token = state.ownership.token(now, name)?;
@@ -229,14 +229,14 @@
     })
 }
 
-/// Takes in datagrams until the process ends.
+/// Receives datagrams until the process ends.
 pub(in crate::serving) async fn receive(node: Rc<Node>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match node.socket.recv_from(&mut buffer).await {
             Ok(read) => read,
             Err(e) => {
-                slog::debug!(node.log, "datagram not read"; "error" => %e);
+                slog::debug!(node.log, "datagram not received"; "error" => %e);
                 tokio::time::sleep(MIN_UPDATE_INTERVAL).await;
                 continue;
             }
@@ -257,7 +257,9 @@
             Ok(Some(Body::TurnAsk(ask))) => prefill::handle_turn_ask(&node, &ask),
             Ok(Some(Body::TurnGrant(grant))) => node.turn_calls.complete(grant.number, ()),
             Ok(Some(Body::TurnEnd(end))) => prefill::handle_turn_end(&node, &end),
-            Ok(None) | Err(_) => slog::debug!(node.log, "unknown datagram"; "from" => %from),
+            Ok(None) | Err(_) => {
+                slog::debug!(node.log, "unknown datagram ignored"; "from" => %from)
+            }
         }
     }
 }
@@ -281,7 +283,7 @@
     {
         return;
     }
-    // One that was passed on comes from another VM's address.
+    // A relayed beacon arrives from the address of the relay.
     let address = beacon.address.parse().unwrap_or(from);
     state.members.set_address(vm.clone(), address);
     if let Ok(zone) = beacon.zone.parse() {
@@ -296,7 +298,7 @@
         if let Some(replica) = parse_instance(&l.replica, l.born)
             && state.fleet.leave(&replica)
         {
-            slog::info!(node.log, "replica"; "replica" => &l.replica, "draining" => true,
+            slog::info!(node.log, "replica changed"; "replica" => &l.replica, "draining" => true,
                 "told_by" => vm.as_str());
         }
     }
@@ -333,7 +335,7 @@
     }
 }
 
-/// A start of a replica by its parts; `None` if that is no name.
+/// Parses an instance of a replica; `None` if the name is invalid.
 pub(in crate::serving) fn parse_instance(name: &str, born: u64) -> Option<Instance> {
     let name = name.parse().ok()?;
     Some(Instance {
@@ -342,7 +344,7 @@
     })
 }
 
-/// The replica that a word is about, if it has not started anew since.
+/// Returns the name of a replica unless it has restarted since `born`.
 pub(in crate::serving) fn current_replica(
     state: &NodeState,
     name: &str,
@@ -356,7 +358,8 @@
     let Some(name) = current_replica(state, &book.replica, book.born) else {
         return;
     };
-    // One that lost the replica and has not heard of it speaks no more for it.
+    // A former owner that does not know of its loss no longer speaks for the
+    // replica.
     if state
         .ownership
         .owner(&name)
@@ -381,7 +384,7 @@
     state.fleet.hear_book(now, &name, held);
 }
 
-/// Asks the owner of a replica to load an adapter there.
+/// Requests a load of an adapter from the owner of a replica.
 pub(in crate::serving) async fn request_load(node: &Node, replica: &ReplicaName, target: &Target) {
     let address = {
         let mut state = node.state();
--- a/lib/src/serving/peers/compression.rs
+++ b/lib/src/serving/peers/compression.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of the store, packed.
+//! Compresses the stored objects that VMs share.
 
 use std::io::Read;
 use std::io::Write;
@@ -7,14 +7,15 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// The longest text that is unpacked: an object of the store is a megabyte at
-/// most.
+/// The largest decompressed text; an object of the store has at most 1 MiB.
 const MAX_TEXT_BYTES: u64 = 1 << 20;
 
-/// Packs a text. Unpacked, the copies of a configuration of 6 KB for the 38
-/// other VMs of a zone take a link of 20 Mbit/s for 0.09 s, and most were lost
-/// beside all else: 175 of 195 VMs then read it from the store by themselves, in
-/// one day at that size; packed, the day's calls to the store fell from 2,366 to
+/// Compresses a text.
+///
+/// Uncompressed, the copies of a 6 KB configuration for the 38 other VMs of a
+/// zone occupy a 20 Mbit/s link for 0.09 s, and most were lost in the other
+/// traffic. In one day at that size, 175 of 195 VMs read it from the store
+/// themselves; compression reduced the day's calls to the store from 2,366 to
 /// 1,589.
 ///
 /// ```
@@ -25,13 +26,13 @@
 /// ```
 pub fn compress(text: &str) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
-    // Writing to memory does not fail; if it did, nothing could be unpacked
-    // and its receiver would ask the store.
+    // Writing to memory cannot fail. If it did, the receiver could not
+    // decompress the result and would poll the store.
     let written = encoder.write_all(text.as_bytes());
     written.and_then(|()| encoder.finish()).unwrap_or_default()
 }
 
-/// Unpacks a text; `None` if that is none, or too long.
+/// Decompresses a text; `None` if it is invalid or too long.
 pub fn decompress(bytes: &[u8]) -> Option<String> {
     let mut text = String::new();
     let mut decoder = DeflateDecoder::new(bytes).take(MAX_TEXT_BYTES + 1);
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -1,5 +1,5 @@
-//! What VMs have under way at which replica: reported to the owners, summed
-//! by them, told to all.
+//! Reports the load that each VM puts on replicas. Owners add up the reports
+//! and send the totals to all VMs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,13 +25,13 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// The pause between two reports to the owners of replicas: a few engine steps,
-/// so that what is sent in one moment is told at once.
+/// The interval between reports to owners: a few engine steps, so that requests
+/// sent together are reported together.
 const REPORT_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Tells the owners of replicas soon what changed there of this VM's requests,
-/// until the process ends. What an owner tells all others is then older by its
-/// own beat only, and a burst at one VM is not added to by the others.
+/// Reports changes of this VM's load to the owners of replicas until the
+/// process ends. The totals that an owner sends are then only as old as its own
+/// beacon interval, and other VMs do not add to a burst from one VM.
 pub(in crate::serving) async fn send_reports(node: Rc<Node>) {
     if !node.settings.experiment.is_enabled(Mechanism::EarlyReports) {
         return;
@@ -55,7 +55,7 @@
     }
 }
 
-/// A report to the owner of these replicas.
+/// Encodes a report to one owner.
 fn encode_report(node: &Node, flights: Vec<wire::Flight>, complete: bool) -> Vec<u8> {
     let report = wire::FlightReport {
         vm: node.settings.vm.to_string(),
@@ -70,8 +70,8 @@
     datagram.encode_to_vec()
 }
 
-/// All that this VM has under way, for each owner that it concerns; the counts
-/// of others lapse there.
+/// Builds the complete reports of this VM, one for each owner concerned. An
+/// owner drops the counts that a complete report leaves out.
 pub(in crate::serving) fn full_reports(
     node: &Node,
     state: &mut NodeState,
@@ -87,7 +87,7 @@
     reports.collect()
 }
 
-/// What this VM has under way at some replicas, by their owners.
+/// Returns this VM's load on the named replicas by owner.
 pub(in crate::serving) fn flights_by_owner(
     node: &Node,
     state: &mut NodeState,
@@ -122,7 +122,7 @@
     flights
 }
 
-/// What all VMs have under way at a replica of ours.
+/// Returns the load of all VMs on a replica that this VM owns.
 pub(in crate::serving) fn total_load(
     state: &NodeState,
     now: Moment,
@@ -132,7 +132,7 @@
     encode_load(state, name, load)
 }
 
-/// A load at a replica, for other VMs.
+/// Encodes the load on a replica for other VMs.
 pub(in crate::serving) fn encode_load(
     state: &NodeState,
     name: &ReplicaName,
@@ -156,7 +156,7 @@
     uses.collect()
 }
 
-/// An owner tells what all VMs have under way at its replica.
+/// Applies the total load of a replica sent by `vm` if that is its owner.
 pub(in crate::serving) fn handle_load(
     state: &mut NodeState,
     now: Moment,
@@ -169,7 +169,7 @@
     }
 }
 
-/// The owner of a replica says what all VMs have under way there.
+/// Applies the total load of a replica.
 pub(in crate::serving) fn apply_total(
     state: &mut NodeState,
     now: Moment,
@@ -185,7 +185,7 @@
     }
 }
 
-/// A VM tells what changed of its requests at replicas of ours.
+/// Handles a report from a VM on its load on our replicas.
 pub(in crate::serving) fn handle_report(node: &Node, report: &wire::FlightReport) {
     let Ok(vm) = report.vm.parse::<VmName>() else {
         return;
@@ -206,7 +206,7 @@
     }
 }
 
-/// A VM tells all that it has under way at replicas of ours.
+/// Applies the complete load of a VM on our replicas.
 pub(in crate::serving) fn apply_counts(
     state: &mut NodeState,
     now: Moment,
@@ -217,7 +217,8 @@
     state.fleet.hear_counts(now, vm, &counts);
 }
 
-/// A VM's loads at replicas of ours; the books learn of its uses.
+/// Records the adapter uses in the books and returns the VM's load on each of
+/// our replicas.
 fn apply_flights(
     state: &mut NodeState,
     now: Moment,
--- a/lib/src/serving/peers/mod.rs
+++ b/lib/src/serving/peers/mod.rs
@@ -1,4 +1,5 @@
-//! What VMs tell each other: beacons, reports on requests, confirmations.
+//! Messages between VMs: beacons, load reports and confirmations of the owner
+//! table.
 
 pub(super) mod beacons;
 pub(super) mod compression;
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -1,4 +1,4 @@
-//! Beacons that cross between availability zones once, and are passed on there.
+//! Relays beacons, which cross to each other availability zone only once.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,9 @@
 use crate::serving::cluster::state::NodeState;
 use crate::serving::peers::beacons::encode;
 
-/// The datagrams of a beat: what this VM tells goes to each VM of its zone,
-/// with what is to be passed on there, and to one VM in each other zone.
+/// Builds the datagrams for one beacon interval: a bundle of our beacon and
+/// those to pass on for each VM of our zone, and our beacon for one VM in each
+/// other zone.
 pub(in crate::serving) fn relay_datagrams(
     state: &mut NodeState,
     now: Moment,
@@ -38,8 +39,8 @@
     near.chain(far.map(|at| (crossing.clone(), at))).collect()
 }
 
-/// A beacon is to be passed on with our next beat; a newer one of the same VM
-/// takes its place.
+/// Queues a beacon to be passed on with our next one. It replaces an older one
+/// of the same VM.
 pub(in crate::serving) fn enqueue(state: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
     beacon.pass_on = false;
     state.relay_queue.insert(vm, beacon);
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -1,5 +1,6 @@
-//! Keeps this VM in office where replicas check no fences: asks the store
-//! whether the owner table is still the newest, and tells the others.
+//! Keeps the ownerships of this VM valid where replicas check no fencing
+//! tokens: confirms with the store that the owner table is the newest and
+//! informs the other VMs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,17 +20,16 @@
 use crate::serving::store::follow::with_timeout;
 use crate::serving::store::port::Consistency;
 
-/// How often it is looked whether to ask.
+/// The interval between checks whether a confirmation is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after a question that had no answer.
+/// The pause after a failed confirmation.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long the store waits for news before it answers: it is only asked for
-/// what is there.
+/// The wait of a watch that only asks for existing changes.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
 
-/// Asks the store as long as the process lives.
+/// Confirms the owner table until the process ends.
 pub(in crate::serving) async fn renew(node: Rc<Node>) {
     if node.settings.fencing {
         return;
@@ -43,13 +43,13 @@
             continue;
         }
         if let Err(e) = confirm_table(&node, &mut since).await {
-            slog::info!(node.log, "owners not confirmed"; "error" => %e);
+            slog::info!(node.log, "owner table not confirmed"; "error" => %e);
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether the confirmation is so old that this VM asks itself.
+/// Whether this VM should confirm the table itself.
 fn is_due(node: &Node) -> bool {
     let state = node.state();
     let at = now();
@@ -58,7 +58,7 @@
     state.ownership.should_confirm(at, rank.unwrap_or(0))
 }
 
-/// Asks for what changed since the last answer.
+/// Reads the changes since the last answer and records the confirmation.
 async fn confirm_table(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
     let kind = node.border.kinds.internal;
     let asked = now();
@@ -85,8 +85,7 @@
     Ok(())
 }
 
-/// Whether the VM was in office when it was last looked; a change is worth a
-/// line.
+/// Whether the ownerships were valid at the last check, to log changes.
 #[derive(Default)]
 struct ValidityLog(bool);
 
@@ -102,13 +101,13 @@
         if std::mem::replace(&mut self.0, holds) != holds {
             let age = state.ownership.confirmed().map(|c| at.since(c).as_millis());
             let vouched = vouched.map(|until| until.since(at).as_millis());
-            slog::info!(node.log, "office"; "holds" => holds, "confirmed_ms" => age,
+            slog::info!(node.log, "ownership validity changed"; "holds" => holds, "confirmed_ms" => age,
                 "vouched_ms" => vouched, "revision" => state.ownership.revision);
         }
     }
 }
 
-/// What is told a VM of its last beacon.
+/// Returns the acknowledgement of the last beacon of a VM.
 pub(in crate::serving) fn echo_for(
     node: &Node,
     state: &NodeState,
@@ -125,7 +124,7 @@
     })
 }
 
-/// Takes what a beacon says of the owner table and of our own beacons.
+/// Handles the owner table revision and the acknowledgement in a beacon.
 pub(in crate::serving) fn handle_beacon(
     node: &Node,
     state: &mut NodeState,
@@ -134,7 +133,8 @@
     beacon: &wire::Beacon,
 ) {
     let newer = beacon.owners > 0 && state.ownership.record_peer_revision(at, vm, beacon.owners);
-    // Where replicas check fences the news of the store is soon enough.
+    // Where replicas check fencing tokens, the next update of the store is soon
+    // enough.
     if newer && !node.settings.fencing {
         node.owners_wake.notify_one();
     }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -1,4 +1,4 @@
-//! What news from the store changes in a VM's beliefs.
+//! Applies objects that were read from the store to the state of a VM.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 /// The name of the owner table in the store.
 pub(in crate::serving) const OWNER_TABLE: &str = "owners";
 
-/// What the names of VMs' entries begin with.
+/// The prefix of the names of VM entries.
 pub(in crate::serving) const VM_PREFIX: &str = "vm.";
 
 /// A VM's entry in the store.
@@ -27,21 +27,21 @@
 pub(in crate::serving) struct VmEntry {
     pub(in crate::serving) vm: VmName,
     pub(in crate::serving) address: SocketAddr,
-    /// Its availability zone; entries of before had none.
+    /// The availability zone of the VM; entries of earlier releases have none.
     #[serde(default)]
     pub(in crate::serving) zone: Option<ZoneName>,
 }
 
-/// What a follower hears of the store.
+/// An update of a topic.
 pub(in crate::serving) enum StoreUpdate<'a> {
-    /// All objects of a topic.
+    /// All objects of the topic.
     List(&'a [Item]),
-    /// One object changed, or was removed.
+    /// One object that changed or was removed.
     Change(&'a TopicChange),
 }
 
 impl StoreUpdate<'_> {
-    /// The objects that are there, as far as this tells.
+    /// Returns the objects that exist according to the update.
     fn items(&self) -> &[Item] {
         match self {
             Self::List(items) => items,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Takes a configuration; the operator replaces it and never takes it away.
+/// Applies a configuration. The operator replaces it and never removes it.
 pub(in crate::serving) fn apply_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
         match (node.border.parse_config)(item) {
@@ -66,29 +66,29 @@
                     "revision" => item.revision, "in_force" => taken);
             }
             Err(e) => {
-                // Keys that it takes away are not known.
+                // It may revoke keys that this VM still accepts.
                 node.state().recency.set_readable(false);
-                slog::error!(node.log, "bad configuration"; "error" => %e);
+                slog::error!(node.log, "configuration not decoded"; "error" => %e);
             }
         }
     }
     !news.items().is_empty()
 }
 
-/// Takes entries of replicas; gives whether one says more than which adapters
-/// it holds.
+/// Applies replica entries. Returns whether one changed in more than the
+/// adapters that it holds.
 pub(in crate::serving) fn apply_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
         let listing = (node.border.parse_replica)(item);
         listing.map_err(|e| {
-            slog::error!(node.log, "bad replica"; "name" => &item.name, "error" => %e);
+            slog::error!(node.log, "replica entry not decoded"; "name" => &item.name, "error" => %e);
         })
     };
     match news {
         StoreUpdate::List(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
-            slog::info!(node.log, "replicas"; "count" => all.len());
+            slog::info!(node.log, "replicas listed"; "count" => all.len());
             let mut state = node.state();
             state.apply_listings(at, all);
             state.replicas_listed = true;
@@ -97,7 +97,7 @@
         StoreUpdate::Change(told) if told.lapsed => {
             if let Ok(name) = told.item.name.parse::<ReplicaName>() {
                 node.state().fleet.lapse(at, &name);
-                slog::info!(node.log, "replica lapsed"; "replica" => name.as_str(),
+                slog::info!(node.log, "replica entry missing after a store outage"; "replica" => name.as_str(),
                     "revision" => told.item.revision);
             }
             true
@@ -108,7 +108,7 @@
         }
         StoreUpdate::Change(told) => match read(&told.item) {
             Ok(listing) => apply_replica(node, &told.item, listing),
-            // It names no replica to use, whatever it named before.
+            // An entry that cannot be decoded names no usable replica.
             Err(()) => {
                 remove_replica(node, &told.item, "unreadable");
                 true
@@ -123,7 +123,7 @@
     let news = node.state().fleet.is_news(&listing);
     let changed = node.state().apply_listing(listing);
     if changed {
-        slog::info!(node.log, "replica"; "replica" => name.as_str(),
+        slog::info!(node.log, "replica changed"; "replica" => name.as_str(),
                         "draining" => draining, "born" => born, "revision" => item.revision);
     }
     news
@@ -139,7 +139,8 @@
     }
 }
 
-/// The other VMs hear at once of a replica that this VM read to be leaving.
+/// Announces a replica that this VM read to be leaving to the other VMs at
+/// once.
 pub(in crate::serving) fn announce_leaving(node: &Node, told: &TopicChange) {
     let Ok(name) = told.item.name.parse::<ReplicaName>() else {
         return;
@@ -158,7 +159,7 @@
     node.beacon_wake.notify_one();
 }
 
-/// Takes announced versions.
+/// Applies announced versions.
 pub(in crate::serving) fn apply_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
     for item in news.items() {
         match (node.border.parse_version)(item) {
@@ -168,14 +169,16 @@
                         "version" => a.version, "revision" => item.revision);
                 }
             }
-            Err(e) => slog::error!(node.log, "bad version"; "name" => &item.name, "error" => %e),
+            Err(e) => {
+                slog::error!(node.log, "announced version not decoded"; "name" => &item.name, "error" => %e)
+            }
         }
     }
     node.orders_wake.notify_one();
     !news.items().is_empty()
 }
 
-/// Takes our own objects: VMs and the owner table.
+/// Applies VM entries and the owner table.
 pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
     news.items()
         .iter()
@@ -189,14 +192,14 @@
         && let Ok(vm) = vm.parse::<VmName>()
     {
         node.state().members.remove(&vm);
-        slog::info!(node.log, "vm gone"; "vm" => vm.as_str());
+        slog::info!(node.log, "vm entry removed"; "vm" => vm.as_str());
     }
     true
 }
 
 fn apply_cluster_item(node: &Node, item: &Item) {
     let bad = |e: serde_json::Error| {
-        slog::error!(node.log, "bad entry"; "name" => &item.name, "error" => %e);
+        slog::error!(node.log, "entry not decoded"; "name" => &item.name, "error" => %e);
     };
     if item.name == OWNER_TABLE {
         match serde_json::from_str::<OwnerTable>(item.spec.get()) {
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the kinds of objects in the store that a VM must know: asks the
-//! store, or hears from the VM that does.
+//! Follows the stored objects that each VM must know, by polling the store or
+//! by updates from the VM that polls it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,35 +32,35 @@
 use crate::serving::store::port::Item;
 use crate::serving::store::port::Page;
 
-/// How often a VM that has nothing to ask looks whether it is its turn.
+/// How often a VM that does not poll checks whether it should.
 const IDLE_CHECK_INTERVAL: Span = Span::from_millis(500);
 
-/// The part of the time that a leaving replica may still get requests, after
-/// which a VM that asks for itself alone reads the entries again at the latest:
-/// some change with each heartbeat.
+/// The fraction of the drain time after which a VM that polls for itself reads
+/// the replicas' entries again. Each heartbeat of a replica changes an entry,
+/// so an answer always has changes and the pause sets the pace.
 const REPLICA_PAUSE_FRACTION: f64 = 0.75;
 
-/// The part of the time within which a version must be used everywhere that
-/// may pass until all know of it: the replicas have yet to load it.
+/// The fraction of the time for renewing a version within which all VMs must
+/// know it. The rest is for the replicas to load it.
 const VERSION_FRACTION: f64 = 0.5;
 
-/// Within how long a change of owners is known everywhere: beacons tell who
-/// lives, and until then an adapter is loaded at another replica.
+/// The time within which all VMs must know a change of owners. Beacons show
+/// which VMs are alive, and until the change is known an adapter can be loaded
+/// at another replica.
 const CLUSTER_STALENESS: Span = Span::from_millis(6_000);
 
-/// VMs that were heard so lately are told when the configuration was the newest
-/// after their last beacon.
+/// How recently a VM must have sent a beacon to be sent a witness.
 const WITNESS_WINDOW: Span = Span::from_millis(4_000);
 
-/// How a topic is asked about.
+/// Returns how a topic is polled.
 pub(in crate::serving) fn poll_policy(settings: &ServeSettings, topic: Topic) -> PollPolicy {
     let millis = Duration::from_millis;
     match topic {
         Topic::Config => PollPolicy {
             max_staleness: to_span(settings.config_apply),
             max_solo_wait: millis(4_500),
-            // Less than versions may take to be in force, and more than the
-            // pause between them in a storm.
+            // Less than the time for a version to take effect, and more than
+            // the pause between changes in a burst.
             solo_pause: millis(250),
             shared_pause: millis(150),
             has_removals: false,
@@ -75,7 +75,7 @@
         Topic::Versions => PollPolicy {
             max_staleness: to_span(settings.version_apply.mul_f64(VERSION_FRACTION)),
             max_solo_wait: millis(8_000),
-            // They come by the dozen.
+            // Versions are announced in batches of a dozen or more.
             solo_pause: millis(1_000),
             shared_pause: millis(250),
             has_removals: false,
@@ -90,7 +90,7 @@
     }
 }
 
-/// The store's name for a topic.
+/// Returns the name of a topic's kind in the store.
 fn store_kind(node: &Node, topic: Topic) -> &'static str {
     let kinds = node.border.kinds;
     match topic {
@@ -101,7 +101,7 @@
     }
 }
 
-/// What news of a topic changes; gives whether others should hear of it.
+/// Applies an update of a topic. Returns whether to share it with other VMs.
 fn apply_update(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
     match topic {
         Topic::Config => apply::apply_config(node, news),
@@ -151,7 +151,7 @@
     let feed = state.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
         feed.mark_expired();
-        slog::info!(node.log, "history gone"; "kind" => store_kind(node, topic),
+        slog::info!(node.log, "store history expired, listing again"; "kind" => store_kind(node, topic),
             "revision" => feed.revision());
         return;
     }
@@ -169,14 +169,15 @@
     }
 }
 
-/// Reads a topic whole.
+/// Lists all objects of a topic and applies the changes.
 async fn sync_by_list(node: &Node, topic: Topic) -> Result<(), PlatformError> {
     let asked = now();
     let first = node.state().feeds.get(topic).age(asked).is_none();
-    // What came since is read, or heard, next. Where replicas check no fences,
-    // nobody is in office before the owner table is known to be the newest:
-    // after a power loss of all that stopped all loads for 3 s. Keys that may
-    // have been taken away serve nobody.
+    // A first list may be stale, as the changes since then follow by watch or
+    // from other VMs. There are two exceptions: without fencing, no ownership
+    // is valid before the owner table is known to be the newest, and a stale
+    // list stopped all loads for 3 s after all VMs lost power; and keys that
+    // may have been revoked admit no callers.
     let proves = match topic {
         Topic::Cluster => !node.settings.fencing,
         Topic::Config => node.settings.key_revocation.is_some(),
@@ -195,7 +196,7 @@
         (out, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
-    slog::info!(node.log, "listed"; "kind" => store_kind(node, topic), "count" => items.len(),
+    slog::info!(node.log, "store objects listed"; "kind" => store_kind(node, topic), "count" => items.len(),
         "revision" => revision, "newest" => newest, "first" => first);
     log_recovery(node, topic, out, revision);
     if first {
@@ -212,7 +213,7 @@
     Ok(())
 }
 
-/// Asks what changed; gives whether something did.
+/// Watches a topic and applies the changes. Returns whether there were any.
 async fn sync_by_watch(
     node: &Node,
     topic: Topic,
@@ -225,13 +226,13 @@
         let mut state = node.state();
         let feed = state.feeds.get(topic);
         if rank.is_some_and(|rank| rank > 0) {
-            slog::info!(node.log, "news overdue"; "kind" => kind, "revision" => feed.revision(),
+            slog::info!(node.log, "store updates overdue, polling the store"; "kind" => kind, "revision" => feed.revision(),
                 "age_ms" => feed.age(asked).map(Span::as_millis), "missed" => feed.has_gap(),
                 "rank" => rank);
         }
         feed.revision()
     };
-    // The store waits a whole number of milliseconds, and at least one.
+    // The store accepts whole milliseconds, at least one.
     let wait = Duration::from_millis(wait.as_millis().max(1) as u64);
     let call = (node.store.watch)(kind, revision, wait);
     let answer = with_timeout(wait + CALL_MARGIN, call).await;
@@ -264,8 +265,8 @@
     Ok(some)
 }
 
-/// Takes changes that this VM read itself, and keeps those that others should
-/// hear of.
+/// Applies changes that this VM read from the store, and shares those that
+/// other VMs need.
 fn apply_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
@@ -281,7 +282,7 @@
     }
 }
 
-/// Takes what another VM tells of the store in its beacon.
+/// Applies the updates in another VM's beacon.
 pub(in crate::serving) fn apply_updates(
     node: &Node,
     at: Moment,
@@ -294,14 +295,14 @@
         };
         let changes = {
             let mut state = node.state();
-            // Without a measure of its way it may be of any age.
+            // With an unknown delay the update may be of any age.
             let delay = state.members.beacon_delay(vm);
             let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
             let changes: Option<Vec<_>> = news.changes.iter().map(decode_change).collect();
             let said = TopicUpdate {
                 revision: news.revision,
                 as_of: Moment(at.0.saturating_sub(age)),
-                // What cannot be read was missed.
+                // Changes that cannot be decoded count as missed.
                 since: changes.as_ref().map_or(news.revision, |_| news.since),
                 changes: changes.unwrap_or_default(),
             };
@@ -316,7 +317,7 @@
                 _ => feed.apply_update_over(at, said, blind),
             };
             if feed.has_gap() && !before {
-                slog::info!(node.log, "news missed"; "kind" => store_kind(node, topic),
+                slog::info!(node.log, "store updates missed"; "kind" => store_kind(node, topic),
                     "revision" => feed.revision(), "since" => news.since, "told_by" => vm.as_str());
                 node.catch_up_wake.notify_waiters();
             }
@@ -348,7 +349,7 @@
     })
 }
 
-/// What this VM tells the others of the store.
+/// Returns the updates to send to other VMs.
 pub(in crate::serving) fn outgoing_updates(
     node: &Node,
     state: &mut NodeState,
@@ -388,7 +389,7 @@
     all
 }
 
-/// What this VM tells the others of when the configuration was the newest.
+/// Returns the witnesses to send to other VMs.
 fn witnesses(state: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
     let heard = state.members.recent_beacons(at, WITNESS_WINDOW);
     let told = state
@@ -403,8 +404,8 @@
     .collect()
 }
 
-/// Takes when another VM knew our configuration to be the newest. It must know
-/// no revision that we do not know.
+/// Applies the witnesses from another VM. That VM must not know a newer
+/// revision than this one does.
 fn apply_witnesses(node: &Node, state: &mut NodeState, at: Moment, news: &wire::StoreNews) {
     if state.feeds.get(Topic::Config).revision() < news.revision {
         return;
@@ -418,14 +419,15 @@
     }
 }
 
-/// All that was in the store of a topic when it was asked is known now.
+/// Records that the objects of a topic were confirmed to be the newest as of
+/// `asked`.
 fn confirm_ownership(node: &Node, topic: Topic, asked: Moment) {
     if topic == Topic::Cluster {
         node.state().ownership.confirm(asked);
     }
 }
 
-/// Reads a kind whole.
+/// Lists all objects of a kind.
 pub(in crate::serving) async fn list(
     node: &Node,
     kind: &'static str,
@@ -457,10 +459,11 @@
     Ok(page)
 }
 
-/// What is no object names nothing; the others hold.
+/// Logs objects that could not be decoded. They are skipped, and the others
+/// apply.
 fn log_unreadable(node: &Node, kind: &str, count: usize) {
     if count > 0 {
-        slog::warn!(node.log, "objects not read"; "kind" => kind, "count" => count);
+        slog::warn!(node.log, "store objects not decoded"; "kind" => kind, "count" => count);
     }
 }
 
@@ -469,19 +472,20 @@
     metrics::counter!("serve_store_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// A call with a time limit; what it did is not known after it.
+/// Limits the duration of a call. After a timeout its effect is unknown.
 pub(in crate::serving) async fn with_timeout<T>(
     time: Duration,
     call: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
-    let lost = || PlatformError::Lost("no answer in time".to_owned());
+    let lost = || PlatformError::Lost(format!("no answer within {} ms", time.as_millis()));
     tokio::time::timeout(time, call).await.map_err(|_| lost())?
 }
 
-/// The time limit of a short call.
+/// The timeout of a call that does not wait for changes.
 pub(in crate::serving) const CALL_TIMEOUT: Duration = CALL_MARGIN;
 
-/// Drops replicas that did not come back after an outage.
+/// Removes the replicas whose entries did not come back after an outage of the
+/// store.
 pub(in crate::serving) fn drop_lapsed(node: &Node) {
     let gone = node.state().fleet.drop_lapsed(now());
     for name in gone {
--- a/lib/src/serving/store/mod.rs
+++ b/lib/src/serving/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store that keeps what must last: its port, and who follows it.
+//! The interface of the store for durable state, and the tasks that follow it.
 
 pub(super) mod apply;
 pub(super) mod follow;
--- a/lib/src/serving/store/port.rs
+++ b/lib/src/serving/store/port.rs
@@ -1,4 +1,4 @@
-//! The store that keeps what must last, as the serving path uses it.
+//! The interface of the store for durable state, as the serving path uses it.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,22 +8,22 @@
 
 use crate::platform::PlatformError;
 
-/// A call under way.
+/// A pending call.
 pub type Pending<T> = Pin<Box<dyn Future<Output = Result<T, PlatformError>>>>;
 
-/// One object.
+/// A stored object.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// Its name, unique in its kind.
+    /// The name, unique within the kind.
     pub name: String,
-    /// The revision of its last change.
+    /// The revision of the last change.
     pub revision: u64,
-    /// Its content, as JSON.
+    /// The content, as JSON.
     pub spec: Box<RawValue>,
 }
 
 impl Item {
-    /// An object without content, as one that was removed.
+    /// Creates an object without content, such as one that was removed.
     pub fn empty(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -33,23 +33,23 @@
     }
 }
 
-/// A part of a list.
+/// A page of a list.
 #[derive(Clone, Debug)]
 pub struct Page {
-    /// The objects, in the order of their names.
+    /// The objects in name order.
     pub items: Vec<Item>,
-    /// Objects that could not be read.
+    /// The number of objects that could not be decoded.
     pub unreadable: usize,
-    /// Whether more follow the last name.
+    /// Whether there are further pages.
     pub more: bool,
-    /// The revision of the list, to watch from.
+    /// The revision of the list, from which to watch.
     pub revision: u64,
 }
 
 impl Page {
-    /// Adds the next part of the list. Parts that may be old are of different
-    /// ages: the list is followed on from the oldest, or what changed between
-    /// them in that part would be missed.
+    /// Appends the next page. Pages of a stale list may differ in age, so the
+    /// list has the oldest revision: a watch from there misses no changes
+    /// between the pages.
     pub fn append(&mut self, next: Self) {
         self.items.extend(next.items);
         self.unreadable += next.unreadable;
@@ -58,56 +58,57 @@
     }
 }
 
-/// One change of a kind.
+/// A change of an object.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The object, as it is or as it last was.
+    /// The object, or its last state if it was removed.
     pub item: Item,
     /// Whether it was removed.
     pub removed: bool,
 }
 
-/// What changed.
+/// The answer to a watch.
 #[derive(Clone, Debug)]
 pub struct Changes {
     /// The changes, in order.
     pub changes: Vec<Change>,
-    /// Changes that could not be read.
+    /// The number of changes that could not be decoded.
     pub unreadable: usize,
-    /// The revision to watch from next.
+    /// The revision from which to watch next.
     pub revision: u64,
 }
 
-/// How new what is read must be.
+/// How current a read must be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Consistency {
-    /// As new as the store.
+    /// The newest state of the store.
     Latest,
-    /// Seconds old at most, and cheaper: for what is followed on from there.
+    /// At most seconds old, and cheaper; for reads that a watch continues.
     BoundedStale,
 }
 
-/// Reads the objects of a kind after a name.
+/// Lists the objects of a kind after a name.
 pub type List = Box<dyn Fn(&str, Option<&str>, Consistency) -> Pending<Page>>;
 
-/// Reads the changes of a kind after a revision, waiting for one so long.
+/// Watches a kind after a revision, for at most the given time.
 pub type Watch = Box<dyn Fn(&str, u64, Duration) -> Pending<Changes>>;
 
-/// Creates an object (kind, name, content); gives its revision.
+/// Creates an object (kind, name, content) and returns its revision.
 pub type Create = Box<dyn Fn(&str, &str, &RawValue) -> Pending<u64>>;
 
-/// Replaces an object (kind, name, content) if it has this revision; gives the
-/// new one.
+/// Replaces an object (kind, name, content) if it has this revision, and
+/// returns the new one.
 pub type Replace = Box<dyn Fn(&str, &str, u64, &RawValue) -> Pending<u64>>;
 
 /// Deletes an object (kind, name).
 pub type Delete = Box<dyn Fn(&str, &str) -> Pending<()>>;
 
-/// The calls of the store, each a single try without a time limit of its own.
+/// The calls of the store. Each is a single attempt without a timeout of its
+/// own.
 pub struct Store {
     /// Lists objects.
     pub list: List,
-    /// Follows changes.
+    /// Watches for changes.
     pub watch: Watch,
     /// Creates an object.
     pub create: Create,
