--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -252,17 +252,17 @@
         changes: Vec<(Item, bool)>,
     ) -> Vec<TopicChange> {
         let mut next = BTreeMap::new();
-        let mut told = Vec::new();
+        let mut converted = Vec::new();
         for (mut item, removed) in changes.into_iter().rev() {
             let after = next.get(&item.name).copied().unwrap_or(revision + 1);
             if removed {
                 item.revision = after - 1;
             }
             next.insert(item.name.clone(), item.revision);
-            told.push(TopicChange::new(item, removed, removed && self.failing));
+            converted.push(TopicChange::new(item, removed, removed && self.failing));
         }
-        told.reverse();
-        told
+        converted.reverse();
+        converted
     }
 
     /// Records the changes that are new and returns them.
@@ -340,21 +340,21 @@
     /// content of an object replaces everything that was missed. A VM that the
     /// store rejects thus still gets the current configuration, although only
     /// the store can close its gap.
-    pub fn apply_update(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
+    pub fn apply_update(&mut self, now: Moment, update: TopicUpdate) -> Vec<TopicChange> {
         let Some(known) = &mut self.synced else {
             return Vec::new();
         };
-        if said.revision <= known.revision {
-            known.as_of = known.as_of.max(said.as_of);
+        if update.revision <= known.revision {
+            known.as_of = known.as_of.max(update.as_of);
             return Vec::new();
         }
-        let follows = said.since <= known.revision;
-        let changes = self.accept_new(said.changes);
+        let follows = update.since <= known.revision;
+        let changes = self.accept_new(update.changes);
         for c in &changes {
             self.share(now, c.clone());
         }
         if follows {
-            self.advance(said.revision, said.as_of);
+            self.advance(update.revision, update.as_of);
             self.gap_since = None;
             self.failing = false;
             self.expired = false;
@@ -370,14 +370,14 @@
     pub fn apply_update_over(
         &mut self,
         now: Moment,
-        mut said: TopicUpdate,
+        mut update: TopicUpdate,
         blind: SkippedRange,
     ) -> Vec<TopicChange> {
         if blind.contains(self.revision()) {
-            said.since = said.revision;
+            update.since = update.revision;
         }
-        let to = said.revision;
-        let changes = self.apply_update(now, said);
+        let to = update.revision;
+        let changes = self.apply_update(now, update);
         if self.revision() == to {
             self.record_skipped(blind);
         }
--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -231,11 +231,11 @@
     /// one, or `None` if too few have arrived to compare. The delay includes
     /// the time that a datagram waited while this VM was suspended.
     pub fn beacon_delay(&self, vm: &VmName) -> Option<Span> {
-        let heard = self
+        let beacon = self
             .beacons
             .get(vm)
             .filter(|h| h.count >= DELAY_MIN_BEACONS)?;
-        let late = heard.clock_offset().saturating_sub(heard.min_offset);
+        let late = beacon.clock_offset().saturating_sub(beacon.min_offset);
         Some(Span(late.unsigned_abs()))
     }
 
@@ -277,7 +277,7 @@
             return false;
         }
         let same = old.filter(|h| h.incarnation == incarnation);
-        let mut heard = PeerBeacon {
+        let mut beacon = PeerBeacon {
             received_at: now,
             incarnation,
             number,
@@ -287,18 +287,18 @@
             count: same.map_or(0, |h| h.count).saturating_add(1),
             lends: false,
         };
-        heard.min_offset = same.map_or(heard.clock_offset(), |h| {
-            h.min_offset.min(heard.clock_offset())
+        beacon.min_offset = same.map_or(beacon.clock_offset(), |h| {
+            h.min_offset.min(beacon.clock_offset())
         });
-        self.beacons.insert(vm.clone(), heard);
+        self.beacons.insert(vm.clone(), beacon);
         true
     }
 
     /// Returns the last beacon of a VM: its incarnation, when it was sent by
     /// the VM's clock, and when it was received.
     pub fn last_beacon(&self, vm: &VmName) -> Option<(Incarnation, Moment, Moment)> {
-        let heard = self.beacons.get(vm)?;
-        Some((heard.incarnation, heard.sent, heard.received_at))
+        let beacon = self.beacons.get(vm)?;
+        Some((beacon.incarnation, beacon.sent, beacon.received_at))
     }
 
     /// Returns the VMs whose last beacon was received within `span`: name,
@@ -318,8 +318,8 @@
 
     /// Records whether a VM lends, according to its last beacon.
     pub fn set_lends(&mut self, vm: &VmName, lends: bool) {
-        if let Some(heard) = self.beacons.get_mut(vm) {
-            heard.lends = lends;
+        if let Some(beacon) = self.beacons.get_mut(vm) {
+            beacon.lends = lends;
         }
     }
 
@@ -388,7 +388,7 @@
     fn acknowledged_by(&self, vm: &VmName) -> Option<Moment> {
         let stopped = self.beacons.get(vm).filter(|h| h.stopping);
         match stopped {
-            Some(heard) => Some(heard.received_at.after(STOPPED_GRACE)),
+            Some(beacon) => Some(beacon.received_at.after(STOPPED_GRACE)),
             None => Some(self.echoes.get(vm)?.after(self.failure_timeout())),
         }
     }
@@ -408,8 +408,8 @@
         if *vm == self.own {
             return true;
         }
-        let heard = self.beacons.get(vm);
-        heard.is_some_and(|h| now.since(h.received_at) < self.failure_timeout())
+        let beacon = self.beacons.get(vm);
+        beacon.is_some_and(|h| now.since(h.received_at) < self.failure_timeout())
     }
 
     /// Returns the interval between two beacons of a VM.
@@ -477,13 +477,13 @@
 
     /// Returns the listed VMs that have been silent for `span`.
     pub fn silent_for(&self, now: Moment, span: Span) -> Vec<VmName> {
-        let heard = |vm: &VmName| {
+        let last_seen = |vm: &VmName| {
             self.beacons
                 .get(vm)
                 .map_or(self.started_at, |h| h.received_at)
         };
         let listed = self.addresses.keys();
-        let silent = listed.filter(|vm| now.since(heard(vm).max(self.started_at)) >= span);
+        let silent = listed.filter(|vm| now.since(last_seen(vm).max(self.started_at)) >= span);
         silent.cloned().collect()
     }
 }
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -231,8 +231,8 @@
             let Some((revision, at)) = self.joined else {
                 return true;
             };
-            let told = self.peer_revisions.get(*vm).copied().unwrap_or(0);
-            told < revision && now.since(at) < NEW_MEMBER_GRACE
+            let announced = self.peer_revisions.get(*vm).copied().unwrap_or(0);
+            announced < revision && now.since(at) < NEW_MEMBER_GRACE
         };
         members.filter(unaware).cloned().collect()
     }
@@ -242,8 +242,8 @@
     /// ours.
     pub fn record_peer_revision(&mut self, now: Moment, vm: &VmName, revision: u64) -> bool {
         self.max_peer_revision = self.max_peer_revision.max(revision);
-        let told = self.peer_revisions.entry(vm.clone()).or_default();
-        *told = revision.max(*told);
+        let announced = self.peer_revisions.entry(vm.clone()).or_default();
+        *announced = revision.max(*announced);
         let after = now.after(Span(self.lease.0 + MAX_ORDER_DELAY.0));
         let known = self
             .terms
@@ -271,8 +271,9 @@
         else {
             return false;
         };
-        let vouched = self.acknowledged_until.unwrap_or(Moment(0));
-        now < confirmed.after(OWNERSHIP_TTL) || now < vouched.min(confirmed.after(MAX_UNCONFIRMED))
+        let acknowledged = self.acknowledged_until.unwrap_or(Moment(0));
+        now < confirmed.after(OWNERSHIP_TTL)
+            || now < acknowledged.min(confirmed.after(MAX_UNCONFIRMED))
     }
 
     /// Returns our replicas that may get orders now, with their tokens.
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -123,7 +123,7 @@
 impl NodeState {
     pub(in crate::serving) fn new(settings: &ServeSettings, now: Moment) -> Self {
         let lease = to_span(settings.lease);
-        let mut beliefs = Self {
+        let mut state = Self {
             active: None,
             fleet: Fleet::new(settings.zone.clone()),
             budget: Budget::new(settings.budget),
@@ -152,11 +152,11 @@
         };
         // Without fencing, an owner needs direct acknowledgements from each VM.
         if settings.fencing && settings.experiment.is_enabled(Mechanism::ZoneRelays) {
-            beliefs.members.enable_relays(settings.zone.clone());
+            state.members.enable_relays(settings.zone.clone());
         }
-        beliefs.fleet.set_experiment(&settings.experiment);
-        beliefs.books.set_experiment(&settings.experiment);
-        beliefs
+        state.fleet.set_experiment(&settings.experiment);
+        state.books.set_experiment(&settings.experiment);
+        state
     }
 
     /// Returns our position in the polling order of a topic, or `None` where
@@ -193,8 +193,8 @@
             return false;
         };
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
-        let rests = self.feeds.get(Topic::Config).is_backing_off(now);
-        needed && !rests && self.recency.is_due(now, revoke, rank.unwrap_or(0))
+        let backing_off = self.feeds.get(Topic::Config).is_backing_off(now);
+        needed && !backing_off && self.recency.is_due(now, revoke, rank.unwrap_or(0))
     }
 
     /// Advances the limits for which this VM is the first lender to `now`.
@@ -235,8 +235,8 @@
     /// Applies a replica's entry from the store. Returns whether it changed
     /// what requests may use.
     pub(in crate::serving) fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
-        let (name, born) = (listing.name.clone(), listing.started_ms);
-        if self.fleet.born(&name).is_some_and(|old| old != born) {
+        let (name, started_ms) = (listing.name.clone(), listing.started_ms);
+        if self.fleet.born(&name).is_some_and(|old| old != started_ms) {
             self.local_uses.remove(&name);
         }
         self.fleet.list(listing)
@@ -336,13 +336,13 @@
         let Some(uses) = self.local_uses.get_mut(name) else {
             return BTreeMap::new();
         };
-        let told = uses.clone();
+        let reported = uses.clone();
         uses.retain(|_, u| u.running > 0);
         uses.values_mut().for_each(|u| u.started = 0);
         if uses.is_empty() {
             self.local_uses.remove(name);
         }
-        told
+        reported
     }
 
     /// Opens books for the replicas that this VM owns and closes the others.
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -48,12 +48,12 @@
     let mut phase = node.phase();
     loop {
         number += 1;
-        let (sendings, beat) = {
+        let (datagrams, beat) = {
             let mut state = node.state();
             let beat = Duration::from_micros(state.members.beacon_interval().0);
             (full_beacons(&node, &mut state, number), beat)
         };
-        for (bytes, address) in sendings {
+        for (bytes, address) in datagrams {
             send(&node, &bytes, address).await;
         }
         let next = tokio::time::Instant::now() + beat;
@@ -71,7 +71,7 @@
 /// Sends the contents of changed replicas to the subscribed VMs, and to all VMs
 /// which replicas are leaving and that this VM stops.
 async fn send_updates(node: &Node, number: &mut u64, stops: bool) {
-    let mut sendings = Vec::new();
+    let mut datagrams = Vec::new();
     {
         let mut state = node.state();
         let state = &mut *state;
@@ -86,24 +86,24 @@
         for (vm, names) in state.subscriptions.take_pending() {
             if let Some(address) = state.members.address(&vm) {
                 *number += 1;
-                let mut told = new_beacon(node, state, *number);
-                told.books = names
+                let mut beacon = new_beacon(node, state, *number);
+                beacon.books = names
                     .iter()
                     .filter_map(|n| encode_book(state, now, n))
                     .collect();
-                sendings.push((told, vec![address]));
+                datagrams.push((beacon, vec![address]));
             }
         }
         let leaving = std::mem::take(&mut state.leaving);
         if !leaving.is_empty() || stops {
             *number += 1;
-            let mut told = new_beacon(node, state, *number);
-            told.leaving = leaving.iter().map(encode_leaving).collect();
-            sendings.push((told, state.members.peers().map(|(_, at)| at).collect()));
+            let mut beacon = new_beacon(node, state, *number);
+            beacon.leaving = leaving.iter().map(encode_leaving).collect();
+            datagrams.push((beacon, state.members.peers().map(|(_, at)| at).collect()));
         }
     }
-    for (told, addresses) in sendings {
-        send_all(node, told, &addresses).await;
+    for (beacon, addresses) in datagrams {
+        send_all(node, beacon, &addresses).await;
     }
 }
 
@@ -140,10 +140,10 @@
 fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
     let names: Vec<_> = state.books.names().cloned().collect();
     state.books.take_changed();
-    let mut told = new_beacon(node, state, number);
-    told.owners = state.ownership.revision;
-    told.turns_ms = state.strain.left(now).as_millis();
-    told.books = names
+    let mut beacon = new_beacon(node, state, number);
+    beacon.owners = state.ownership.revision;
+    beacon.turns_ms = state.strain.left(now).as_millis();
+    beacon.books = names
         .iter()
         .filter_map(|n| encode_book(state, now, n))
         .collect();
@@ -153,12 +153,12 @@
         }
     }
     let owned = state.ownership.owned();
-    told.loads = owned
+    beacon.loads = owned
         .filter_map(|n| load_reports::total_load(state, now, n))
         .collect();
-    told.store = follow::outgoing_updates(node, state, now);
+    beacon.store = follow::outgoing_updates(node, state, now);
     let strikes = state.strikes.recent(now, STRIKE_TTL);
-    told.strikes = strikes
+    beacon.strikes = strikes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
             fingerprint: f.0,
@@ -166,20 +166,20 @@
             born: replica.started_ms,
         })
         .collect();
-    told
+    beacon
 }
 
 /// Builds the datagrams for one beacon interval.
 fn full_beacons(node: &Node, state: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
-    let told = common_beacon(node, state, now, number);
+    let beacon = common_beacon(node, state, now, number);
     if state.members.uses_relays() {
-        let mut sendings = relay::relay_datagrams(state, now, told);
-        sendings.extend(load_reports::full_reports(node, state, now));
-        return sendings;
+        let mut datagrams = relay::relay_datagrams(state, now, beacon);
+        datagrams.extend(load_reports::full_reports(node, state, now));
+        return datagrams;
     }
-    let mut told = told;
-    told.complete = true;
+    let mut beacon = beacon;
+    beacon.complete = true;
     let peers = state.members.peers();
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
     let names = state.local_uses.keys().chain(state.fleet.to_report());
@@ -187,8 +187,8 @@
     let mut flights = load_reports::flights_by_owner(node, state, now, names);
     // The common part is encoded once. Protobuf messages are merged when
     // concatenated, so each receiver's own part follows it.
-    let common = encode(told);
-    let mut sendings = Vec::new();
+    let common = encode(beacon);
+    let mut datagrams = Vec::new();
     for (vm, address) in peers {
         let mut bytes = common.clone();
         bytes.extend(encode(wire::Beacon {
@@ -196,9 +196,9 @@
             echo: renewal::echo_for(node, state, &vm),
             ..wire::Beacon::default()
         }));
-        sendings.push((bytes, address));
+        datagrams.push((bytes, address));
     }
-    sendings
+    datagrams
 }
 
 pub(in crate::serving) fn encode(beacon: wire::Beacon) -> Vec<u8> {
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -38,18 +38,18 @@
     }
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
-        let mut sendings = Vec::new();
+        let mut datagrams = Vec::new();
         {
             let mut state = node.state();
             let state = &mut *state;
             let names: BTreeSet<_> = state.fleet.unreported().cloned().collect();
             for (vm, flights) in flights_by_owner(&node, state, now(), names) {
                 if let Some(address) = state.members.address(&vm) {
-                    sendings.push((encode_report(&node, flights, false), address));
+                    datagrams.push((encode_report(&node, flights, false), address));
                 }
             }
         }
-        for (bytes, address) in sendings {
+        for (bytes, address) in datagrams {
             send(&node, &bytes, address).await;
         }
     }
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -17,15 +17,15 @@
 pub(in crate::serving) fn relay_datagrams(
     state: &mut NodeState,
     now: Moment,
-    told: wire::Beacon,
+    beacon: wire::Beacon,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let number = told.number;
-    let mut crossing = told.clone();
+    let number = beacon.number;
+    let mut crossing = beacon.clone();
     crossing.pass_on = true;
     let crossing = encode(crossing);
-    let passed = std::mem::take(&mut state.relay_queue).into_values();
+    let queued = std::mem::take(&mut state.relay_queue).into_values();
     let bundle = wire::Bundle {
-        beacons: std::iter::once(told).chain(passed).collect(),
+        beacons: std::iter::once(beacon).chain(queued).collect(),
     };
     let bundle = wire::Datagram {
         body: Some(Body::Bundle(bundle)),
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -76,8 +76,8 @@
         let answer = answer?;
         let revision = answer.revision;
         for c in answer.changes {
-            let told = TopicChange::new(c.item, c.removed, false);
-            apply_cluster(node, &StoreUpdate::Change(&told));
+            let change = TopicChange::new(c.item, c.removed, false);
+            apply_cluster(node, &StoreUpdate::Change(&change));
         }
         *since = revision.max(*since);
     }
@@ -93,16 +93,16 @@
     fn update(&mut self, node: &Node) {
         let mut state = node.state();
         let at = now();
-        let vouched = state
+        let acknowledged = state
             .members
             .acknowledged_until(&state.ownership.table.members);
-        state.ownership.set_acknowledged_until(at, vouched);
-        let holds = state.ownership.is_valid(at);
-        if std::mem::replace(&mut self.0, holds) != holds {
+        state.ownership.set_acknowledged_until(at, acknowledged);
+        let valid = state.ownership.is_valid(at);
+        if std::mem::replace(&mut self.0, valid) != valid {
             let age = state.ownership.confirmed().map(|c| at.since(c).as_millis());
-            let vouched = vouched.map(|until| until.since(at).as_millis());
-            slog::info!(node.log, "ownership validity changed"; "holds" => holds, "confirmed_ms" => age,
-                "vouched_ms" => vouched, "revision" => state.ownership.revision);
+            let acknowledged = acknowledged.map(|until| until.since(at).as_millis());
+            slog::info!(node.log, "ownership validity changed"; "holds" => valid, "confirmed_ms" => age,
+                "vouched_ms" => acknowledged, "revision" => state.ownership.revision);
         }
     }
 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -45,15 +45,15 @@
     fn items(&self) -> &[Item] {
         match self {
             Self::List(items) => items,
-            Self::Change(told) if told.removed => &[],
-            Self::Change(told) => std::slice::from_ref(&told.item),
+            Self::Change(change) if change.removed => &[],
+            Self::Change(change) => std::slice::from_ref(&change.item),
         }
     }
 }
 
 /// Applies a configuration. The operator replaces it and never removes it.
-pub(in crate::serving) fn apply_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    for item in news.items() {
+pub(in crate::serving) fn apply_config(node: &Node, update: &StoreUpdate<'_>) -> bool {
+    for item in update.items() {
         match (node.border.parse_config)(item) {
             Ok(config) => {
                 let version = config.version;
@@ -72,12 +72,12 @@
             }
         }
     }
-    !news.items().is_empty()
+    !update.items().is_empty()
 }
 
 /// Applies replica entries. Returns whether one changed in more than the
 /// adapters that it holds.
-pub(in crate::serving) fn apply_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
+pub(in crate::serving) fn apply_replicas(node: &Node, update: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
         let listing = (node.border.parse_replica)(item);
@@ -85,7 +85,7 @@
             slog::error!(node.log, "replica entry not decoded"; "name" => &item.name, "error" => %e);
         })
     };
-    match news {
+    match update {
         StoreUpdate::List(items) => {
             let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
             slog::info!(node.log, "replicas listed"; "count" => all.len());
@@ -94,23 +94,23 @@
             state.replicas_listed = true;
             true
         }
-        StoreUpdate::Change(told) if told.lapsed => {
-            if let Ok(name) = told.item.name.parse::<ReplicaName>() {
+        StoreUpdate::Change(change) if change.lapsed => {
+            if let Ok(name) = change.item.name.parse::<ReplicaName>() {
                 node.state().fleet.lapse(at, &name);
                 slog::info!(node.log, "replica entry missing after a store outage"; "replica" => name.as_str(),
-                    "revision" => told.item.revision);
+                    "revision" => change.item.revision);
             }
             true
         }
-        StoreUpdate::Change(told) if told.removed => {
-            remove_replica(node, &told.item, "removed");
+        StoreUpdate::Change(change) if change.removed => {
+            remove_replica(node, &change.item, "removed");
             true
         }
-        StoreUpdate::Change(told) => match read(&told.item) {
-            Ok(listing) => apply_replica(node, &told.item, listing),
+        StoreUpdate::Change(change) => match read(&change.item) {
+            Ok(listing) => apply_replica(node, &change.item, listing),
             // An entry that cannot be decoded names no usable replica.
             Err(()) => {
-                remove_replica(node, &told.item, "unreadable");
+                remove_replica(node, &change.item, "unreadable");
                 true
             }
         },
@@ -120,13 +120,13 @@
 fn apply_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
     let born = listing.started_ms;
-    let news = node.state().fleet.is_news(&listing);
+    let significant = node.state().fleet.is_news(&listing);
     let changed = node.state().apply_listing(listing);
     if changed {
         slog::info!(node.log, "replica changed"; "replica" => name.as_str(),
                         "draining" => draining, "born" => born, "revision" => item.revision);
     }
-    news
+    significant
 }
 
 fn remove_replica(node: &Node, item: &Item, why: &'static str) {
@@ -141,13 +141,13 @@
 
 /// Announces a replica that this VM read to be leaving to the other VMs at
 /// once.
-pub(in crate::serving) fn announce_leaving(node: &Node, told: &TopicChange) {
-    let Ok(name) = told.item.name.parse::<ReplicaName>() else {
+pub(in crate::serving) fn announce_leaving(node: &Node, change: &TopicChange) {
+    let Ok(name) = change.item.name.parse::<ReplicaName>() else {
         return;
     };
     let mut state = node.state();
     let drains = state.fleet.listing(&name).is_some_and(|l| l.draining);
-    let leaves = told.removed || drains;
+    let leaves = change.removed || drains;
     let Some(born) = state.fleet.born(&name).filter(|_| leaves) else {
         return;
     };
@@ -160,8 +160,8 @@
 }
 
 /// Applies announced versions.
-pub(in crate::serving) fn apply_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    for item in news.items() {
+pub(in crate::serving) fn apply_versions(node: &Node, update: &StoreUpdate<'_>) -> bool {
+    for item in update.items() {
         match (node.border.parse_version)(item) {
             Ok(a) => {
                 if node.state().fleet.versions.announce(now(), &a) {
@@ -175,20 +175,21 @@
         }
     }
     node.orders_wake.notify_one();
-    !news.items().is_empty()
+    !update.items().is_empty()
 }
 
 /// Applies VM entries and the owner table.
-pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    news.items()
+pub(in crate::serving) fn apply_cluster(node: &Node, update: &StoreUpdate<'_>) -> bool {
+    update
+        .items()
         .iter()
         .for_each(|i| apply_cluster_item(node, i));
-    if matches!(news, StoreUpdate::List(_)) {
+    if matches!(update, StoreUpdate::List(_)) {
         node.state().members.mark_listed();
     }
-    if let StoreUpdate::Change(told) = news
-        && told.removed
-        && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
+    if let StoreUpdate::Change(change) = update
+        && change.removed
+        && let Some(vm) = change.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
     {
         node.state().members.remove(&vm);
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -36,8 +36,8 @@
 const IDLE_CHECK_INTERVAL: Span = Span::from_millis(500);
 
 /// The fraction of the drain time after which a VM that polls for itself reads
-/// the replicas' entries again. Each heartbeat of a replica changes an entry,
-/// so an answer always has changes and the pause sets the pace.
+/// the replicas' entries again at the latest. Some entries change with each
+/// heartbeat, so an answer is rarely without changes.
 const REPLICA_PAUSE_FRACTION: f64 = 0.75;
 
 /// The fraction of the time for renewing a version within which all VMs must
@@ -75,7 +75,7 @@
         Topic::Versions => PollPolicy {
             max_staleness: to_span(settings.version_apply.mul_f64(VERSION_FRACTION)),
             max_solo_wait: millis(8_000),
-            // Versions are announced in batches of a dozen or more.
+            // Versions are announced by the dozen.
             solo_pause: millis(1_000),
             shared_pause: millis(250),
             has_removals: false,
@@ -102,12 +102,12 @@
 }
 
 /// Applies an update of a topic. Returns whether to share it with other VMs.
-fn apply_update(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
+fn apply_update(node: &Node, topic: Topic, update: &StoreUpdate<'_>) -> bool {
     match topic {
-        Topic::Config => apply::apply_config(node, news),
-        Topic::Replicas => apply::apply_replicas(node, news),
-        Topic::Versions => apply::apply_versions(node, news),
-        Topic::Cluster => apply::apply_cluster(node, news),
+        Topic::Config => apply::apply_config(node, update),
+        Topic::Replicas => apply::apply_replicas(node, update),
+        Topic::Versions => apply::apply_versions(node, update),
+        Topic::Cluster => apply::apply_cluster(node, update),
     }
 }
 
@@ -127,9 +127,9 @@
         let outcome = match next {
             FeedAction::Wait(until) => {
                 let until = until.min(at.after(IDLE_CHECK_INTERVAL));
-                let asked =
+                let woken =
                     tokio::time::timeout_at(to_instant(until), node.catch_up_wake.notified());
-                asked.await.ok();
+                woken.await.ok();
                 continue;
             }
             FeedAction::List => sync_by_list(&node, topic).await.map(|()| false),
@@ -162,8 +162,8 @@
     feed.record_failure(now(), rank);
 }
 
-fn log_recovery(node: &Node, topic: Topic, out: bool, revision: u64) {
-    if out {
+fn log_recovery(node: &Node, topic: Topic, was_failing: bool, revision: u64) {
+    if was_failing {
         slog::info!(node.log, "store regained"; "kind" => store_kind(node, topic),
             "revision" => revision);
     }
@@ -178,32 +178,32 @@
     // is valid before the owner table is known to be the newest, and a stale
     // list stopped all loads for 3 s after all VMs lost power; and keys that
     // may have been revoked admit no callers.
-    let proves = match topic {
+    let must_prove = match topic {
         Topic::Cluster => !node.settings.fencing,
         Topic::Config => node.settings.key_revocation.is_some(),
         Topic::Replicas | Topic::Versions => false,
     };
-    let may_be_old = first && !proves;
-    let freshness = match may_be_old {
+    let may_be_old = first && !must_prove;
+    let consistency = match may_be_old {
         true => Consistency::BoundedStale,
         false => Consistency::Latest,
     };
-    let (items, revision) = list(node, store_kind(node, topic), freshness).await?;
-    let (out, changes) = {
+    let (items, revision) = list(node, store_kind(node, topic), consistency).await?;
+    let (was_failing, changes) = {
         let mut state = node.state();
         let feed = state.feeds.get(topic);
-        let out = feed.is_failing();
-        (out, feed.apply_list(now(), asked, revision, &items))
+        let was_failing = feed.is_failing();
+        (was_failing, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
     slog::info!(node.log, "store objects listed"; "kind" => store_kind(node, topic), "count" => items.len(),
         "revision" => revision, "newest" => newest, "first" => first);
-    log_recovery(node, topic, out, revision);
+    log_recovery(node, topic, was_failing, revision);
     if first {
         apply_update(node, topic, &StoreUpdate::List(&items));
     }
     apply_changes(node, topic, changes);
-    if freshness == Consistency::Latest {
+    if consistency == Consistency::Latest {
         confirm_ownership(node, topic, asked);
         if topic == Topic::Config {
             node.state().recency.confirm_list(asked);
@@ -241,28 +241,28 @@
     log_unreadable(node, kind, answer.unreadable);
     let changes = answer.changes.into_iter().map(|c| (c.item, c.removed));
     let changes: Vec<_> = changes.collect();
-    let some = !changes.is_empty();
-    let (out, changes) = {
+    let has_changes = !changes.is_empty();
+    let (was_failing, changes) = {
         let mut state = node.state();
         let feed = state.feeds.get(topic);
-        let out = feed.is_failing();
+        let was_failing = feed.is_failing();
         let revision = answer.revision;
         (
-            out,
+            was_failing,
             feed.apply_changes(now(), asked, wait, revision, changes),
         )
     };
-    log_recovery(node, topic, out, answer.revision);
+    log_recovery(node, topic, was_failing, answer.revision);
     apply_changes(node, topic, changes);
     confirm_ownership(node, topic, asked);
     if topic == Topic::Config {
-        let waited = if some { Duration::ZERO } else { wait };
+        let waited = if has_changes { Duration::ZERO } else { wait };
         node.state().recency.confirm_watch(asked, to_span(waited));
     }
-    if some {
+    if has_changes {
         node.placement_wake.notify_waiters();
     }
-    Ok(some)
+    Ok(has_changes)
 }
 
 /// Applies changes that this VM read from the store, and shares those that
@@ -272,8 +272,8 @@
         if change.removed && !change.lapsed && topic == Topic::Replicas {
             apply::announce_leaving(node, &change);
         }
-        let news = StoreUpdate::Change(&change);
-        if apply_update(node, topic, &news) {
+        let update = StoreUpdate::Change(&change);
+        if apply_update(node, topic, &update) {
             if !change.removed && topic == Topic::Replicas {
                 apply::announce_leaving(node, &change);
             }
@@ -286,39 +286,39 @@
 pub(in crate::serving) fn apply_updates(
     node: &Node,
     at: Moment,
-    told: &[wire::StoreNews],
+    messages: &[wire::StoreNews],
     vm: &VmName,
 ) {
-    for news in told {
-        let Some(topic) = Topic::from_number(news.topic) else {
+    for message in messages {
+        let Some(topic) = Topic::from_number(message.topic) else {
             continue;
         };
         let changes = {
             let mut state = node.state();
             // With an unknown delay the update may be of any age.
             let delay = state.members.beacon_delay(vm);
-            let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
-            let changes: Option<Vec<_>> = news.changes.iter().map(decode_change).collect();
-            let said = TopicUpdate {
-                revision: news.revision,
+            let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(message.age_us));
+            let changes: Option<Vec<_>> = message.changes.iter().map(decode_change).collect();
+            let update = TopicUpdate {
+                revision: message.revision,
                 as_of: Moment(at.0.saturating_sub(age)),
                 // Changes that cannot be decoded count as missed.
-                since: changes.as_ref().map_or(news.revision, |_| news.since),
+                since: changes.as_ref().map_or(message.revision, |_| message.since),
                 changes: changes.unwrap_or_default(),
             };
             let feed = state.feeds.get(topic);
             let before = feed.has_gap();
-            let blind = SkippedRange {
-                from: news.blind_from,
-                to: news.blind_to,
+            let skipped = SkippedRange {
+                from: message.blind_from,
+                to: message.blind_to,
             };
-            let changes = match news.blind_to {
-                0 => feed.apply_update(at, said),
-                _ => feed.apply_update_over(at, said, blind),
+            let changes = match message.blind_to {
+                0 => feed.apply_update(at, update),
+                _ => feed.apply_update_over(at, update, skipped),
             };
             if feed.has_gap() && !before {
                 slog::info!(node.log, "store updates missed"; "kind" => store_kind(node, topic),
-                    "revision" => feed.revision(), "since" => news.since, "told_by" => vm.as_str());
+                    "revision" => feed.revision(), "since" => message.since, "told_by" => vm.as_str());
                 node.catch_up_wake.notify_waiters();
             }
             changes
@@ -327,7 +327,7 @@
             apply_update(node, topic, &StoreUpdate::Change(change));
         }
         if topic == Topic::Config {
-            apply_witnesses(node, &mut node.state(), at, news);
+            apply_witnesses(node, &mut node.state(), at, message);
         }
         if !changes.is_empty() {
             node.placement_wake.notify_waiters();
@@ -355,12 +355,12 @@
     state: &mut NodeState,
     at: Moment,
 ) -> Vec<wire::StoreNews> {
-    let said = |topic: Topic| {
+    let update = |topic: Topic| {
         let rank = state.poll_rank(at, &node.settings, topic);
         let feed = state.feeds.get(topic);
-        let said = feed.outgoing_update(at, rank)?;
-        let blind = feed.skipped();
-        let changes = said.changes.into_iter().map(|c| wire::StoreChange {
+        let update = feed.outgoing_update(at, rank)?;
+        let skipped = feed.skipped();
+        let changes = update.changes.into_iter().map(|c| wire::StoreChange {
             name: c.item.name,
             revision: c.item.revision,
             spec: c.compressed.into(),
@@ -369,22 +369,22 @@
         });
         Some(wire::StoreNews {
             topic: topic.number(),
-            revision: said.revision,
-            age_us: at.since(said.as_of).0,
-            since: said.since,
+            revision: update.revision,
+            age_us: at.since(update.as_of).0,
+            since: update.since,
             changes: changes.collect(),
-            blind_from: blind.map_or(0, |r| r.from),
-            blind_to: blind.map_or(0, |r| r.to),
+            blind_from: skipped.map_or(0, |r| r.from),
+            blind_to: skipped.map_or(0, |r| r.to),
             witnesses: Vec::new(),
         })
     };
-    let mut all: Vec<_> = Topic::ALL.into_iter().filter_map(said).collect();
+    let mut all: Vec<_> = Topic::ALL.into_iter().filter_map(update).collect();
     let config = all.iter_mut().find(|n| n.topic == Topic::Config.number());
-    if let Some(news) = config
+    if let Some(message) = config
         && node.settings.key_revocation.is_some()
         && node.settings.experiment.is_enabled(Mechanism::KeyWitnesses)
     {
-        news.witnesses = witnesses(state, at);
+        message.witnesses = witnesses(state, at);
     }
     all
 }
@@ -392,25 +392,26 @@
 /// Returns the witnesses to send to other VMs.
 fn witnesses(state: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
     let heard = state.members.recent_beacons(at, WITNESS_WINDOW);
-    let told = state
+    let chosen = state
         .witnesses
         .next_batch(&state.recency, heard)
         .into_iter();
-    told.map(|w| wire::Witness {
-        reader: w.reader,
-        sent_us: w.sent.0,
-        after_us: w.after_us,
-    })
-    .collect()
+    chosen
+        .map(|w| wire::Witness {
+            reader: w.reader,
+            sent_us: w.sent.0,
+            after_us: w.after_us,
+        })
+        .collect()
 }
 
 /// Applies the witnesses from another VM. That VM must not know a newer
 /// revision than this one does.
-fn apply_witnesses(node: &Node, state: &mut NodeState, at: Moment, news: &wire::StoreNews) {
-    if state.feeds.get(Topic::Config).revision() < news.revision {
+fn apply_witnesses(node: &Node, state: &mut NodeState, at: Moment, message: &wire::StoreNews) {
+    if state.feeds.get(Topic::Config).revision() < message.revision {
         return;
     }
-    for w in &news.witnesses {
+    for w in &message.witnesses {
         if w.reader == node.reader_id && w.sent_us <= at.0 {
             state
                 .recency
@@ -431,12 +432,12 @@
 pub(in crate::serving) async fn list(
     node: &Node,
     kind: &'static str,
-    freshness: Consistency,
+    consistency: Consistency,
 ) -> Result<(Vec<Item>, u64), PlatformError> {
-    let mut list = list_page(node, kind, None, freshness).await?;
+    let mut list = list_page(node, kind, None, consistency).await?;
     while list.more {
         let after = list.items.last().map(|i| i.name.clone());
-        let page = list_page(node, kind, after.as_deref(), freshness).await?;
+        let page = list_page(node, kind, after.as_deref(), consistency).await?;
         let empty = page.items.is_empty();
         list.append(page);
         if empty {
@@ -450,9 +451,9 @@
     node: &Node,
     kind: &'static str,
     after: Option<&str>,
-    freshness: Consistency,
+    consistency: Consistency,
 ) -> Result<Page, PlatformError> {
-    let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
+    let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, consistency)).await;
     count_call(kind, page.is_ok());
     let page = page?;
     log_unreadable(node, kind, page.unreadable);
