--- a/lib/src/pool/poison.rs
+++ b/lib/src/pool/poison.rs
@@ -38,7 +38,7 @@
 }
 
 impl PoisonTracker {
-    /// Records that a request ran at a replica that broke. Several breaks of
+    /// Records that a request ran at a replica that broke. Repeated breaks of
     /// one incarnation count once.
     pub(super) fn add_suspect(
         &mut self,
--- a/lib/src/pool/replica.rs
+++ b/lib/src/pool/replica.rs
@@ -46,9 +46,9 @@
     pub(super) suspended: Option<Moment>,
     /// Adapters that requests may be sent to.
     pub(super) loaded: BTreeSet<AdapterVersion>,
-    /// Adapters that may occupy a slot but must receive no requests: an order
-    /// for them ended with an unknown result, or an answer named another
-    /// adapter.
+    /// Adapters that may occupy a slot but must receive no requests: an
+    /// eviction or load of them had an unknown result, or an answer named
+    /// another adapter.
     pub(super) unconfirmed: BTreeSet<AdapterVersion>,
     /// Dispatches by adapter, retained slots included. An adapter listed here
     /// is never evicted.
@@ -152,7 +152,8 @@
         self.outstanding() + self.external
     }
 
-    /// Returns whether a slot holds nothing and has no load in flight.
+    /// Returns whether a slot is free: it holds nothing and no load into it is
+    /// in flight.
     pub(super) fn has_vacant_slot(&self) -> bool {
         let used = self.loaded.len() + self.unconfirmed.len() + usize::from(self.order.is_some());
         used < self.spec.slots as usize
@@ -164,9 +165,9 @@
     }
 
     /// Updates the number of external requests from a report that counted
-    /// `reported` requests at `observed`. The report includes dispatches
-    /// that have ended since; they are added to the own ones, or a lagging
-    /// report would show each of them as external.
+    /// `reported` requests at `observed`. The report includes dispatches that
+    /// have ended since; they are counted as own ones, or a lagging report
+    /// would show each of them as external.
     pub(super) fn update_external(&mut self, observed: Moment, reported: u32) {
         let since = self.ended.iter().rev().take_while(|at| **at >= observed);
         let own = self.outstanding() + since.count() as u32;
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -73,6 +73,7 @@
     pub(super) poison: PoisonTracker,
     pub(super) prefixes: Prefixes,
     pub(super) commands: Vec<Command>,
+    /// No slot is changed before this time.
     pub(super) slot_freeze: Moment,
     /// No adapter is evicted before this time.
     pub(super) evict_freeze: Moment,
