--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -62,7 +62,7 @@
 #[case::plain("", 1)]
 #[case::with_adapter_after_two("a@1", 2)]
 #[case::plain_after_two("", 2)]
-fn crashing_request_alone_blocked(#[case] adapter: &str, #[case] strikes: u32) {
+fn only_crashing_request_blocked(#[case] adapter: &str, #[case] strikes: u32) {
     let mut s = settings();
     s.strikes = strikes;
     let mut rig = Rig::new(s, 4, 2, 8);
