--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -195,7 +195,7 @@
         Ok(Ok(answer)) => answer,
     };
     run.on_data();
-    let read = node.border.classify_response;
+    let read = node.codec.classify_response;
     match read(answer.head.status, &answer.head.headers, &held.id, replica) {
         Reply::Answer => Ok(StartedResponse {
             answer,
@@ -283,7 +283,7 @@
         resume_after: resume_at,
         organisation: held.caller.organisation.as_ref(),
     };
-    (node.border.set_headers)(headers, &sending);
+    (node.codec.set_headers)(headers, &sending);
     request
 }
 
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -88,7 +88,7 @@
 ) -> Response<AnswerBody> {
     let open = node.track_request();
     let arrived = now();
-    let ask = (node.border.parse_request)(request.headers());
+    let ask = (node.codec.parse_request)(request.headers());
     let mut waiting = DisconnectLog {
         node: node.clone(),
         id: ask.id.clone(),
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -119,7 +119,7 @@
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
                 let ready = node.phase() == Phase::Serving && is_ready(&node);
-                let asked = request.uri().path() == node.border.ready_path;
+                let asked = request.uri().path() == node.codec.ready_path;
                 let mut answer = Response::new(full_body(Bytes::new()));
                 *answer.status_mut() = match (asked, ready) {
                     (true, true) => StatusCode::OK,
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -60,7 +60,7 @@
 
 /// Reads the changes since the last answer and records the confirmation.
 async fn confirm_table(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
-    let kind = node.border.kinds.internal;
+    let kind = node.codec.kinds.internal;
     let asked = now();
     if *since == 0 {
         let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -89,7 +89,7 @@
 /// One VM of the serving path.
 pub(in crate::serving) struct Node {
     pub(in crate::serving) settings: ServeSettings,
-    pub(in crate::serving) border: Codec,
+    pub(in crate::serving) codec: Codec,
     pub(in crate::serving) store: Store,
     pub(in crate::serving) upstreams: Upstreams,
     pub(in crate::serving) log: slog::Logger,
@@ -138,7 +138,7 @@
         let reader = reader_id(&settings.vm, incarnation);
         Self {
             settings,
-            border,
+            codec: border,
             store,
             upstreams: Upstreams::with(CONNECT_TIMEOUT, IDLE_TIMEOUT),
             log,
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -163,12 +163,12 @@
 }
 
 async fn fetch_report(node: &Node, name: &ReplicaName) -> Option<Report> {
-    let request = (node.border.encode_report_request)().ok()?;
+    let request = (node.codec.encode_report_request)().ok()?;
     let (status, body) = call(node, name, request, MAX_ANSWER_TIMEOUT).await?;
     if !status.is_success() {
         return None;
     }
-    match (node.border.parse_report)(&body) {
+    match (node.codec.parse_report)(&body) {
         Ok(report) => {
             slog::info!(node.log, "report"; "replica" => name.as_str(),
                 "accepted" => report.accepted, "here" => report.here.len(),
@@ -201,7 +201,7 @@
         token,
         replica: name,
     };
-    let Ok(request) = (node.border.encode_order)(&order) else {
+    let Ok(request) = (node.codec.encode_order)(&order) else {
         return OrderEnd::Refused;
     };
     // The lease is looked at right before the order goes out.
@@ -214,7 +214,7 @@
         false => MAX_ANSWER_TIMEOUT,
     };
     match call(node, name, request, wait).await {
-        Some((status, _)) => (node.border.parse_order_end)(status),
+        Some((status, _)) => (node.codec.parse_order_end)(status),
         None => OrderEnd::Unknown,
     }
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -140,7 +140,7 @@
         let name = vm_entry_name(node);
         let removed = with_timeout(
             EXIT_RESERVE / 2,
-            (node.store.delete)(node.border.kinds.internal, &name),
+            (node.store.delete)(node.codec.kinds.internal, &name),
         );
         if let Err(e) = removed.await {
             slog::info!(node.log, "entry not removed"; "error" => %e);
@@ -217,7 +217,7 @@
     };
     let name = vm_entry_name(&node);
     loop {
-        let call = (node.store.create)(node.border.kinds.internal, &name, &spec);
+        let call = (node.store.create)(node.codec.kinds.internal, &name, &spec);
         match with_timeout(follow::CALL_TIMEOUT, call).await {
             // An earlier start wrote the same.
             Ok(_) | Err(PlatformError::Conflict) => return,
@@ -233,7 +233,7 @@
         node.owners_wake.notified().await;
         loop {
             let asked = now();
-            match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
+            match follow::list(&node, node.codec.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
                     apply_cluster(&node, &StoreUpdate::List(&items));
                     node.state().ownership.confirm(asked);
@@ -282,7 +282,7 @@
     let Ok(spec) = to_raw_value(&table) else {
         return;
     };
-    let kind = node.border.kinds.internal;
+    let kind = node.codec.kinds.internal;
     let asked = now();
     let call = match revision {
         0 => (node.store.create)(kind, OWNER_TABLE, &spec),
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -54,7 +54,7 @@
 /// Applies a configuration. The operator replaces it and never removes it.
 pub(in crate::serving) fn apply_config(node: &Node, update: &StoreUpdate<'_>) -> bool {
     for item in update.items() {
-        match (node.border.parse_config)(item) {
+        match (node.codec.parse_config)(item) {
             Ok(config) => {
                 let version = config.version;
                 let mut state = node.state();
@@ -80,7 +80,7 @@
 pub(in crate::serving) fn apply_replicas(node: &Node, update: &StoreUpdate<'_>) -> bool {
     let at = now();
     let read = |item: &Item| {
-        let listing = (node.border.parse_replica)(item);
+        let listing = (node.codec.parse_replica)(item);
         listing.map_err(|e| {
             slog::error!(node.log, "replica entry not decoded"; "name" => &item.name, "error" => %e);
         })
@@ -162,7 +162,7 @@
 /// Applies announced versions.
 pub(in crate::serving) fn apply_versions(node: &Node, update: &StoreUpdate<'_>) -> bool {
     for item in update.items() {
-        match (node.border.parse_version)(item) {
+        match (node.codec.parse_version)(item) {
             Ok(a) => {
                 if node.state().fleet.versions.announce(now(), &a) {
                     slog::info!(node.log, "version announced"; "target" => %a.target,
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -92,7 +92,7 @@
 
 /// Returns the name of a topic's kind in the store.
 fn store_kind(node: &Node, topic: Topic) -> &'static str {
-    let kinds = node.border.kinds;
+    let kinds = node.codec.kinds;
     match topic {
         Topic::Config => kinds.config,
         Topic::Replicas => kinds.replicas,
