--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one replica.
+//! Sends a request to a replica and classifies the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,36 +39,36 @@
 use crate::upstream::Parts;
 use crate::upstream::SendError;
 
-/// A caller's request, kept until its answer is whole.
+/// A caller's request, buffered until its response is complete so that it can be retried.
 pub(in crate::serving) struct BufferedRequest {
     pub(in crate::serving) method: Method,
     pub(in crate::serving) path: Uri,
     pub(in crate::serving) headers: HeaderMap,
     pub(in crate::serving) body: Vec<Bytes>,
-    /// The caller's id of the attempt.
+    /// The caller's ID for this attempt.
     pub(in crate::serving) id: String,
     pub(in crate::serving) target: Option<Target>,
-    /// What it is expected to hold at a replica.
+    /// The load that it is expected to cause on a replica.
     pub(in crate::serving) cost: Load,
     pub(in crate::serving) shared: Option<SharedPrefix>,
     pub(in crate::serving) fingerprint: Fingerprint,
-    /// On whose behalf it runs.
+    /// The organisation and API key that it is admitted under.
     pub(in crate::serving) caller: Caller,
-    /// When the final answer is due.
+    /// Time by which the response must be complete.
     pub(in crate::serving) deadline: Moment,
 }
 
-/// Who calls, and what that was charged to.
+/// Identity of a request's caller, and the charge for the request.
 #[derive(Default)]
 pub(in crate::serving) struct Caller {
-    /// The organisation that holds the key.
+    /// The organisation that the API key belongs to.
     pub(in crate::serving) organisation: Option<OrganisationName>,
-    /// The key, where the route needs one.
+    /// Digest of the API key, if the route needs one.
     pub(in crate::serving) key: Option<KeyDigest>,
     pub(in crate::serving) charge: Option<Charge>,
 }
 
-/// A run at a replica; when it is dropped, it counts no more.
+/// Guard for a run on a replica; the run's load is counted until the guard is dropped.
 pub(in crate::serving) struct Run {
     node: Rc<Node>,
     pub(in crate::serving) replica: ReplicaName,
@@ -77,40 +77,41 @@
     cost: Load,
     id: u64,
     responded: bool,
-    /// While its prompt is read.
+    /// Held until the replica has read the prompt.
     prefill_turn: Option<PrefillTurn>,
 }
 
 impl Run {
-    fn begin(node: &Rc<Node>, held: &BufferedRequest, replica: &ReplicaName) -> Self {
-        let number = node.next_id();
+    fn begin(node: &Rc<Node>, req: &BufferedRequest, replica: &ReplicaName) -> Self {
+        let id = node.next_id();
         let mut b = node.state();
-        b.begin_run(replica, held.target.as_ref(), held.cost);
-        let born = b.fleet.born(replica).unwrap_or_default();
+        b.begin_run(replica, req.target.as_ref(), req.cost);
+        let started_ms = b.fleet.born(replica).unwrap_or_default();
         Self {
             node: node.clone(),
             replica: replica.clone(),
-            started_ms: born,
-            target: held.target.clone(),
-            cost: held.cost,
-            id: number,
+            started_ms,
+            target: req.target.clone(),
+            cost: req.cost,
+            id,
             responded: false,
             prefill_turn: None,
         }
     }
 
-    /// Waits until the replica can read the prompt; it is sent next.
-    async fn wait_for_turn(&mut self, limit: Moment) {
+    /// Waits for a long prompt's turn, then expects the first byte: the caller sends the
+    /// request next.
+    async fn wait_for_turn(&mut self, deadline: Moment) {
         if self.cost.unread >= LONG_PROMPT {
             let node = self.node.clone();
-            let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.unread, limit);
+            let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.unread, deadline);
             self.prefill_turn = turn.await;
         }
         let mut b = self.node.state();
         b.fleet.await_first(now(), &self.replica, self.id);
     }
 
-    /// Bytes of the answer came.
+    /// Records that data of the response arrived, which also means that the prompt was read.
     pub(in crate::serving) fn on_data(&mut self) {
         self.responded = true;
         self.prefill_turn = None;
@@ -122,7 +123,7 @@
         self.cost.unread = 0;
     }
 
-    /// The run ended so.
+    /// Records how the run ended in the replica's health.
     pub(in crate::serving) fn record_end(&self, end: End) {
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The start of the replica that runs it.
+    /// Returns the incarnation of the replica that executes the run.
     pub(in crate::serving) fn instance(&self) -> Instance {
         Instance {
             name: self.replica.clone(),
@@ -151,52 +152,55 @@
     }
 }
 
-/// An answer that may be passed on.
+/// A response that may be forwarded to the caller.
 pub(in crate::serving) struct StartedResponse {
     pub(in crate::serving) answer: Answer,
     pub(in crate::serving) run: Run,
-    /// Whether the replica says that it failed.
+    /// Whether the response says that the replica failed.
     pub(in crate::serving) failed: bool,
 }
 
-/// Sends a request to a replica and waits for the head of its answer.
+/// Sends a request to a replica and waits for the headers of the response.
+///
+/// With `resume_after`, the stream is resumed after that event; the API key is then not
+/// checked again.
 pub(in crate::serving) async fn forward(
     node: &Rc<Node>,
-    held: &BufferedRequest,
+    req: &BufferedRequest,
     replica: &ReplicaName,
-    resume_at: Option<u64>,
+    resume_after: Option<u64>,
 ) -> Result<StartedResponse, Ended> {
     let address = {
         let b = node.state();
         let listing = b.fleet.listing(replica).ok_or(Ended::NotSent)?;
         listing.address
     };
-    let mut run = Run::begin(node, held, replica);
-    run.wait_for_turn(held.deadline).await;
-    if resume_at.is_none() {
-        check_key(node, held)?;
+    let mut run = Run::begin(node, req, replica);
+    run.wait_for_turn(req.deadline).await;
+    if resume_after.is_none() {
+        check_key(node, req)?;
     }
-    let request = build_request(node, held, replica, resume_at);
-    let sending = held.caller.charge.as_ref().map(Charge::mark_sent);
-    let left = Duration::from_micros(held.deadline.since(now()).0);
-    let sent = tokio::time::timeout(left, node.upstreams.send(address, request)).await;
+    let request = build_request(node, req, replica, resume_after);
+    let send = req.caller.charge.as_ref().map(Charge::mark_sent);
+    let timeout = Duration::from_micros(req.deadline.since(now()).0);
+    let sent = tokio::time::timeout(timeout, node.upstreams.send(address, request)).await;
     let answer = match sent {
         Err(_) => return Err(Ended::Overdue),
         Ok(Err(SendError::NotSent(_))) => {
             run.record_end(End::Unreached);
-            sending.inspect(|s| s.revert());
+            send.inspect(|s| s.revert());
             return Err(Ended::NotSent);
         }
         Ok(Err(SendError::Broken(_))) => {
             run.record_end(End::Broken);
-            record_strike(node, held, &run.instance());
+            record_strike(node, req, &run.instance());
             return Err(Ended::Broken);
         }
         Ok(Ok(answer)) => answer,
     };
     run.on_data();
-    let read = node.codec.classify_response;
-    match read(answer.head.status, &answer.head.headers, &held.id, replica) {
+    let classify = node.codec.classify_response;
+    match classify(answer.head.status, &answer.head.headers, &req.id, replica) {
         Reply::Answer => Ok(StartedResponse {
             answer,
             run,
@@ -207,22 +211,22 @@
             run,
             failed: true,
         }),
-        Reply::NotRun(why) => {
-            sending.inspect(|s| s.revert());
-            record_refusal(node, held, &run, why);
-            Err(Ended::NotRun(why))
+        Reply::NotRun(reason) => {
+            send.inspect(|s| s.revert());
+            record_refusal(node, req, &run, reason);
+            Err(Ended::NotRun(reason))
         }
-        Reply::Invalid(what) => {
+        Reply::Invalid(reason) => {
             run.record_end(End::Broken);
-            Err(Ended::Spoilt(what))
+            Err(Ended::Spoilt(reason))
         }
     }
 }
 
-/// Whether the key of a request still holds: it may have waited for a place for
-/// long, or this VM may have been suspended meanwhile.
-fn check_key(node: &Node, held: &BufferedRequest) -> Result<(), Ended> {
-    let Some(key) = &held.caller.key else {
+/// Checks that the API key of a request is still valid: it may have been revoked while the
+/// request waited for a replica or this VM was suspended.
+fn check_key(node: &Node, req: &BufferedRequest) -> Result<(), Ended> {
+    let Some(key) = &req.caller.key else {
         return Ok(());
     };
     let mut b = node.state();
@@ -234,16 +238,16 @@
 
 fn record_refusal(
     node: &Node,
-    held: &BufferedRequest,
+    req: &BufferedRequest,
     run: &Run,
-    why: crate::serving::path::codec::NotRun,
+    reason: crate::serving::path::codec::NotRun,
 ) {
     use crate::serving::path::codec::NotRun;
-    match why {
+    match reason {
         NotRun::Gone => run.record_end(End::Gone),
         NotRun::Full => run.record_end(End::Full),
         NotRun::NotLoaded => {
-            if let Some(target) = &held.target {
+            if let Some(target) = &req.target {
                 let mut b = node.state();
                 b.fleet.lacks(now(), &run.replica, target);
             }
@@ -251,43 +255,44 @@
     }
 }
 
-/// Notes that an upstream broke while it ran this request.
-pub(in crate::serving) fn record_strike(node: &Node, held: &BufferedRequest, replica: &Instance) {
-    let news = node.state().strikes.note(now(), held.fingerprint, replica);
-    if news {
+/// Records that an upstream failed while it ran this request, and lets the next beacon go
+/// out at once if that is news for the other VMs.
+pub(in crate::serving) fn record_strike(node: &Node, req: &BufferedRequest, replica: &Instance) {
+    let is_new = node.state().strikes.note(now(), req.fingerprint, replica);
+    if is_new {
         node.beacon_wake.notify_one();
     }
 }
 
 fn build_request(
     node: &Node,
-    held: &BufferedRequest,
+    req: &BufferedRequest,
     replica: &ReplicaName,
-    resume_at: Option<u64>,
+    resume_after: Option<u64>,
 ) -> Request<Parts> {
-    let mut request = Request::new(Parts::new(held.body.iter().cloned()));
-    *request.method_mut() = held.method.clone();
-    *request.uri_mut() = held.path.clone();
+    let mut request = Request::new(Parts::new(req.body.iter().cloned()));
+    *request.method_mut() = req.method.clone();
+    *request.uri_mut() = req.path.clone();
     let now = now();
     let version = {
         let b = node.state();
-        let target = held.target.as_ref();
+        let target = req.target.as_ref();
         target.and_then(|t| b.fleet.expected_version(now, replica, t))
     };
     let headers = request.headers_mut();
-    *headers = held.headers.clone();
-    let sending = ForwardHeaders {
-        timeout: Duration::from_micros(held.deadline.since(now).0),
+    *headers = req.headers.clone();
+    let values = ForwardHeaders {
+        timeout: Duration::from_micros(req.deadline.since(now).0),
         replica,
         version,
-        resume_after: resume_at,
-        organisation: held.caller.organisation.as_ref(),
+        resume_after,
+        organisation: req.caller.organisation.as_ref(),
     };
-    (node.codec.set_headers)(headers, &sending);
+    (node.codec.set_headers)(headers, &values);
     request
 }
 
-/// Takes out the headers that concern only one connection.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub(in crate::serving) fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -312,7 +317,7 @@
     }
 }
 
-/// Takes out what the connection to a replica sets by itself.
+/// Removes hop-by-hop headers and those that the connection to the replica sets itself.
 pub(in crate::serving) fn strip_request_headers(headers: &mut HeaderMap) {
     strip_hop_headers(headers);
     headers.remove(CONTENT_LENGTH);
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -33,10 +33,10 @@
 /// Asks whether a request may be sent to a replica.
 pub(in crate::serving) async fn ask_owner(
     node: &Node,
-    held: &BufferedRequest,
+    req: &BufferedRequest,
     replica: &ReplicaName,
 ) -> Admission {
-    let Some(target) = held.target.as_ref().filter(|t| t.adapter.is_some()) else {
+    let Some(target) = req.target.as_ref().filter(|t| t.adapter.is_some()) else {
         return Admission::Admitted;
     };
     let number = node.next_id();
@@ -56,8 +56,8 @@
             number,
             replica: replica.to_string(),
             target: target.to_string(),
-            tokens: held.cost.tokens,
-            unread: held.cost.unread,
+            tokens: req.cost.tokens,
+            unread: req.cost.unread,
             believed_ms: believed.busy_ms() as u64,
         };
         (address, ask)
@@ -108,8 +108,8 @@
             return;
         }
         let reported = b.fleet.total(at, &name).unwrap_or_default();
-        let held = b.books.held(&name);
-        let lacks = held.is_some_and(|h| !h.here.keys().any(|t| t.to_string() == ask.target));
+        let req = b.books.held(&name);
+        let lacks = req.is_some_and(|h| !h.here.keys().any(|t| t.to_string() == ask.target));
         let cost = Load {
             requests: 1,
             tokens: ask.tokens,
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -44,7 +44,7 @@
 /// goes through all replicas; a load takes some twenty times as long.
 const MIN_RECHECK: Span = Span::from_millis(15);
 
-/// Owners of replicas that are asked about one request at the most: each one
+/// Owners of replicas that are routed about one request at the most: each one
 /// mends what is believed of its replica, and the last choice stands.
 const MAX_OWNER_ASKS: u32 = 3;
 
@@ -58,15 +58,15 @@
 /// so that a caller who is refused can still be served elsewhere.
 pub(in crate::serving) async fn wait_for_replica(
     node: &Rc<Node>,
-    asked: &RoutedRequest,
-    held: &BufferedRequest,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
     avoid: &BTreeSet<ReplicaName>,
 ) -> Result<ReplicaName, Refusal> {
     let began = now();
-    let left = held.deadline.since(began);
+    let left = req.deadline.since(began);
     let load_limit = began.after(Span(left.0 / WAIT_DIVISOR));
     let full_limit = began
-        .after(to_span(asked.route.objective / 4))
+        .after(to_span(routed.route.objective / 4))
         .min(load_limit);
     let mut wished: Option<Moment> = None;
     let mut stop_limit: Option<Moment> = None;
@@ -76,14 +76,14 @@
         let at = now();
         let changed = node.placement_wake.notified();
         let waited = (at < load_limit).then(|| at.since(began));
-        let place = choose_replica(node, asked, held, avoid, waited, at);
+        let place = choose_replica(node, routed, req, avoid, waited, at);
         let (limit, refusal) = match place {
             Place::Send { at, copy } => {
-                if let (Some(copy), Some(target)) = (copy, &held.target) {
+                if let (Some(copy), Some(target)) = (copy, &req.target) {
                     beacons::request_load(node, &copy, target).await;
                 }
                 if asks < MAX_OWNER_ASKS
-                    && owner_check::ask_owner(node, held, &at).await == Admission::ChooseAgain
+                    && owner_check::ask_owner(node, req, &at).await == Admission::ChooseAgain
                 {
                     asks += 1;
                     continue;
@@ -91,14 +91,14 @@
                 let waited = now().since(began);
                 metrics::histogram!("serve_wait_seconds").record(waited.0 as f64 / 1e6);
                 if waited >= LOGGED_WAIT {
-                    slog::info!(node.log, "placed"; "id" => &held.id, "replica" => at.as_str(),
+                    slog::info!(node.log, "placed"; "id" => &req.id, "replica" => at.as_str(),
                         "waited_ms" => waited.as_millis(), "why" => why);
                 }
                 return Ok(at);
             }
             Place::Load { at: replica } | Place::Coming { at: replica } => {
                 let again = wished.is_none_or(|w| at.since(w) >= to_span(WISH_INTERVAL));
-                if let (true, Some(target)) = (again, &held.target) {
+                if let (true, Some(target)) = (again, &req.target) {
                     wished = Some(at);
                     beacons::request_load(node, &replica, target).await;
                 }
@@ -119,7 +119,7 @@
             false => limit,
         };
         if at >= limit {
-            log_no_replica(node, asked, held, refusal.reason, at.since(began));
+            log_no_replica(node, routed, req, refusal.reason, at.since(began));
             return Err(refusal);
         }
         why = refusal.reason;
@@ -132,17 +132,17 @@
 
 fn log_no_replica(
     node: &Node,
-    asked: &RoutedRequest,
-    held: &BufferedRequest,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
     why: &'static str,
     waited: Span,
 ) {
     let at = now();
     let b = node.state();
-    let seen = b.fleet.survey(at, &asked.service, held.target.as_ref());
-    slog::info!(node.log, "no place"; "id" => &held.id, "why" => why,
-        "target" => held.target.as_ref().map(ToString::to_string),
-        "service" => asked.service.as_str(), "waited_ms" => waited.as_millis(),
+    let seen = b.fleet.survey(at, &routed.service, req.target.as_ref());
+    slog::info!(node.log, "no place"; "id" => &req.id, "why" => why,
+        "target" => req.target.as_ref().map(ToString::to_string),
+        "service" => routed.service.as_str(), "waited_ms" => waited.as_millis(),
         "replicas" => seen.listed, "live" => seen.live, "holders" => seen.holders,
         "words" => seen.words, "requests" => seen.requests,
         "owners_term" => b.ownership.table.term.0);
@@ -151,21 +151,21 @@
 /// Where a request would run now.
 fn choose_replica(
     node: &Node,
-    asked: &RoutedRequest,
-    held: &BufferedRequest,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
     avoid: &BTreeSet<ReplicaName>,
     waited: Option<Span>,
     at: Moment,
 ) -> Place {
-    let bytes: usize = held.body.iter().map(Bytes::len).sum();
+    let bytes: usize = req.body.iter().map(Bytes::len).sum();
     let b = node.state();
     let want = Want {
-        service: &asked.service,
-        target: held.target.as_ref(),
-        cost: held.cost,
-        shared: held.shared,
+        service: &routed.service,
+        target: req.target.as_ref(),
+        cost: req.cost,
+        shared: req.shared,
         body_kb: bytes as f64 / 1024.0,
-        objective_ms: asked.route.objective.as_secs_f64() * 1e3,
+        objective_ms: routed.route.objective.as_secs_f64() * 1e3,
         waited,
         avoid,
     };
@@ -176,10 +176,10 @@
 /// Whether another replica could go on with a request at once.
 pub(in crate::serving) fn has_other_replica(
     node: &Node,
-    asked: &RoutedRequest,
-    held: &BufferedRequest,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
     avoid: &BTreeSet<ReplicaName>,
 ) -> bool {
-    let place = choose_replica(node, asked, held, avoid, None, now());
+    let place = choose_replica(node, routed, req, avoid, None, now());
     matches!(place, Place::Send { .. })
 }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -127,7 +127,7 @@
             return Some(Ok(piece));
         }
         loop {
-            let begun = self.response.as_mut()?;
+            let started = self.response.as_mut()?;
             let piece = match self.events {
                 Some(_) if self.tries.idempotent => {
                     let pause = self
@@ -137,11 +137,14 @@
                         .unwrap_or(self.routed.route.objective);
                     let soon = tokio::time::Instant::now() + pause * GAPS_BEFORE_CHECK;
                     let by = to_instant(self.request.deadline).min(soon);
-                    tokio::time::timeout_at(by, begun.answer.data()).await
+                    tokio::time::timeout_at(by, started.answer.data()).await
                 }
                 _ => {
-                    tokio::time::timeout_at(to_instant(self.request.deadline), begun.answer.data())
-                        .await
+                    tokio::time::timeout_at(
+                        to_instant(self.request.deadline),
+                        started.answer.data(),
+                    )
+                    .await
                 }
             };
             let ended = match piece {
@@ -177,10 +180,10 @@
     /// is silent to all, and another one can go on at once. A replica that is
     /// only busy ends the run sooner than one that begins anew.
     fn should_move(&self) -> bool {
-        let Some(begun) = &self.response else {
+        let Some(started) = &self.response else {
             return false;
         };
-        let replica = &begun.run.replica;
+        let replica = &started.run.replica;
         if !self.node.state().fleet.silent(now(), replica) {
             return false;
         }
@@ -191,8 +194,8 @@
     }
 
     fn accept_data(&mut self, bytes: Bytes) -> Result<Bytes, &'static str> {
-        if let Some(begun) = &mut self.response {
-            begun.run.on_data();
+        if let Some(started) = &mut self.response {
+            started.run.on_data();
         }
         self.timing.record_data(now());
         let Some(events) = &mut self.events else {
@@ -222,18 +225,18 @@
         };
         self.log_slow();
         let outcome = match &self.response {
-            Some(begun) if begun.failed => "upstream_failed",
+            Some(started) if started.failed => "upstream_failed",
             _ => "answered",
         };
         count_outcome(outcome);
         let first = self.timing.first_byte.0 as f64 / 1e6;
         metrics::histogram!("serve_first_byte_seconds").record(first);
-        if let Some(begun) = self.response.take() {
-            let end = match begun.failed {
+        if let Some(started) = self.response.take() {
+            let end = match started.failed {
                 true => End::Failed,
                 false => End::Answered,
             };
-            begun.run.record_end(end);
+            started.run.record_end(end);
             let mut b = self.node.state();
             b.strikes.clear(self.request.fingerprint);
         }
@@ -242,14 +245,14 @@
 
     /// Goes on at another replica after a break, where the route allows it.
     async fn resume(&mut self, ended: Ended) -> Result<(), ResponseAborted> {
-        let Some(begun) = self.response.take() else {
+        let Some(started) = self.response.take() else {
             return Err(ResponseAborted("no answer"));
         };
-        begun.run.record_end(End::Broken);
-        record_strike(&self.node, &self.request, &begun.run.instance());
-        self.avoid.insert(begun.run.replica.clone());
+        started.run.record_end(End::Broken);
+        record_strike(&self.node, &self.request, &started.run.instance());
+        self.avoid.insert(started.run.replica.clone());
         // Its connection is closed now, so the replica ends the run.
-        drop(begun);
+        drop(started);
         self.log_broken(ended.word());
         let Some(events) = &mut self.events else {
             count_outcome("broken_off");
@@ -257,7 +260,7 @@
         };
         events.scanner.reset();
         self.tries.note(ended);
-        let resume_at = events.last_id;
+        let resume_after = events.last_id;
         let next = retry(
             &self.node,
             &self.routed,
@@ -265,11 +268,11 @@
             &mut self.tries,
             &mut self.avoid,
             ended,
-            resume_at,
+            resume_after,
         );
         match next.await {
-            Ok(begun) => {
-                self.response = Some(begun);
+            Ok(started) => {
+                self.response = Some(started);
                 Ok(())
             }
             Err(_) => {
@@ -316,10 +319,10 @@
 impl Drop for ResponseStream {
     fn drop(&mut self) {
         // An answer that ended, or broke off, has its own line.
-        if let Some(begun) = &self.response {
+        if let Some(started) = &self.response {
             let last = self.events.as_ref().and_then(|e| e.last_id);
             slog::info!(self.node.log, "caller left"; "id" => &self.request.id,
-                "replica" => begun.run.replica.as_str(), "last" => last,
+                "replica" => started.run.replica.as_str(), "last" => last,
                 "route" => &self.routed.route.name, "first_ms" => self.timing.first_byte.as_millis(),
                 "held_ms" => now().since(self.timing.arrived).as_millis());
             count_outcome("caller_left");
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -66,7 +66,7 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bytes of an answer that are read before its head is passed on: a short one
-/// is then whole, and can be asked for again where it breaks off.
+/// is then whole, and can be routed for again where it breaks off.
 const READ_AHEAD_BYTES: usize = 64 << 10;
 
 /// When a request that crashes its upstreams may come back.
@@ -165,10 +165,10 @@
     };
     let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
     let (head, body) = request.into_parts();
-    let asked = find_route(&active, &head.uri, &head.headers, &ask)?;
-    let organisation = authorize(node, &active, &asked, &ask)?;
+    let routed = find_route(&active, &head.uri, &head.headers, &ask)?;
+    let organisation = authorize(node, &active, &routed, &ask)?;
     let patience = ask.timeout.unwrap_or(DEFAULT_TIMEOUT);
-    let time = patience.min(asked.route.timeout);
+    let time = patience.min(routed.route.timeout);
     let limit = arrived.after(to_span(time));
     let charge = match &organisation {
         Some(organisation) => charge::acquire(node, organisation, &ask).await?,
@@ -177,17 +177,17 @@
     let body = read_body(body, active.config.limits.body_bytes, limit).await?;
     let mut headers = head.headers;
     strip_request_headers(&mut headers);
-    let held = BufferedRequest {
+    let req = BufferedRequest {
         method: head.method,
         fingerprint: fingerprint(&head.uri, &body),
         path: origin_form(&head.uri),
         headers,
-        cost: estimate_load(&active, &asked.service, &ask),
+        cost: estimate_load(&active, &routed.service, &ask),
         shared: ask.shared,
         caller: Caller {
             key: ask
                 .key
-                .filter(|_| !asked.route.public && organisation.is_some()),
+                .filter(|_| !routed.route.public && organisation.is_some()),
             organisation: organisation.map(|o| o.name.clone()),
             charge,
         },
@@ -196,8 +196,8 @@
         target: ask.target,
         deadline: limit,
     };
-    check_blocked(node, &held)?;
-    run_request(node, Rc::new(asked), held, arrived, open).await
+    check_blocked(node, &req)?;
+    run_request(node, Rc::new(routed), req, arrived, open).await
 }
 
 /// The route of a request and the service that it goes to.
@@ -223,14 +223,14 @@
 fn authorize(
     node: &Node,
     active: &ActiveConfig,
-    asked: &RoutedRequest,
+    routed: &RoutedRequest,
     ask: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
     let (freshness, bounds) = {
         let mut b = node.state();
         (b.key_freshness(now()), b.key_bounds)
     };
-    let (keys, public) = (active.keys.as_ref(), asked.route.public);
+    let (keys, public) = (active.keys.as_ref(), routed.route.public);
     let found = bounds.admit(keys, public, ask.key.as_ref(), &freshness);
     found.map_err(|denial| {
         slog::info!(node.log, "key refused"; "id" => &ask.id, "why" => denial.word(),
@@ -295,11 +295,11 @@
     }
 }
 
-fn check_blocked(node: &Node, held: &BufferedRequest) -> Result<(), Refusal> {
+fn check_blocked(node: &Node, req: &BufferedRequest) -> Result<(), Refusal> {
     let b = node.state();
     let now = now();
     let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.standing(now, &r.name) != "live";
-    match b.strikes.convicted(now, held.fingerprint, down) {
+    match b.strikes.convicted(now, req.fingerprint, down) {
         true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
     }
@@ -307,48 +307,48 @@
 
 async fn run_request(
     node: &Rc<Node>,
-    asked: Rc<RoutedRequest>,
-    held: BufferedRequest,
+    routed: Rc<RoutedRequest>,
+    req: BufferedRequest,
     arrived: Moment,
     open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = Tries {
-        most_runs: asked.route.max_attempts,
-        idempotent: asked.route.idempotent(),
+        most_runs: routed.route.max_attempts,
+        idempotent: routed.route.idempotent(),
         ..Tries::default()
     };
     let mut avoid = BTreeSet::new();
-    node.state().budget.first(now(), &asked.service);
-    let mut begun = first_attempt(node, &asked, &held, &mut tries, &mut avoid).await?;
+    node.state().budget.first(now(), &routed.service);
+    let mut started = first_attempt(node, &routed, &req, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
-    let stream = asked.route.kind == RouteKind::Stream;
-    while !stream || begun.failed {
-        match read_ahead(&mut begun, &held, &mut ahead).await {
-            Ok(read) if begun.failed && tries.idempotent => {
+    let stream = routed.route.kind == RouteKind::Stream;
+    while !stream || started.failed {
+        match read_ahead(&mut started, &req, &mut ahead).await {
+            Ok(read) if started.failed && tries.idempotent => {
                 whole = read;
-                begun.run.record_end(End::Failed);
+                started.run.record_end(End::Failed);
                 tries.note(Ended::Failed);
                 let pieces = std::mem::take(&mut ahead);
-                avoid.insert(begun.run.replica.clone());
+                avoid.insert(started.run.replica.clone());
                 let next = retry(
                     node,
-                    &asked,
-                    &held,
+                    &routed,
+                    &req,
                     &mut tries,
                     &mut avoid,
                     Ended::Failed,
                     None,
                 );
                 match next.await {
-                    Ok(next) => (begun, whole) = (next, false),
+                    Ok(next) => (started, whole) = (next, false),
                     // The replica's own failure is the answer.
                     Err(_) => {
                         ahead = pieces;
                         break;
                     }
                 }
-                if stream && !begun.failed {
+                if stream && !started.failed {
                     break;
                 }
             }
@@ -357,28 +357,28 @@
                 break;
             }
             Err(ended) => {
-                begun.run.record_end(End::Broken);
-                crate::serving::path::forward::record_strike(node, &held, &begun.run.instance());
+                started.run.record_end(End::Broken);
+                crate::serving::path::forward::record_strike(node, &req, &started.run.instance());
                 tries.note(ended);
-                avoid.insert(begun.run.replica.clone());
-                drop(begun);
+                avoid.insert(started.run.replica.clone());
+                drop(started);
                 ahead.clear();
-                begun = retry(node, &asked, &held, &mut tries, &mut avoid, ended, None).await?;
+                started = retry(node, &routed, &req, &mut tries, &mut avoid, ended, None).await?;
             }
         }
     }
     let mut response = Response::new(());
-    *response.status_mut() = begun.answer.head.status;
-    let mut headers = std::mem::take(&mut begun.answer.head.headers);
+    *response.status_mut() = started.answer.head.status;
+    let mut headers = std::mem::take(&mut started.answer.head.headers);
     strip_hop_headers(&mut headers);
     *response.headers_mut() = headers;
     let events = (stream && is_event_stream(response.headers())).then(EventTracker::default);
     tries.answered = true;
     let mut passed = ResponseStream {
         node: node.clone(),
-        routed: asked,
-        request: held,
-        response: Some(begun),
+        routed,
+        request: req,
+        response: Some(started),
         buffered: ahead,
         tries,
         avoid,
@@ -400,13 +400,13 @@
 /// Reads a short answer whole; of a longer one, the beginning. Gives whether
 /// it came to its end.
 async fn read_ahead(
-    begun: &mut StartedResponse,
-    held: &BufferedRequest,
+    started: &mut StartedResponse,
+    req: &BufferedRequest,
     ahead: &mut VecDeque<Bytes>,
 ) -> Result<bool, Ended> {
     let mut read = 0;
     while read < READ_AHEAD_BYTES {
-        match tokio::time::timeout_at(to_instant(held.deadline), begun.answer.data()).await {
+        match tokio::time::timeout_at(to_instant(req.deadline), started.answer.data()).await {
             Err(_) => return Err(Ended::Overdue),
             Ok(None) => return Ok(true),
             Ok(Some(Err(_))) => return Err(Ended::Broken),
@@ -422,19 +422,19 @@
 /// The first try, and those that follow it until an answer begins.
 async fn first_attempt(
     node: &Rc<Node>,
-    asked: &RoutedRequest,
-    held: &BufferedRequest,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
     tries: &mut Tries,
     avoid: &mut BTreeSet<ReplicaName>,
 ) -> Result<StartedResponse, Refusal> {
-    let at = wait_for_replica(node, asked, held, avoid).await?;
-    match forward(node, held, &at, None).await {
-        Ok(begun) => Ok(begun),
+    let at = wait_for_replica(node, routed, req, avoid).await?;
+    match forward(node, req, &at, None).await {
+        Ok(started) => Ok(started),
         Err(ended) => {
             tries.note(ended);
-            log_attempt(node, held, &at, tries, ended);
+            log_attempt(node, req, &at, tries, ended);
             avoid.insert(at);
-            retry(node, asked, held, tries, avoid, ended, None).await
+            retry(node, routed, req, tries, avoid, ended, None).await
         }
     }
 }
@@ -442,12 +442,12 @@
 /// Tries other replicas after a try that ended so, and is noted already.
 pub(in crate::serving) async fn retry(
     node: &Rc<Node>,
-    asked: &RoutedRequest,
-    held: &BufferedRequest,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
     tries: &mut Tries,
     avoid: &mut BTreeSet<ReplicaName>,
     ended: Ended,
-    resume_at: Option<u64>,
+    resume_after: Option<u64>,
 ) -> Result<StartedResponse, Refusal> {
     let mut ended = ended;
     loop {
@@ -458,40 +458,40 @@
             // Only a replica's word on an adapter was wrong, not the replica.
             avoid.clear();
         }
-        let at = match wait_for_replica(node, asked, held, avoid).await {
+        let at = match wait_for_replica(node, routed, req, avoid).await {
             Ok(at) => at,
             Err(refusal) if tries.runs == 0 => return Err(refusal),
             Err(_) => return Err(Refusal::after(tries, ended)),
         };
-        if ended.arrived() && !spend_retry(node, asked) {
+        if ended.arrived() && !spend_retry(node, routed) {
             return Err(Refusal::after(tries, ended));
         }
-        ended = match forward(node, held, &at, resume_at).await {
-            // A failure cannot go on an answer that has begun.
-            Ok(begun) if tries.answered && !begun.answer.head.status.is_success() => {
-                begun.run.record_end(End::Failed);
+        ended = match forward(node, req, &at, resume_after).await {
+            // A failure cannot go on an answer that has started.
+            Ok(started) if tries.answered && !started.answer.head.status.is_success() => {
+                started.run.record_end(End::Failed);
                 Ended::Failed
             }
-            Ok(begun) => return Ok(begun),
+            Ok(started) => return Ok(started),
             Err(next) => next,
         };
         tries.note(ended);
-        log_attempt(node, held, &at, tries, ended);
+        log_attempt(node, req, &at, tries, ended);
         avoid.insert(at);
     }
 }
 
-fn spend_retry(node: &Node, asked: &RoutedRequest) -> bool {
+fn spend_retry(node: &Node, routed: &RoutedRequest) -> bool {
     let mut b = node.state();
     let vms = b.members.count();
-    b.budget.spend(now(), &asked.service, vms)
+    b.budget.spend(now(), &routed.service, vms)
 }
 
-fn log_attempt(node: &Node, held: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: Ended) {
+fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: Ended) {
     let standing = node.state().fleet.standing(now(), at);
-    slog::info!(node.log, "try ended"; "id" => &held.id, "replica" => at.as_str(),
+    slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
         "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
-        "runs" => tries.runs, "left_ms" => held.deadline.since(now()).as_millis());
+        "runs" => tries.runs, "left_ms" => req.deadline.since(now()).as_millis());
     metrics::counter!("serve_tries_total", "end" => ended.word()).increment(1);
 }
 
