--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -1,4 +1,4 @@
-//! Charges requests to the limits of their organisations.
+//! Charges requests against the rate limits of their organisations.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -25,20 +25,20 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// How long the answer of a VM that lends is waited for: it is a millisecond or
-/// two away, and callers of plain services wait for a tenth of a second.
+/// Timeout for a lender's answer: it is a millisecond or two away, and callers of services
+/// without models wait for a tenth of a second only.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// The pause before the next question where no VM is known to lend: all that
-/// start at the same moment know each other within a few of these.
+/// Pause before the next attempt when no lender is known: VMs that start at the same time
+/// know each other after a few of these.
 const NO_LENDER_PAUSE: Duration = Duration::from_millis(100);
 
-/// Questions for one request: the first VM in the order, again as a datagram may
-/// be lost, and the one after it.
+/// Ranks of the lenders that are asked for one request: the first one twice, because a
+/// datagram may be lost, then the second one.
 const LENDER_RANKS: [usize; 3] = [0, 0, 1];
 
-/// What a request took of its organisation's limit; if it did not run, that is
-/// given back when this is dropped.
+/// A request's charge against its organisation's rate limit. Dropping it refunds the charge
+/// if the request did not run.
 pub(in crate::serving) struct Charge {
     node: Rc<Node>,
     organisation: OrganisationName,
@@ -47,26 +47,26 @@
 }
 
 impl Charge {
-    /// The request is sent, and may run from now on.
+    /// Records that the request is about to be sent, so that it may run from now on.
     pub(in crate::serving) fn mark_sent(&self) -> ChargedSend<'_> {
-        let before = self.may_have_run.replace(true);
+        let ran_before = self.may_have_run.replace(true);
         ChargedSend {
             charge: self,
-            before,
+            ran_before,
         }
     }
 }
 
-/// A send of a charged request.
+/// One send of a charged request.
 pub(in crate::serving) struct ChargedSend<'a> {
     charge: &'a Charge,
-    before: bool,
+    ran_before: bool,
 }
 
 impl ChargedSend<'_> {
-    /// It did not run by this send.
+    /// Records that this send did not run the request.
     pub(in crate::serving) fn revert(&self) {
-        self.charge.may_have_run.set(self.before);
+        self.charge.may_have_run.set(self.ran_before);
     }
 }
 
@@ -92,39 +92,40 @@
     .increment(weight as u64);
 }
 
-/// Takes what a request weighs out of its organisation's limit.
+/// Charges a request against its organisation's rate limit; returns `None` if the
+/// organisation has no limit.
 pub(in crate::serving) async fn acquire(
     node: &Rc<Node>,
     organisation: &Organisation,
-    ask: &RequestInfo,
+    request: &RequestInfo,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(limit) = &organisation.limit else {
         return Ok(None);
     };
     let name = &organisation.name;
-    let weight = limit.weight.of(ask);
+    let weight = limit.weight.of(request);
     let charge = || Charge {
         node: node.clone(),
         organisation: name.clone(),
         weight,
         may_have_run: Cell::new(false),
     };
-    let over = |after: Span, why: &'static str| {
+    let over = |after: Span, source: &'static str| {
         count_usage(name, "over_limit", weight);
-        slog::info!(node.log, "over limit"; "id" => &ask.id, "organisation" => name.as_str(),
+        slog::info!(node.log, "organisation is over its rate limit"; "id" => &request.id, "organisation" => name.as_str(),
             "weight" => weight, "rate" => limit.rate, "burst" => limit.burst,
-            "after_ms" => after.as_millis(), "by" => why);
+            "after_ms" => after.as_millis(), "by" => source);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
-    let lenders = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
-    for place in LENDER_RANKS.into_iter().filter(|_| lenders) {
+    let lending = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
+    for rank in LENDER_RANKS.into_iter().filter(|_| lending) {
         let spend = node.state().borrower.spend(now(), name, weight);
         let question = match spend {
             Spend::Spent => return Ok(Some(charge())),
             Spend::Short(after) => return Err(over(after, "told")),
             Spend::Ask(question) => question,
         };
-        let answer = match ask_lender(node, name, limit, place, question).await {
+        let answer = match ask_lender(node, name, limit, rank, question).await {
             LenderReply::Answer(answer) => answer,
             LenderReply::Unanswered => continue,
             LenderReply::NoLender => {
@@ -141,33 +142,34 @@
             return Err(over(after, "asked"));
         }
     }
-    let own = {
+    let covered = {
         let mut b = node.state();
-        let vms = b.members.count();
-        b.borrower.spend_own(now(), name, limit, vms, weight)
+        let vm_count = b.members.count();
+        b.borrower.spend_own(now(), name, limit, vm_count, weight)
     };
-    if own {
+    if covered {
         return Ok(Some(charge()));
     }
-    slog::info!(node.log, "no lender"; "id" => &ask.id, "organisation" => name.as_str(),
+    slog::info!(node.log, "no lender answered and the local share is used up"; "id" => &request.id, "organisation" => name.as_str(),
         "weight" => weight, "heard_part" => node.state().members.reachable_fraction(now()));
     Err(Refusal::not_run("no_lender", COME_BACK))
 }
 
-/// What came of a question to a VM that lends.
+/// Result of asking a lender.
 enum LenderReply {
     Answer(Answer),
     Unanswered,
-    /// No VM is known to lend.
+    /// No lender is known.
     NoLender,
 }
 
-/// Asks the VM at this place in the order of those that lend.
+/// Asks the lender of this rank for a part of the organisation's limit, or asks the local
+/// lender if that is this VM.
 async fn ask_lender(
     node: &Node,
     name: &OrganisationName,
     limit: &RateLimit,
-    place: usize,
+    rank: usize,
     mut question: LeaseAsk,
 ) -> LenderReply {
     if !node.settings.experiment.is_enabled(Mechanism::LimitsAhead) {
@@ -177,13 +179,13 @@
         let mut b = node.state();
         let b = &mut *b;
         let lenders = b.members.lenders(now(), lender_seed(name));
-        let Some(lender) = lenders.get(place).or(lenders.first()).copied() else {
+        let Some(lender) = lenders.get(rank).or(lenders.first()).copied() else {
             return LenderReply::NoLender;
         };
         if *lender == node.settings.vm {
-            let part = b.members.reachable_fraction(now());
+            let reachable = b.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
-            let answer = b.lender.ask(now(), name, limit, part, first, question);
+            let answer = b.lender.ask(now(), name, limit, reachable, first, question);
             return LenderReply::Answer(answer);
         }
         b.members.address(lender)
@@ -191,17 +193,17 @@
     let Some(address) = address else {
         return LenderReply::Unanswered;
     };
-    let number = node.next_id();
-    let waiting = node.lease_calls.register(number);
+    let id = node.next_id();
+    let call = node.lease_calls.register(id);
     let ask = wire::LeaseAsk {
         vm: node.settings.vm.to_string(),
-        number,
+        number: id,
         organisation: name.to_string(),
         need: question.need,
         ahead: question.ahead,
     };
     send_message(node, Body::LeaseAsk(ask), address).await;
-    let (outcome, asked) = match waiting.wait(ANSWER_TIMEOUT).await {
+    let (outcome, asked) = match call.wait(ANSWER_TIMEOUT).await {
         Some(answer) if answer.declined => ("declined", LenderReply::Unanswered),
         Some(answer) if answer.lent > 0.0 => {
             ("lent", LenderReply::Answer(Answer::Lent(answer.lent)))
@@ -221,7 +223,7 @@
     send(node, &datagram.encode_to_vec(), address).await;
 }
 
-/// A VM asks for a part of an organisation's limit.
+/// Answers another VM that asks for a part of an organisation's limit.
 pub(in crate::serving) async fn handle_lease_ask(node: &Node, ask: &wire::LeaseAsk) {
     let (Ok(name), Ok(vm)) = (
         ask.organisation.parse::<OrganisationName>(),
@@ -249,14 +251,18 @@
     send_message(node, Body::LeaseAnswer(answer), address).await;
 }
 
-/// `None` where this VM does not lend for the organisation.
+/// Lends a part of an organisation's limit; returns `None` if this VM is not among the
+/// organisation's lenders.
 fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<Answer> {
     let mut b = node.state();
     let b = &mut *b;
     let at = now();
     let limit = *b.active.as_ref()?.use_limits.get(name)?;
     let lenders = b.members.lenders(at, lender_seed(name));
-    let place = lenders.iter().position(|vm| **vm == node.settings.vm)?;
-    let part = b.members.reachable_fraction(at);
-    Some(b.lender.ask(at, name, &limit, part, place == 0, question))
+    let rank = lenders.iter().position(|vm| **vm == node.settings.vm)?;
+    let reachable = b.members.reachable_fraction(at);
+    Some(
+        b.lender
+            .ask(at, name, &limit, reachable, rank == 0, question),
+    )
 }
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -16,21 +16,24 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// How long an answer is waited for: owners are a millisecond or two away, and
-/// one that is lost or busy must not hold a request up.
+/// Timeout for an owner's answer: owners are a millisecond or two away, and a lost datagram
+/// or a busy owner must not delay a request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Whether a request may go to a replica, by its owner's word.
+/// Result of asking a replica's owner whether a request may be sent there.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(in crate::serving) enum Admission {
-    /// It may, or there is nobody to ask.
+    /// The request may be sent, or no owner could be asked.
     Admitted,
-    /// The replica is busier than was believed, or lacks the adapter; what is
-    /// believed is mended.
+    /// The replica is busier than assumed, or the adapter is not loaded. The local view is
+    /// corrected, so the replica must be chosen again.
     ChooseAgain,
 }
 
-/// Asks whether a request may be sent to a replica.
+/// Asks the owner of a replica whether a request may be sent there.
+///
+/// Requests without an adapter are admitted without asking, and so are requests whose owner
+/// does not answer in time.
 pub(in crate::serving) async fn ask_owner(
     node: &Node,
     req: &BufferedRequest,
@@ -39,35 +42,35 @@
     let Some(target) = req.target.as_ref().filter(|t| t.adapter.is_some()) else {
         return Admission::Admitted;
     };
-    let number = node.next_id();
+    let id = node.next_id();
     let (address, ask) = {
         let b = node.state();
         let at = now();
         let owner = b.ownership.owner(replica);
         let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.is_live(at, vm));
         let address = owner.and_then(|vm| b.members.address(vm));
-        let asks = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
-        let Some(address) = address.filter(|_| asks) else {
+        let enabled = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
+        let Some(address) = address.filter(|_| enabled) else {
             return Admission::Admitted;
         };
-        let believed = b.fleet.total(at, replica).unwrap_or_default();
+        let assumed = b.fleet.total(at, replica).unwrap_or_default();
         let ask = wire::PlaceAsk {
             vm: node.settings.vm.to_string(),
-            number,
+            number: id,
             replica: replica.to_string(),
             target: target.to_string(),
             tokens: req.cost.tokens,
             unread: req.cost.unread,
-            believed_ms: believed.busy_ms() as u64,
+            believed_ms: assumed.busy_ms() as u64,
         };
         (address, ask)
     };
-    let question = node.place_calls.register(number);
+    let call = node.place_calls.register(id);
     let datagram = wire::Datagram {
         body: Some(Body::PlaceAsk(ask)),
     };
     send(node, &datagram.encode_to_vec(), address).await;
-    let answer = question.wait(ANSWER_TIMEOUT).await;
+    let answer = call.wait(ANSWER_TIMEOUT).await;
     let outcome = match &answer {
         Some(answer) if answer.granted => "granted",
         Some(answer) if answer.lacks => "lacks",
@@ -91,7 +94,7 @@
     }
 }
 
-/// A VM asks about a replica of ours.
+/// Answers another VM that asks about a replica that this VM owns.
 pub(in crate::serving) async fn handle_place_ask(node: &Node, ask: &wire::PlaceAsk) {
     let (Ok(name), Ok(vm)) = (ask.replica.parse::<ReplicaName>(), ask.vm.parse::<VmName>()) else {
         return;
@@ -103,7 +106,7 @@
         let Some(address) = b.members.address(&vm) else {
             return;
         };
-        // One that lost the replica knows no more than the one who asks.
+        // A former owner knows no more about the replica than the VM that asks.
         if b.ownership.owner(&name) != Some(&node.settings.vm) {
             return;
         }
@@ -115,9 +118,9 @@
             tokens: ask.tokens,
             unread: ask.unread,
         };
-        let believed = ask.believed_ms as f64;
+        let assumed_ms = ask.believed_ms as f64;
         let total = reported.plus(b.reserved.load(at, &name));
-        let granted = !lacks && b.reserved.grant(at, &name, reported, believed, cost);
+        let granted = !lacks && b.reserved.grant(at, &name, reported, assumed_ms, cost);
         let answer = wire::PlaceAnswer {
             number: ask.number,
             granted,
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -1,4 +1,4 @@
-//! Waits for a replica that can run a request.
+//! Chooses a replica for a request, and waits until one can run it.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -24,108 +24,108 @@
 use crate::serving::program::node::to_instant;
 use crate::serving::program::node::to_span;
 
-/// How often a wish for an adapter is repeated: datagrams get lost.
+/// Interval at which a request to load an adapter is repeated, because datagrams can be
+/// lost.
 const WISH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The part of the time that is left in which a request waits for a place;
-/// later than that it is refused while its caller can still go elsewhere.
+/// Divisor of the time until the deadline that gives the maximum wait for a load. A
+/// request refused after that leaves its caller time to try elsewhere.
 const WAIT_DIVISOR: u64 = 3;
 
-/// How long a request waits for a place while the process stops: it must have
-/// its answer before the process ends.
+/// Maximum wait for a replica while the process stops: the request must be answered before
+/// the process exits.
 const SHUTDOWN_WAIT: Duration = Duration::from_millis(500);
 
-/// When those may come back who found all replicas full: about the time in
-/// which a short run ends.
+/// `Retry-After` when all replicas are at capacity: about the duration of a short run.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The least time between two looks for a place. Under high load some hundred
-/// ends of runs and pieces of news a second wake all that wait, and each look
-/// goes through all replicas; a load takes some twenty times as long.
+/// Minimum time between two attempts to choose a replica. Under high load, finished runs
+/// and updates wake all waiting requests some hundred times a second, and each attempt scans
+/// all replicas; a load takes some twenty times as long as this interval.
 const MIN_RECHECK: Span = Span::from_millis(15);
 
-/// Owners of replicas that are routed about one request at the most: each one
-/// mends what is believed of its replica, and the last choice stands.
+/// Maximum number of owners that decline a request before it is sent without asking: each
+/// answer corrects the local view of one replica, and the last choice is then used.
 const MAX_OWNER_ASKS: u32 = 3;
 
-/// A wait that is worth a line.
+/// Minimum wait that is logged.
 const LOGGED_WAIT: Span = Span::from_millis(20);
 
-/// Waits for a replica that can run a request.
+/// Waits until a replica can run a request, and returns it.
 ///
-/// Made for adapters that have to be loaded first and for replicas that are
-/// full for a moment. A request waits at most a third of the time that it has,
-/// so that a caller who is refused can still be served elsewhere.
+/// A request waits while its adapter is loaded, or while all replicas are briefly at
+/// capacity. It waits for at most a third of the time until its deadline, so that a caller
+/// who is refused can still be served elsewhere.
 pub(in crate::serving) async fn wait_for_replica(
     node: &Rc<Node>,
     routed: &RoutedRequest,
     req: &BufferedRequest,
     avoid: &BTreeSet<ReplicaName>,
 ) -> Result<ReplicaName, Refusal> {
-    let began = now();
-    let left = req.deadline.since(began);
-    let load_limit = began.after(Span(left.0 / WAIT_DIVISOR));
-    let full_limit = began
+    let start = now();
+    let remaining = req.deadline.since(start);
+    let load_deadline = start.after(Span(remaining.0 / WAIT_DIVISOR));
+    let capacity_deadline = start
         .after(to_span(routed.route.objective / 4))
-        .min(load_limit);
-    let mut wished: Option<Moment> = None;
-    let mut stop_limit: Option<Moment> = None;
-    let mut why = "";
-    let mut asks = 0;
+        .min(load_deadline);
+    let mut requested_at: Option<Moment> = None;
+    let mut stop_deadline: Option<Moment> = None;
+    let mut reason = "";
+    let mut owner_asks = 0;
     loop {
         let at = now();
-        let changed = node.placement_wake.notified();
-        let waited = (at < load_limit).then(|| at.since(began));
+        let wake = node.placement_wake.notified();
+        let waited = (at < load_deadline).then(|| at.since(start));
         let place = choose_replica(node, routed, req, avoid, waited, at);
-        let (limit, refusal) = match place {
+        let (deadline, refusal) = match place {
             Place::Send { at, copy } => {
                 if let (Some(copy), Some(target)) = (copy, &req.target) {
                     beacons::request_load(node, &copy, target).await;
                 }
-                if asks < MAX_OWNER_ASKS
+                if owner_asks < MAX_OWNER_ASKS
                     && owner_check::ask_owner(node, req, &at).await == Admission::ChooseAgain
                 {
-                    asks += 1;
+                    owner_asks += 1;
                     continue;
                 }
-                let waited = now().since(began);
+                let waited = now().since(start);
                 metrics::histogram!("serve_wait_seconds").record(waited.0 as f64 / 1e6);
                 if waited >= LOGGED_WAIT {
                     slog::info!(node.log, "placed"; "id" => &req.id, "replica" => at.as_str(),
-                        "waited_ms" => waited.as_millis(), "why" => why);
+                        "waited_ms" => waited.as_millis(), "why" => reason);
                 }
                 return Ok(at);
             }
             Place::Load { at: replica } | Place::Coming { at: replica } => {
-                let again = wished.is_none_or(|w| at.since(w) >= to_span(WISH_INTERVAL));
-                if let (true, Some(target)) = (again, &req.target) {
-                    wished = Some(at);
+                let is_due = requested_at.is_none_or(|w| at.since(w) >= to_span(WISH_INTERVAL));
+                if let (true, Some(target)) = (is_due, &req.target) {
+                    requested_at = Some(at);
                     beacons::request_load(node, &replica, target).await;
                 }
                 (
-                    load_limit,
+                    load_deadline,
                     Refusal::not_run("not_loaded_in_time", COME_BACK),
                 )
             }
             Place::Full => (
-                full_limit,
+                capacity_deadline,
                 Refusal::not_run("replicas_full", FULL_RETRY_AFTER),
             ),
-            Place::Nowhere => (full_limit, Refusal::not_run("no_replica", COME_BACK)),
+            Place::Nowhere => (capacity_deadline, Refusal::not_run("no_replica", COME_BACK)),
         };
         let stopping = node.phase() != Phase::Serving;
-        let limit = match stopping {
-            true => limit.min(*stop_limit.get_or_insert(at.after(to_span(SHUTDOWN_WAIT)))),
-            false => limit,
+        let deadline = match stopping {
+            true => deadline.min(*stop_deadline.get_or_insert(at.after(to_span(SHUTDOWN_WAIT)))),
+            false => deadline,
         };
-        if at >= limit {
-            log_no_replica(node, routed, req, refusal.reason, at.since(began));
+        if at >= deadline {
+            log_no_replica(node, routed, req, refusal.reason, at.since(start));
             return Err(refusal);
         }
-        why = refusal.reason;
-        let wait = Duration::from_micros(limit.since(at).0).min(WISH_INTERVAL);
-        // Whether news or the time wakes us, the place is looked for anew.
-        tokio::time::timeout(wait, changed).await.ok();
+        reason = refusal.reason;
+        let wait = Duration::from_micros(deadline.since(at).0).min(WISH_INTERVAL);
+        // A wake-up and a time-out both lead to another attempt.
+        tokio::time::timeout(wait, wake).await.ok();
         tokio::time::sleep_until(to_instant(at.after(MIN_RECHECK))).await;
     }
 }
@@ -134,21 +134,21 @@
     node: &Node,
     routed: &RoutedRequest,
     req: &BufferedRequest,
-    why: &'static str,
+    reason: &'static str,
     waited: Span,
 ) {
     let at = now();
     let b = node.state();
-    let seen = b.fleet.survey(at, &routed.service, req.target.as_ref());
-    slog::info!(node.log, "no place"; "id" => &req.id, "why" => why,
+    let survey = b.fleet.survey(at, &routed.service, req.target.as_ref());
+    slog::info!(node.log, "no replica can take the request"; "id" => &req.id, "why" => reason,
         "target" => req.target.as_ref().map(ToString::to_string),
         "service" => routed.service.as_str(), "waited_ms" => waited.as_millis(),
-        "replicas" => seen.listed, "live" => seen.live, "holders" => seen.holders,
-        "words" => seen.words, "requests" => seen.requests,
+        "replicas" => survey.listed, "live" => survey.live, "holders" => survey.holders,
+        "words" => survey.words, "requests" => survey.requests,
         "owners_term" => b.ownership.table.term.0);
 }
 
-/// Where a request would run now.
+/// Chooses where a request would run now.
 fn choose_replica(
     node: &Node,
     routed: &RoutedRequest,
@@ -169,11 +169,12 @@
         waited,
         avoid,
     };
-    let own = &node.settings.vm;
-    b.fleet.place(at, &want, |name| b.can_load(at, own, name))
+    let own_vm = &node.settings.vm;
+    b.fleet
+        .place(at, &want, |name| b.can_load(at, own_vm, name))
 }
 
-/// Whether another replica could go on with a request at once.
+/// Returns whether a replica outside `avoid` could take over a request at once.
 pub(in crate::serving) fn has_other_replica(
     node: &Node,
     routed: &RoutedRequest,
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -1,4 +1,4 @@
-//! Turns in which replicas read long prompts: asked for, given, ended.
+//! Turns for the prefill of long prompts: requesting, granting and ending them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,33 +18,36 @@
 use crate::serving::program::node::now;
 use crate::serving::program::node::time_until;
 
-/// How long the task that gives turns sleeps without any to give.
+/// How often the task that grants turns runs when no turn is due.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A turn that was asked for; its owner hears of its end when it is dropped.
+/// Guard for a requested turn; dropping it notifies the replica's owner that the turn has
+/// ended.
 pub(in crate::serving) struct PrefillTurn {
     node: Rc<Node>,
     replica: ReplicaName,
     number: u64,
 }
 
-/// Asks for a turn and waits for it, where prompts take turns and the replica
-/// has an owner that lives. After the longest wait the prompt is sent anyway.
+/// Requests a turn from the replica's owner and waits for it.
+///
+/// Returns `None` if prompts need no turns at present or the replica has no live owner.
+/// After `LONGEST_WAIT` the prompt is sent without a grant.
 pub(in crate::serving) async fn wait_for_turn(
     node: &Rc<Node>,
     replica: &ReplicaName,
     number: u64,
     tokens: u64,
-    limit: Moment,
+    deadline: Moment,
 ) -> Option<PrefillTurn> {
     let at = now();
     let owner = {
         let b = node.state();
-        let turns = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
-        let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
+        let enabled = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
+        let owner = b.ownership.owner(replica).cloned().filter(|_| enabled);
         owner.filter(|vm| b.strain.active(at) && b.members.is_live(at, vm))?
     };
-    let granted = node.turn_calls.register(number);
+    let call = node.turn_calls.register(number);
     let turn = PrefillTurn {
         node: node.clone(),
         replica: replica.clone(),
@@ -63,9 +66,9 @@
         };
         send_message(node, &owner, Body::TurnAsk(ask)).await;
     }
-    let end = at.after(LONGEST_WAIT).min(limit);
-    if granted.wait(time_until(end)).await.is_none() {
-        slog::debug!(node.log, "no turn in time"; "replica" => replica.as_str());
+    let end = at.after(LONGEST_WAIT).min(deadline);
+    if call.wait(time_until(end)).await.is_none() {
+        slog::debug!(node.log, "no prefill turn granted in time; sending the prompt"; "replica" => replica.as_str());
     }
     Some(turn)
 }
@@ -106,7 +109,7 @@
     beacons::send(node, &datagram.encode_to_vec(), address).await;
 }
 
-/// Gives turns at our replicas until the process ends.
+/// Grants turns at the replicas that this VM owns, until the process ends.
 pub(in crate::serving) async fn grant_turns(node: Rc<Node>) {
     loop {
         let (grants, wake) = {
@@ -124,14 +127,14 @@
         let wait = wake.map_or(IDLE_INTERVAL, |w| {
             time_until(w).max(Duration::from_millis(1))
         });
-        // Woken by news or by time, the turns are looked through anew.
+        // A wake-up and a time-out both lead to another pass.
         tokio::time::timeout(wait, node.turns_wake.notified())
             .await
             .ok();
     }
 }
 
-/// A VM asks for a turn at one of our replicas.
+/// Records another VM's request for a turn at a replica that this VM owns.
 pub(in crate::serving) fn handle_turn_ask(node: &Node, ask: &wire::TurnAsk) {
     let (Ok(vm), Ok(replica)) = (ask.vm.parse(), ask.replica.parse()) else {
         return;
@@ -144,7 +147,7 @@
     node.turns_wake.notify_one();
 }
 
-/// A VM's prompt was read.
+/// Ends the turn of another VM, whose prompt was read.
 pub(in crate::serving) fn handle_turn_end(node: &Node, end: &wire::TurnEnd) {
     let (Ok(vm), Ok(replica)) = (end.vm.parse(), end.replica.parse()) else {
         return;
