--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -161,7 +161,7 @@
     }
 
     /// Applies a complete list requested at `asked`. Returns the changes
-    /// against the previous state; there are none after the first list.
+    /// against the previous state; there are none for the first list.
     pub fn apply_list(
         &mut self,
         now: Moment,
@@ -193,12 +193,12 @@
         let present = items
             .iter()
             .map(|item| TopicChange::new(item.clone(), false, false));
-        let gone = self.names.difference(&names).map(|name| {
+        let removed = self.names.difference(&names).map(|name| {
             let mut item = Item::empty(name);
             item.revision = revision;
             TopicChange::new(item, true, self.failing)
         });
-        let changes = self.accept_new(present.chain(gone).collect());
+        let changes = self.accept_new(present.chain(removed).collect());
         // Objects that are never removed cannot have been created and removed
         // in between.
         if self.policy.has_removals {
@@ -211,13 +211,13 @@
         changes
     }
 
-    fn record_skipped(&mut self, blind: SkippedRange) {
-        self.skipped = Some(self.skipped.map_or(blind, |b| b.merge(blind)));
+    fn record_skipped(&mut self, skipped: SkippedRange) {
+        self.skipped = Some(self.skipped.map_or(skipped, |s| s.merge(skipped)));
     }
 
     /// Returns the skipped revisions within the history that is shared.
     pub fn skipped(&self) -> Option<SkippedRange> {
-        self.skipped.filter(|b| b.to > self.history_start)
+        self.skipped.filter(|s| s.to > self.history_start)
     }
 
     /// Applies the changes returned by a watch that was sent at `asked` and
@@ -371,15 +371,15 @@
         &mut self,
         now: Moment,
         mut update: TopicUpdate,
-        blind: SkippedRange,
+        skipped: SkippedRange,
     ) -> Vec<TopicChange> {
-        if blind.contains(self.revision()) {
+        if skipped.contains(self.revision()) {
             update.since = update.revision;
         }
         let to = update.revision;
         let changes = self.apply_update(now, update);
         if self.revision() == to {
-            self.record_skipped(blind);
+            self.record_skipped(skipped);
         }
         changes
     }
@@ -389,13 +389,13 @@
     /// store recently.
     pub fn outgoing_update(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
         let known = self.synced?;
-        let over = |(until, _): &(Moment, TopicChange)| *until <= now;
-        for (_, (_, change)) in self.shared.extract_if(.., |_, kept| over(kept)) {
+        let is_over = |(until, _): &(Moment, TopicChange)| *until <= now;
+        for (_, (_, change)) in self.shared.extract_if(.., |_, kept| is_over(kept)) {
             self.history_start = self.history_start.max(change.item.revision);
         }
         let answered = self.last_answer?;
-        let tells = rank.is_some_and(|rank| rank < SENDER_COUNT);
-        if !tells || now.since(answered) >= self.policy.max_staleness {
+        let sends = rank.is_some_and(|rank| rank < SENDER_COUNT);
+        if !sends || now.since(answered) >= self.policy.max_staleness {
             return None;
         }
         let mut newest: Vec<_> = self.shared.values().map(|(_, c)| c).collect();
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -48,21 +48,21 @@
     let mut phase = node.phase();
     loop {
         number += 1;
-        let (datagrams, beat) = {
+        let (datagrams, interval) = {
             let mut state = node.state();
-            let beat = Duration::from_micros(state.members.beacon_interval().0);
-            (full_beacons(&node, &mut state, number), beat)
+            let interval = Duration::from_micros(state.members.beacon_interval().0);
+            (full_beacons(&node, &mut state, number), interval)
         };
         for (bytes, address) in datagrams {
             send(&node, &bytes, address).await;
         }
-        let next = tokio::time::Instant::now() + beat;
+        let next = tokio::time::Instant::now() + interval;
         while tokio::time::timeout_at(next, node.beacon_wake.notified())
             .await
             .is_ok()
         {
-            let stops = std::mem::replace(&mut phase, node.phase()) != node.phase();
-            send_updates(&node, &mut number, stops).await;
+            let stopping = std::mem::replace(&mut phase, node.phase()) != node.phase();
+            send_updates(&node, &mut number, stopping).await;
             tokio::time::sleep(MIN_UPDATE_INTERVAL).await;
         }
     }
@@ -70,7 +70,7 @@
 
 /// Sends the contents of changed replicas to the subscribed VMs, and to all VMs
 /// which replicas are leaving and that this VM stops.
-async fn send_updates(node: &Node, number: &mut u64, stops: bool) {
+async fn send_updates(node: &Node, number: &mut u64, stopping: bool) {
     let mut datagrams = Vec::new();
     {
         let mut state = node.state();
@@ -95,7 +95,7 @@
             }
         }
         let leaving = std::mem::take(&mut state.leaving);
-        if !leaving.is_empty() || stops {
+        if !leaving.is_empty() || stopping {
             *number += 1;
             let mut beacon = new_beacon(node, state, *number);
             beacon.leaving = leaving.iter().map(encode_leaving).collect();
@@ -270,8 +270,8 @@
     };
     let now = now();
     let mut state = node.state();
-    let kept = state.members.failure_timeout();
-    state.fleet.set_word_kept(kept);
+    let timeout = state.members.failure_timeout();
+    state.fleet.set_word_kept(timeout);
     let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
         number: beacon.number,
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -34,11 +34,11 @@
     if node.settings.fencing {
         return;
     }
-    let mut office = ValidityLog::default();
+    let mut validity = ValidityLog::default();
     let mut since = 0;
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        office.update(&node);
+        validity.update(&node);
         if !is_due(&node) {
             continue;
         }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -79,7 +79,7 @@
 /// adapters that it holds.
 pub(in crate::serving) fn apply_replicas(node: &Node, update: &StoreUpdate<'_>) -> bool {
     let at = now();
-    let read = |item: &Item| {
+    let parse = |item: &Item| {
         let listing = (node.codec.parse_replica)(item);
         listing.map_err(|e| {
             slog::error!(node.log, "replica entry not decoded"; "name" => &item.name, "error" => %e);
@@ -87,7 +87,7 @@
     };
     match update {
         StoreUpdate::List(items) => {
-            let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
+            let all: Vec<_> = items.iter().filter_map(|i| parse(i).ok()).collect();
             slog::info!(node.log, "replicas listed"; "count" => all.len());
             let mut state = node.state();
             state.apply_listings(at, all);
@@ -106,7 +106,7 @@
             remove_replica(node, &change.item, "removed");
             true
         }
-        StoreUpdate::Change(change) => match read(&change.item) {
+        StoreUpdate::Change(change) => match parse(&change.item) {
             Ok(listing) => apply_replica(node, &change.item, listing),
             // An entry that cannot be decoded names no usable replica.
             Err(()) => {
@@ -139,16 +139,16 @@
     }
 }
 
-/// Announces a replica that this VM read to be leaving to the other VMs at
-/// once.
+/// Announces to the other VMs at once that a replica is leaving, as this VM read
+/// from the store.
 pub(in crate::serving) fn announce_leaving(node: &Node, change: &TopicChange) {
     let Ok(name) = change.item.name.parse::<ReplicaName>() else {
         return;
     };
     let mut state = node.state();
-    let drains = state.fleet.listing(&name).is_some_and(|l| l.draining);
-    let leaves = change.removed || drains;
-    let Some(born) = state.fleet.born(&name).filter(|_| leaves) else {
+    let draining = state.fleet.listing(&name).is_some_and(|l| l.draining);
+    let leaving = change.removed || draining;
+    let Some(born) = state.fleet.born(&name).filter(|_| leaving) else {
         return;
     };
     state.leaving.insert(Instance {
@@ -199,7 +199,7 @@
 }
 
 fn apply_cluster_item(node: &Node, item: &Item) {
-    let bad = |e: serde_json::Error| {
+    let log_error = |e: serde_json::Error| {
         slog::error!(node.log, "entry not decoded"; "name" => &item.name, "error" => %e);
     };
     if item.name == OWNER_TABLE {
@@ -211,7 +211,7 @@
                     node.orders_wake.notify_one();
                 }
             }
-            Err(e) => bad(e),
+            Err(e) => log_error(e),
         }
         return;
     }
@@ -223,6 +223,6 @@
             }
             state.members.set_address(entry.vm, entry.address);
         }
-        Err(e) => bad(e),
+        Err(e) => log_error(e),
     }
 }
