--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -1,4 +1,4 @@
-//! Who asks the store, and that all know what changed within the bound.
+//! Which VM polls the store, and that all VMs know each change in time.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
 
-/// Within how long a change is to be known, in milliseconds.
-const BOUND: u64 = 4_000;
+/// The time within which all VMs must know a change, in milliseconds.
+const MAX_STALENESS_MS: u64 = 4_000;
 
-/// The pause between two beacons of a VM.
-const BEAT: u64 = 400;
+/// The interval between two beacons of a VM, in milliseconds.
+const BEACON_INTERVAL_MS: u64 = 400;
 
-fn rhythm() -> PollPolicy {
+fn policy() -> PollPolicy {
     PollPolicy {
-        max_staleness: Span::from_millis(BOUND),
+        max_staleness: Span::from_millis(MAX_STALENESS_MS),
         max_solo_wait: Duration::from_millis(4_500),
         solo_pause: Duration::from_millis(250),
         shared_pause: Duration::from_millis(150),
@@ -39,19 +39,19 @@
     }
 }
 
-fn told(name: &str, revision: u64) -> TopicChange {
+fn change(name: &str, revision: u64) -> TopicChange {
     TopicChange::new(item(name, revision), false, false)
 }
 
-/// A feed that listed everything at the start.
+/// A feed that listed the topic at the start.
 fn listed(ms: u64, revision: u64, names: &[&str]) -> Feed {
-    let mut feed = Feed::new(rhythm());
+    let mut feed = Feed::new(policy());
     let items: Vec<_> = names.iter().map(|n| item(n, revision)).collect();
     feed.apply_list(at(ms), at(ms), revision, &items);
     feed
 }
 
-/// The store's changes: when, which revision.
+/// The changes of the store: time and revision.
 #[derive(Default)]
 struct Log(Vec<(u64, u64)>);
 
@@ -64,13 +64,13 @@
 
 struct Vm {
     feed: Feed,
-    /// A question under way: when it was asked, how long it waits.
+    /// A pending watch: when it was sent and how long it waits.
     asked: Option<(u64, u64)>,
     quiet_until: u64,
     frozen: bool,
 }
 
-/// Hundreds of VMs that hear each other's beacons, and a store.
+/// A store, and VMs that receive each other's beacons.
 struct World {
     vms: Vec<Vm>,
     log: Log,
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Lets time pass, ten milliseconds a step; `shared` says whether VMs tell
-    /// each other.
+    /// Advances the time in steps of ten milliseconds. `shared` says whether
+    /// VMs share updates.
     fn run(&mut self, from: u64, to: u64, shared: bool) {
         for ms in (from..to).step_by(10) {
             self.ask(ms, shared);
-            if shared && ms % BEAT == 0 {
+            if shared && ms % BEACON_INTERVAL_MS == 0 {
                 self.tell(ms);
             }
         }
@@ -151,7 +151,7 @@
     }
 
     fn tell(&mut self, ms: u64) {
-        let said: Vec<TopicUpdate> = self
+        let update: Vec<TopicUpdate> = self
             .vms
             .iter_mut()
             .filter(|vm| !vm.frozen)
@@ -159,7 +159,7 @@
             .filter_map(|(rank, vm)| vm.feed.outgoing_update(at(ms), Some(rank as u64)))
             .collect();
         for vm in self.vms.iter_mut().filter(|vm| !vm.frozen) {
-            for s in &said {
+            for s in &update {
                 vm.feed.apply_update(at(ms), s.clone());
             }
         }
@@ -171,47 +171,47 @@
     }
 }
 
-/// A calm minute with ten changes: what hundreds of VMs ask doesn't grow with
-/// their number, and each change is known everywhere within its bound.
+/// In a calm minute with ten changes, the number of calls does not grow with
+/// the fleet, and all VMs know each change in time.
 #[rstest]
 #[case::small(9)]
 #[case::grown(90)]
 #[case::large(300)]
-fn calls_by_the_size_of_the_fleet(#[case] count: usize) {
+fn calls_by_fleet_size(#[case] count: usize) {
     let mut world = World::new(count);
     for n in 0..10 {
         let when = n * 6_000 + 1_000;
         world.log.0.push((when, n + 2));
-        world.run(n * 6_000, when + BOUND, true);
-        assert!(world.all_know(n + 2), "change {n} is known in time");
-        world.run(when + BOUND, (n + 1) * 6_000, true);
+        world.run(n * 6_000, when + MAX_STALENESS_MS, true);
+        assert!(world.all_know(n + 2), "change {n} is not known in time");
+        world.run(when + MAX_STALENESS_MS, (n + 1) * 6_000, true);
     }
     assert!(world.calls <= 120, "{} calls a minute", world.calls);
 }
 
-/// Alone, each VM pays for itself.
+/// Without sharing, the calls grow with the fleet.
 #[test]
-fn calls_of_each_alone() {
+fn calls_without_sharing() {
     let mut world = World::new(300);
     world.run(0, 60_000, false);
     assert!(world.calls > 3_000, "{} calls a minute", world.calls);
 }
 
-/// The VM that asks for all is lost or frozen right before a change.
+/// The VM that polls for all fails or freezes right before a change.
 #[test]
-fn lost_asker_keeps_nothing_from_the_others() {
+fn failed_poller_withholds_no_change() {
     let mut world = World::new(200);
     world.run(0, 2_000, true);
     world.vms[0].frozen = true;
     world.log.0.push((2_010, 2));
-    world.run(2_000, 2_010 + BOUND, true);
+    world.run(2_000, 2_010 + MAX_STALENESS_MS, true);
     assert!(world.all_know(2));
-    // Those who asked before they heard of the second one's answer.
+    // VMs that polled before they received the second VM's update.
     assert!(world.calls < 40, "{} calls", world.calls);
 }
 
-/// The store is away for all for five seconds: few look for its return, and
-/// all hear of it soon.
+/// During an outage of the store of five seconds, only a few VMs retry often,
+/// and all learn of its return soon.
 #[test]
 fn outage_costs_few_calls() {
     let mut world = World::new(200);
@@ -226,22 +226,26 @@
     assert!(world.all_know(2));
 }
 
-/// A VM that missed a beacon with a change sees that it did, and asks.
+/// A VM that missed a beacon with a change notices the gap and polls.
 #[test]
-fn missed_change_is_asked_for() {
+fn missed_change_is_polled() {
     let mut feed = listed(0, 1, &[]);
-    let mut teller = listed(0, 1, &[]);
+    let mut sender = listed(0, 1, &[]);
     for revision in [2, 3] {
         let ms = revision * 1_000;
         let new = vec![(item("a", revision), false)];
-        let changes = teller.apply_changes(at(ms), at(ms), Duration::ZERO, revision, new);
-        changes.into_iter().for_each(|c| teller.share(at(ms), c));
+        let changes = sender.apply_changes(at(ms), at(ms), Duration::ZERO, revision, new);
+        changes.into_iter().for_each(|c| sender.share(at(ms), c));
     }
-    let said = teller.outgoing_update(at(4_000), Some(0)).unwrap();
-    assert_eq!(said.changes.len(), 1, "the newest of an object is told");
-    assert!(feed.apply_update(at(4_000), said).len() == 1);
-    // Later the teller has forgotten it.
-    let late = teller.outgoing_update(at(5_000), Some(0)).unwrap();
+    let update = sender.outgoing_update(at(4_000), Some(0)).unwrap();
+    assert_eq!(
+        update.changes.len(),
+        1,
+        "only the newest change of an object is shared"
+    );
+    assert!(feed.apply_update(at(4_000), update).len() == 1);
+    // Later the sender no longer shares it.
+    let late = sender.outgoing_update(at(5_000), Some(0)).unwrap();
     assert_eq!((late.since, late.changes.len()), (3, 0));
     let mut other = listed(0, 1, &[]);
     assert!(other.apply_update(at(5_000), late).is_empty());
@@ -253,45 +257,46 @@
     );
 }
 
-/// What does not fit a datagram is not told, and is seen to be missing.
+/// A change that does not fit a datagram is not shared, and the receivers
+/// notice the gap.
 #[test]
-fn large_change_is_asked_for() {
-    let mut teller = listed(0, 1, &[]);
-    // Digits that don't pack well.
+fn large_change_is_not_shared() {
+    let mut sender = listed(0, 1, &[]);
+    // Digits that do not compress well.
     let digits: String = (0..30_000_u64)
         .map(|n| (n * n * 7_919 % 10_007).to_string())
         .collect();
     let text = format!("\"{digits}\"");
-    let mut large = told("a", 2);
+    let mut large = change("a", 2);
     large.item.spec = serde_json::value::RawValue::from_string(text).unwrap();
     let new = vec![(large.item.clone(), false)];
-    teller.apply_changes(at(0), at(0), Duration::ZERO, 2, new);
-    teller.share(at(0), large);
-    let said = teller.outgoing_update(at(10), Some(0)).unwrap();
-    assert_eq!((said.since, said.changes.len()), (2, 0));
+    sender.apply_changes(at(0), at(0), Duration::ZERO, 2, new);
+    sender.share(at(0), large);
+    let update = sender.outgoing_update(at(10), Some(0)).unwrap();
+    assert_eq!((update.since, update.changes.len()), (2, 0));
 }
 
-/// Old news make no knowledge younger, and never bring back what was.
+/// An old update does not make the state look more recent and reverts nothing.
 #[test]
-fn old_news_change_nothing() {
+fn apply_update_ignores_old_revision() {
     let mut feed = listed(1_000, 5, &[]);
-    let said = TopicUpdate {
+    let update = TopicUpdate {
         revision: 4,
         as_of: at(500),
         since: 1,
-        changes: vec![told("a", 4)],
+        changes: vec![change("a", 4)],
     };
-    assert!(feed.apply_update(at(2_000), said).is_empty());
+    assert!(feed.apply_update(at(2_000), update).is_empty());
     assert_eq!(feed.revision(), 5);
     assert_eq!(feed.age(at(2_000)), Some(Span::from_millis(1_000)));
 }
 
-/// What disappears with an outage may come back; what disappears otherwise is
-/// gone.
+/// An object that disappears during an outage may come back; one that
+/// disappears otherwise is removed.
 #[rstest]
 #[case::calm(false)]
 #[case::after_outage(true)]
-fn removal_after_an_outage_is_a_lapse(#[case] outage: bool) {
+fn removal_after_outage_is_lapsed(#[case] outage: bool) {
     let mut feed = listed(0, 1, &["a"]);
     if outage {
         feed.record_failure(at(1_000), Some(0));
@@ -304,10 +309,10 @@
     assert!(!changes[0].lapsed);
 }
 
-/// The store forgot its history: what changed is found by reading all of it,
-/// and told as if it had been followed.
+/// After the store dropped its history, a list yields the changes, which are
+/// shared like those of a watch.
 #[test]
-fn forgotten_history_is_made_good() {
+fn expired_history_is_listed() {
     let mut feed = listed(0, 1, &["a", "b"]);
     feed.mark_expired();
     assert_eq!(feed.next_action(at(100), Some(9)), FeedAction::List);
@@ -320,39 +325,40 @@
     assert_eq!(seen, [("c", false), ("a", true)]);
     changes.into_iter().for_each(|c| feed.share(at(200), c));
     let mut other = listed(0, 1, &["a", "b"]);
-    let heard = other.apply_update(at(300), feed.outgoing_update(at(300), Some(0)).unwrap());
-    assert_eq!(heard.len(), 2);
+    let applied = other.apply_update(at(300), feed.outgoing_update(at(300), Some(0)).unwrap());
+    assert_eq!(applied.len(), 2);
     assert_eq!(other.revision(), 9);
 }
 
-/// Hundreds that missed the same change ask, and don't tell all the others.
+/// VMs that poll because they missed a change do not share updates.
 #[rstest]
 #[case::first(0, true)]
 #[case::later(9, false)]
-fn only_the_first_tell(#[case] rank: u64, #[case] tells: bool) {
+fn outgoing_update_only_from_first_vms(#[case] rank: u64, #[case] sends: bool) {
     let mut feed = listed(0, 1, &[]);
     feed.apply_changes(at(10), at(10), Duration::ZERO, 1, Vec::new());
-    assert_eq!(feed.outgoing_update(at(20), Some(rank)).is_some(), tells);
+    assert_eq!(feed.outgoing_update(at(20), Some(rank)).is_some(), sends);
 }
 
-/// The store may give an object that is gone with the revision of its content,
-/// which the others know already: they must hear of its end all the same.
+/// The store may report a removal with the revision of the object's last
+/// content, which the other VMs know already. They must still apply the
+/// removal.
 #[test]
-fn removal_is_told_to_the_others() {
-    let mut teller = listed(0, 1, &["a"]);
+fn removal_is_shared() {
+    let mut sender = listed(0, 1, &["a"]);
     let gone = vec![(item("a", 1), true)];
-    for change in teller.apply_changes(at(100), at(90), Duration::ZERO, 5, gone) {
-        teller.share(at(100), change);
+    for change in sender.apply_changes(at(100), at(90), Duration::ZERO, 5, gone) {
+        sender.share(at(100), change);
     }
     let mut other = listed(0, 1, &["a"]);
-    let news = other.apply_update(at(200), teller.outgoing_update(at(200), Some(0)).unwrap());
-    assert!(news.iter().any(|c| c.removed), "the removal is lost");
+    let applied = other.apply_update(at(200), sender.outgoing_update(at(200), Some(0)).unwrap());
+    assert!(applied.iter().any(|c| c.removed), "the removal is lost");
 }
 
-/// In one answer an object goes and comes again: it is there, also for a VM
-/// that heard in between that it is gone.
+/// An object that is removed and created again in one answer exists, also for a
+/// VM that applied the removal in between.
 #[test]
-fn object_that_came_again_is_there() {
+fn recreated_object_exists() {
     let mut feed = listed(0, 1, &["a"]);
     let mut other = listed(0, 1, &["a"]);
     other.apply_changes(
@@ -367,6 +373,9 @@
     let seen: Vec<_> = changes.iter().map(|c| c.removed).collect();
     assert_eq!(seen, [true, false]);
     changes.into_iter().for_each(|c| feed.share(at(100), c));
-    let news = other.apply_update(at(200), feed.outgoing_update(at(200), Some(0)).unwrap());
-    assert!(news.last().is_some_and(|c| !c.removed), "it is not back");
+    let applied = other.apply_update(at(200), feed.outgoing_update(at(200), Some(0)).unwrap());
+    assert!(
+        applied.last().is_some_and(|c| !c.removed),
+        "the object is still removed"
+    );
 }
--- a/lib/tests/test_serving_feed_late.rs
+++ b/lib/tests/test_serving_feed_late.rs
@@ -1,12 +1,11 @@
-//! Answers of the store that come after newer news from another VM.
+//! Answers of the store that arrive after a newer update from another VM.
 //!
-//! A VM asks the store; while the answer is under way, another VM's beacon
-//! tells of something newer. The late answer was taken as if nothing had
-//! happened since it was asked for. Its older change took the place of the newer
-//! one among those that are told, with the newer revision: who heard that
-//! dropped the change as old and believed that it knew all. A late list removed
-//! what it could not hold yet. No log line shows it, as nobody misses anything;
-//! the two cases were found by reading, and seen to fail.
+//! Such an answer was applied as if nothing had happened since the request. Its
+//! older change replaced the newer one among the shared changes, together with
+//! the newer revision, so a receiver that already had the older change ignored
+//! it and concluded that it was up to date. A late list removed objects created
+//! after it. No log line shows either fault, as no VM notices a gap; both were
+//! found by reading the code and reproduced here.
 
 use std::time::Duration;
 
@@ -42,51 +41,54 @@
     feed
 }
 
-fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> TopicUpdate {
-    let told =
+fn update(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> TopicUpdate {
+    let change =
         |(name, revision): &(&str, u64)| TopicChange::new(item(name, *revision), false, false);
     TopicUpdate {
         revision,
         as_of: at(ms),
         since,
-        changes: names.iter().map(told).collect(),
+        changes: names.iter().map(change).collect(),
     }
 }
 
-/// A question asked at revision 1 is answered late, with the change of revision
-/// 2, after another VM told of revision 14 of the same object. What this VM
-/// tells next must still hold revision 14: whoever knows 2 and hears of 14
-/// without its change believes that it knows all.
+/// A watch from revision 1 is answered late, with the change of revision 2,
+/// after another VM shared revision 14 of the same object. The next update of
+/// this VM must still contain revision 14: a receiver at revision 2 that gets
+/// 14 without the change would consider itself up to date.
 #[test]
-fn tell_after_a_late_answer_holds_the_newest_change() {
-    let mut teller = listed(false, 1, &["config"]);
-    teller.apply_update(at(100), said(14, 100, 1, &[("config", 14)]));
+fn outgoing_update_after_late_answer_has_newest_change() {
+    let mut sender = listed(false, 1, &["config"]);
+    sender.apply_update(at(100), update(14, 100, 1, &[("config", 14)]));
     let late = vec![(item("config", 2), false)];
-    for change in teller.apply_changes(at(200), at(50), Duration::ZERO, 2, late) {
-        teller.share(at(200), change);
+    for change in sender.apply_changes(at(200), at(50), Duration::ZERO, 2, late) {
+        sender.share(at(200), change);
     }
-    let told = teller
+    let outgoing = sender
         .outgoing_update(at(210), Some(0))
-        .expect("it had an answer");
-    assert_eq!(told.revision, 14);
+        .expect("the VM had an answer from the store");
+    assert_eq!(outgoing.revision, 14);
 
     let mut other = listed(false, 1, &["config"]);
-    other.apply_update(at(60), said(2, 60, 1, &[("config", 2)]));
-    let news = other.apply_update(at(220), told);
+    other.apply_update(at(60), update(2, 60, 1, &[("config", 2)]));
+    let changes = other.apply_update(at(220), outgoing);
     assert_eq!(other.revision(), 14);
     assert!(
-        news.iter().any(|c| c.item.revision == 14),
+        changes.iter().any(|c| c.item.revision == 14),
         "the change is lost"
     );
 }
 
-/// A list asked for before an object came is answered after another VM told of
-/// it: the object is not gone.
+/// A list requested before an object was created arrives after another VM
+/// shared that object, which must not be removed.
 #[test]
-fn listed_after_newer_news_removes_nothing() {
+fn apply_list_after_newer_update_removes_nothing() {
     let mut feed = listed(true, 1, &["a"]);
     feed.mark_expired();
-    feed.apply_update(at(100), said(5, 100, 1, &[("b", 5)]));
+    feed.apply_update(at(100), update(5, 100, 1, &[("b", 5)]));
     let changes = feed.apply_list(at(200), at(50), 3, &[item("a", 1)]);
-    assert!(changes.iter().all(|c| !c.removed), "b was called removed");
+    assert!(
+        changes.iter().all(|c| !c.removed),
+        "b was reported as removed"
+    );
 }
--- a/lib/tests/test_serving_feed_outage.rs
+++ b/lib/tests/test_serving_feed_outage.rs
@@ -1,4 +1,4 @@
-//! VMs that the store turns away while it serves the others.
+//! VMs that the store rejects while it serves the others.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use banyangauge::serving::TopicUpdate;
 use rstest::rstest;
 
-/// Within how long a change is to be known.
-const BOUND: Span = Span::from_millis(3_000);
+/// The time within which a VM must know a change.
+const MAX_STALENESS: Span = Span::from_millis(3_000);
 
-/// The longest that a call may take beyond its wait.
-const CALL: Span = Span::from_millis(900);
+/// The longest duration of a call beyond its wait.
+const CALL_MARGIN: Span = Span::from_millis(900);
 
 fn at(ms: u64) -> Moment {
     Moment(100_000_000).after(Span::from_millis(ms))
@@ -31,7 +31,7 @@
 
 fn listed() -> Feed {
     let mut feed = Feed::new(PollPolicy {
-        max_staleness: BOUND,
+        max_staleness: MAX_STALENESS,
         max_solo_wait: Duration::from_millis(4_500),
         solo_pause: Duration::from_millis(250),
         shared_pause: Duration::from_millis(150),
@@ -41,19 +41,19 @@
     feed
 }
 
-fn said(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> TopicUpdate {
-    let told =
+fn update(revision: u64, ms: u64, since: u64, names: &[(&str, u64)]) -> TopicUpdate {
+    let change =
         |(name, revision): &(&str, u64)| TopicChange::new(item(name, *revision), false, false);
     TopicUpdate {
         revision,
         as_of: at(ms),
         since,
-        changes: names.iter().map(told).collect(),
+        changes: names.iter().map(change).collect(),
     }
 }
 
-/// When the next question goes out, looked at from a moment on.
-fn asks(feed: &Feed, from: Moment, rank: Option<u64>) -> Moment {
+/// When the feed polls next, from a given moment on.
+fn next_poll(feed: &Feed, from: Moment, rank: Option<u64>) -> Moment {
     let mut now = from;
     while let FeedAction::Wait(until) = feed.next_action(now, rank) {
         now = until;
@@ -61,57 +61,57 @@
     now
 }
 
-/// The store turns this VM away for the last time right before it serves it
-/// again: with the answer to its next question it must know what changed since,
-/// within the bound.
+/// The store rejects a VM for the last time right before it accepts its calls
+/// again. The next answer must arrive within the bound, so that the VM knows
+/// the changes in time.
 #[rstest]
 #[case::alone(None, false)]
 #[case::first(Some(0), false)]
 #[case::second(Some(1), false)]
 #[case::late_in_the_order(Some(67), false)]
 #[case::late_with_a_gap(Some(67), true)]
-fn turned_away_asks_again_within_its_bound(#[case] rank: Option<u64>, #[case] gap: bool) {
+fn rejected_vm_polls_again_within_bound(#[case] rank: Option<u64>, #[case] gap: bool) {
     let mut feed = listed();
     for n in 0..10 {
         let now = at(10_000 + 700 * n);
         feed.record_failure(now, rank);
         if gap {
-            feed.apply_update(now, said(14, 10_000 + 700 * n, 9, &[]));
+            feed.apply_update(now, update(14, 10_000 + 700 * n, 9, &[]));
             assert!(feed.has_gap());
         }
-        let next = asks(&feed, now, rank);
-        let known = next.after(CALL);
+        let next = next_poll(&feed, now, rank);
+        let known = next.after(CALL_MARGIN);
         assert!(
-            known.since(now) <= BOUND,
-            "asks {:?} later",
+            known.since(now) <= MAX_STALENESS,
+            "polls {:?} later",
             next.since(now)
         );
     }
 }
 
-/// What a VM missed of an object doesn't matter once it hears of a newer
-/// change of it: that is the object as it is now. An older change that the
-/// store tells later changes nothing.
+/// Changes that a VM missed do not matter for an object once it receives a
+/// newer change, which is the object's current state. The older change from the
+/// store is then ignored.
 #[test]
-fn change_behind_a_gap_is_taken() {
+fn change_ahead_of_gap_is_applied() {
     let mut feed = listed();
-    let news = feed.apply_update(at(1_000), said(14, 1_000, 9, &[("config", 14)]));
-    assert_eq!(news.len(), 1, "the configuration is not taken");
+    let applied = feed.apply_update(at(1_000), update(14, 1_000, 9, &[("config", 14)]));
+    assert_eq!(applied.len(), 1, "the configuration is not applied");
     assert!(feed.has_gap());
     assert_eq!(feed.revision(), 1, "other objects were missed");
-    let again = feed.apply_update(at(1_400), said(14, 1_400, 9, &[("config", 14)]));
-    assert!(again.is_empty(), "it is no news any more");
+    let again = feed.apply_update(at(1_400), update(14, 1_400, 9, &[("config", 14)]));
+    assert!(again.is_empty(), "the change is applied twice");
     let missed = vec![(item("config", 5), false), (item("other", 6), false)];
     let changes = feed.apply_changes(at(1_500), at(1_450), Duration::ZERO, 7, missed);
     let names: Vec<_> = changes.iter().map(|c| c.item.name.as_str()).collect();
     assert_eq!(names, ["other"]);
 }
 
-/// What came behind a gap is told on with what filled it.
+/// A change applied ahead of a gap is shared once the gap is closed.
 #[test]
-fn change_behind_a_gap_is_told() {
+fn change_ahead_of_gap_is_shared() {
     let mut feed = listed();
-    feed.apply_update(at(1_000), said(14, 1_000, 9, &[("config", 14)]));
+    feed.apply_update(at(1_000), update(14, 1_000, 9, &[("config", 14)]));
     let changes = feed.apply_changes(
         at(1_100),
         at(1_050),
@@ -121,22 +121,25 @@
     );
     assert!(changes.is_empty());
     let mut other = listed();
-    let news = other.apply_update(at(1_200), feed.outgoing_update(at(1_200), Some(0)).unwrap());
+    let applied = other.apply_update(at(1_200), feed.outgoing_update(at(1_200), Some(0)).unwrap());
     assert_eq!(other.revision(), 14);
     assert!(
-        news.iter().any(|c| c.item.revision == 14),
+        applied.iter().any(|c| c.item.revision == 14),
         "the change is lost"
     );
 }
 
-/// A question of a VM that asks for itself went into a connection that had
-/// turned silent: it is given up, and asked again, within the bound.
+/// A watch of a VM that polls for itself is on a dead connection: it must be
+/// given up and repeated within the bound.
 #[test]
-fn silent_question_ends_within_its_bound() {
+fn watch_on_dead_connection_ends_within_bound() {
     let feed = listed();
     let FeedAction::Watch(wait) = feed.next_action(at(100), None) else {
-        panic!("it asks");
+        panic!("the feed does not poll");
     };
     let wait = Span(wait.as_micros() as u64);
-    assert!(wait.0 + CALL.0 < BOUND.0, "it waits {wait:?}");
+    assert!(
+        wait.0 + CALL_MARGIN.0 < MAX_STALENESS.0,
+        "the watch waits {wait:?}"
+    );
 }
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -1,13 +1,12 @@
-//! A search over the orders in which answers of the store, lists, and what VMs
-//! tell each other can cross.
+//! Searches the interleavings of store answers, lists and updates between VMs.
 //!
-//! A few VMs follow a few objects. Answers are worked out when they are asked
-//! for or later, and come later still; what VMs tell is lost, delayed and
-//! reordered; the store forgets its history, gives old first lists, and gives
-//! removed objects with the revision of their content or of their end; changes
-//! that say nothing new are not told. After each step, what a VM believes of
-//! each object must be so at the revision up to which it says it knows all, or
-//! later; and no belief goes back.
+//! A few VMs follow a few objects. An answer is computed when it is requested
+//! or later, and delivered later still. Updates between VMs are lost, delayed
+//! and reordered. The store drops its history, answers a first list from an old
+//! state, and reports removals with the revision of the last content or of the
+//! removal. Changes that carry no new content are not shared. After each step,
+//! the state that a VM has of each object must be the actual one at its synced
+//! revision or later, and must never go back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,10 +28,10 @@
 const OBJECTS: [&str; 3] = ["a", "b", "c"];
 const STEPS: usize = 400;
 
-/// A sequence of numbers that follows from a seed.
-struct Draw(u64);
+/// A pseudo-random sequence determined by a seed.
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn next(&mut self, below: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
@@ -46,23 +45,23 @@
     }
 }
 
-/// An object at one revision: its content, or that it is gone.
+/// An object at one revision: its content, or `None` if it is removed.
 type State = Option<u64>;
 
 #[derive(Default)]
 struct Store {
-    /// Revision, object, what it is from then on.
+    /// Revision, object and its state from then on.
     history: Vec<(u64, &'static str, State)>,
     revision: u64,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to this revision are dropped.
+    history_start: u64,
 }
 
 impl Store {
-    fn change(&mut self, draw: &mut Draw) {
-        let name = OBJECTS[draw.next(3) as usize];
-        let state = draw.chance(70).then(|| draw.next(2));
-        self.revision += 1 + draw.next(3);
+    fn change(&mut self, rng: &mut Rng) {
+        let name = OBJECTS[rng.next(3) as usize];
+        let state = rng.chance(70).then(|| rng.next(2));
+        self.revision += 1 + rng.next(3);
         if state.is_some() || self.at(self.revision, name).is_some() {
             self.history.push((self.revision, name, state));
         }
@@ -81,7 +80,7 @@
         self.last(revision, name).and_then(|(_, state)| state)
     }
 
-    /// What an object is at a revision, or after it.
+    /// Returns the states of an object at a revision and after it.
     fn from(&self, revision: u64, name: &str) -> Vec<State> {
         let later = self
             .history
@@ -101,13 +100,13 @@
         present.collect()
     }
 
-    fn changes(&self, since: u64, draw: &mut Draw) -> Vec<(Item, bool)> {
+    fn changes(&self, since: u64, rng: &mut Rng) -> Vec<(Item, bool)> {
         let new = self.history.iter().filter(|(r, ..)| *r > since);
         let changes = new.map(|(r, name, state)| match state {
             Some(content) => (item(name, *r, *content), false),
             None => {
                 let old = self.last(*r - 1, name).map_or(*r, |(old, _)| old);
-                let revision = if draw.chance(50) { old } else { *r };
+                let revision = if rng.chance(50) { old } else { *r };
                 (item(name, revision, 0), true)
             }
         });
@@ -126,10 +125,10 @@
 enum Answer {
     List(u64, Vec<Item>),
     Changes(u64, Vec<(Item, bool)>),
-    Forgotten,
+    Expired,
 }
 
-struct Question {
+struct Request {
     asked: Moment,
     since: u64,
     list: bool,
@@ -138,8 +137,8 @@
 
 struct Vm {
     feed: Feed,
-    beliefs: BTreeMap<String, u64>,
-    question: Option<Question>,
+    objects: BTreeMap<String, u64>,
+    request: Option<Request>,
 }
 
 impl Vm {
@@ -153,31 +152,31 @@
         });
         Self {
             feed,
-            beliefs: BTreeMap::new(),
-            question: None,
+            objects: BTreeMap::new(),
+            request: None,
         }
     }
 
-    /// Takes a change; gives whether it says something new.
+    /// Applies a change. Returns whether it carries something new.
     fn take(&mut self, change: &TopicChange) -> bool {
         let name = change.item.name.clone();
         let old = match change.removed {
-            true => return self.beliefs.remove(&name).is_some() || change.removed,
-            false => self.beliefs.insert(name, content(&change.item)),
+            true => return self.objects.remove(&name).is_some() || change.removed,
+            false => self.objects.insert(name, content(&change.item)),
         };
         old != Some(content(&change.item))
     }
 
     fn answer(&mut self, now: Moment, asked: Moment, answer: Answer) {
         let changes = match answer {
-            Answer::Forgotten => {
+            Answer::Expired => {
                 self.feed.mark_expired();
                 return;
             }
             Answer::List(revision, items) => {
                 if self.feed.revision() == 0 {
                     for i in &items {
-                        self.beliefs.insert(i.name.clone(), content(i));
+                        self.objects.insert(i.name.clone(), content(i));
                     }
                 }
                 self.feed.apply_list(now, asked, revision, &items)
@@ -194,10 +193,10 @@
         }
     }
 
-    fn hear(&mut self, now: Moment, said: TopicUpdate, blind: Option<SkippedRange>) {
-        let changes = match blind {
-            None => self.feed.apply_update(now, said),
-            Some(blind) => self.feed.apply_update_over(now, said, blind),
+    fn hear(&mut self, now: Moment, update: TopicUpdate, skipped: Option<SkippedRange>) {
+        let changes = match skipped {
+            None => self.feed.apply_update(now, update),
+            Some(skipped) => self.feed.apply_update_over(now, update, skipped),
         };
         for change in changes {
             self.take(&change);
@@ -210,49 +209,49 @@
 }
 
 struct World {
-    draw: Draw,
+    rng: Rng,
     store: Store,
     vms: Vec<Vm>,
-    /// What is under way between VMs.
-    said: Vec<(usize, TopicUpdate, Option<SkippedRange>)>,
+    /// Updates in transit between VMs.
+    update: Vec<(usize, TopicUpdate, Option<SkippedRange>)>,
     now: Moment,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         Self {
-            draw: Draw(seed),
+            rng: Rng(seed),
             store: Store {
                 revision: 1,
                 ..Store::default()
             },
             vms: (0..VMS).map(|_| Vm::new()).collect(),
-            said: Vec::new(),
+            update: Vec::new(),
             now: Moment(100_000_000),
         }
     }
 
     fn step(&mut self) {
-        self.now = self.now.after(Span::from_millis(10 + self.draw.next(200)));
-        let n = self.draw.next(VMS as u64) as usize;
-        match self.draw.next(10) {
-            0 | 1 => self.store.change(&mut self.draw),
+        self.now = self.now.after(Span::from_millis(10 + self.rng.next(200)));
+        let n = self.rng.next(VMS as u64) as usize;
+        match self.rng.next(10) {
+            0 | 1 => self.store.change(&mut self.rng),
             2 | 3 => self.ask(n),
-            4 => self.work_out(n),
+            4 => self.compute_answer(n),
             5 | 6 => self.deliver(n),
             7 => self.tell(n),
-            8 => self.pass(),
-            _ if self.draw.chance(5) => self.store.forgotten = self.store.revision,
+            8 => self.deliver_update(),
+            _ if self.rng.chance(5) => self.store.history_start = self.store.revision,
             _ => {}
         }
     }
 
     fn ask(&mut self, n: usize) {
         let vm = &mut self.vms[n];
-        if vm.question.is_some() {
+        if vm.request.is_some() {
             return;
         }
-        vm.question = Some(Question {
+        vm.request = Some(Request {
             asked: self.now,
             since: vm.feed.revision(),
             list: vm.feed.next_action(self.now, None) == FeedAction::List,
@@ -260,36 +259,36 @@
         });
     }
 
-    /// The store works out the answer of a question.
-    fn work_out(&mut self, n: usize) {
+    /// The store computes the answer to a request.
+    fn compute_answer(&mut self, n: usize) {
         let known = self.vms[n].feed.revision();
-        let Some(q) = self.vms[n].question.as_mut() else {
+        let Some(q) = self.vms[n].request.as_mut() else {
             return;
         };
         let newest = self.store.revision;
-        // A first list may be old; a question has its answer once.
+        // A first list may be stale. Each request gets one answer.
         q.answer.get_or_insert_with(|| match q.list {
             true if known == 0 => {
-                let revision = newest - self.draw.next(newest.min(5));
+                let revision = newest - self.rng.next(newest.min(5));
                 Answer::List(revision, self.store.list(revision))
             }
             true => Answer::List(newest, self.store.list(newest)),
-            false if q.since < self.store.forgotten => Answer::Forgotten,
-            false => Answer::Changes(newest, self.store.changes(q.since, &mut self.draw)),
+            false if q.since < self.store.history_start => Answer::Expired,
+            false => Answer::Changes(newest, self.store.changes(q.since, &mut self.rng)),
         });
     }
 
     fn deliver(&mut self, n: usize) {
         if self.vms[n]
-            .question
+            .request
             .as_ref()
             .is_some_and(|q| q.answer.is_none())
-            && self.draw.chance(50)
+            && self.rng.chance(50)
         {
-            self.work_out(n);
+            self.compute_answer(n);
         }
         let vm = &mut self.vms[n];
-        if let Some(q) = vm.question.take_if(|q| q.answer.is_some())
+        if let Some(q) = vm.request.take_if(|q| q.answer.is_some())
             && let Some(answer) = q.answer
         {
             vm.answer(self.now, q.asked, answer);
@@ -297,82 +296,83 @@
     }
 
     fn tell(&mut self, n: usize) {
-        if let Some(said) = self.vms[n].feed.outgoing_update(self.now, Some(0)) {
-            let blind = self.vms[n].feed.skipped();
+        if let Some(update) = self.vms[n].feed.outgoing_update(self.now, Some(0)) {
+            let skipped = self.vms[n].feed.skipped();
             let others = (0..VMS).filter(|other| *other != n);
-            self.said
-                .extend(others.map(|other| (other, said.clone(), blind)));
+            self.update
+                .extend(others.map(|other| (other, update.clone(), skipped)));
         }
     }
 
-    /// Any of what is under way comes, or is lost.
-    fn pass(&mut self) {
-        if self.said.is_empty() {
+    /// Delivers or loses any update in transit.
+    fn deliver_update(&mut self) {
+        if self.update.is_empty() {
             return;
         }
-        let index = self.draw.next(self.said.len() as u64) as usize;
-        let (n, said, blind) = self.said.swap_remove(index);
-        if !self.draw.chance(20) {
-            self.vms[n].hear(self.now, said, blind);
+        let index = self.rng.next(self.update.len() as u64) as usize;
+        let (n, update, skipped) = self.update.swap_remove(index);
+        if !self.rng.chance(20) {
+            self.vms[n].hear(self.now, update, skipped);
         }
     }
 
-    /// A belief that does not hold at the known revision or later.
-    fn wrong(&self) -> Option<String> {
+    /// Returns a state that was not the actual one at the synced revision or
+    /// later.
+    fn violation(&self) -> Option<String> {
         self.vms.iter().enumerate().find_map(|(n, vm)| {
             let known = vm.feed.revision();
             OBJECTS.iter().filter(|_| known > 0).find_map(|name| {
-                let belief = vm.beliefs.get(*name).copied();
+                let state = vm.objects.get(*name).copied();
                 let allowed = self.store.from(known, name);
-                (!allowed.contains(&belief)).then(|| {
-                    format!("VM {n} knows all up to {known}, takes {name} for {belief:?}; it was {allowed:?}")
+                (!allowed.contains(&state)).then(|| {
+                    format!("VM {n} knows all up to {known}, has {name} as {state:?}; expected one of {allowed:?}")
                 })
             })
         })
     }
 
-    /// All VMs ask once more, twice where they have to read all.
+    /// Lets all VMs poll again, more than once where they have to list.
     fn settle(&mut self) {
-        self.said.clear();
+        self.update.clear();
         for n in 0..VMS {
             for _ in 0..4 {
                 self.ask(n);
-                self.work_out(n);
+                self.compute_answer(n);
                 self.deliver(n);
             }
         }
     }
 }
 
-/// Runs seeds; gives what is wrong in the first that fails.
+/// Runs the seeds and describes the first failure.
 fn search(seeds: std::ops::Range<u64>) -> Option<String> {
     seeds.into_iter().find_map(|seed| {
         let mut world = World::new(seed);
         for step in 0..STEPS {
             world.step();
-            if let Some(wrong) = world.wrong() {
-                return Some(format!("seed {seed} step {step}: {wrong}"));
+            if let Some(violation) = world.violation() {
+                return Some(format!("seed {seed} step {step}: {violation}"));
             }
         }
         world.settle();
         let last = world.store.revision;
         let behind = world.vms.iter().any(|vm| vm.feed.revision() < last);
-        let wrong = world.wrong();
-        wrong
+        let violation = world.violation();
+        violation
             .or(behind.then(|| "behind".to_owned()))
-            .map(|wrong| format!("seed {seed} at the end: {wrong}"))
+            .map(|violation| format!("seed {seed} at the end: {violation}"))
     })
 }
 
-/// Seeds that failed once, each with its cause:
-/// 0: a list after a forgotten history stepped over the end of an object that
-/// another VM knew of; 1002: of an object that went and came again in one
-/// answer only the last change was looked at; 2006: the same.
+/// Seeds that failed, with the cause: 0: after the history was dropped, a list
+/// skipped the removal of an object that another VM knew; 1002 and 2006: of an
+/// object that was removed and created again in one answer, only the last
+/// change was considered.
 #[rstest]
 #[case::list_steps_over(0..1)]
 #[case::came_again(1_002..1_003)]
 #[case::came_again_again(2_006..2_007)]
 #[case::others(3_000..3_150)]
-fn beliefs_hold_at_the_known_revision(#[case] seeds: std::ops::Range<u64>) {
+fn state_matches_synced_revision(#[case] seeds: std::ops::Range<u64>) {
     assert_eq!(search(seeds), None);
 }
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -1,5 +1,5 @@
-//! A replica that starts again under its name is another one: nothing that was
-//! said of its last start holds for it.
+//! A replica that restarts under its name is a new instance: no state of the
+//! earlier instance applies to it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn draining_ends_with_its_start() {
+fn draining_ends_with_instance() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
     fleet.list(ReplicaInfo {
         draining: true,
@@ -48,23 +48,23 @@
     let name = "i-1".parse().unwrap();
     assert!(
         fleet.listing(&name).unwrap().draining,
-        "it does not stay after all"
+        "the replica is no longer draining"
     );
     assert!(
         fleet.list(started(2, &["base"])),
-        "that is news for requests"
+        "a restart must change what requests may use"
     );
     assert!(!fleet.listing(&name).unwrap().draining);
     assert!(
         !fleet.leave(&instance(1)),
-        "that was said of its last start"
+        "the message is about the earlier instance"
     );
     assert!(!fleet.listing(&name).unwrap().draining);
     assert!(fleet.leave(&instance(2)));
 }
 
 #[test]
-fn standing_and_counts_end_with_its_start() {
+fn health_and_counts_end_with_instance() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
     fleet.list(started(1, &["base"]));
     let name = "i-1".parse().unwrap();
@@ -98,9 +98,9 @@
     }
 }
 
-/// The next order expects the count that the new start has.
+/// The next order expects the order count of the new instance.
 #[test]
-fn book_ends_with_its_start() {
+fn book_ends_with_instance() {
     let mut books = Books::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
@@ -121,10 +121,10 @@
     );
 }
 
-/// Its report may come before its entry in the store, and that entry then ends
-/// nothing.
+/// A report of the new instance may arrive before its entry in the store. The
+/// older entry then must not close the book.
 #[test]
-fn book_learns_of_a_start_from_a_report() {
+fn book_detects_restart_from_report() {
     let mut books = Books::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
--- a/lib/tests/test_serving_members.rs
+++ b/lib/tests/test_serving_members.rs
@@ -1,4 +1,5 @@
-//! Which VMs there are, and how often they tell of themselves.
+//! The VMs of a fleet, the intervals of their beacons and how beacons are
+//! relayed.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,7 +13,7 @@
 use banyangauge::serving::Members;
 use rstest::rstest;
 
-/// VMs, as the first of them sees them.
+/// A fleet from the view of its first VM.
 fn fleet(vms: u16) -> Members {
     let mut members = Members::new("vm-0".parse().unwrap(), Moment(0));
     for i in 1..vms {
@@ -22,26 +23,26 @@
     members
 }
 
-/// The pause grows with the fleet only where beacons would take a part of a
-/// small VM that shows; until then a picture is young at any size.
+/// The interval grows with the fleet only where beacons would take a noticeable
+/// part of a small VM. Up to that size, the view of a VM is equally recent.
 #[rstest]
 #[case::small(9, 400)]
 #[case::large(71, 400)]
 #[case::larger(300, 1_600)]
 #[case::largest(700, 3_200)]
-fn beat_by_the_size_of_the_fleet(#[case] vms: u16, #[case] ms: u64) {
+fn beacon_interval_by_fleet_size(#[case] vms: u16, #[case] ms: u64) {
     let members = fleet(vms);
     assert_eq!(members.beacon_interval(), Span::from_millis(ms));
     assert_eq!(members.report_delay(), Span::from_millis(ms + 100));
 }
 
-/// Who asks the store: one for all, or each for itself.
+/// Whether one VM polls the store for all or each for itself.
 #[rstest]
 #[case::alone(1, true, false)]
 #[case::small_fenced(9, true, true)]
 #[case::small(8, false, false)]
 #[case::grown(89, false, true)]
-fn shares_news_by_the_fleet(#[case] vms: u16, #[case] fenced: bool, #[case] shares: bool) {
+fn shares_updates_by_fleet(#[case] vms: u16, #[case] fenced: bool, #[case] shares: bool) {
     assert_eq!(fleet(vms).shares_updates(fenced), shares);
 }
 
@@ -49,7 +50,8 @@
     Moment(50_000_000).after(Span::from_millis(ms))
 }
 
-/// A VM of zone z-0 in a fleet of zones, all of them heard at the start.
+/// A VM of zone z-0 in a fleet of several zones that received a beacon from
+/// each VM at the start.
 fn zoned(zones: u16, each: u16) -> Members {
     let mut members = Members::new("vm-0".parse().unwrap(), at(0));
     members.enable_relays("z-0".parse().unwrap());
@@ -75,12 +77,12 @@
 }
 
 /// A beacon crosses to each other zone once, whatever the size of the fleet,
-/// and goes to each VM of its own.
+/// and goes directly to each VM of its own zone.
 #[rstest]
 #[case::few(3, 4, false)]
 #[case::grown(4, 18, true)]
 #[case::large(5, 39, true)]
-fn beacons_cross_once_a_zone(#[case] zones: u16, #[case] each: u16, #[case] relays: bool) {
+fn relay_targets_one_per_zone(#[case] zones: u16, #[case] each: u16, #[case] relays: bool) {
     let members = zoned(zones, each);
     assert_eq!(members.uses_relays(), relays);
     assert_eq!(members.direct_peers().count(), usize::from(each - 1));
@@ -88,9 +90,9 @@
     assert_eq!(crossing.len(), usize::from(zones - 1));
 }
 
-/// The VM that passes beacons on is another one each time, and one that lives.
+/// The relays rotate among the live VMs.
 #[test]
-fn relays_take_turns() {
+fn relay_targets_rotate() {
     let mut members = zoned(2, 20);
     let many: BTreeSet<_> = (0..20)
         .flat_map(|n| members.relay_targets(at(10), n))
@@ -104,9 +106,9 @@
     assert_eq!(live, BTreeSet::from([address(7)]));
 }
 
-/// At first nobody is heard: those that are listed are taken.
+/// Before any beacon is received, the relays are chosen among the listed VMs.
 #[test]
-fn relays_before_anybody_is_heard() {
+fn relays_before_first_beacon() {
     let mut members = Members::new("vm-0".parse().unwrap(), at(0));
     members.enable_relays("z-0".parse().unwrap());
     for i in 1..20_u16 {
@@ -117,19 +119,19 @@
     assert_eq!(members.relay_targets(at(0), 3).len(), 1);
 }
 
-/// A relayed fleet's picture is as young at 195 VMs as at 40.
+/// With relays, the beacon interval is the same at 195 VMs as at 40.
 #[rstest]
 #[case::grown(40, 400)]
 #[case::large(195, 400)]
 #[case::larger(300, 800)]
-fn beat_where_beacons_are_relayed(#[case] vms: u16, #[case] ms: u64) {
+fn beacon_interval_with_relays(#[case] vms: u16, #[case] ms: u64) {
     assert_eq!(zoned(5, vms / 5).beacon_interval(), Span::from_millis(ms));
 }
 
-/// Just one VM is the first in an order, and the next one follows when it is
-/// lost; a VM that has just started leaves it to the others.
+/// Exactly one VM is first in the order, and the next one follows when it
+/// fails. A VM that has just started is never first.
 #[test]
-fn rank_is_one_order_for_all() {
+fn rank_is_the_same_order_for_all() {
     let names: Vec<VmName> = (0..30)
         .map(|i| format!("vm-{i}").parse().unwrap())
         .collect();
@@ -148,27 +150,30 @@
         live.map(rank).collect()
     };
     let all = ranks(None, 3_000);
-    assert_eq!(all.len(), 30, "each has a place of its own");
-    let left = ranks(Some(&all[&0]), 3_000);
-    assert_eq!(left[&0], all[&1]);
+    assert_eq!(all.len(), 30, "each VM has a rank of its own");
+    let remaining = ranks(Some(&all[&0]), 3_000);
+    assert_eq!(remaining[&0], all[&1]);
     assert!(
         !ranks(None, 100).contains_key(&0),
-        "nobody is first at once"
+        "a VM that has just started must not be first"
     );
 }
 
-/// A datagram that was read late, as this VM was suspended, does not pass for a
-/// young one.
+/// A datagram that waited while this VM was suspended must not look recent.
 #[test]
-fn delay_of_a_late_datagram() {
+fn beacon_delay_of_late_datagram() {
     let mut members = zoned(2, 2);
     let vm: VmName = "vm-1".parse().unwrap();
-    assert_eq!(members.beacon_delay(&vm), None, "one beacon tells nothing");
+    assert_eq!(
+        members.beacon_delay(&vm),
+        None,
+        "one beacon is not enough to compare"
+    );
     for n in 1..=3 {
         let sent = at(400 * n);
         members.record_beacon(at(400 * n + 2), &vm, stamp(n + 1, sent), false);
     }
-    // The first one came at once.
+    // The first beacon had no delay.
     assert_eq!(members.beacon_delay(&vm), Some(Span::from_millis(2)));
     members.record_beacon(at(9_000), &vm, stamp(9, at(1_600)), false);
     assert_eq!(members.beacon_delay(&vm), Some(Span::from_millis(7_400)));
--- a/lib/tests/test_serving_office.rs
+++ b/lib/tests/test_serving_office.rs
@@ -1,6 +1,6 @@
-//! Two VMs never give orders to a replica within a lease, whatever the links
-//! and the store do: all schedules of faults over a few seconds are played on
-//! the plain state.
+//! Two VMs never give orders to a replica within one lease, whatever faults the
+//! network and the store have. All schedules of faults over a few seconds are
+//! run on the plain state.
 
 use std::collections::BTreeSet;
 
@@ -16,50 +16,56 @@
 use rstest::rstest;
 
 const LEASE: Span = Span::from_millis(3_000);
-/// The pace of the world.
+/// The step of the simulation, in milliseconds.
 const TICK: u64 = 100;
-/// How long one fault lasts.
+/// How long one fault lasts, in milliseconds.
 const PHASE: u64 = 3_300;
-/// How long an order may be on its way.
-const FLIGHT: u64 = 1_000;
-/// Orders that come so soon after a VM woke are not counted.
-const THAW: u64 = 300;
-/// How late answers of the store are where it is slow.
-const LATE: u64 = 700;
+/// How long an order may be in transit, in milliseconds.
+const ORDER_DELAY: u64 = 1_000;
+/// Orders this soon after a VM thawed are not counted, in milliseconds.
+const THAW_GRACE: u64 = 300;
+/// The delay of answers from a slow store, in milliseconds.
+const STORE_DELAY: u64 = 700;
 
-/// What ails a VM for a while.
+/// A fault of one VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ail {
-    Nothing,
-    /// The store turns it away.
+enum Fault {
+    Healthy,
+    /// The store rejects its calls.
     NoStore,
-    /// It is cut off from the other VMs.
+    /// It is partitioned from the other VMs.
     NoPeers,
     /// Both; it still reaches the replicas.
-    Alone,
+    Isolated,
     Frozen,
-    /// The store's answers come late.
+    /// Answers of the store are delayed.
     LateStore,
 }
 
-const OWNER_AILS: [Ail; 6] = [
-    Ail::Nothing,
-    Ail::NoStore,
-    Ail::NoPeers,
-    Ail::Alone,
-    Ail::Frozen,
-    Ail::LateStore,
+const OWNER_FAULTS: [Fault; 6] = [
+    Fault::Healthy,
+    Fault::NoStore,
+    Fault::NoPeers,
+    Fault::Isolated,
+    Fault::Frozen,
+    Fault::LateStore,
+];
+const OTHER_FAULTS: [Fault; 4] = [
+    Fault::Healthy,
+    Fault::NoStore,
+    Fault::NoPeers,
+    Fault::Frozen,
 ];
-const OTHER_AILS: [Ail; 4] = [Ail::Nothing, Ail::NoStore, Ail::NoPeers, Ail::Frozen];
 
-/// Which guards are in place.
+/// The guards that are in place.
 #[derive(Clone, Copy)]
 struct Guards {
-    /// An ownership ends by itself, and the next owner waits for that.
+    /// Ownerships expire, and the next owner waits for that.
     lease: bool,
-    /// Without the store a VM stays only while all others hear it.
+    /// Without the store, an ownership lasts only while all members acknowledge
+    /// the VM.
     echoes: bool,
-    /// The first VMs are known to be members, the others come anew.
+    /// The number of VMs that are members at the start; the others join later.
     members: usize,
 }
 
@@ -68,9 +74,10 @@
     own: Ownership,
     members: Members,
     number: u64,
-    ail: Ail,
+    fault: Fault,
     woke: u64,
-    /// Answers of the store under way: when they come, what they hold.
+    /// Pending answers of the store: when they arrive, when they were
+    /// requested, the table and its revision.
     answers: Vec<(u64, Moment, OwnerTable, u64)>,
 }
 
@@ -80,7 +87,7 @@
     revision: u64,
     replica: ReplicaName,
     guards: Guards,
-    /// Who ordered when.
+    /// The orders: time and VM.
     orders: Vec<(u64, usize)>,
 }
 
@@ -101,7 +108,7 @@
                 own: Ownership::new(name(i), LEASE, !guards.lease),
                 members,
                 number: 0,
-                ail: Ail::Nothing,
+                fault: Fault::Healthy,
                 woke: 0,
                 answers: Vec::new(),
             }
@@ -126,7 +133,7 @@
 
     fn tick(&mut self, ms: u64) {
         for i in 0..self.vms.len() {
-            if self.vms[i].ail == Ail::Frozen {
+            if self.vms[i].fault == Fault::Frozen {
                 continue;
             }
             self.take_answers(i, ms);
@@ -142,12 +149,15 @@
     }
 
     fn reaches_store(&self, i: usize) -> bool {
-        !matches!(self.vms[i].ail, Ail::NoStore | Ail::Alone | Ail::Frozen)
+        !matches!(
+            self.vms[i].fault,
+            Fault::NoStore | Fault::Isolated | Fault::Frozen
+        )
     }
 
     fn reaches(&self, i: usize, j: usize) -> bool {
-        let cut = |i: usize| matches!(self.vms[i].ail, Ail::NoPeers | Ail::Alone);
-        !cut(i) && !cut(j) && self.vms[j].ail != Ail::Frozen
+        let cut = |i: usize| matches!(self.vms[i].fault, Fault::NoPeers | Fault::Isolated);
+        !cut(i) && !cut(j) && self.vms[j].fault != Fault::Frozen
     }
 
     fn take_answers(&mut self, i: usize, ms: u64) {
@@ -190,7 +200,7 @@
         }
     }
 
-    /// The watch and the questions of a VM.
+    /// Polls for changes and confirmations of the table.
     fn ask(&mut self, i: usize, ms: u64) {
         let rank = {
             let vm = &self.vms[i];
@@ -204,8 +214,8 @@
         if !(first || asks || news) || waits || !self.reaches_store(i) {
             return;
         }
-        let late = if self.vms[i].ail == Ail::LateStore {
-            LATE
+        let late = if self.vms[i].fault == Fault::LateStore {
+            STORE_DELAY
         } else {
             0
         };
@@ -236,7 +246,7 @@
     }
 
     fn order(&mut self, i: usize, ms: u64) {
-        let vouched = match self.guards.echoes {
+        let acknowledged = match self.guards.echoes {
             true => {
                 let vm = &self.vms[i];
                 vm.members.acknowledged_until(&vm.own.table.members)
@@ -244,54 +254,55 @@
             false => Some(at(u64::MAX / 2_000_000)),
         };
         let vm = &mut self.vms[i];
-        vm.own.set_acknowledged_until(at(ms), vouched);
-        if ms >= vm.woke + THAW && vm.own.token(at(ms), &self.replica).is_some() {
+        vm.own.set_acknowledged_until(at(ms), acknowledged);
+        if ms >= vm.woke + THAW_GRACE && vm.own.token(at(ms), &self.replica).is_some() {
             self.orders.push((ms, i));
         }
     }
 
-    /// Plays faults, one after the other for each VM; gives two orders that
-    /// came within a lease, if any.
-    fn play(&mut self, schedule: &[Vec<Ail>]) -> Option<(u64, u64)> {
+    /// Runs a schedule of faults. Returns the times of two orders from
+    /// different VMs that came within a lease, if there are any.
+    fn play(&mut self, schedule: &[Vec<Fault>]) -> Option<(u64, u64)> {
         let calm = 2_400;
         let end = calm + PHASE * schedule.len() as u64 + 14_000;
         for ms in (0..end).step_by(TICK as usize) {
             let phase = ms.checked_sub(calm).map(|since| (since / PHASE) as usize);
             for (i, vm) in self.vms.iter_mut().enumerate() {
-                let ails = phase.and_then(|p| schedule.get(p));
-                let ail = ails.and_then(|a| a.get(i)).copied();
-                let ail = ail.unwrap_or(Ail::Nothing);
-                if vm.ail == Ail::Frozen && ail != Ail::Frozen {
+                let faults = phase.and_then(|p| schedule.get(p));
+                let fault = faults.and_then(|a| a.get(i)).copied();
+                let fault = fault.unwrap_or(Fault::Healthy);
+                if vm.fault == Fault::Frozen && fault != Fault::Frozen {
                     vm.woke = ms;
                 }
-                vm.ail = ail;
+                vm.fault = fault;
             }
             self.tick(ms);
         }
         let pairs = self.orders.windows(2);
         let mut broken =
-            pairs.filter(|w| w[0].1 != w[1].1 && w[1].0 < w[0].0 + FLIGHT + LEASE.as_millis());
+            pairs.filter(|w| w[0].1 != w[1].1 && w[1].0 < w[0].0 + ORDER_DELAY + LEASE.as_millis());
         broken.next().map(|w| (w[0].0, w[1].0))
     }
 }
 
 /// All schedules of two faults in a row, each for the owner and for another VM.
-fn schedules() -> impl Iterator<Item = Vec<Vec<Ail>>> {
+fn schedules() -> impl Iterator<Item = Vec<Vec<Fault>>> {
     let pairs = || {
-        OWNER_AILS
+        OWNER_FAULTS
             .iter()
-            .flat_map(|a| OTHER_AILS.map(|b| vec![*a, b]))
+            .flat_map(|a| OTHER_FAULTS.map(|b| vec![*a, b]))
     };
     pairs().flat_map(move |first| {
         let later = pairs().flat_map(move |second| {
-            [Ail::Nothing, Ail::NoStore, Ail::Alone].map(|third| vec![second.clone(), vec![third]])
+            [Fault::Healthy, Fault::NoStore, Fault::Isolated]
+                .map(|third| vec![second.clone(), vec![third]])
         });
         later.map(move |rest| [vec![first.clone()], rest].concat())
     })
 }
 
-/// A schedule, and when the two orders came.
-type Broken = (Vec<Vec<Ail>>, (u64, u64));
+/// A schedule, and the times of the two orders.
+type Broken = (Vec<Vec<Fault>>, (u64, u64));
 
 fn broken(count: usize, guards: Guards) -> Vec<Broken> {
     let played = schedules().filter_map(|schedule| {
@@ -322,7 +333,7 @@
     );
 }
 
-/// Without a guard the search finds two givers of orders.
+/// Without a guard the search finds orders from two VMs.
 #[rstest]
 #[case::no_lease(Guards { lease: false, echoes: true, members: 3 })]
 #[case::no_echoes(Guards { lease: true, echoes: false, members: 3 })]
@@ -330,13 +341,13 @@
     assert!(!broken(3, guards).is_empty());
 }
 
-/// A VM stays in office while the store is away for all and all hear it, and
-/// is out of it when it is alone.
+/// Ownerships stay valid during an outage of the store while all members
+/// acknowledge the VM, and expire when it is partitioned.
 #[rstest]
-#[case::store_away(Ail::NoStore, Ail::NoStore, true)]
-#[case::alone(Ail::Alone, Ail::NoStore, false)]
-#[case::other_cut(Ail::NoStore, Ail::NoPeers, false)]
-fn office_without_the_store(#[case] owner: Ail, #[case] other: Ail, #[case] stays: bool) {
+#[case::store_away(Fault::NoStore, Fault::NoStore, true)]
+#[case::alone(Fault::Isolated, Fault::NoStore, false)]
+#[case::other_cut(Fault::NoStore, Fault::NoPeers, false)]
+fn validity_without_store(#[case] owner: Fault, #[case] other: Fault, #[case] stays: bool) {
     let guards = Guards {
         lease: true,
         echoes: true,
@@ -349,9 +360,9 @@
     assert_eq!(world.orders.contains(&(late, 0)), stays);
 }
 
-/// The VM that says that it knows of its loss is waited for no longer.
+/// An acknowledgement by the former owner shortens the wait.
 #[test]
-fn former_owner_that_knows_shortens_the_wait() {
+fn acknowledgement_shortens_wait() {
     let all = BTreeSet::from(["i-1".parse::<ReplicaName>().unwrap()]);
     let none = BTreeSet::new();
     let (a, b): (VmName, VmName) = ("a".parse().unwrap(), "b".parse().unwrap());
@@ -375,15 +386,20 @@
     own.apply_table(at(0), table, 7);
     own.record_peer_revision(at(50), &a, 6);
     own.confirm(at(4_200));
-    assert_eq!(own.token(at(4_200), name), None, "its table is older");
+    assert_eq!(
+        own.token(at(4_200), name),
+        None,
+        "the former owner has an older table"
+    );
     own.record_peer_revision(at(60), &a, 7);
     assert!(own.token(at(4_200), name).is_some());
 }
 
-/// An owner without the store must not be taken for lost by a VM that it does
-/// not know of: that one waits longer than the owner stays in office.
+/// A new member must not consider an owner failed that has no access to the
+/// store and does not know of the new member: it waits longer than an ownership
+/// lasts.
 #[test]
-fn new_member_judges_nobody_that_does_not_know_it() {
+fn new_member_keeps_unaware_owner() {
     let all = BTreeSet::from(["i-1".parse::<ReplicaName>().unwrap()]);
     let none = BTreeSet::new();
     let (a, b): (VmName, VmName) = ("a".parse().unwrap(), "b".parse().unwrap());
@@ -404,5 +420,8 @@
     assert_eq!(lost.owners.values().next().unwrap().vm, b);
     own.record_peer_revision(at(11), &a, 2);
     let lost = own.proposal(at(5_000), &live, &all).unwrap();
-    assert_eq!(lost.members, live, "it knows of us, and is silent");
+    assert_eq!(
+        lost.members, live,
+        "a silent member that knows the new one is removed"
+    );
 }
--- a/lib/tests/test_serving_recency.rs
+++ b/lib/tests/test_serving_recency.rs
@@ -1,11 +1,11 @@
-//! A search over what can delay and reorder the proofs that a configuration is
-//! the newest: questions and answers that wait, watches that hear nothing for a
-//! second, beacons that are late, VMs that are suspended or started again,
+//! Searches for delays and reorderings that break the proof that a
+//! configuration is the newest: delayed requests and answers, watches that miss
+//! changes for a second, late beacons, VMs that are suspended or restarted, and
 //! clocks that differ.
 //!
-//! Whatever happens, no VM may hold its configuration for the newest as of a
-//! moment at which a newer one was in the store. Each guard is taken out once,
-//! and the search must find that.
+//! No VM may consider its configuration the newest as of a moment at which the
+//! store had a newer one. Each guard is removed once, and the search must then
+//! find a violation.
 
 use std::collections::BTreeMap;
 
@@ -24,54 +24,54 @@
 
 const VMS: usize = 3;
 
-/// One search plays so many milliseconds.
-const LENGTH: u64 = 30_000;
+/// The duration of one search, in milliseconds.
+const DURATION: u64 = 30_000;
 
-/// How long watches hear nothing before the store drops its history.
-const DEAF: u64 = 1_000;
+/// How long watches miss changes before the store drops its history, in
+/// milliseconds.
+const WATCH_LAG: u64 = 1_000;
 
-/// What is left out.
+/// The guard that is removed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
-    /// Nothing.
+    /// No guard is removed.
     None,
-    /// A proof counts from its question, not from its answer.
-    AsOfQuestion,
-    /// What another VM knows counts from our own beacon, not from the age that
-    /// it tells.
+    /// A proof counts from the request and not from its answer.
+    AsOfRequest,
+    /// A proof from another VM counts from our own beacon and not from the age
+    /// that the other VM sends.
     OwnBeacon,
-    /// The clock counts suspension.
+    /// The clock counts the time of suspension.
     Suspension,
-    /// A watch may hear nothing for a while.
-    DeafWatch,
-    /// Another VM's word counts only with all that it knows.
+    /// A watch may miss changes for a while.
+    LaggingWatch,
+    /// A proof from another VM counts only if this VM knows the same revision.
     SameRevision,
-    /// It counts for the incarnation alone that sent the beacon.
+    /// A proof counts only for the incarnation that sent the beacon.
     SameIncarnation,
 }
 
-/// What is under way, with when it comes.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Message {
-    /// A list is on its way to the store.
+    /// A list on its way to the store.
     List { asked: Moment },
-    /// A question what changed since a revision is on its way to the store, or
-    /// waits there until a moment.
+    /// A watch on its way to the store, or waiting there until a moment.
     Watch {
         asked: Moment,
         known: u64,
         wait: u64,
         until: Option<u64>,
     },
-    /// An answer comes back: the revision that is known then, and how long the
-    /// question waited in vain.
+    /// An answer of the store: the revision known with it, and how long the
+    /// watch waited without a change.
     Answer {
         asked: Moment,
         waited: u64,
         list: bool,
         revision: u64,
     },
-    /// A beacon: of whom, when it was sent by its clock, what it tells.
+    /// A beacon with its sender, the sender's clock and its contents.
     Beacon {
         from: usize,
         incarnation: u64,
@@ -85,12 +85,12 @@
 struct Vm {
     name: VmName,
     incarnation: u64,
-    /// Its clock less the time of the search.
+    /// Its clock minus the time of the search.
     offset: u64,
     frozen: u64,
-    /// Suspension that its clock did not count, where it does not.
+    /// The suspension that its clock did not count, if that guard is removed.
     uncounted: u64,
-    /// 0 while it knows none.
+    /// 0 before the first answer.
     revision: u64,
     recency: Recency,
     witnesses: WitnessQueue,
@@ -98,24 +98,24 @@
 }
 
 struct Search {
-    draw: ChaCha8Rng,
+    rng: ChaCha8Rng,
     guard: Guard,
     vms: Vec<Vm>,
-    /// When each revision after the first came.
+    /// When each revision after the first was created.
     changes: Vec<u64>,
-    deaf_from: u64,
-    /// When, to which VM (or for which the store is asked), its incarnation as
-    /// it was sent, what.
-    under_way: Vec<(u64, usize, u64, Message)>,
+    lag_from: u64,
+    /// The time of arrival, the receiving VM (or the one that calls the store),
+    /// its incarnation at the time of sending, and the message.
+    in_transit: Vec<(u64, usize, u64, Message)>,
 }
 
 impl Search {
     fn new(seed: u64, guard: Guard) -> Self {
-        let mut draw = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let vm = |i| Vm {
             name: format!("vm-{i}").parse().unwrap(),
             incarnation: 1,
-            offset: draw.random_range(0..60_000) + 10_000,
+            offset: rng.random_range(0..60_000) + 10_000,
             frozen: 0,
             uncounted: 0,
             revision: 0,
@@ -124,14 +124,14 @@
             heard: BTreeMap::new(),
         };
         let vms = (0..VMS).map(vm).collect();
-        let deaf_from = draw.random_range(0..LENGTH);
+        let lag_from = rng.random_range(0..DURATION);
         Self {
-            draw,
+            rng,
             guard,
             vms,
             changes: Vec::new(),
-            deaf_from,
-            under_way: Vec::new(),
+            lag_from,
+            in_transit: Vec::new(),
         }
     }
 
@@ -140,48 +140,48 @@
         Moment((at + vm.offset - vm.uncounted) * 1_000)
     }
 
-    /// The time of the search at a moment of a VM's clock.
+    /// Converts a moment of a VM's clock to the time of the search.
     fn real(&self, vm: usize, at: Moment) -> u64 {
         let vm = &self.vms[vm];
         (at.0 / 1_000 + vm.uncounted).saturating_sub(vm.offset)
     }
 
-    fn is_deaf(&self, at: u64) -> bool {
-        (self.deaf_from..self.deaf_from + DEAF).contains(&at)
+    fn is_lagging(&self, at: u64) -> bool {
+        (self.lag_from..self.lag_from + WATCH_LAG).contains(&at)
     }
 
-    /// How long something is on its way; now and then very long.
+    /// Draws a transit time, occasionally a very long one.
     fn delay(&mut self) -> u64 {
-        match self.draw.random_range(0..10) {
-            0 => self.draw.random_range(0..4_000),
-            _ => self.draw.random_range(1..30),
+        match self.rng.random_range(0..10) {
+            0 => self.rng.random_range(0..4_000),
+            _ => self.rng.random_range(1..30),
         }
     }
 
     fn send(&mut self, at: u64, to: usize, message: Message) {
         let at = at + self.delay();
         let incarnation = self.vms[to].incarnation;
-        self.under_way.push((at, to, incarnation, message));
+        self.in_transit.push((at, to, incarnation, message));
     }
 
-    /// Plays to the end; gives the first wrong belief.
+    /// Runs the search. Returns the first violation.
     fn play(mut self) -> Result<(), String> {
-        for at in 0..LENGTH {
-            self.disturb(at);
+        for at in 0..DURATION {
+            self.inject_faults(at);
             for vm in 0..VMS {
                 if self.vms[vm].frozen <= at {
                     self.act(at, vm);
                 }
             }
             let vms = &self.vms;
-            let due = self.under_way.extract_if(.., |(when, to, _, message)| {
+            let due = self.in_transit.extract_if(.., |(when, to, _, message)| {
                 let at_store = matches!(message, Message::List { .. } | Message::Watch { .. });
                 *when <= at && (at_store || vms[*to].frozen <= at)
             });
             let due: Vec<_> = due.collect();
             for (_, to, incarnation, message) in due {
-                // A datagram finds whoever has the address; a connection is one
-                // incarnation's.
+                // A datagram reaches whichever process has the address; a
+                // connection belongs to one incarnation.
                 let datagram = matches!(message, Message::Beacon { .. });
                 if datagram || incarnation == self.vms[to].incarnation {
                     self.take(at, to, message);
@@ -192,17 +192,17 @@
         Ok(())
     }
 
-    fn disturb(&mut self, at: u64) {
+    fn inject_faults(&mut self, at: u64) {
         let newest = self.changes.len() as u64 + 1;
-        // Some changes fall into the time in which watches hear nothing.
-        let likely = if self.is_deaf(at) { 400 } else { 4_000 };
-        if newest < 30 && self.draw.random_range(0..likely) == 0 {
+        // Some changes are made while watches miss them.
+        let likely = if self.is_lagging(at) { 400 } else { 4_000 };
+        if newest < 30 && self.rng.random_range(0..likely) == 0 {
             self.changes.push(at);
         }
         for vm in &mut self.vms {
-            match self.draw.random_range(0..12_000) {
+            match self.rng.random_range(0..12_000) {
                 0 if vm.frozen <= at => {
-                    let span = self.draw.random_range(500..6_000);
+                    let span = self.rng.random_range(500..6_000);
                     vm.frozen = at + span;
                     if self.guard == Guard::Suspension {
                         vm.uncounted += span;
@@ -210,11 +210,12 @@
                 }
                 1 => {
                     vm.incarnation += 1;
-                    // Another machine's clock, at its address, mostly a little
-                    // behind: what was sent by the old one seems to lie ahead.
-                    vm.offset = match self.draw.random_bool(0.2) {
-                        true => self.draw.random_range(0..60_000) + 10_000,
-                        false => vm.offset.saturating_sub(self.draw.random_range(0..3_000)),
+                    // The address moves to another machine, whose clock is
+                    // mostly a little behind: messages to the old one then seem
+                    // to come from the future.
+                    vm.offset = match self.rng.random_bool(0.2) {
+                        true => self.rng.random_range(0..60_000) + 10_000,
+                        false => vm.offset.saturating_sub(self.rng.random_range(0..3_000)),
                     };
                     vm.uncounted = 0;
                     vm.revision = 0;
@@ -227,21 +228,21 @@
     }
 
     fn act(&mut self, at: u64, vm: usize) {
-        if self.draw.random_range(0..900) == 0 {
+        if self.rng.random_range(0..900) == 0 {
             let asked = self.clock(vm, at);
             let known = self.vms[vm].revision;
-            let question = match known == 0 || self.draw.random_bool(0.3) {
+            let request = match known == 0 || self.rng.random_bool(0.3) {
                 true => Message::List { asked },
                 false => Message::Watch {
                     asked,
                     known,
-                    wait: self.draw.random_range(1..800),
+                    wait: self.rng.random_range(1..800),
                     until: None,
                 },
             };
-            self.send(at, vm, question);
+            self.send(at, vm, request);
         }
-        if self.draw.random_range(0..400) == 0 {
+        if self.rng.random_range(0..400) == 0 {
             let now = self.clock(vm, at);
             let me = &mut self.vms[vm];
             let heard: Vec<_> = me.heard.clone().into_iter().collect();
@@ -261,7 +262,7 @@
                 witnesses,
             };
             for to in (0..VMS).filter(|to| *to != vm) {
-                if self.draw.random_bool(0.9) {
+                if self.rng.random_bool(0.9) {
                     self.send(at, to, beacon.clone());
                 }
             }
@@ -333,19 +334,19 @@
         }
     }
 
-    /// A question waits at the store for changes.
+    /// A watch waits at the store for changes.
     fn watch(&mut self, at: u64, to: usize, asked: Moment, known: u64, wait: u64, until: u64) {
         let newest = self.changes.len() as u64 + 1;
-        let dropped = self.deaf_from + DEAF;
-        // The history that holds what watches did not hear is dropped, and those
-        // that wait are cut.
+        let dropped = self.lag_from + WATCH_LAG;
+        // The store drops the history with the changes that watches missed, and
+        // ends the waiting watches.
         if at == dropped {
             return;
         }
-        // Changes of the deaf time are told once they are over, by the answer
-        // that the history is gone, which a list follows.
+        // Missed changes are reported after the end of this time by the answer
+        // that the history has expired, which a list follows.
         let hears =
-            |(i, c): (usize, &u64)| i as u64 + 1 >= known && (!self.is_deaf(*c) || at > dropped);
+            |(i, c): (usize, &u64)| i as u64 + 1 >= known && (!self.is_lagging(*c) || at > dropped);
         let heard = self.changes.iter().enumerate().any(hears);
         let (waited, revision) = match heard {
             true => (0, newest),
@@ -358,7 +359,7 @@
                     until: Some(until),
                 };
                 let incarnation = self.vms[to].incarnation;
-                self.under_way.push((at + 1, to, incarnation, waiting));
+                self.in_transit.push((at + 1, to, incarnation, waiting));
                 return;
             }
         };
@@ -385,10 +386,10 @@
         let me = &mut self.vms[to];
         me.revision = me.revision.max(revision);
         let from = match guard {
-            Guard::AsOfQuestion => now,
+            Guard::AsOfRequest => now,
             _ => asked,
         };
-        match list || guard == Guard::DeafWatch {
+        match list || guard == Guard::LaggingWatch {
             true => me
                 .recency
                 .confirm_list(from.after(Span::from_millis(waited))),
@@ -396,7 +397,7 @@
         }
     }
 
-    /// What this VM believes must be so.
+    /// Checks that what this VM considers proven is true.
     fn check(&self, at: u64, vm: usize) -> Result<(), String> {
         let now = self.clock(vm, at);
         let me = &self.vms[vm];
@@ -406,7 +407,7 @@
         let as_of = self.real(vm, Moment(now.0 - age.0));
         match self.changes.get(me.revision as usize - 1) {
             Some(next) if *next < as_of => Err(format!(
-                "vm {vm} at {at}: revision {} as of {as_of}, a newer one came at {next}",
+                "vm {vm} at {at}: revision {} as of {as_of}, a newer one existed since {next}",
                 me.revision
             )),
             _ => Ok(()),
@@ -414,35 +415,38 @@
     }
 }
 
-/// Seeds of a search; more by hand, as `SEARCH_SEEDS` says.
+/// The number of seeds of a search; `SEARCH_SEEDS` sets more for manual runs.
 fn seeds() -> u64 {
     let asked = std::env::var("SEARCH_SEEDS").ok();
     asked.and_then(|n| n.parse().ok()).unwrap_or(60)
 }
 
-fn first_wrong(guard: Guard, seeds: u64) -> Option<(u64, String)> {
+fn first_violation(guard: Guard, seeds: u64) -> Option<(u64, String)> {
     (0..seeds).find_map(|seed| Some((seed, Search::new(seed, guard).play().err()?)))
 }
 
 #[test]
-fn recency_search_finds_nothing() {
-    assert_eq!(first_wrong(Guard::None, seeds()), None);
+fn recency_search_finds_no_violation() {
+    assert_eq!(first_violation(Guard::None, seeds()), None);
 }
 
 #[rstest]
-#[case::as_of_the_answer(Guard::AsOfQuestion)]
-#[case::age_as_told(Guard::OwnBeacon)]
+#[case::as_of_the_answer(Guard::AsOfRequest)]
+#[case::age_as_sent(Guard::OwnBeacon)]
 #[case::clock_without_suspension(Guard::Suspension)]
-#[case::watch_taken_at_its_word(Guard::DeafWatch)]
-#[case::word_of_one_who_knows_more(Guard::SameRevision)]
-#[case::word_for_an_earlier_incarnation(Guard::SameIncarnation)]
+#[case::watch_without_lag(Guard::LaggingWatch)]
+#[case::proof_at_newer_revision(Guard::SameRevision)]
+#[case::proof_for_earlier_incarnation(Guard::SameIncarnation)]
 fn recency_search_without_guard(#[case] guard: Guard) {
-    assert!(first_wrong(guard, 600).is_some(), "{guard:?} is not missed");
+    assert!(
+        first_violation(guard, 600).is_some(),
+        "no violation without {guard:?}"
+    );
 }
 
-/// A configuration that cannot be read may take keys away.
+/// A configuration that cannot be decoded may revoke keys.
 #[test]
-fn recency_unread_configuration_proves_nothing() {
+fn recency_undecoded_configuration_proves_nothing() {
     let now = Moment(5_000_000);
     let mut recency = Recency::default();
     recency.confirm_list(now);
--- a/lib/tests/test_serving_subscriptions.rs
+++ b/lib/tests/test_serving_subscriptions.rs
@@ -1,4 +1,4 @@
-//! Which VMs hear at once of a load.
+//! Which VMs are notified at once of changes of a replica.
 
 use banyangauge::ids::ReplicaName;
 use banyangauge::ids::VmName;
@@ -18,10 +18,10 @@
     name.parse().unwrap()
 }
 
-/// Who is told of which replicas, as text.
-fn owed(audience: &mut Subscriptions) -> String {
-    let owed = audience.take_pending();
-    let lines = owed.iter().map(|(vm, names)| {
+/// The pending notifications as text, one line for each VM.
+fn pending(subscriptions: &mut Subscriptions) -> String {
+    let pending = subscriptions.take_pending();
+    let lines = pending.iter().map(|(vm, names)| {
         let names: Vec<_> = names.iter().map(ReplicaName::as_str).collect();
         format!("{}: {}", vm.as_str(), names.join(" "))
     });
@@ -29,30 +29,30 @@
 }
 
 #[test]
-fn changed_is_told_to_those_who_wait() {
+fn record_change_notifies_subscribers() {
     let mut a = Subscriptions::default();
     a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
     a.subscribe(at(0), &vm("vm-2"), &replica("i-2"), false);
-    assert_eq!(owed(&mut a), "");
+    assert_eq!(pending(&mut a), "");
     a.record_change(at(200), &replica("i-1"));
     a.record_change(at(200), &replica("i-3"));
-    assert_eq!(owed(&mut a), "vm-1: i-1");
-    assert_eq!(owed(&mut a), "");
+    assert_eq!(pending(&mut a), "vm-1: i-1");
+    assert_eq!(pending(&mut a), "");
 }
 
-/// One that asks for what is there already has an old picture.
+/// A VM that requests what is loaded already has an outdated view.
 #[test]
-fn ask_for_what_is_there_is_answered() {
+fn subscribe_to_loaded_adapter_notifies() {
     let mut a = Subscriptions::default();
     a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), true);
-    assert_eq!(owed(&mut a), "vm-1: i-1");
+    assert_eq!(pending(&mut a), "vm-1: i-1");
 }
 
 #[test]
-fn ask_lapses_unless_renewed() {
+fn subscribe_expires_unless_renewed() {
     let mut a = Subscriptions::default();
     a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
     a.subscribe(at(900), &vm("vm-2"), &replica("i-1"), false);
     a.record_change(at(1_200), &replica("i-1"));
-    assert_eq!(owed(&mut a), "vm-2: i-1");
+    assert_eq!(pending(&mut a), "vm-2: i-1");
 }
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -1,4 +1,4 @@
-//! Who owns which replica, and from when.
+//! Which VM owns which replica, and from when.
 
 use std::collections::BTreeSet;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn table_spreads_and_keeps() {
+fn reassigned_spreads_and_keeps() {
     let first = OwnerTable::default()
         .reassigned(
             &vms(&["a", "b"]),
@@ -70,16 +70,16 @@
         assert_eq!(
             owner.token == old.token,
             kept,
-            "a change of owner takes a new token"
+            "only a change of owner takes a new token"
         );
         let former = if kept { vms(&[]) } else { vms(&["a"]) };
         assert_eq!(owner.former, former);
     }
 }
 
-/// The one before may not have heard of its loss yet.
+/// The former owner may not know of its loss yet.
 #[test]
-fn new_owner_waits_out_the_lease() {
+fn new_owner_waits_for_lease() {
     let first = OwnerTable::default()
         .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn refused_token_is_used_no_more() {
+fn rejected_token_is_not_used() {
     let table = OwnerTable::default()
         .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
@@ -114,9 +114,9 @@
     assert_eq!(a.token(at(9_000), &name), None);
 }
 
-/// A VM that was suspended may have lost what it owned.
+/// A VM that was suspended may have lost its replicas.
 #[test]
-fn suspended_owner_orders_nothing() {
+fn invalidate_stops_orders() {
     let table = OwnerTable::default()
         .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn older_table_is_dropped() {
+fn apply_table_ignores_older_revision() {
     let first = OwnerTable::default()
         .reassigned(&vms(&["a"]), &vms(&[]), &replicas(&["1"]))
         .unwrap();
@@ -142,12 +142,12 @@
     assert!(!a.apply_table(at(1), first, 1));
 }
 
-/// The first live VM repairs at once, the next one a step later.
+/// The first live VM proposes a change at once, the next one a step later.
 #[rstest]
 #[case::first("a", 0, true)]
 #[case::second("b", 0, false)]
 #[case::second_later("b", 1_300, true)]
-fn proposers_take_turns(#[case] vm: &str, #[case] ms: u64, #[case] proposes: bool) {
+fn proposal_is_staggered(#[case] vm: &str, #[case] ms: u64, #[case] proposes: bool) {
     let mut o = Ownership::new(vm.parse().unwrap(), LEASE, true);
     let (live, all) = (vms(&["a", "b"]), replicas(&["1"]));
     let now = o.proposal(at(0), &live, &all);
@@ -160,30 +160,33 @@
     let mut m = Members::new("a".parse().unwrap(), at(0));
     let b: VmName = "b".parse().unwrap();
     m.set_address(b.clone(), ([127, 0, 0, 1], 1).into());
-    assert!(!m.can_detect_failures(at(100)), "it has heard nobody yet");
+    assert!(
+        !m.can_detect_failures(at(100)),
+        "no beacon has been received yet"
+    );
     assert!(m.record_beacon(at(100), &b, stamp(1, 1), false));
     assert!(
         !m.record_beacon(at(101), &b, stamp(1, 1), false),
-        "a beacon that came twice"
+        "a duplicate beacon must be ignored"
     );
     assert!(m.can_detect_failures(at(200)));
     assert_eq!(m.live_vms(at(200)).len(), 2);
     assert_eq!(m.live_vms(at(2_200)).len(), 1);
     assert!(
         !m.can_detect_failures(at(2_200)),
-        "cut off, it judges nobody"
+        "a partitioned VM must not decide who failed"
     );
     assert!(m.can_detect_failures(at(7_000)));
     assert!(m.record_beacon(at(7_000), &b, stamp(2, 1), true));
     assert_eq!(
         m.live_vms(at(12_000)).len(),
         2,
-        "a restarted VM keeps what it owns"
+        "a restarted VM keeps its replicas"
     );
     assert_eq!(m.live_vms(at(13_100)).len(), 1);
 }
 
-/// All VMs restarted at once: those that had waited need not wait again.
+/// After a restart of all VMs, owners that had waited do not wait again.
 #[test]
 fn restarted_owner_does_not_wait_twice() {
     let first = OwnerTable::default()
@@ -204,10 +207,10 @@
     assert!(again.token(at(60_000), &name).is_some());
 }
 
-/// A replica whose entry lapsed and came back may still get orders of the VM
-/// that had it before.
+/// A replica whose entry was removed and came back may still get orders from
+/// its last owner.
 #[test]
-fn owners_of_replicas_that_left_are_remembered() {
+fn reassigned_remembers_owners_of_removed_replicas() {
     let none = vms(&[]);
     let first = OwnerTable::default();
     let first = first.reassigned(&vms(&["a", "b"]), &none, &replicas(&["1", "2"]));
@@ -222,7 +225,8 @@
     assert_eq!(lost.unwrap().owners[&name].former, vms(&["a"]));
 }
 
-/// One that lost it to a VM which lost it as well may know of neither.
+/// A former owner may have lost the replica to a VM that lost it as well, and
+/// know of neither change.
 #[test]
 fn former_owners_add_up() {
     let none = vms(&[]);
@@ -237,9 +241,10 @@
     assert_eq!(owner.former, vms(&["a", "b"]));
 }
 
-/// VMs that may not be judged keep what they own and get nothing more.
+/// VMs that may not be considered failed yet keep their replicas and get no
+/// others.
 #[test]
-fn unjudged_owner_keeps_and_gets_nothing() {
+fn reassigned_keeps_unjudged_owner() {
     let none = vms(&[]);
     let table = OwnerTable::default().reassigned(&vms(&["a"]), &none, &replicas(&["1"]));
     let table = table.unwrap();
