--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -82,7 +82,7 @@
 
 /// What a VM sees of a service, for the log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Survey {
+pub struct ServiceSummary {
     /// Replicas that are listed and not leaving.
     pub listed: usize,
     /// Those that take requests.
@@ -358,8 +358,13 @@
     }
 
     /// What is believed of a service's replicas.
-    pub fn survey(&self, now: Moment, service: &ServiceName, target: Option<&Target>) -> Survey {
-        let mut seen = Survey::default();
+    pub fn survey(
+        &self,
+        now: Moment,
+        service: &ServiceName,
+        target: Option<&Target>,
+    ) -> ServiceSummary {
+        let mut seen = ServiceSummary::default();
         let members = self
             .replicas
             .iter()
