--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -90,7 +90,7 @@
     /// Those that hold the adapter.
     pub holders: usize,
     /// Those whose owner has told lately what they hold.
-    pub words: usize,
+    pub fresh_reports: usize,
     /// Requests of all VMs there.
     pub requests: u32,
 }
@@ -373,7 +373,7 @@
             seen.listed += 1;
             seen.live += usize::from(r.health.open(now, r.own.requests));
             seen.holders += usize::from(target.is_some_and(|t| r.holds(now, t).is_some()));
-            seen.words += usize::from(self.has_word(now, name));
+            seen.fresh_reports += usize::from(self.has_word(now, name));
             seen.requests += self.load(now, name, r).requests;
         }
         seen
