--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -358,7 +358,7 @@
     }
 
     /// What is believed of a service's replicas.
-    pub fn survey(
+    pub fn summarize(
         &self,
         now: Moment,
         service: &ServiceName,
