--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -12,7 +12,7 @@
 use crate::pool::Demand;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::decisions::fleet::Held;
+use crate::serving::decisions::fleet::Residency;
 use crate::serving::decisions::fleet::Versions;
 use crate::serving::path::types::ReplicaInfo;
 use crate::serving::path::types::Target;
@@ -195,11 +195,11 @@
         entry.running.insert(vm.clone(), (now, running));
     }
 
-    pub(super) fn held(&self) -> Held {
+    pub(super) fn held(&self) -> Residency {
         let here = self.slots.iter().filter(|(_, s)| s.phase == Phase::Here);
         let coming = self.slots.iter();
         let coming = coming.filter(|(_, s)| matches!(s.phase, Phase::Coming(_)));
-        Held {
+        Residency {
             here: here.map(|(t, s)| (t.clone(), s.version)).collect(),
             coming: coming.map(|(t, _)| t.clone()).collect(),
         }
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -11,7 +11,7 @@
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::decisions::fleet::Held;
+use crate::serving::decisions::fleet::Residency;
 use crate::serving::decisions::fleet::Versions;
 use crate::serving::decisions::pace::Pace;
 use crate::serving::path::types::ReplicaInfo;
@@ -115,7 +115,7 @@
     }
 
     /// What a replica holds, for the other VMs.
-    pub fn held(&self, name: &ReplicaName) -> Option<Held> {
+    pub fn held(&self, name: &ReplicaName) -> Option<Residency> {
         self.books.get(name).map(Book::held)
     }
 
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -97,7 +97,7 @@
 
 /// What a replica holds, by the word of its owner.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct Residency {
     /// Adapters that it holds, with their versions.
     pub here: BTreeMap<Target, u32>,
     /// Adapters on their way to it.
@@ -119,7 +119,7 @@
     /// What its owner was told of this VM's requests.
     reported: Load,
     /// Until when its owner's word holds.
-    book: Option<(Moment, Held)>,
+    book: Option<(Moment, Residency)>,
     missing: BTreeMap<Target, Moment>,
     health: Health,
     /// Since when it is missing from the store's list.
@@ -402,7 +402,8 @@
     pub fn coming(&self, now: Moment) -> usize {
         let books = self.replicas.values().filter_map(|r| r.book.as_ref());
         let fresh = books.filter(|(until, _)| *until > now);
-        let adapters = |held: &Held| held.coming.iter().filter(|t| t.adapter.is_some()).count();
+        let adapters =
+            |held: &Residency| held.coming.iter().filter(|t| t.adapter.is_some()).count();
         fresh.map(|(_, held)| adapters(held)).sum()
     }
 
@@ -505,7 +506,7 @@
     }
 
     /// An owner's word on what its replica holds.
-    pub fn hear_book(&mut self, now: Moment, name: &ReplicaName, held: Held) {
+    pub fn hear_book(&mut self, now: Moment, name: &ReplicaName, held: Residency) {
         let until = now.after(self.word_kept);
         if let Some(r) = self.replicas.get_mut(name) {
             r.missing.retain(|t, _| !held.here.contains_key(t));
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -17,7 +17,7 @@
 use crate::pool::Span;
 use crate::serving::cluster::members::BeaconStamp;
 use crate::serving::cluster::state::NodeState;
-use crate::serving::decisions::fleet::Held;
+use crate::serving::decisions::fleet::Residency;
 use crate::serving::path::charge;
 use crate::serving::path::owner_check;
 use crate::serving::path::prefill;
@@ -367,7 +367,7 @@
     {
         return;
     }
-    let mut held = Held::default();
+    let mut held = Residency::default();
     for slot in &book.slots {
         let Some(target) = Target::parse(&slot.target) else {
             continue;
