--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -200,7 +200,7 @@
         let coming = self.slots.iter();
         let coming = coming.filter(|(_, s)| matches!(s.phase, Phase::Coming(_)));
         Residency {
-            here: here.map(|(t, s)| (t.clone(), s.version)).collect(),
+            loaded: here.map(|(t, s)| (t.clone(), s.version)).collect(),
             coming: coming.map(|(t, _)| t.clone()).collect(),
         }
     }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Residency {
     /// Adapters that it holds, with their versions.
-    pub here: BTreeMap<Target, u32>,
+    pub loaded: BTreeMap<Target, u32>,
     /// Adapters on their way to it.
     pub coming: BTreeSet<Target>,
 }
@@ -150,8 +150,8 @@
         match (&self.book, target.adapter.is_some()) {
             // An owner that is lost orders nothing there any more: its last
             // word holds on.
-            (Some((_, held)), true) => held.here.get(target).copied(),
-            (Some((until, held)), false) if *until > now => held.here.get(target).copied(),
+            (Some((_, held)), true) => held.loaded.get(target).copied(),
+            (Some((until, held)), false) if *until > now => held.loaded.get(target).copied(),
             (None, true) => self.listing.adapters.get(target).copied(),
             (_, false) => self.listing.models.contains(&target.model).then_some(0),
         }
@@ -509,7 +509,7 @@
     pub fn hear_book(&mut self, now: Moment, name: &ReplicaName, held: Residency) {
         let until = now.after(self.word_kept);
         if let Some(r) = self.replicas.get_mut(name) {
-            r.missing.retain(|t, _| !held.here.contains_key(t));
+            r.missing.retain(|t, _| !held.loaded.contains_key(t));
             r.book = Some((until, held));
         }
     }
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -112,7 +112,7 @@
         }
         let reported = b.fleet.total(at, &name).unwrap_or_default();
         let req = b.books.held(&name);
-        let lacks = req.is_some_and(|h| !h.here.keys().any(|t| t.to_string() == ask.target));
+        let lacks = req.is_some_and(|h| !h.loaded.keys().any(|t| t.to_string() == ask.target));
         let cost = Load {
             requests: 1,
             tokens: ask.tokens,
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -429,7 +429,7 @@
     desk.end(250, &step, OrderEnd::Holds);
     assert_eq!(desk.next(251), None);
     let held = desk.books.held(&desk.name).unwrap();
-    assert_eq!(held.here.get(&target("base/a1")), Some(&2));
+    assert_eq!(held.loaded.get(&target("base/a1")), Some(&2));
 }
 
 /// In a large fleet the beacons are further apart, and a use is known later: an
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -109,7 +109,7 @@
     assert_eq!(books.next(at(0), &name, &versions, None), Some(Step::Look));
     books.looked(at(0), &name, Some(report(1, 9, &held)));
     books.open(at(10), &started(2, &[]), 2);
-    let here = books.held(&name).unwrap().here;
+    let here = books.held(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(books.next(at(10), &name, &versions, None), Some(Step::Look));
     books.looked(at(10), &name, Some(report(2, 0, &["base"])));
@@ -136,7 +136,7 @@
         !books
             .held(&name)
             .unwrap()
-            .here
+            .loaded
             .contains_key(&Target::parse("base/a1").unwrap())
     );
     books.open(at(10), &started(1, &["base", "base/a1"]), 2);
