--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -201,7 +201,7 @@
         let coming = coming.filter(|(_, s)| matches!(s.phase, Phase::Coming(_)));
         Residency {
             loaded: here.map(|(t, s)| (t.clone(), s.version)).collect(),
-            coming: coming.map(|(t, _)| t.clone()).collect(),
+            loading: coming.map(|(t, _)| t.clone()).collect(),
         }
     }
 
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -101,7 +101,7 @@
     /// Adapters that it holds, with their versions.
     pub loaded: BTreeMap<Target, u32>,
     /// Adapters on their way to it.
-    pub coming: BTreeSet<Target>,
+    pub loading: BTreeSet<Target>,
 }
 
 /// One replica, as this VM believes it to be.
@@ -159,13 +159,13 @@
 
     fn awaits(&self, now: Moment, target: &Target) -> bool {
         let book = self.book.as_ref().filter(|(until, _)| *until > now);
-        book.is_some_and(|(_, held)| held.coming.contains(target))
+        book.is_some_and(|(_, held)| held.loading.contains(target))
     }
 
     /// Adapters on their way to it, as far as its owner told lately.
     fn coming(&self, now: Moment) -> usize {
         let book = self.book.as_ref().filter(|(until, _)| *until > now);
-        book.map_or(0, |(_, held)| held.coming.len())
+        book.map_or(0, |(_, held)| held.loading.len())
     }
 
     fn usable(&self) -> bool {
@@ -403,7 +403,7 @@
         let books = self.replicas.values().filter_map(|r| r.book.as_ref());
         let fresh = books.filter(|(until, _)| *until > now);
         let adapters =
-            |held: &Residency| held.coming.iter().filter(|t| t.adapter.is_some()).count();
+            |held: &Residency| held.loading.iter().filter(|t| t.adapter.is_some()).count();
         fresh.map(|(_, held)| adapters(held)).sum()
     }
 
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -374,7 +374,7 @@
         };
         match slot.coming {
             true => {
-                held.coming.insert(target);
+                held.loading.insert(target);
             }
             false => {
                 held.loaded.insert(target, slot.version);
@@ -428,7 +428,7 @@
         return;
     }
     let held = state.books.held(&name).unwrap_or_default();
-    let known = held.loaded.contains_key(&target) || held.coming.contains(&target);
+    let known = held.loaded.contains_key(&target) || held.loading.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
         state.subscriptions.subscribe(now, &vm, &name, known);
     }
