--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -83,7 +83,7 @@
         let load = Load {
             requests: 1,
             tokens: 2_000,
-            unread: 0,
+            prefill: 0,
         };
         let counts = used.map(|name| (name, load)).collect();
         let vm: VmName = format!("vm-{vm}").parse().ok()?;
@@ -108,7 +108,7 @@
             cost: Load {
                 requests: 1,
                 tokens: 2_000,
-                unread: 1_000,
+                prefill: 1_000,
             },
             shared: None,
             body_kb: 2.0,
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -57,14 +57,14 @@
     /// Tokens of prompt and expected answer.
     pub tokens: u64,
     /// Prompt tokens that are still to be read by the engine.
-    pub unread: u64,
+    pub prefill: u64,
 }
 
 impl Load {
     fn add(&mut self, other: Self) {
         self.requests += other.requests;
         self.tokens += other.tokens;
-        self.unread += other.unread;
+        self.prefill += other.prefill;
     }
 
     /// Both together.
@@ -76,7 +76,7 @@
     fn remove(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.tokens = self.tokens.saturating_sub(other.tokens);
-        self.unread = self.unread.saturating_sub(other.unread);
+        self.prefill = self.prefill.saturating_sub(other.prefill);
     }
 }
 
@@ -543,7 +543,7 @@
     /// The prompt of a run there was read.
     pub fn read(&mut self, name: &ReplicaName, unread: u64) {
         if let Some(r) = self.replicas.get_mut(name) {
-            r.own.unread = r.own.unread.saturating_sub(unread);
+            r.own.prefill = r.own.prefill.saturating_sub(unread);
         }
     }
 
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -126,7 +126,7 @@
     /// How busy it makes an engine, in milliseconds.
     pub fn busy_ms(&self) -> f64 {
         f64::from(self.requests) * REQUEST_MS
-            + self.unread as f64 / READ_A_MS
+            + self.prefill as f64 / READ_A_MS
             + self.tokens as f64 / 1e3 * HELD_MS
     }
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -102,9 +102,9 @@
     /// Waits for a long prompt's turn, then expects the first byte: the caller sends the
     /// request next.
     async fn wait_for_turn(&mut self, deadline: Moment) {
-        if self.cost.unread >= LONG_PROMPT {
+        if self.cost.prefill >= LONG_PROMPT {
             let node = self.node.clone();
-            let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.unread, deadline);
+            let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.prefill, deadline);
             self.prefill_turn = turn.await;
         }
         let mut b = self.node.state();
@@ -117,10 +117,10 @@
         self.prefill_turn = None;
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
-            b.fleet.read(&self.replica, self.cost.unread);
+            b.fleet.read(&self.replica, self.cost.prefill);
             b.fleet.heard(now(), &self.replica, self.id, true);
         }
-        self.cost.unread = 0;
+        self.cost.prefill = 0;
     }
 
     /// Records how the run ended in the replica's health.
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -116,7 +116,7 @@
         let cost = Load {
             requests: 1,
             tokens: ask.tokens,
-            unread: ask.unread,
+            prefill: ask.unread,
         };
         let assumed_ms = ask.believed_ms as f64;
         let total = reported.plus(b.reserved.load(at, &name));
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -287,7 +287,7 @@
     Load {
         requests: 1,
         tokens,
-        unread: if tokens > 0 {
+        prefill: if tokens > 0 {
             u64::from(ask.prompt_tokens)
         } else {
             0
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -179,7 +179,7 @@
         let total = Load {
             requests: load.requests,
             tokens: load.tokens,
-            unread: load.unread,
+            prefill: load.unread,
         };
         state.fleet.hear_total(now, &name, total);
     }
@@ -240,7 +240,7 @@
         let load = Load {
             requests: flight.requests,
             tokens: flight.tokens,
-            unread: flight.unread,
+            prefill: flight.unread,
         };
         counts.insert(name, load);
     }
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -71,7 +71,7 @@
     let load = Load {
         requests: 3,
         tokens: 30,
-        unread: 3,
+        prefill: 3,
     };
     fleet.begin(&name, load);
     fleet.hear_counts(
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -139,7 +139,7 @@
 const COST: Load = Load {
     requests: 1,
     tokens: 1_000,
-    unread: 0,
+    prefill: 0,
 };
 
 #[test]
@@ -246,7 +246,7 @@
     let load = Load {
         requests: 5,
         tokens: 0,
-        unread: 0,
+        prefill: 0,
     };
     let counts = BTreeMap::from([("i-a".parse().unwrap(), load)]);
     scene.fleet.hear_counts(at(0), &vm, &counts);
@@ -273,7 +273,7 @@
     let large = Load {
         requests: 1,
         tokens: 89_500,
-        unread: 0,
+        prefill: 0,
     };
     scene.fleet.begin(&"i-a".parse().unwrap(), large);
     assert_eq!(scene.place(at(0), "llm", Some("base")), Place::Full);
@@ -288,7 +288,7 @@
     let unread = Load {
         requests: 1,
         tokens: 9_000,
-        unread: 9_000,
+        prefill: 9_000,
     };
     scene.fleet.begin(&"i-a".parse().unwrap(), unread);
     for _ in 0..5 {
@@ -317,7 +317,7 @@
     let unread = Load {
         requests: 2,
         tokens: unread,
-        unread,
+        prefill: unread,
     };
     scene.fleet.begin(&"i-a".parse().unwrap(), unread);
     assert_eq!(copy(&scene).as_deref(), expected);
@@ -353,7 +353,7 @@
     let prompts = Load {
         requests: 2,
         tokens: unread,
-        unread,
+        prefill: unread,
     };
     scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
     let place = scene.place(at(0), "llm", Some("base/x"));
@@ -473,7 +473,7 @@
     let requests = |requests| Load {
         requests,
         tokens: 0,
-        unread: 0,
+        prefill: 0,
     };
     scene.fleet.begin(&one, requests(14));
     assert_eq!(scene.fleet.report(&one), requests(14));
@@ -561,7 +561,7 @@
     let prompts = Load {
         requests: 2,
         tokens: 36_000,
-        unread: 36_000,
+        prefill: 36_000,
     };
     scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
     assert_eq!(scene.place(at(0), "llm", Some("base/x")), expected);
@@ -598,7 +598,7 @@
     let prompts = Load {
         requests: 1,
         tokens: 0,
-        unread: wait_ms * 40,
+        prefill: wait_ms * 40,
     };
     if wait_ms > 0 {
         scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
--- a/lib/tests/test_serving_reserved.rs
+++ b/lib/tests/test_serving_reserved.rs
@@ -18,7 +18,7 @@
 const PROMPT: Load = Load {
     requests: 1,
     tokens: 12_000,
-    unread: 12_000,
+    prefill: 12_000,
 };
 
 /// Two hundred VMs that all heard that a replica is idle send it a prompt each,
