--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -215,7 +215,7 @@
     }
 
     /// Sets how long a peer's word stands without being renewed.
-    pub fn set_word_kept(&mut self, span: Span) {
+    pub fn set_report_ttl(&mut self, span: Span) {
         self.word_kept = span;
     }
 
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -271,7 +271,7 @@
     let now = now();
     let mut state = node.state();
     let timeout = state.members.failure_timeout();
-    state.fleet.set_word_kept(timeout);
+    state.fleet.set_report_ttl(timeout);
     let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
         number: beacon.number,
