--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -66,7 +66,7 @@
             let target = Target::parse(&format!("{model}/a{}", i * ADAPTERS + a))?;
             Some((target, 1))
         });
-        fleet.list(ReplicaInfo {
+        fleet.apply_listing(ReplicaInfo {
             name: name(i)?,
             started_ms: 0,
             service: service.clone(),
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -239,7 +239,7 @@
         if self.fleet.born(&name).is_some_and(|old| old != started_ms) {
             self.local_uses.remove(&name);
         }
-        self.fleet.list(listing)
+        self.fleet.apply_listing(listing)
     }
 
     /// Applies the complete list of replicas.
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -221,7 +221,7 @@
 
     /// Takes a replica's entry in the store; gives whether it changed what
     /// requests may use.
-    pub fn list(&mut self, listing: ReplicaInfo) -> bool {
+    pub fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
         match self.replicas.get_mut(&listing.name) {
             Some(r) if r.listing.started_ms == listing.started_ms => {
                 r.lapsed = None;
@@ -298,7 +298,7 @@
     pub fn relist(&mut self, now: Moment, all: Vec<ReplicaInfo>, outage: bool) {
         let names: BTreeSet<_> = all.iter().map(|l| l.name.clone()).collect();
         for listing in all {
-            self.list(listing);
+            self.apply_listing(listing);
         }
         self.replicas.retain(|name, r| {
             if names.contains(name) {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -40,18 +40,18 @@
 #[test]
 fn draining_ends_with_instance() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
-    fleet.list(ReplicaInfo {
+    fleet.apply_listing(ReplicaInfo {
         draining: true,
         ..started(1, &["base"])
     });
-    fleet.list(started(1, &["base"]));
+    fleet.apply_listing(started(1, &["base"]));
     let name = "i-1".parse().unwrap();
     assert!(
         fleet.listing(&name).unwrap().draining,
         "the replica is no longer draining"
     );
     assert!(
-        fleet.list(started(2, &["base"])),
+        fleet.apply_listing(started(2, &["base"])),
         "a restart must change what requests may use"
     );
     assert!(!fleet.listing(&name).unwrap().draining);
@@ -66,7 +66,7 @@
 #[test]
 fn health_and_counts_end_with_instance() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
-    fleet.list(started(1, &["base"]));
+    fleet.apply_listing(started(1, &["base"]));
     let name = "i-1".parse().unwrap();
     let load = Load {
         requests: 3,
@@ -81,7 +81,7 @@
     );
     fleet.learn(at(0), &name, End::Broken);
     assert_eq!(fleet.standing(at(10), &name), "paused");
-    fleet.list(started(2, &[]));
+    fleet.apply_listing(started(2, &[]));
     assert_eq!(fleet.standing(at(10), &name), "live");
     assert_eq!(fleet.total(at(10), &name), Some(Load::default()));
     assert!(!fleet.is_current(&instance(1)));
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -101,7 +101,7 @@
         fleet.configure(&config());
         let mut loadable = BTreeSet::new();
         for l in listings {
-            fleet.list(l.clone());
+            fleet.apply_listing(l.clone());
             loadable.insert(l.name.clone());
         }
         Self {
@@ -533,7 +533,7 @@
     let mut entry = listing("i-1", "llm", "z-a", &["base", "base/a1"]);
     for (held, expected) in [(1, 2), (2, 2), (3, 3)] {
         entry.adapters.insert(target.clone(), held);
-        scene.fleet.list(entry.clone());
+        scene.fleet.apply_listing(entry.clone());
         let version = scene.fleet.expected_version(at(2_100), &name, &target);
         assert_eq!(version, Some(expected));
     }
@@ -646,6 +646,6 @@
     let mut scene = Scene::new(std::slice::from_ref(&a));
     scene.fleet.lapse(at(0), &a.name);
     assert!(scene.fleet.is_news(&a));
-    scene.fleet.list(a.clone());
+    scene.fleet.apply_listing(a.clone());
     assert!(!scene.fleet.is_news(&a));
 }
