--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -257,7 +257,7 @@
     /// is leaving always does: this VM may have heard that from another already,
     /// which not all have. So does one that had lapsed: who heard of that would
     /// drop the replica.
-    pub fn is_news(&self, listing: &ReplicaInfo) -> bool {
+    pub fn is_update(&self, listing: &ReplicaInfo) -> bool {
         if listing.draining {
             return true;
         }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -120,7 +120,7 @@
 fn apply_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
     let born = listing.started_ms;
-    let significant = node.state().fleet.is_news(&listing);
+    let significant = node.state().fleet.is_update(&listing);
     let changed = node.state().apply_listing(listing);
     if changed {
         slog::info!(node.log, "replica changed"; "replica" => name.as_str(),
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -614,7 +614,7 @@
 fn leaving_is_news_to_the_others(#[case] told: bool) {
     let mut a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a.clone()]);
-    assert!(!scene.fleet.is_news(&a));
+    assert!(!scene.fleet.is_update(&a));
     let replica = Instance {
         name: a.name.clone(),
         started_ms: a.started_ms,
@@ -623,7 +623,7 @@
         assert!(scene.fleet.leave(&replica));
     }
     a.draining = true;
-    assert!(scene.fleet.is_news(&a));
+    assert!(scene.fleet.is_update(&a));
 }
 
 /// What a replica holds is told by its owner, and is no news of the store.
@@ -632,9 +632,9 @@
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let scene = Scene::new(&[a]);
     let loaded = listing("i-a", "llm", "z-a", &["base", "base/x"]);
-    assert!(!scene.fleet.is_news(&loaded));
+    assert!(!scene.fleet.is_update(&loaded));
     let moved = listing("i-a", "llm", "z-b", &["base"]);
-    assert!(scene.fleet.is_news(&moved));
+    assert!(scene.fleet.is_update(&moved));
 }
 
 /// An entry that lapsed with an outage of the store is there again, unchanged:
@@ -645,7 +645,7 @@
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(std::slice::from_ref(&a));
     scene.fleet.lapse(at(0), &a.name);
-    assert!(scene.fleet.is_news(&a));
+    assert!(scene.fleet.is_update(&a));
     scene.fleet.apply_listing(a.clone());
-    assert!(!scene.fleet.is_news(&a));
+    assert!(!scene.fleet.is_update(&a));
 }
