--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -274,7 +274,7 @@
     }
 
     /// A replica's entry lapsed while the store was away: it may come back.
-    pub fn lapse(&mut self, now: Moment, name: &ReplicaName) {
+    pub fn mark_expired(&mut self, now: Moment, name: &ReplicaName) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.lapsed.get_or_insert(now);
         }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -96,7 +96,7 @@
         }
         StoreUpdate::Change(change) if change.lapsed => {
             if let Ok(name) = change.item.name.parse::<ReplicaName>() {
-                node.state().fleet.lapse(at, &name);
+                node.state().fleet.mark_expired(at, &name);
                 slog::info!(node.log, "replica entry missing after a store outage"; "replica" => name.as_str(),
                     "revision" => change.item.revision);
             }
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -644,7 +644,7 @@
 fn return_of_a_lapsed_entry_is_news() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(std::slice::from_ref(&a));
-    scene.fleet.lapse(at(0), &a.name);
+    scene.fleet.mark_expired(at(0), &a.name);
     assert!(scene.fleet.is_update(&a));
     scene.fleet.apply_listing(a.clone());
     assert!(!scene.fleet.is_update(&a));
