--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -281,7 +281,7 @@
     }
 
     /// Another VM has read that a replica is leaving; gives whether it is news.
-    pub fn leave(&mut self, replica: &Instance) -> bool {
+    pub fn mark_draining(&mut self, replica: &Instance) -> bool {
         let r = self.replicas.get_mut(&replica.name);
         let r = r.filter(|r| r.listing.started_ms == replica.started_ms);
         r.is_some_and(|r| !std::mem::replace(&mut r.listing.draining, true))
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -296,7 +296,7 @@
     }
     for l in &beacon.leaving {
         if let Some(replica) = parse_instance(&l.replica, l.born)
-            && state.fleet.leave(&replica)
+            && state.fleet.mark_draining(&replica)
         {
             slog::info!(node.log, "replica changed"; "replica" => &l.replica, "draining" => true,
                 "told_by" => vm.as_str());
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -56,11 +56,11 @@
     );
     assert!(!fleet.listing(&name).unwrap().draining);
     assert!(
-        !fleet.leave(&instance(1)),
+        !fleet.mark_draining(&instance(1)),
         "the message is about the earlier instance"
     );
     assert!(!fleet.listing(&name).unwrap().draining);
-    assert!(fleet.leave(&instance(2)));
+    assert!(fleet.mark_draining(&instance(2)));
 }
 
 #[test]
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -620,7 +620,7 @@
         started_ms: a.started_ms,
     };
     if told {
-        assert!(scene.fleet.leave(&replica));
+        assert!(scene.fleet.mark_draining(&replica));
     }
     a.draining = true;
     assert!(scene.fleet.is_update(&a));
