--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -288,7 +288,7 @@
     }
 
     /// A replica's entry was removed: it gets nothing new.
-    pub fn unlist(&mut self, name: &ReplicaName) -> bool {
+    pub fn remove_listing(&mut self, name: &ReplicaName) -> bool {
         self.replicas.remove(name).is_some()
     }
 
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -133,7 +133,7 @@
     let Ok(name) = item.name.parse::<ReplicaName>() else {
         return;
     };
-    if node.state().fleet.unlist(&name) {
+    if node.state().fleet.remove_listing(&name) {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(),
             "why" => why, "revision" => item.revision);
     }
