--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -253,7 +253,7 @@
                 self.local_uses.remove(&l.name);
             }
         }
-        self.fleet.relist(now, all, false);
+        self.fleet.replace_listings(now, all, false);
     }
 
     /// Whether the owner of a replica can load adapters there now.
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -295,7 +295,7 @@
     /// Takes the whole list of the store. After an outage, entries that lapsed
     /// meanwhile may come back within two seconds, so what is missing then is
     /// kept as long; otherwise it is gone.
-    pub fn relist(&mut self, now: Moment, all: Vec<ReplicaInfo>, outage: bool) {
+    pub fn replace_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>, outage: bool) {
         let names: BTreeSet<_> = all.iter().map(|l| l.name.clone()).collect();
         for listing in all {
             self.apply_listing(listing);
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -456,7 +456,7 @@
 fn missing_replica_is_kept(#[case] outage: bool, #[case] ms: u64, #[case] kept: bool) {
     let a = listing("i-a", "app", "z-a", &[]);
     let mut scene = Scene::new(&[a]);
-    scene.fleet.relist(at(0), Vec::new(), outage);
+    scene.fleet.replace_listings(at(0), Vec::new(), outage);
     scene.fleet.drop_lapsed(at(ms));
     assert_eq!(scene.sent(at(ms), "app", None) == "i-a", kept);
 }
