--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -310,7 +310,7 @@
     }
 
     /// Drops replicas whose entries did not come back; gives their names.
-    pub fn drop_lapsed(&mut self, now: Moment) -> Vec<ReplicaName> {
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<ReplicaName> {
         let over = |r: &Replica| r.lapsed.is_some_and(|at| now.since(at) >= LAPSED_KEPT);
         let gone = self.replicas.iter().filter(|(_, r)| over(r));
         let gone: Vec<_> = gone.map(|(name, _)| name.clone()).collect();
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -488,7 +488,7 @@
 /// Removes the replicas whose entries did not come back after an outage of the
 /// store.
 pub(in crate::serving) fn drop_lapsed(node: &Node) {
-    let gone = node.state().fleet.drop_lapsed(now());
+    let gone = node.state().fleet.remove_expired(now());
     for name in gone {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(), "why" => "lapsed");
     }
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -457,7 +457,7 @@
     let a = listing("i-a", "app", "z-a", &[]);
     let mut scene = Scene::new(&[a]);
     scene.fleet.replace_listings(at(0), Vec::new(), outage);
-    scene.fleet.drop_lapsed(at(ms));
+    scene.fleet.remove_expired(at(ms));
     assert_eq!(scene.sent(at(ms), "app", None) == "i-a", kept);
 }
 
