--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -381,7 +381,7 @@
 
     /// What a replica that holds nothing should load: the model of its service
     /// that the fewest replicas hold.
-    pub fn missing_model(&self, listing: &ReplicaInfo) -> Option<&ModelName> {
+    pub fn least_replicated_model(&self, listing: &ReplicaInfo) -> Option<&ModelName> {
         let service = self.services.get(&listing.service)?;
         let models = service.engine.as_ref()?.models.keys();
         let holders = |m: &ModelName| {
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -101,7 +101,7 @@
     for (name, token) in active {
         let empty = b.books.is_empty(&name);
         let listing = b.fleet.listing(&name).filter(|_| empty);
-        let model = listing.and_then(|l| b.fleet.missing_model(l));
+        let model = listing.and_then(|l| b.fleet.least_replicated_model(l));
         if let Some(step) = b.books.next(at, &name, &b.fleet.versions, model) {
             due.push((name, token, step));
         }
