--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -392,7 +392,7 @@
     }
 
     /// Steps of a service's engines in one event of a stream.
-    pub fn event_steps(&self, service: &ServiceName) -> u32 {
+    pub fn steps_per_event(&self, service: &ServiceName) -> u32 {
         let service = self.services.get(service);
         let engine = service.and_then(|s| s.engine.as_ref());
         engine.map_or(0, |e| e.event_tokens)
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -291,7 +291,7 @@
             .is_some_and(|p| late(self.timing.longest_gap, p));
         if self.events.is_some() {
             let mut b = self.node.state();
-            let steps = b.fleet.event_steps(&self.routed.service);
+            let steps = b.fleet.steps_per_event(&self.routed.service);
             let reason = b.strain.ended(now(), steps, pause);
             drop(b);
             if reason {
