--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -399,7 +399,7 @@
     }
 
     /// Adapters on their way to all replicas, as far as known.
-    pub fn coming(&self, now: Moment) -> usize {
+    pub fn loading_adapters(&self, now: Moment) -> usize {
         let books = self.replicas.values().filter_map(|r| r.book.as_ref());
         let fresh = books.filter(|(until, _)| *until > now);
         let adapters =
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -93,7 +93,7 @@
     let pause = Span((b.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
     b.books.set_pause(pause.max(MIN_LOAD_PAUSE));
     let engines = b.fleet.engines().count();
-    b.books.set_fetches(b.fleet.coming(at), engines);
+    b.books.set_fetches(b.fleet.loading_adapters(at), engines);
     b.books.set_news(b.members.report_delay());
     let active = b.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
