--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -408,7 +408,7 @@
     }
 
     /// Loads of weights a second that the weight store allows.
-    pub fn weight_loads(&self) -> f64 {
+    pub fn weight_loads_per_s(&self) -> f64 {
         let engines = self.services.values().filter_map(|s| s.engine.as_ref());
         engines.map(|e| e.load_rate).fold(0.0, f64::max)
     }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -89,7 +89,7 @@
     let mut b = node.state();
     b.sync_books(at);
     let b = &mut *b;
-    let loads = b.fleet.weight_loads().max(MIN_LOAD_RATE);
+    let loads = b.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
     let pause = Span((b.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
     b.books.set_pause(pause.max(MIN_LOAD_PAUSE));
     let engines = b.fleet.engines().count();
