--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -87,7 +87,7 @@
         };
         let counts = used.map(|name| (name, load)).collect();
         let vm: VmName = format!("vm-{vm}").parse().ok()?;
-        fleet.hear_counts(NOW, &vm, &counts);
+        fleet.apply_peer_loads(NOW, &vm, &counts);
     }
     Some(fleet)
 }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -419,7 +419,12 @@
     }
 
     /// A peer's counts for all replicas it uses.
-    pub fn hear_counts(&mut self, now: Moment, vm: &VmName, counts: &BTreeMap<ReplicaName, Load>) {
+    pub fn apply_peer_loads(
+        &mut self,
+        now: Moment,
+        vm: &VmName,
+        counts: &BTreeMap<ReplicaName, Load>,
+    ) {
         let lapsed = self.peers.iter().filter(|(_, (until, _))| *until <= now);
         let lapsed: Vec<_> = lapsed.map(|(vm, _)| vm.clone()).collect();
         lapsed.iter().for_each(|vm| self.forget_counts(vm));
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -214,7 +214,7 @@
     flights: &[wire::Flight],
 ) {
     let counts = apply_flights(state, now, vm, flights);
-    state.fleet.hear_counts(now, vm, &counts);
+    state.fleet.apply_peer_loads(now, vm, &counts);
 }
 
 /// Records the adapter uses in the books and returns the VM's load on each of
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -74,7 +74,7 @@
         prefill: 3,
     };
     fleet.begin(&name, load);
-    fleet.hear_counts(
+    fleet.apply_peer_loads(
         at(0),
         &"vm".parse().unwrap(),
         &BTreeMap::from([(name.clone(), load)]),
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -249,7 +249,7 @@
         prefill: 0,
     };
     let counts = BTreeMap::from([("i-a".parse().unwrap(), load)]);
-    scene.fleet.hear_counts(at(0), &vm, &counts);
+    scene.fleet.apply_peer_loads(at(0), &vm, &counts);
     assert_eq!(scene.sent(at(100), "app", None), "i-b");
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
 }
