--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -441,7 +441,7 @@
     }
 
     /// A peer's count for one replica.
-    pub fn hear_count(&mut self, now: Moment, vm: &VmName, name: &ReplicaName, load: Load) {
+    pub fn apply_peer_load(&mut self, now: Moment, vm: &VmName, name: &ReplicaName, load: Load) {
         let until = now.after(self.word_kept);
         let (_, counts) = self
             .peers
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -202,7 +202,7 @@
         return;
     }
     for (name, load) in apply_flights(&mut state, now, &vm, &report.flights) {
-        state.fleet.hear_count(now, &vm, &name, load);
+        state.fleet.apply_peer_load(now, &vm, &name, load);
     }
 }
 
