--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -456,7 +456,7 @@
     }
 
     /// What all VMs have under way at a replica that this VM owns.
-    pub fn total(&self, now: Moment, name: &ReplicaName) -> Option<Load> {
+    pub fn total_load(&self, now: Moment, name: &ReplicaName) -> Option<Load> {
         let r = self.replicas.get(name)?;
         Some(self.load(now, name, r))
     }
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -53,7 +53,7 @@
         let Some(address) = address.filter(|_| enabled) else {
             return Admission::Admitted;
         };
-        let assumed = b.fleet.total(at, replica).unwrap_or_default();
+        let assumed = b.fleet.total_load(at, replica).unwrap_or_default();
         let ask = wire::PlaceAsk {
             vm: node.settings.vm.to_string(),
             number: id,
@@ -110,7 +110,7 @@
         if b.ownership.owner(&name) != Some(&node.settings.vm) {
             return;
         }
-        let reported = b.fleet.total(at, &name).unwrap_or_default();
+        let reported = b.fleet.total_load(at, &name).unwrap_or_default();
         let req = b.books.held(&name);
         let lacks = req.is_some_and(|h| !h.loaded.keys().any(|t| t.to_string() == ask.target));
         let cost = Load {
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -128,7 +128,7 @@
     now: Moment,
     name: &ReplicaName,
 ) -> Option<wire::ReplicaLoad> {
-    let load = state.fleet.total(now, name)?;
+    let load = state.fleet.total_load(now, name)?;
     encode_load(state, name, load)
 }
 
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -83,7 +83,7 @@
     assert_eq!(fleet.standing(at(10), &name), "paused");
     fleet.apply_listing(started(2, &[]));
     assert_eq!(fleet.standing(at(10), &name), "live");
-    assert_eq!(fleet.total(at(10), &name), Some(Load::default()));
+    assert_eq!(fleet.total_load(at(10), &name), Some(Load::default()));
     assert!(!fleet.is_current(&instance(1)));
 }
 
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -480,7 +480,7 @@
     scene.fleet.hear_total(at(0), &one, requests(14));
     // Fourteen of sixteen places: one more fits.
     let only = |scene: &Scene, now| {
-        let total = scene.fleet.total(now, &one).unwrap();
+        let total = scene.fleet.total_load(now, &one).unwrap();
         total.requests
     };
     assert_eq!(only(&scene, at(10)), 14);
