--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -463,7 +463,7 @@
 
     /// An owner's count of all requests at its replica. What it was told of
     /// this VM's is in it, and known better here.
-    pub fn hear_total(&mut self, now: Moment, name: &ReplicaName, total: Load) {
+    pub fn apply_owner_load(&mut self, now: Moment, name: &ReplicaName, total: Load) {
         let until = now.after(self.word_kept);
         if let Some(r) = self.replicas.get_mut(name) {
             let mut others = total;
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -181,7 +181,7 @@
             tokens: load.tokens,
             prefill: load.unread,
         };
-        state.fleet.hear_total(now, &name, total);
+        state.fleet.apply_owner_load(now, &name, total);
     }
 }
 
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -477,7 +477,7 @@
     };
     scene.fleet.begin(&one, requests(14));
     assert_eq!(scene.fleet.report(&one), requests(14));
-    scene.fleet.hear_total(at(0), &one, requests(14));
+    scene.fleet.apply_owner_load(at(0), &one, requests(14));
     // Fourteen of sixteen places: one more fits.
     let only = |scene: &Scene, now| {
         let total = scene.fleet.total_load(now, &one).unwrap();
@@ -486,7 +486,7 @@
     assert_eq!(only(&scene, at(10)), 14);
     scene.fleet.end(&one, requests(4));
     assert_eq!(only(&scene, at(10)), 10);
-    scene.fleet.hear_total(at(20), &one, requests(20));
+    scene.fleet.apply_owner_load(at(20), &one, requests(20));
     assert_eq!(only(&scene, at(20)), 16);
     // Without its owner's word only our own are known.
     assert_eq!(only(&scene, at(9_000)), 10);
