--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -473,7 +473,7 @@
     }
 
     /// The owner of a replica is told of this VM's requests there.
-    pub fn report(&mut self, name: &ReplicaName) -> Load {
+    pub fn take_report(&mut self, name: &ReplicaName) -> Load {
         let Some(r) = self.replicas.get_mut(name) else {
             return Load::default();
         };
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -101,7 +101,7 @@
             continue;
         };
         let uses = state.take_uses(&name);
-        let load = state.fleet.report(&name);
+        let load = state.fleet.take_report(&name);
         if owner == *own {
             for (target, u) in uses {
                 state
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -476,7 +476,7 @@
         prefill: 0,
     };
     scene.fleet.begin(&one, requests(14));
-    assert_eq!(scene.fleet.report(&one), requests(14));
+    assert_eq!(scene.fleet.take_report(&one), requests(14));
     scene.fleet.apply_owner_load(at(0), &one, requests(14));
     // Fourteen of sixteen places: one more fits.
     let only = |scene: &Scene, now| {
