--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -511,7 +511,7 @@
     }
 
     /// An owner's word on what its replica holds.
-    pub fn hear_book(&mut self, now: Moment, name: &ReplicaName, held: Residency) {
+    pub fn apply_residency(&mut self, now: Moment, name: &ReplicaName, held: Residency) {
         let until = now.after(self.word_kept);
         if let Some(r) = self.replicas.get_mut(name) {
             r.missing.retain(|t, _| !held.loaded.contains_key(t));
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -80,7 +80,7 @@
             state.subscriptions.record_change(now, &name);
             // Also apply it here.
             if let Some(held) = state.books.held(&name) {
-                state.fleet.hear_book(now, &name, held);
+                state.fleet.apply_residency(now, &name, held);
             }
         }
         for (vm, names) in state.subscriptions.take_pending() {
@@ -149,7 +149,7 @@
         .collect();
     for name in &names {
         if let Some(held) = state.books.held(name) {
-            state.fleet.hear_book(now, name, held);
+            state.fleet.apply_residency(now, name, held);
         }
     }
     let owned = state.ownership.owned();
@@ -381,7 +381,7 @@
             }
         }
     }
-    state.fleet.hear_book(now, &name, held);
+    state.fleet.apply_residency(now, &name, held);
 }
 
 /// Requests a load of an adapter from the owner of a replica.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -132,7 +132,7 @@
     // Our own requests that wait for it learn of it with the news.
     let mut b = node.state();
     if let Some(held) = b.books.held(&name) {
-        b.fleet.hear_book(now(), &name, held);
+        b.fleet.apply_residency(now(), &name, held);
     }
     drop(b);
     node.placement_wake.notify_waiters();
