--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -267,7 +267,7 @@
             Some(vm) if vm == own => self.ownership.token(now, name).is_some(),
             // An owner that waits out the former owner's lease sends no
             // contents yet.
-            Some(vm) => self.members.is_live(now, vm) && self.fleet.has_word(now, name),
+            Some(vm) => self.members.is_live(now, vm) && self.fleet.has_fresh_residency(now, name),
             None => false,
         }
     }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -373,7 +373,7 @@
             seen.listed += 1;
             seen.live += usize::from(r.health.open(now, r.own.requests));
             seen.holders += usize::from(target.is_some_and(|t| r.holds(now, t).is_some()));
-            seen.fresh_reports += usize::from(self.has_word(now, name));
+            seen.fresh_reports += usize::from(self.has_fresh_residency(now, name));
             seen.requests += self.load(now, name, r).requests;
         }
         seen
@@ -520,7 +520,7 @@
     }
 
     /// Whether a replica's owner has told lately what it holds.
-    pub fn has_word(&self, now: Moment, name: &ReplicaName) -> bool {
+    pub fn has_fresh_residency(&self, now: Moment, name: &ReplicaName) -> bool {
         let r = self.replicas.get(name);
         let book = r.and_then(|r| r.book.as_ref());
         book.is_some_and(|(until, _)| *until > now)
