--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -285,7 +285,7 @@
         }
         for (name, owner) in &self.ownership.table.owners {
             if old.get(name).is_some_and(|o| o.token != owner.token) {
-                self.fleet.forget_book(name);
+                self.fleet.expire_owner_reports(name);
             }
         }
         true
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -528,7 +528,7 @@
 
     /// A replica has another owner: what it holds is as the one before said,
     /// but nobody can load there until the new one tells.
-    pub fn forget_book(&mut self, name: &ReplicaName) {
+    pub fn expire_owner_reports(&mut self, name: &ReplicaName) {
         if let Some(r) = self.replicas.get_mut(name) {
             if let Some((until, _)) = &mut r.book {
                 *until = Moment(0);
