--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -298,7 +298,7 @@
         target: Option<&Target>,
         cost: Load,
     ) {
-        self.fleet.begin(name, cost);
+        self.fleet.begin_run(name, cost);
         if let Some(target) = target.filter(|t| t.adapter.is_some()) {
             let uses = self.local_uses.entry(name.clone()).or_default();
             let entry = uses.entry(target.clone()).or_default();
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -539,7 +539,7 @@
     }
 
     /// A request is sent to a replica.
-    pub fn begin(&mut self, name: &ReplicaName, cost: Load) {
+    pub fn begin_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.own.add(cost);
         }
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -73,7 +73,7 @@
         tokens: 30,
         prefill: 3,
     };
-    fleet.begin(&name, load);
+    fleet.begin_run(&name, load);
     fleet.apply_peer_loads(
         at(0),
         &"vm".parse().unwrap(),
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -203,8 +203,8 @@
     let mut scene = Scene::new(&all);
     for busy in ["i-0", "i-1", "i-2"] {
         // Two adapters fit, and this is far from making it the busiest.
-        scene.fleet.begin(&busy.parse().unwrap(), COST);
-        scene.fleet.begin(&busy.parse().unwrap(), COST);
+        scene.fleet.begin_run(&busy.parse().unwrap(), COST);
+        scene.fleet.begin_run(&busy.parse().unwrap(), COST);
     }
     let home = |scene: &Scene, n: u32| scene.place(at(0), "llm", Some(&format!("base/a{n}")));
     let idle = Place::Load {
@@ -215,8 +215,8 @@
     scene.waited = Some(Span::from_millis(500));
     assert!((0..20).all(|n| home(&scene, n) == idle));
     // Where none is idle, one of them is the home all the same.
-    scene.fleet.begin(&"i-3".parse().unwrap(), COST);
-    scene.fleet.begin(&"i-3".parse().unwrap(), COST);
+    scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
+    scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
     assert!(matches!(home(&scene, 1), Place::Load { .. }));
 }
 
@@ -231,7 +231,7 @@
     let mut counts = BTreeMap::<String, u32>::new();
     for _ in 0..12 {
         let name = scene.sent(at(0), "app", None);
-        scene.fleet.begin(&name.parse().unwrap(), COST);
+        scene.fleet.begin_run(&name.parse().unwrap(), COST);
         *counts.entry(name).or_default() += 1;
     }
     assert!(counts.values().all(|n| *n == 4), "{counts:?}");
@@ -261,7 +261,7 @@
     let mut scene = Scene::new(&[a]);
     for _ in 0..16 {
         assert_eq!(scene.sent(at(0), "app", None), "i-a");
-        scene.fleet.begin(&"i-a".parse().unwrap(), COST);
+        scene.fleet.begin_run(&"i-a".parse().unwrap(), COST);
     }
     assert_eq!(scene.place(at(0), "app", None), Place::Full);
 }
@@ -275,7 +275,7 @@
         tokens: 89_500,
         prefill: 0,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), large);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), large);
     assert_eq!(scene.place(at(0), "llm", Some("base")), Place::Full);
 }
 
@@ -290,9 +290,9 @@
         tokens: 9_000,
         prefill: 9_000,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), unread);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), unread);
     for _ in 0..5 {
-        scene.fleet.begin(&"i-b".parse().unwrap(), COST);
+        scene.fleet.begin_run(&"i-b".parse().unwrap(), COST);
     }
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
     scene.fleet.read(&"i-a".parse().unwrap(), 9_000);
@@ -319,7 +319,7 @@
         tokens: unread,
         prefill: unread,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), unread);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), unread);
     assert_eq!(copy(&scene).as_deref(), expected);
 }
 
@@ -355,7 +355,7 @@
         tokens: unread,
         prefill: unread,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     let place = scene.place(at(0), "llm", Some("base/x"));
     assert_eq!(place, expected);
 }
@@ -412,7 +412,7 @@
     let name: ReplicaName = "i-a".parse().unwrap();
     scene.fleet.learn(at(0), &name, End::Unreached);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
-    scene.fleet.begin(&name, COST);
+    scene.fleet.begin_run(&name, COST);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-b");
     scene.fleet.learn(at(5_010), &name, End::Answered);
     scene.fleet.end(&name, COST);
@@ -475,7 +475,7 @@
         tokens: 0,
         prefill: 0,
     };
-    scene.fleet.begin(&one, requests(14));
+    scene.fleet.begin_run(&one, requests(14));
     assert_eq!(scene.fleet.take_report(&one), requests(14));
     scene.fleet.apply_owner_load(at(0), &one, requests(14));
     // Fourteen of sixteen places: one more fits.
@@ -563,7 +563,7 @@
         tokens: 36_000,
         prefill: 36_000,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     assert_eq!(scene.place(at(0), "llm", Some("base/x")), expected);
 }
 
@@ -601,7 +601,7 @@
         prefill: wait_ms * 40,
     };
     if wait_ms > 0 {
-        scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
+        scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     }
     assert_eq!(scene.sent(at(1_500), "llm", Some("base/x")), expected);
 }
