--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -546,7 +546,7 @@
     }
 
     /// The prompt of a run there was read.
-    pub fn read(&mut self, name: &ReplicaName, unread: u64) {
+    pub fn finish_prefill(&mut self, name: &ReplicaName, unread: u64) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.own.prefill = r.own.prefill.saturating_sub(unread);
         }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -117,7 +117,7 @@
         self.prefill_turn = None;
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
-            b.fleet.read(&self.replica, self.cost.prefill);
+            b.fleet.finish_prefill(&self.replica, self.cost.prefill);
             b.fleet.heard(now(), &self.replica, self.id, true);
         }
         self.cost.prefill = 0;
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -295,7 +295,7 @@
         scene.fleet.begin_run(&"i-b".parse().unwrap(), COST);
     }
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
-    scene.fleet.read(&"i-a".parse().unwrap(), 9_000);
+    scene.fleet.finish_prefill(&"i-a".parse().unwrap(), 9_000);
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-a");
 }
 
