--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -319,7 +319,7 @@
             return;
         }
         let name = &at.name;
-        self.fleet.end(name, cost);
+        self.fleet.end_run(name, cost);
         let target = target.filter(|t| t.adapter.is_some());
         let uses = target.and_then(|t| self.local_uses.get_mut(name)?.get_mut(t));
         if let Some(entry) = uses {
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -553,7 +553,7 @@
     }
 
     /// A run there ended, however it did.
-    pub fn end(&mut self, name: &ReplicaName, cost: Load) {
+    pub fn end_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.own.remove(cost);
         }
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -415,7 +415,7 @@
     scene.fleet.begin_run(&name, COST);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-b");
     scene.fleet.learn(at(5_010), &name, End::Answered);
-    scene.fleet.end(&name, COST);
+    scene.fleet.end_run(&name, COST);
     assert_eq!(scene.sent(at(5_010), "app", None), "i-a");
 }
 
@@ -484,7 +484,7 @@
         total.requests
     };
     assert_eq!(only(&scene, at(10)), 14);
-    scene.fleet.end(&one, requests(4));
+    scene.fleet.end_run(&one, requests(4));
     assert_eq!(only(&scene, at(10)), 10);
     scene.fleet.apply_owner_load(at(20), &one, requests(20));
     assert_eq!(only(&scene, at(20)), 16);
