--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -560,7 +560,7 @@
     }
 
     /// A replica said that it does not hold a target.
-    pub fn lacks(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
+    pub fn mark_missing(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.missing.insert(target.clone(), now.after(MISSING_KEPT));
         }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -249,7 +249,7 @@
         NotRun::NotLoaded => {
             if let Some(target) = &req.target {
                 let mut b = node.state();
-                b.fleet.lacks(now(), &run.replica, target);
+                b.fleet.mark_missing(now(), &run.replica, target);
             }
         }
     }
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -83,7 +83,7 @@
     };
     let mut b = node.state();
     if answer.lacks {
-        b.fleet.lacks(now(), replica, target);
+        b.fleet.mark_missing(now(), replica, target);
     }
     if let Some(load) = &answer.load {
         load_reports::apply_total(&mut b, now(), load);
