--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -575,7 +575,7 @@
 
     /// The replicas of which an owner is to be told: those that run requests
     /// of this VM, and those of which it was told so before.
-    pub fn to_report(&self) -> impl Iterator<Item = &ReplicaName> {
+    pub fn reportable(&self) -> impl Iterator<Item = &ReplicaName> {
         let counts = |r: &Replica| r.own.requests + r.reported.requests > 0;
         let used = self.replicas.iter().filter(move |(_, r)| counts(r));
         used.map(|(name, _)| name)
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -182,7 +182,7 @@
     beacon.complete = true;
     let peers = state.members.peers();
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
-    let names = state.local_uses.keys().chain(state.fleet.to_report());
+    let names = state.local_uses.keys().chain(state.fleet.reportable());
     let names = names.cloned().collect();
     let mut flights = load_reports::flights_by_owner(node, state, now, names);
     // The common part is encoded once. Protobuf messages are merged when
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -77,7 +77,7 @@
     state: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let names = state.local_uses.keys().chain(state.fleet.to_report());
+    let names = state.local_uses.keys().chain(state.fleet.reportable());
     let names = names.cloned().collect();
     let flights = flights_by_owner(node, state, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
