--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -26,7 +26,7 @@
 
 /// How a run ended, as far as it tells of the replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum RunOutcome {
     /// It answered.
     Answered,
     /// It answered with a failure of its own.
@@ -112,23 +112,23 @@
     /// while their health probe is good: what callers got decides, not the
     /// probe. A replica that refuses at once would otherwise end its runs
     /// sooner than any other, seem the least loaded and draw all requests in.
-    pub fn learn(&mut self, now: Moment, name: &ReplicaName, end: End) {
+    pub fn learn(&mut self, now: Moment, name: &ReplicaName, end: RunOutcome) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
         let h = &mut r.health;
         match end {
-            End::Answered => {
+            RunOutcome::Answered => {
                 h.strikes = 0;
                 h.count(false);
             }
-            End::Failed => {
+            RunOutcome::Failed => {
                 h.strikes = 0;
                 h.count(true);
             }
-            End::Full => h.until = h.until.max(now.after(FULL_PAUSE)),
-            End::Unreached | End::Gone => h.pause(now),
-            End::Broken => {
+            RunOutcome::Full => h.until = h.until.max(now.after(FULL_PAUSE)),
+            RunOutcome::Unreached | RunOutcome::Gone => h.pause(now),
+            RunOutcome::Broken => {
                 h.count(true);
                 h.pause(now);
             }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-pub use health::End;
+pub use health::RunOutcome;
 pub use place::Place;
 pub use place::Want;
 pub use versions::Versions;
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -21,8 +21,8 @@
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
 use crate::serving::decisions::decide::Ended;
-use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
+use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::decisions::turns::LONG_PROMPT;
 use crate::serving::path::charge::Charge;
 use crate::serving::path::codec::ForwardHeaders;
@@ -124,7 +124,7 @@
     }
 
     /// Records how the run ended in the replica's health.
-    pub(in crate::serving) fn record_end(&self, end: End) {
+    pub(in crate::serving) fn record_end(&self, end: RunOutcome) {
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.learn(now(), &self.replica, end);
@@ -187,12 +187,12 @@
     let answer = match sent {
         Err(_) => return Err(Ended::Overdue),
         Ok(Err(SendError::NotSent(_))) => {
-            run.record_end(End::Unreached);
+            run.record_end(RunOutcome::Unreached);
             send.inspect(|s| s.revert());
             return Err(Ended::NotSent);
         }
         Ok(Err(SendError::Broken(_))) => {
-            run.record_end(End::Broken);
+            run.record_end(RunOutcome::Broken);
             record_strike(node, req, &run.instance());
             return Err(Ended::Broken);
         }
@@ -217,7 +217,7 @@
             Err(Ended::NotRun(reason))
         }
         Reply::Invalid(reason) => {
-            run.record_end(End::Broken);
+            run.record_end(RunOutcome::Broken);
             Err(Ended::Spoilt(reason))
         }
     }
@@ -244,8 +244,8 @@
 ) {
     use crate::serving::path::codec::NotRun;
     match reason {
-        NotRun::Gone => run.record_end(End::Gone),
-        NotRun::Full => run.record_end(End::Full),
+        NotRun::Gone => run.record_end(RunOutcome::Gone),
+        NotRun::Full => run.record_end(RunOutcome::Full),
         NotRun::NotLoaded => {
             if let Some(target) = &req.target {
                 let mut b = node.state();
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -21,7 +21,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::decide::Ended;
 use crate::serving::decisions::decide::Tries;
-use crate::serving::decisions::fleet::End;
+use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::forward::StartedResponse;
 use crate::serving::path::forward::record_strike;
@@ -233,8 +233,8 @@
         metrics::histogram!("serve_first_byte_seconds").record(first);
         if let Some(started) = self.response.take() {
             let end = match started.failed {
-                true => End::Failed,
-                false => End::Answered,
+                true => RunOutcome::Failed,
+                false => RunOutcome::Answered,
             };
             started.run.record_end(end);
             let mut b = self.node.state();
@@ -248,7 +248,7 @@
         let Some(started) = self.response.take() else {
             return Err(ResponseAborted("no answer"));
         };
-        started.run.record_end(End::Broken);
+        started.run.record_end(RunOutcome::Broken);
         record_strike(&self.node, &self.request, &started.run.instance());
         self.avoid.insert(started.run.replica.clone());
         // Its connection is closed now, so the replica ends the run.
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -33,8 +33,8 @@
 use crate::serving::decisions::decide::Ended;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::decide::Tries;
-use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
+use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::path::charge;
 use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::forward::Caller;
@@ -327,7 +327,7 @@
         match read_ahead(&mut started, &req, &mut ahead).await {
             Ok(read) if started.failed && tries.idempotent => {
                 whole = read;
-                started.run.record_end(End::Failed);
+                started.run.record_end(RunOutcome::Failed);
                 tries.note(Ended::Failed);
                 let pieces = std::mem::take(&mut ahead);
                 avoid.insert(started.run.replica.clone());
@@ -357,7 +357,7 @@
                 break;
             }
             Err(ended) => {
-                started.run.record_end(End::Broken);
+                started.run.record_end(RunOutcome::Broken);
                 crate::serving::path::forward::record_strike(node, &req, &started.run.instance());
                 tries.note(ended);
                 avoid.insert(started.run.replica.clone());
@@ -469,7 +469,7 @@
         ended = match forward(node, req, &at, resume_after).await {
             // A failure cannot go on an answer that has started.
             Ok(started) if tries.answered && !started.answer.head.status.is_success() => {
-                started.run.record_end(End::Failed);
+                started.run.record_end(RunOutcome::Failed);
                 Ended::Failed
             }
             Ok(started) => return Ok(started),
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -7,12 +7,12 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Books;
-use banyangauge::serving::End;
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
 use banyangauge::serving::Load;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Report;
+use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Step;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
@@ -79,7 +79,7 @@
         &"vm".parse().unwrap(),
         &BTreeMap::from([(name.clone(), load)]),
     );
-    fleet.learn(at(0), &name, End::Broken);
+    fleet.learn(at(0), &name, RunOutcome::Broken);
     assert_eq!(fleet.standing(at(10), &name), "paused");
     fleet.apply_listing(started(2, &[]));
     assert_eq!(fleet.standing(at(10), &name), "live");
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -12,7 +12,6 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::Config;
-use banyangauge::serving::End;
 use banyangauge::serving::Engine;
 use banyangauge::serving::Experiment;
 use banyangauge::serving::Fleet;
@@ -22,6 +21,7 @@
 use banyangauge::serving::Mechanism;
 use banyangauge::serving::Place;
 use banyangauge::serving::ReplicaInfo;
+use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Service;
 use banyangauge::serving::SharedPrefix;
 use banyangauge::serving::Target;
@@ -390,10 +390,10 @@
 
 /// A crashed replica refuses at once and would seem the least loaded.
 #[rstest]
-#[case::unreached(End::Unreached)]
-#[case::broken(End::Broken)]
-#[case::gone(End::Gone)]
-fn failing_replica_is_left_alone(#[case] end: End) {
+#[case::unreached(RunOutcome::Unreached)]
+#[case::broken(RunOutcome::Broken)]
+#[case::gone(RunOutcome::Gone)]
+fn failing_replica_is_left_alone(#[case] end: RunOutcome) {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
@@ -410,11 +410,11 @@
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
-    scene.fleet.learn(at(0), &name, End::Unreached);
+    scene.fleet.learn(at(0), &name, RunOutcome::Unreached);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
     scene.fleet.begin_run(&name, COST);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-b");
-    scene.fleet.learn(at(5_010), &name, End::Answered);
+    scene.fleet.learn(at(5_010), &name, RunOutcome::Answered);
     scene.fleet.end_run(&name, COST);
     assert_eq!(scene.sent(at(5_010), "app", None), "i-a");
 }
