--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -84,7 +84,7 @@
 
 impl Fleet {
     /// A run was sent and waits for its first byte.
-    pub fn await_first(&mut self, now: Moment, name: &ReplicaName, run: u64) {
+    pub fn await_first_byte(&mut self, now: Moment, name: &ReplicaName, run: u64) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.health.waiting.insert(run, now);
         }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -108,7 +108,7 @@
             self.prefill_turn = turn.await;
         }
         let mut b = self.node.state();
-        b.fleet.await_first(now(), &self.replica, self.id);
+        b.fleet.await_first_byte(now(), &self.replica, self.id);
     }
 
     /// Records that data of the response arrived, which also means that the prompt was read.
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -425,7 +425,9 @@
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
-    scene.fleet.await_first(at(0), &"i-a".parse().unwrap(), 1);
+    scene
+        .fleet
+        .await_first_byte(at(0), &"i-a".parse().unwrap(), 1);
     assert_eq!(scene.sent(at(1_000), "app", None), "i-a");
     assert_eq!(scene.sent(at(1_700), "app", None), "i-b");
 }
