--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -91,7 +91,7 @@
     }
 
     /// Bytes of a run came, or it ended.
-    pub fn heard(&mut self, now: Moment, name: &ReplicaName, run: u64, bytes: bool) {
+    pub fn record_progress(&mut self, now: Moment, name: &ReplicaName, run: u64, bytes: bool) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.health.waiting.remove(&run);
             if bytes {
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -118,7 +118,7 @@
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
             b.fleet.finish_prefill(&self.replica, self.cost.prefill);
-            b.fleet.heard(now(), &self.replica, self.id, true);
+            b.fleet.record_progress(now(), &self.replica, self.id, true);
         }
         self.cost.prefill = 0;
     }
@@ -145,7 +145,8 @@
         let mut b = self.node.state();
         b.end_run(&self.instance(), self.target.as_ref(), self.cost);
         if !self.responded {
-            b.fleet.heard(now(), &self.replica, self.id, false);
+            b.fleet
+                .record_progress(now(), &self.replica, self.id, false);
         }
         drop(b);
         self.node.placement_wake.notify_waiters();
