--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether a replica has sent nothing to anybody here for a while.
-    pub fn silent(&self, now: Moment, name: &ReplicaName) -> bool {
+    pub fn is_silent(&self, now: Moment, name: &ReplicaName) -> bool {
         let r = self.replicas.get(name);
         r.is_none_or(|r| now.since(r.health.heard) > SILENCE)
     }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -184,7 +184,7 @@
             return false;
         };
         let replica = &started.run.replica;
-        if !self.node.state().fleet.silent(now(), replica) {
+        if !self.node.state().fleet.is_silent(now(), replica) {
             return false;
         }
         let mut avoid = self.avoid.clone();
