--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -112,7 +112,7 @@
     /// while their health probe is good: what callers got decides, not the
     /// probe. A replica that refuses at once would otherwise end its runs
     /// sooner than any other, seem the least loaded and draw all requests in.
-    pub fn learn(&mut self, now: Moment, name: &ReplicaName, end: RunOutcome) {
+    pub fn record_outcome(&mut self, now: Moment, name: &ReplicaName, end: RunOutcome) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -127,7 +127,7 @@
     pub(in crate::serving) fn record_end(&self, end: RunOutcome) {
         let mut b = self.node.state();
         if b.fleet.is_current(&self.instance()) {
-            b.fleet.learn(now(), &self.replica, end);
+            b.fleet.record_outcome(now(), &self.replica, end);
         }
     }
 
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -79,7 +79,7 @@
         &"vm".parse().unwrap(),
         &BTreeMap::from([(name.clone(), load)]),
     );
-    fleet.learn(at(0), &name, RunOutcome::Broken);
+    fleet.record_outcome(at(0), &name, RunOutcome::Broken);
     assert_eq!(fleet.standing(at(10), &name), "paused");
     fleet.apply_listing(started(2, &[]));
     assert_eq!(fleet.standing(at(10), &name), "live");
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -399,7 +399,7 @@
     let mut scene = Scene::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
     assert_eq!(scene.sent(at(0), "app", None), "i-a");
-    scene.fleet.learn(at(0), &name, end);
+    scene.fleet.record_outcome(at(0), &name, end);
     assert_eq!(scene.sent(at(100), "app", None), "i-b");
 }
 
@@ -410,11 +410,15 @@
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
-    scene.fleet.learn(at(0), &name, RunOutcome::Unreached);
+    scene
+        .fleet
+        .record_outcome(at(0), &name, RunOutcome::Unreached);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
     scene.fleet.begin_run(&name, COST);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-b");
-    scene.fleet.learn(at(5_010), &name, RunOutcome::Answered);
+    scene
+        .fleet
+        .record_outcome(at(5_010), &name, RunOutcome::Answered);
     scene.fleet.end_run(&name, COST);
     assert_eq!(scene.sent(at(5_010), "app", None), "i-a");
 }
