--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -136,7 +136,7 @@
     }
 
     /// How a replica is seen, in a word for the log.
-    pub fn standing(&self, now: Moment, name: &ReplicaName) -> &'static str {
+    pub fn status(&self, now: Moment, name: &ReplicaName) -> &'static str {
         let Some(r) = self.replicas.get(name) else {
             return "unlisted";
         };
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -298,7 +298,7 @@
 fn check_blocked(node: &Node, req: &BufferedRequest) -> Result<(), Refusal> {
     let b = node.state();
     let now = now();
-    let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.standing(now, &r.name) != "live";
+    let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.status(now, &r.name) != "live";
     match b.strikes.convicted(now, req.fingerprint, down) {
         true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -80,9 +80,9 @@
         &BTreeMap::from([(name.clone(), load)]),
     );
     fleet.record_outcome(at(0), &name, RunOutcome::Broken);
-    assert_eq!(fleet.standing(at(10), &name), "paused");
+    assert_eq!(fleet.status(at(10), &name), "paused");
     fleet.apply_listing(started(2, &[]));
-    assert_eq!(fleet.standing(at(10), &name), "live");
+    assert_eq!(fleet.status(at(10), &name), "live");
     assert_eq!(fleet.total_load(at(10), &name), Some(Load::default()));
     assert!(!fleet.is_current(&instance(1)));
 }
