--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 pub use health::RunOutcome;
-pub use place::Place;
+pub use place::Placement;
 pub use place::Want;
 pub use versions::Versions;
 
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -98,7 +98,7 @@
 
 /// The decision.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Place {
+pub enum Placement {
     /// Send it there.
     Send {
         /// Where.
@@ -146,7 +146,7 @@
         now: Moment,
         want: &Want<'_>,
         loadable: impl Fn(&ReplicaName) -> bool,
-    ) -> Place {
+    ) -> Placement {
         let mut service = self.replicas.iter();
         let member = |r: &Replica| r.listing.service == *want.service && r.usable();
         let members: Vec<_> = service.by_ref().filter(|(_, r)| member(r)).collect();
@@ -155,7 +155,7 @@
         };
         let open: Vec<_> = members.iter().filter(|(n, r)| open(n, r)).collect();
         if open.is_empty() {
-            return Place::Nowhere;
+            return Placement::Nowhere;
         }
         let score = |n: &ReplicaName, r: &Replica| self.score(now, want, n, r);
         let Some(target) = want.target else {
@@ -163,7 +163,7 @@
             let fit = fit.map(|(n, r)| (score(n, r), *n));
             let fit = fit.min_by(|a, b| a.0.total_cmp(&b.0));
             let fit = fit.map(|(_, at)| at.clone());
-            return fit.map_or(Place::Full, |at| Place::Send { at, copy: None });
+            return fit.map_or(Placement::Full, |at| Placement::Send { at, copy: None });
         };
         let holders = open.iter().filter(|(n, r)| self.serves(now, target, n, r));
         let holders: Vec<_> = holders.collect();
@@ -190,7 +190,10 @@
         let fit = fit.min_by(|a, b| a.0.total_cmp(&b.0));
         let fit = fit.map(|(_, score, name)| (score, name.clone()));
         if target.adapter.is_none() {
-            return fit.map_or(Place::Full, |(_, at)| Place::Send { at, copy: None });
+            return fit.map_or(Placement::Full, |(_, at)| Placement::Send {
+                at,
+                copy: None,
+            });
         }
         let base = target.model.target();
         let roomy = || -> Vec<_> {
@@ -206,7 +209,7 @@
         if let Some((held, at)) = fit {
             // No replica seems less busy than not at all.
             if held <= copy_above || !self.experiment.is_enabled(Mechanism::SecondCopies) {
-                return Place::Send { at, copy: None };
+                return Placement::Send { at, copy: None };
             }
             let roomy = roomy();
             let least = roomy.iter().map(|(_, _, score)| *score);
@@ -219,19 +222,19 @@
             let wait = waited.zip(least);
             let wait = wait.is_some_and(|(waited, least)| is_worth_a_wait(held - least, waited));
             return match copy {
-                Some(at) if wait => Place::Load { at },
-                copy => Place::Send { at, copy },
+                Some(at) if wait => Placement::Load { at },
+                copy => Placement::Send { at, copy },
             };
         }
         let coming = open.iter().find(|(_, r)| r.awaits(now, target));
         if let Some((at, _)) = coming {
             let at = (*at).clone();
-            return Place::Coming { at };
+            return Placement::Coming { at };
         }
         match self.home(now, want, target, &roomy()) {
-            Some(at) => Place::Load { at },
-            None if holders.is_empty() => Place::Nowhere,
-            None => Place::Full,
+            Some(at) => Placement::Load { at },
+            None if holders.is_empty() => Placement::Nowhere,
+            None => Placement::Full,
         }
     }
 
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -11,7 +11,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Refusal;
-use crate::serving::decisions::fleet::Place;
+use crate::serving::decisions::fleet::Placement;
 use crate::serving::decisions::fleet::Want;
 use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::owner_check;
@@ -78,7 +78,7 @@
         let waited = (at < load_deadline).then(|| at.since(start));
         let place = choose_replica(node, routed, req, avoid, waited, at);
         let (deadline, refusal) = match place {
-            Place::Send { at, copy } => {
+            Placement::Send { at, copy } => {
                 if let (Some(copy), Some(target)) = (copy, &req.target) {
                     beacons::request_load(node, &copy, target).await;
                 }
@@ -96,7 +96,7 @@
                 }
                 return Ok(at);
             }
-            Place::Load { at: replica } | Place::Coming { at: replica } => {
+            Placement::Load { at: replica } | Placement::Coming { at: replica } => {
                 let is_due = requested_at.is_none_or(|w| at.since(w) >= to_span(WISH_INTERVAL));
                 if let (true, Some(target)) = (is_due, &req.target) {
                     requested_at = Some(at);
@@ -107,11 +107,11 @@
                     Refusal::not_run("not_loaded_in_time", COME_BACK),
                 )
             }
-            Place::Full => (
+            Placement::Full => (
                 capacity_deadline,
                 Refusal::not_run("replicas_full", FULL_RETRY_AFTER),
             ),
-            Place::Nowhere => (capacity_deadline, Refusal::not_run("no_replica", COME_BACK)),
+            Placement::Nowhere => (capacity_deadline, Refusal::not_run("no_replica", COME_BACK)),
         };
         let stopping = node.phase() != Phase::Serving;
         let deadline = match stopping {
@@ -156,7 +156,7 @@
     avoid: &BTreeSet<ReplicaName>,
     waited: Option<Span>,
     at: Moment,
-) -> Place {
+) -> Placement {
     let bytes: usize = req.body.iter().map(Bytes::len).sum();
     let b = node.state();
     let want = Want {
@@ -182,5 +182,5 @@
     avoid: &BTreeSet<ReplicaName>,
 ) -> bool {
     let place = choose_replica(node, routed, req, avoid, None, now());
-    matches!(place, Place::Send { .. })
+    matches!(place, Placement::Send { .. })
 }
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -19,7 +19,7 @@
 use banyangauge::serving::Limits;
 use banyangauge::serving::Load;
 use banyangauge::serving::Mechanism;
-use banyangauge::serving::Place;
+use banyangauge::serving::Placement;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Service;
@@ -112,7 +112,7 @@
         }
     }
 
-    fn place(&self, now: Moment, service: &str, target: Option<&str>) -> Place {
+    fn place(&self, now: Moment, service: &str, target: Option<&str>) -> Placement {
         let service = service.parse().unwrap();
         let target = target.map(|t| Target::parse(t).unwrap());
         let want = Want {
@@ -130,7 +130,7 @@
 
     fn sent(&self, now: Moment, service: &str, target: Option<&str>) -> String {
         match self.place(now, service, target) {
-            Place::Send { at, .. } => at.to_string(),
+            Placement::Send { at, .. } => at.to_string(),
             other => format!("{other:?}"),
         }
     }
@@ -167,7 +167,7 @@
     for n in 0..60 {
         let adapter = format!("base/a{n}");
         let home = one.place(at(0), "llm", Some(&adapter));
-        assert!(matches!(home, Place::Load { .. }));
+        assert!(matches!(home, Placement::Load { .. }));
         assert_eq!(home, other.place(at(0), "llm", Some(&adapter)));
         moved += usize::from(home != fewer.place(at(0), "llm", Some(&adapter)));
     }
@@ -188,7 +188,7 @@
     for n in 0..20 {
         let place = scene.place(at(0), "llm", Some(&format!("base/a{n}")));
         let at = "i-b".parse().unwrap();
-        assert_eq!(place, Place::Load { at });
+        assert_eq!(place, Placement::Load { at });
     }
 }
 
@@ -207,7 +207,7 @@
         scene.fleet.begin_run(&busy.parse().unwrap(), COST);
     }
     let home = |scene: &Scene, n: u32| scene.place(at(0), "llm", Some(&format!("base/a{n}")));
-    let idle = Place::Load {
+    let idle = Placement::Load {
         at: "i-3".parse().unwrap(),
     };
     scene.waited = Some(Span::from_millis(100));
@@ -217,7 +217,7 @@
     // Where none is idle, one of them is the home all the same.
     scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
     scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
-    assert!(matches!(home(&scene, 1), Place::Load { .. }));
+    assert!(matches!(home(&scene, 1), Placement::Load { .. }));
 }
 
 /// A burst within one beacon: what this VM has sent itself counts at once.
@@ -263,7 +263,7 @@
         assert_eq!(scene.sent(at(0), "app", None), "i-a");
         scene.fleet.begin_run(&"i-a".parse().unwrap(), COST);
     }
-    assert_eq!(scene.place(at(0), "app", None), Place::Full);
+    assert_eq!(scene.place(at(0), "app", None), Placement::Full);
 }
 
 #[test]
@@ -276,7 +276,7 @@
         prefill: 0,
     };
     scene.fleet.begin_run(&"i-a".parse().unwrap(), large);
-    assert_eq!(scene.place(at(0), "llm", Some("base")), Place::Full);
+    assert_eq!(scene.place(at(0), "llm", Some("base")), Placement::Full);
 }
 
 /// What an engine has yet to read holds up those who come next.
@@ -310,7 +310,7 @@
     let b = listing("i-b", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a, b]);
     let copy = |s: &Scene| match s.place(at(0), "llm", Some("base/x")) {
-        Place::Send { copy, .. } => copy.map(|n| n.to_string()),
+        Placement::Send { copy, .. } => copy.map(|n| n.to_string()),
         other => panic!("{other:?}"),
     };
     assert_eq!(copy(&scene), None);
@@ -327,24 +327,24 @@
 /// time waits for the copy, as whoever is sent there is late and makes the
 /// others late; who has not is sent there all the same.
 #[rstest]
-#[case::has_time(Some(0), 36_000, Place::Load { at: "i-b".parse().unwrap() })]
-#[case::has_none(None, 36_000, Place::Send {
+#[case::has_time(Some(0), 36_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::has_none(None, 36_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::waited_for_a_load(Some(460), 34_000, Place::Send {
+#[case::waited_for_a_load(Some(460), 34_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::behind_seconds(Some(460), 60_000, Place::Load { at: "i-b".parse().unwrap() })]
-#[case::holder_soon_free(Some(0), 24_000, Place::Send {
+#[case::behind_seconds(Some(460), 60_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::holder_soon_free(Some(0), 24_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
 fn overloaded_holder_is_worth_a_wait(
     #[case] waited: Option<u64>,
     #[case] unread: u64,
-    #[case] expected: Place,
+    #[case] expected: Placement,
 ) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
@@ -547,16 +547,16 @@
 
 /// What a mechanism decides is decided otherwise without it.
 #[rstest]
-#[case::whole(&[], Place::Load { at: "i-b".parse().unwrap() })]
-#[case::copy_waits(&[Mechanism::CopyWaits], Place::Send {
+#[case::whole(&[], Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::copy_waits(&[Mechanism::CopyWaits], Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::second_copies(&[Mechanism::SecondCopies], Place::Send {
+#[case::second_copies(&[Mechanism::SecondCopies], Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
-fn place_without(#[case] off: &[Mechanism], #[case] expected: Place) {
+fn place_without(#[case] off: &[Mechanism], #[case] expected: Placement) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a, b]);
