--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -112,7 +112,7 @@
         at: ReplicaName,
     },
     /// Its adapter is on its way to this replica.
-    Coming {
+    Loading {
         /// Where.
         at: ReplicaName,
     },
@@ -229,7 +229,7 @@
         let coming = open.iter().find(|(_, r)| r.awaits(now, target));
         if let Some((at, _)) = coming {
             let at = (*at).clone();
-            return Placement::Coming { at };
+            return Placement::Loading { at };
         }
         match self.home(now, want, target, &roomy()) {
             Some(at) => Placement::Load { at },
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -96,7 +96,7 @@
                 }
                 return Ok(at);
             }
-            Placement::Load { at: replica } | Placement::Coming { at: replica } => {
+            Placement::Load { at: replica } | Placement::Loading { at: replica } => {
                 let is_due = requested_at.is_none_or(|w| at.since(w) >= to_span(WISH_INTERVAL));
                 if let (true, Some(target)) = (is_due, &req.target) {
                     requested_at = Some(at);
