--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -119,7 +119,7 @@
     /// Those that could run it are full.
     Full,
     /// No replica could run it now.
-    Nowhere,
+    Unavailable,
 }
 
 impl Load {
@@ -155,7 +155,7 @@
         };
         let open: Vec<_> = members.iter().filter(|(n, r)| open(n, r)).collect();
         if open.is_empty() {
-            return Placement::Nowhere;
+            return Placement::Unavailable;
         }
         let score = |n: &ReplicaName, r: &Replica| self.score(now, want, n, r);
         let Some(target) = want.target else {
@@ -233,7 +233,7 @@
         }
         match self.home(now, want, target, &roomy()) {
             Some(at) => Placement::Load { at },
-            None if holders.is_empty() => Placement::Nowhere,
+            None if holders.is_empty() => Placement::Unavailable,
             None => Placement::Full,
         }
     }
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -111,7 +111,7 @@
                 capacity_deadline,
                 Refusal::not_run("replicas_full", FULL_RETRY_AFTER),
             ),
-            Placement::Nowhere => (capacity_deadline, Refusal::not_run("no_replica", COME_BACK)),
+            Placement::Unavailable => (capacity_deadline, Refusal::not_run("no_replica", COME_BACK)),
         };
         let stopping = node.phase() != Phase::Serving;
         let deadline = match stopping {
