--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -102,7 +102,7 @@
     let avoid = BTreeSet::new();
     for (case, adapter) in [("held", "base/a7"), ("nowhere", "base/a9999")] {
         let target = Target::parse(adapter);
-        let want = Want {
+        let want = PlacementRequest {
             service: &service,
             target: target.as_ref(),
             cost: Load {
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -18,7 +18,7 @@
 
 pub use health::RunOutcome;
 pub use place::Placement;
-pub use place::Want;
+pub use place::PlacementRequest;
 pub use versions::Versions;
 
 use self::health::Health;
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -77,7 +77,7 @@
 
 /// What a request needs.
 #[derive(Debug)]
-pub struct Want<'a> {
+pub struct PlacementRequest<'a> {
     /// Its service.
     pub service: &'a ServiceName,
     /// Its model or adapter.
@@ -144,7 +144,7 @@
     pub fn place(
         &self,
         now: Moment,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         loadable: impl Fn(&ReplicaName) -> bool,
     ) -> Placement {
         let mut service = self.replicas.iter();
@@ -251,7 +251,13 @@
     }
 
     /// How busy a replica seems for a request, in milliseconds of its engine.
-    fn score(&self, now: Moment, want: &Want<'_>, name: &ReplicaName, r: &Replica) -> f64 {
+    fn score(
+        &self,
+        now: Moment,
+        want: &PlacementRequest<'_>,
+        name: &ReplicaName,
+        r: &Replica,
+    ) -> f64 {
         let load = self.load(now, name, r);
         let near = r.listing.zone == self.zone || !self.experiment.is_enabled(Mechanism::NearZone);
         let far = match near {
@@ -274,7 +280,13 @@
     }
 
     /// Whether a replica can begin a request soon.
-    fn has_room(&self, now: Moment, want: &Want<'_>, name: &ReplicaName, r: &Replica) -> bool {
+    fn has_room(
+        &self,
+        now: Moment,
+        want: &PlacementRequest<'_>,
+        name: &ReplicaName,
+        r: &Replica,
+    ) -> bool {
         let load = self.load(now, name, r);
         let slots = f64::from(r.listing.slots);
         let service = self.services.get(&r.listing.service);
@@ -301,7 +313,7 @@
     fn home(
         &self,
         now: Moment,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         target: &Target,
         all: &[(&ReplicaName, &Replica, f64)],
     ) -> Option<ReplicaName> {
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -12,7 +12,7 @@
 use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::fleet::Placement;
-use crate::serving::decisions::fleet::Want;
+use crate::serving::decisions::fleet::PlacementRequest;
 use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::owner_check;
 use crate::serving::path::owner_check::Admission;
@@ -159,7 +159,7 @@
 ) -> Placement {
     let bytes: usize = req.body.iter().map(Bytes::len).sum();
     let b = node.state();
-    let want = Want {
+    let want = PlacementRequest {
         service: &routed.service,
         target: req.target.as_ref(),
         cost: req.cost,
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -20,13 +20,13 @@
 use banyangauge::serving::Load;
 use banyangauge::serving::Mechanism;
 use banyangauge::serving::Placement;
+use banyangauge::serving::PlacementRequest;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Service;
 use banyangauge::serving::SharedPrefix;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
-use banyangauge::serving::Want;
 use rstest::rstest;
 
 /// A replica's entry that holds models and adapters in version 1.
@@ -115,7 +115,7 @@
     fn place(&self, now: Moment, service: &str, target: Option<&str>) -> Placement {
         let service = service.parse().unwrap();
         let target = target.map(|t| Target::parse(t).unwrap());
-        let want = Want {
+        let want = PlacementRequest {
             service: &service,
             target: target.as_ref(),
             cost: COST,
@@ -370,7 +370,7 @@
     let target = Target::parse("base/x").unwrap();
     let service = "llm".parse().unwrap();
     let at_key = |key: u64| {
-        let want = Want {
+        let want = PlacementRequest {
             service: &service,
             target: Some(&target),
             cost: COST,
