--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -110,7 +110,7 @@
                 tokens: 2_000,
                 prefill: 1_000,
             },
-            shared: None,
+            shared_prefix: None,
             body_kb: 2.0,
             objective_ms: 1_000.0,
             waited: Some(Span::from_millis(0)),
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -85,7 +85,7 @@
     /// What it will hold there.
     pub cost: Load,
     /// What its prompt shares with others.
-    pub shared: Option<SharedPrefix>,
+    pub shared_prefix: Option<SharedPrefix>,
     /// Kilobytes of body.
     pub body_kb: f64,
     /// Within how long its answer should begin, in milliseconds.
@@ -171,7 +171,7 @@
             .iter()
             .filter(|(n, r)| self.has_room(now, want, n, r));
         let shared = want
-            .shared
+            .shared_prefix
             .filter(|_| self.experiment.is_enabled(Mechanism::KeptPrompts));
         let kept = shared.and_then(|shared| {
             let first = holders
