--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -23,7 +23,7 @@
 use crate::serving::decisions::access::Bounds;
 use crate::serving::decisions::access::Freshness;
 use crate::serving::decisions::access::Keys;
-use crate::serving::decisions::books::Books;
+use crate::serving::decisions::books::AdapterPlanner;
 use crate::serving::decisions::budget::Budget;
 use crate::serving::decisions::fleet::Fleet;
 use crate::serving::decisions::fleet::Load;
@@ -85,7 +85,7 @@
     pub(in crate::serving) budget: Budget,
     pub(in crate::serving) members: Members,
     pub(in crate::serving) ownership: Ownership,
-    pub(in crate::serving) books: Books,
+    pub(in crate::serving) books: AdapterPlanner,
     pub(in crate::serving) strikes: Strikes,
     pub(in crate::serving) strain: Strain,
     pub(in crate::serving) turns: Turns,
@@ -129,7 +129,7 @@
             budget: Budget::new(settings.budget),
             members: Members::new(settings.vm.clone(), now),
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
-            books: Books::default(),
+            books: AdapterPlanner::default(),
             strikes: Strikes::default(),
             strain: Strain::default(),
             turns: Turns::default(),
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -27,7 +27,7 @@
 
 /// The books of the replicas that this VM owns.
 #[derive(Debug, Default)]
-pub struct Books {
+pub struct AdapterPlanner {
     books: BTreeMap<ReplicaName, Book>,
     pace: Pace,
     ceiling: Ceiling,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Books {
+impl AdapterPlanner {
     /// Sets what is switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
         self.pace.set_experiment(experiment);
@@ -135,7 +135,7 @@
     }
 
     /// The next thing to do at a replica, if any; its end is told by
-    /// [`Books::ended`] or [`Books::looked`] before the next is asked for.
+    /// [`AdapterPlanner::ended`] or [`AdapterPlanner::looked`] before the next is asked for.
     ///
     /// Made for many requests for adapters that are nowhere, at full slots.
     /// Wishes are served in the order in which they came, so none starves;
@@ -201,7 +201,7 @@
         self.books.get(name).map_or(0, |b| b.unanswered)
     }
 
-    /// When [`Books::next`] is worth asking again, at the latest.
+    /// When [`AdapterPlanner::next`] is worth asking again, at the latest.
     pub fn next_wake(&self, now: Moment) -> Option<Moment> {
         let books = self.books.values().filter(|b| !b.busy);
         books.filter_map(|b| b.next_wake(now)).min()
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -3,7 +3,7 @@
 //! | folder | contents |
 //! |---|---|
 //! | `path` | the path of a request, starting at `path/serve.rs` |
-//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`Budget`] (how many retries are allowed), [`Books`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
+//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`Budget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
 //! | `cluster` | what the VM knows: [`Feed`] (of the stored objects), [`Members`] (of the VMs), [`Ownership`] (of who may give orders to which replica) |
 //! | `peers` | messages between VMs |
 //! | `store` | the interface of the store, and the tasks that follow it |
@@ -39,7 +39,7 @@
 pub use cluster::update::TopicChange;
 pub use cluster::update::TopicUpdate;
 pub use decisions::access;
-pub use decisions::books::Books;
+pub use decisions::books::AdapterPlanner;
 pub use decisions::books::OrderEnd;
 pub use decisions::books::Report;
 pub use decisions::books::Step;
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -4,8 +4,8 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::AdapterPlanner;
 use banyangauge::serving::AnnouncedVersion;
-use banyangauge::serving::Books;
 use banyangauge::serving::OrderEnd;
 use banyangauge::serving::Pace;
 use banyangauge::serving::ReplicaInfo;
@@ -34,7 +34,7 @@
 }
 
 struct Desk {
-    books: Books,
+    books: AdapterPlanner,
     versions: Versions,
     name: ReplicaName,
     model: ModelName,
@@ -44,7 +44,7 @@
     /// The owner of one replica with two slots, which reports `held`.
     fn new(held: &[&str], accepted: u64) -> Self {
         let listing: ReplicaInfo = listing("i-1", "llm", "z-a", held);
-        let mut books = Books::default();
+        let mut books = AdapterPlanner::default();
         books.open(ms(0), &listing, 2);
         let mut desk = Self {
             books,
@@ -198,7 +198,7 @@
 #[test]
 fn configuration_that_comes_late_opens_the_slots() {
     let listing = listing("i-1", "llm", "z-a", &["base"]);
-    let mut books = Books::default();
+    let mut books = AdapterPlanner::default();
     books.open(ms(0), &listing, 0);
     let mut desk = Desk::new(&["base"], 0);
     books.open(ms(10), &listing, 2);
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -6,7 +6,7 @@
 
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Books;
+use banyangauge::serving::AdapterPlanner;
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
 use banyangauge::serving::Load;
@@ -101,7 +101,7 @@
 /// The next order expects the order count of the new instance.
 #[test]
 fn book_ends_with_instance() {
-    let mut books = Books::default();
+    let mut books = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
     let held = ["base", "base/a1"];
@@ -125,7 +125,7 @@
 /// older entry then must not close the book.
 #[test]
 fn book_detects_restart_from_report() {
-    let mut books = Books::default();
+    let mut books = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
     books.open(at(0), &started(1, &["base", "base/a1"]), 2);
