--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -355,7 +355,7 @@
                 // Replicas without adapter slots need no book: they are owned
                 // to sum their requests.
                 if most > 0 {
-                    self.books.open(now, listing, most);
+                    self.books.track(now, listing, most);
                 }
             }
         }
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -56,7 +56,7 @@
 
     /// Opens a book for a replica that we came to own; what its entry in the
     /// store says is a start, its report decides.
-    pub fn open(&mut self, now: Moment, listing: &ReplicaInfo, most: u32) {
+    pub fn track(&mut self, now: Moment, listing: &ReplicaInfo, most: u32) {
         let book = self.books.entry(listing.name.clone());
         let book = book.or_insert_with(|| Book::new(now, listing));
         if book.listed != listing.started_ms {
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -45,7 +45,7 @@
     fn new(held: &[&str], accepted: u64) -> Self {
         let listing: ReplicaInfo = listing("i-1", "llm", "z-a", held);
         let mut books = AdapterPlanner::default();
-        books.open(ms(0), &listing, 2);
+        books.track(ms(0), &listing, 2);
         let mut desk = Self {
             books,
             versions: Versions::default(),
@@ -199,9 +199,9 @@
 fn configuration_that_comes_late_opens_the_slots() {
     let listing = listing("i-1", "llm", "z-a", &["base"]);
     let mut books = AdapterPlanner::default();
-    books.open(ms(0), &listing, 0);
+    books.track(ms(0), &listing, 0);
     let mut desk = Desk::new(&["base"], 0);
-    books.open(ms(10), &listing, 2);
+    books.track(ms(10), &listing, 2);
     desk.books = books;
     assert_eq!(desk.next(10), Some(Step::Look));
     let report = Report {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -105,10 +105,10 @@
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
     let held = ["base", "base/a1"];
-    books.open(at(0), &started(1, &held), 2);
+    books.track(at(0), &started(1, &held), 2);
     assert_eq!(books.next(at(0), &name, &versions, None), Some(Step::Look));
     books.looked(at(0), &name, Some(report(1, 9, &held)));
-    books.open(at(10), &started(2, &[]), 2);
+    books.track(at(10), &started(2, &[]), 2);
     let here = books.held(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(books.next(at(10), &name, &versions, None), Some(Step::Look));
@@ -128,7 +128,7 @@
     let mut books = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
-    books.open(at(0), &started(1, &["base", "base/a1"]), 2);
+    books.track(at(0), &started(1, &["base", "base/a1"]), 2);
     books.next(at(0), &name, &versions, None);
     books.looked(at(0), &name, Some(report(2, 4, &["base"])));
     assert_eq!(books.born(&name), Some(2));
@@ -139,8 +139,8 @@
             .loaded
             .contains_key(&Target::parse("base/a1").unwrap())
     );
-    books.open(at(10), &started(1, &["base", "base/a1"]), 2);
-    books.open(at(20), &started(2, &["base"]), 2);
+    books.track(at(10), &started(1, &["base", "base/a1"]), 2);
+    books.track(at(20), &started(2, &["base"]), 2);
     books.wish(at(30), &name, &Target::parse("base/a2").unwrap());
     let next = books.next(at(30), &name, &versions, None);
     assert!(
