--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -359,6 +359,6 @@
                 }
             }
         }
-        self.books.keep(&ours);
+        self.books.retain(&ours);
     }
 }
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -70,7 +70,7 @@
     }
 
     /// Closes the books of replicas that are not ours any more.
-    pub fn keep(&mut self, ours: &BTreeSet<ReplicaName>) {
+    pub fn retain(&mut self, ours: &BTreeSet<ReplicaName>) {
         self.books.retain(|name, _| ours.contains(name));
     }
 
