--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -80,7 +80,7 @@
     }
 
     /// The replicas with a book.
-    pub fn names(&self) -> impl Iterator<Item = &ReplicaName> {
+    pub fn replicas(&self) -> impl Iterator<Item = &ReplicaName> {
         self.books.keys()
     }
 
