--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -85,7 +85,7 @@
     }
 
     /// Somebody wants an adapter loaded there; the wish lapses unless renewed.
-    pub fn wish(&mut self, now: Moment, name: &ReplicaName, target: &Target) -> bool {
+    pub fn request_load(&mut self, now: Moment, name: &ReplicaName, target: &Target) -> bool {
         let Some(book) = self.books.get_mut(name) else {
             return false;
         };
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -392,7 +392,7 @@
             return;
         };
         if owner == node.settings.vm {
-            state.books.wish(now(), replica, target);
+            state.books.request_load(now(), replica, target);
             node.orders_wake.notify_one();
             return;
         }
@@ -424,7 +424,7 @@
     };
     let now = now();
     let mut state = node.state();
-    if !state.books.wish(now, &name, &target) {
+    if !state.books.request_load(now, &name, &target) {
         return;
     }
     let held = state.books.held(&name).unwrap_or_default();
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -70,7 +70,8 @@
     }
 
     fn wish(&mut self, at: u64, adapter: &str) {
-        self.books.wish(ms(at), &self.name, &target(adapter));
+        self.books
+            .request_load(ms(at), &self.name, &target(adapter));
     }
 
     fn end(&mut self, at: u64, step: &Step, end: OrderEnd) {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -113,7 +113,7 @@
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(books.next(at(10), &name, &versions, None), Some(Step::Look));
     books.looked(at(10), &name, Some(report(2, 0, &["base"])));
-    books.wish(at(20), &name, &Target::parse("base/a2").unwrap());
+    books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
     let next = books.next(at(20), &name, &versions, None);
     assert!(
         matches!(next, Some(Step::Load { expected: 0, .. })),
@@ -141,7 +141,7 @@
     );
     books.track(at(10), &started(1, &["base", "base/a1"]), 2);
     books.track(at(20), &started(2, &["base"]), 2);
-    books.wish(at(30), &name, &Target::parse("base/a2").unwrap());
+    books.request_load(at(30), &name, &Target::parse("base/a2").unwrap());
     let next = books.next(at(30), &name, &versions, None);
     assert!(
         matches!(next, Some(Step::Load { expected: 4, .. })),
