--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -94,7 +94,7 @@
     }
 
     /// A VM has begun `begun` runs of an adapter and has `running` under way.
-    pub fn used(
+    pub fn record_use(
         &mut self,
         now: Moment,
         name: &ReplicaName,
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -106,7 +106,7 @@
             for (target, u) in uses {
                 state
                     .books
-                    .used(now, &name, own, &target, u.running, u.started);
+                    .record_use(now, &name, own, &target, u.running, u.started);
             }
             continue;
         }
@@ -234,7 +234,7 @@
             if let Some(target) = Target::parse(&u.target) {
                 state
                     .books
-                    .used(now, &name, vm, &target, u.running, u.begun);
+                    .record_use(now, &name, vm, &target, u.running, u.begun);
             }
         }
         let load = Load {
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -128,8 +128,10 @@
     let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 0);
     let vm = "vm-2".parse().unwrap();
     let name = desk.name.clone();
-    desk.books.used(ms(0), &name, &vm, &target("base/a1"), 0, 5);
-    desk.books.used(ms(0), &name, &vm, &target("base/a2"), 0, 1);
+    desk.books
+        .record_use(ms(0), &name, &vm, &target("base/a1"), 0, 5);
+    desk.books
+        .record_use(ms(0), &name, &vm, &target("base/a2"), 0, 1);
     desk.wish(500, "base/a3");
     assert_eq!(desk.next(500), None, "both were used just now");
     desk.wish(1_000, "base/a3");
@@ -142,9 +144,10 @@
     let vm = "vm-2".parse().unwrap();
     let name = desk.name.clone();
     for adapter in ["base/a1", "base/a2"] {
-        desk.books.used(ms(0), &name, &vm, &target(adapter), 0, 1);
         desk.books
-            .used(ms(1_500), &name, &vm, &target(adapter), 1, 0);
+            .record_use(ms(0), &name, &vm, &target(adapter), 0, 1);
+        desk.books
+            .record_use(ms(1_500), &name, &vm, &target(adapter), 1, 0);
     }
     desk.wish(2_500, "base/a3");
     assert_eq!(desk.next(2_500), None);
@@ -443,7 +446,7 @@
     let name = desk.name.clone();
     for adapter in ["base/a1", "base/a2"] {
         let used = target(adapter);
-        desk.books.used(ms(1_000), &name, &vm, &used, 0, 1);
+        desk.books.record_use(ms(1_000), &name, &vm, &used, 0, 1);
     }
     desk.wish(2_900, "base/a3");
     assert_eq!(desk.next(2_900), None);
