--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether a replica holds no model, and none is on its way.
-    pub fn is_empty(&self, name: &ReplicaName) -> bool {
+    pub fn needs_model(&self, name: &ReplicaName) -> bool {
         self.books.get(name).is_some_and(Book::empty)
     }
 
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -99,7 +99,7 @@
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
     let mut due = Vec::new();
     for (name, token) in active {
-        let empty = b.books.is_empty(&name);
+        let empty = b.books.needs_model(&name);
         let listing = b.fleet.listing(&name).filter(|_| empty);
         let model = listing.and_then(|l| b.fleet.least_replicated_model(l));
         if let Some(step) = b.books.next(at, &name, &b.fleet.versions, model) {
