--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// What a replica holds, for the other VMs.
-    pub fn held(&self, name: &ReplicaName) -> Option<Residency> {
+    pub fn residency(&self, name: &ReplicaName) -> Option<Residency> {
         self.books.get(name).map(Book::held)
     }
 
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -131,7 +131,7 @@
     node.orders_wake.notify_one();
     // Our own requests that wait for it learn of it with the news.
     let mut b = node.state();
-    if let Some(held) = b.books.held(&name) {
+    if let Some(held) = b.books.residency(&name) {
         b.fleet.apply_residency(now(), &name, held);
     }
     drop(b);
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -432,7 +432,7 @@
     desk.end(0, &step, OrderEnd::Accepted);
     desk.end(250, &step, OrderEnd::Holds);
     assert_eq!(desk.next(251), None);
-    let held = desk.books.held(&desk.name).unwrap();
+    let held = desk.books.residency(&desk.name).unwrap();
     assert_eq!(held.loaded.get(&target("base/a1")), Some(&2));
 }
 
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -109,7 +109,7 @@
     assert_eq!(books.next(at(0), &name, &versions, None), Some(Step::Look));
     books.looked(at(0), &name, Some(report(1, 9, &held)));
     books.track(at(10), &started(2, &[]), 2);
-    let here = books.held(&name).unwrap().loaded;
+    let here = books.residency(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(books.next(at(10), &name, &versions, None), Some(Step::Look));
     books.looked(at(10), &name, Some(report(2, 0, &["base"])));
@@ -134,7 +134,7 @@
     assert_eq!(books.born(&name), Some(2));
     assert!(
         !books
-            .held(&name)
+            .residency(&name)
             .unwrap()
             .loaded
             .contains_key(&Target::parse("base/a1").unwrap())
