--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -130,7 +130,7 @@
     }
 
     /// Adapters on their way to our replicas.
-    pub fn coming(&self) -> usize {
+    pub fn loading_adapters(&self) -> usize {
         self.books.values().map(Book::coming).sum()
     }
 
