--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -143,7 +143,7 @@
     /// and an adapter that is wished for never gives way to another wish.
     ///
     /// A replica that restarted holds nothing: `model` is what it loads then.
-    pub fn next(
+    pub fn next_action(
         &mut self,
         now: Moment,
         name: &ReplicaName,
@@ -201,7 +201,7 @@
         self.books.get(name).map_or(0, |b| b.unanswered)
     }
 
-    /// When [`AdapterPlanner::next`] is worth asking again, at the latest.
+    /// When [`AdapterPlanner::next_action`] is worth asking again, at the latest.
     pub fn next_wake(&self, now: Moment) -> Option<Moment> {
         let books = self.books.values().filter(|b| !b.busy);
         books.filter_map(|b| b.next_wake(now)).min()
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -102,7 +102,7 @@
         let empty = b.books.needs_model(&name);
         let listing = b.fleet.listing(&name).filter(|_| empty);
         let model = listing.and_then(|l| b.fleet.least_replicated_model(l));
-        if let Some(step) = b.books.next(at, &name, &b.fleet.versions, model) {
+        if let Some(step) = b.books.next_action(at, &name, &b.fleet.versions, model) {
             due.push((name, token, step));
         }
     }
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -66,7 +66,8 @@
 
     fn next(&mut self, at: u64) -> Option<Step> {
         let model = Some(&self.model);
-        self.books.next(ms(at), &self.name, &self.versions, model)
+        self.books
+            .next_action(ms(at), &self.name, &self.versions, model)
     }
 
     fn wish(&mut self, at: u64, adapter: &str) {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -106,15 +106,21 @@
     let versions = Versions::default();
     let held = ["base", "base/a1"];
     books.track(at(0), &started(1, &held), 2);
-    assert_eq!(books.next(at(0), &name, &versions, None), Some(Step::Look));
+    assert_eq!(
+        books.next_action(at(0), &name, &versions, None),
+        Some(Step::Look)
+    );
     books.looked(at(0), &name, Some(report(1, 9, &held)));
     books.track(at(10), &started(2, &[]), 2);
     let here = books.residency(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
-    assert_eq!(books.next(at(10), &name, &versions, None), Some(Step::Look));
+    assert_eq!(
+        books.next_action(at(10), &name, &versions, None),
+        Some(Step::Look)
+    );
     books.looked(at(10), &name, Some(report(2, 0, &["base"])));
     books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
-    let next = books.next(at(20), &name, &versions, None);
+    let next = books.next_action(at(20), &name, &versions, None);
     assert!(
         matches!(next, Some(Step::Load { expected: 0, .. })),
         "{next:?}"
@@ -129,7 +135,7 @@
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
     books.track(at(0), &started(1, &["base", "base/a1"]), 2);
-    books.next(at(0), &name, &versions, None);
+    books.next_action(at(0), &name, &versions, None);
     books.looked(at(0), &name, Some(report(2, 4, &["base"])));
     assert_eq!(books.born(&name), Some(2));
     assert!(
@@ -142,7 +148,7 @@
     books.track(at(10), &started(1, &["base", "base/a1"]), 2);
     books.track(at(20), &started(2, &["base"]), 2);
     books.request_load(at(30), &name, &Target::parse("base/a2").unwrap());
-    let next = books.next(at(30), &name, &versions, None);
+    let next = books.next_action(at(30), &name, &versions, None);
     assert!(
         matches!(next, Some(Step::Load { expected: 4, .. })),
         "{next:?}"
