--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -184,7 +184,7 @@
     }
 
     /// Sets how often this VM may have weights loaded from the weight store.
-    pub fn set_pause(&mut self, pause: Span) {
+    pub fn set_load_interval(&mut self, pause: Span) {
         self.ceiling.pause = pause;
     }
 
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -91,7 +91,7 @@
     let b = &mut *b;
     let loads = b.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
     let pause = Span((b.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
-    b.books.set_pause(pause.max(MIN_LOAD_PAUSE));
+    b.books.set_load_interval(pause.max(MIN_LOAD_PAUSE));
     let engines = b.fleet.engines().count();
     b.books.set_fetches(b.fleet.loading_adapters(at), engines);
     b.books.set_news(b.members.report_delay());
