--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -192,7 +192,7 @@
     /// was used within that time is not unloaded: a request on its way to it
     /// would be refused, and an unload that waits for a run holds up every
     /// other order there.
-    pub fn set_news(&mut self, news: Span) {
+    pub fn set_report_delay(&mut self, news: Span) {
         self.books.values_mut().for_each(|b| b.news = news);
     }
 
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -94,7 +94,7 @@
     b.books.set_load_interval(pause.max(MIN_LOAD_PAUSE));
     let engines = b.fleet.engines().count();
     b.books.set_fetches(b.fleet.loading_adapters(at), engines);
-    b.books.set_news(b.members.report_delay());
+    b.books.set_report_delay(b.members.report_delay());
     let active = b.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
     let mut due = Vec::new();
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -442,7 +442,7 @@
 #[test]
 fn adapter_in_use_stays_until_news_would_have_come() {
     let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 0);
-    desk.books.set_news(Span::from_millis(2_500));
+    desk.books.set_report_delay(Span::from_millis(2_500));
     let vm = "vm-2".parse().unwrap();
     let name = desk.name.clone();
     for adapter in ["base/a1", "base/a2"] {
