--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -135,7 +135,7 @@
     }
 
     /// The next thing to do at a replica, if any; its end is told by
-    /// [`AdapterPlanner::ended`] or [`AdapterPlanner::looked`] before the next is asked for.
+    /// [`AdapterPlanner::ended`] or [`AdapterPlanner::finish_inspection`] before the next is asked for.
     ///
     /// Made for many requests for adapters that are nowhere, at full slots.
     /// Wishes are served in the order in which they came, so none starves;
@@ -208,7 +208,7 @@
     }
 
     /// A report was read, or could not be.
-    pub fn looked(&mut self, now: Moment, name: &ReplicaName, report: Option<Report>) {
+    pub fn finish_inspection(&mut self, now: Moment, name: &ReplicaName, report: Option<Report>) {
         let Some(book) = self.books.get_mut(name) else {
             return;
         };
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -114,7 +114,7 @@
         Step::Look => {
             let report = fetch_report(&node, &name).await;
             let mut b = node.state();
-            b.books.looked(now(), &name, report);
+            b.books.finish_inspection(now(), &name, report);
         }
         _ => {
             let end = send_order(&node, &name, token, &step).await;
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -60,7 +60,8 @@
             weights_near: true,
             ..Report::default()
         };
-        desk.books.looked(ms(0), &desk.name, Some(report));
+        desk.books
+            .finish_inspection(ms(0), &desk.name, Some(report));
         desk
     }
 
@@ -213,7 +214,8 @@
         here: [(target("base"), 0)].into(),
         ..Report::default()
     };
-    desk.books.looked(ms(11), &desk.name, Some(report));
+    desk.books
+        .finish_inspection(ms(11), &desk.name, Some(report));
     desk.wish(20, "base/a1");
     assert_eq!(desk.next(20), load("base/a1", 0));
 }
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -110,7 +110,7 @@
         books.next_action(at(0), &name, &versions, None),
         Some(Step::Look)
     );
-    books.looked(at(0), &name, Some(report(1, 9, &held)));
+    books.finish_inspection(at(0), &name, Some(report(1, 9, &held)));
     books.track(at(10), &started(2, &[]), 2);
     let here = books.residency(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
@@ -118,7 +118,7 @@
         books.next_action(at(10), &name, &versions, None),
         Some(Step::Look)
     );
-    books.looked(at(10), &name, Some(report(2, 0, &["base"])));
+    books.finish_inspection(at(10), &name, Some(report(2, 0, &["base"])));
     books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
     let next = books.next_action(at(20), &name, &versions, None);
     assert!(
@@ -136,7 +136,7 @@
     let versions = Versions::default();
     books.track(at(0), &started(1, &["base", "base/a1"]), 2);
     books.next_action(at(0), &name, &versions, None);
-    books.looked(at(0), &name, Some(report(2, 4, &["base"])));
+    books.finish_inspection(at(0), &name, Some(report(2, 4, &["base"])));
     assert_eq!(books.born(&name), Some(2));
     assert!(
         !books
