--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -135,7 +135,7 @@
     }
 
     /// The next thing to do at a replica, if any; its end is told by
-    /// [`AdapterPlanner::ended`] or [`AdapterPlanner::finish_inspection`] before the next is asked for.
+    /// [`AdapterPlanner::finish_order`] or [`AdapterPlanner::finish_inspection`] before the next is asked for.
     ///
     /// Made for many requests for adapters that are nowhere, at full slots.
     /// Wishes are served in the order in which they came, so none starves;
@@ -217,7 +217,7 @@
     }
 
     /// An order ended; gives how long an adapter took to load, if one came.
-    pub fn ended(
+    pub fn finish_order(
         &mut self,
         now: Moment,
         name: &ReplicaName,
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -119,7 +119,7 @@
         _ => {
             let end = send_order(&node, &name, token, &step).await;
             let mut b = node.state();
-            let took = b.books.ended(now(), &name, &step, end);
+            let took = b.books.finish_order(now(), &name, &step, end);
             if matches!(end, OrderEnd::Fenced) {
                 b.ownership.record_refusal(&name, token);
             }
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -77,7 +77,7 @@
     }
 
     fn end(&mut self, at: u64, step: &Step, end: OrderEnd) {
-        self.books.ended(ms(at), &self.name, step, end);
+        self.books.finish_order(ms(at), &self.name, step, end);
     }
 
     /// Loads an adapter that is wished for.
