--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 
 use super::OrderEnd;
+use super::ReplicaAction;
 use super::Report;
-use super::Step;
 use super::Took;
 use crate::ids::ModelName;
 use crate::ids::VmName;
@@ -246,9 +246,9 @@
         self.accepted.is_some() && self.slots.keys().all(|t| t.adapter.is_some())
     }
 
-    pub(super) fn load_model(&self, model: &ModelName) -> Option<Step> {
+    pub(super) fn load_model(&self, model: &ModelName) -> Option<ReplicaAction> {
         let expected = self.accepted?;
-        Some(Step::Load {
+        Some(ReplicaAction::Load {
             target: model.target(),
             version: None,
             expected,
@@ -292,19 +292,24 @@
     }
 
     /// The next step; `fetch` says whether the weight store has room.
-    pub(super) fn next(&mut self, now: Moment, versions: &Versions, fetch: bool) -> Option<Step> {
+    pub(super) fn next(
+        &mut self,
+        now: Moment,
+        versions: &Versions,
+        fetch: bool,
+    ) -> Option<ReplicaAction> {
         let Some(expected) = self.accepted else {
-            return (now >= self.look_from).then_some(Step::Look);
+            return (now >= self.look_from).then_some(ReplicaAction::Look);
         };
         self.wishes
             .retain(|_, (_, renewed)| now.since(*renewed) < WISH_KEPT);
         if self.lost(now) {
             self.accepted = None;
-            return Some(Step::Look);
+            return Some(ReplicaAction::Look);
         }
         let load = |target: Target| {
             let version = versions.newest(&target);
-            Step::Load {
+            ReplicaAction::Load {
                 target,
                 version,
                 expected,
@@ -313,7 +318,7 @@
         if let Some((target, loading)) = self.overdue(now) {
             return Some(match loading {
                 true => load(target),
-                false => Step::Unload { target, expected },
+                false => ReplicaAction::Unload { target, expected },
             });
         }
         // An unload that waits for its runs holds up every other order.
@@ -335,7 +340,7 @@
             return Some(load(target));
         }
         let target = self.victim(now)?;
-        Some(Step::Unload { target, expected })
+        Some(ReplicaAction::Unload { target, expected })
     }
 
     /// Whether a load was accepted so long ago that it has failed.
@@ -448,7 +453,7 @@
     pub(super) fn ended(
         &mut self,
         now: Moment,
-        step: &Step,
+        step: &ReplicaAction,
         end: OrderEnd,
         time: Span,
     ) -> Option<Took> {
@@ -483,23 +488,23 @@
         }
     }
 
-    fn is_under_way(&self, step: &Step) -> bool {
+    fn is_under_way(&self, step: &ReplicaAction) -> bool {
         let target = match step {
-            Step::Load { target, .. } | Step::Unload { target, .. } => target,
-            Step::Look => return false,
+            ReplicaAction::Load { target, .. } | ReplicaAction::Unload { target, .. } => target,
+            ReplicaAction::Look => return false,
         };
         let slot = self.slots.get(target);
         matches!(
             (slot.map(|s| s.phase), step),
-            (Some(Phase::Coming(_)), Step::Load { .. })
-                | (Some(Phase::Leaving(_)), Step::Unload { .. })
+            (Some(Phase::Coming(_)), ReplicaAction::Load { .. })
+                | (Some(Phase::Leaving(_)), ReplicaAction::Unload { .. })
         )
     }
 
-    fn accepted_order(&mut self, now: Moment, step: &Step, time: Span) {
+    fn accepted_order(&mut self, now: Moment, step: &ReplicaAction, time: Span) {
         self.changed = true;
         match step {
-            Step::Load { target, .. } => {
+            ReplicaAction::Load { target, .. } => {
                 // A model takes seconds, and is worth a question less often.
                 let (time, again) = match self.is_near(target) {
                     Some(true) => (NEAR_CHECK, CHECK_AGAIN),
@@ -517,19 +522,19 @@
                     _ => Coming::new(now, time),
                 });
             }
-            Step::Unload { target, .. } => {
+            ReplicaAction::Unload { target, .. } => {
                 if let Some(slot) = self.slots.get_mut(target) {
                     slot.phase = Phase::Leaving(now.after(UNLOAD_CHECK));
                 }
             }
-            Step::Look => {}
+            ReplicaAction::Look => {}
         }
     }
 
-    fn holds(&mut self, now: Moment, step: &Step) -> Option<Took> {
+    fn holds(&mut self, now: Moment, step: &ReplicaAction) -> Option<Took> {
         self.changed = true;
         match step {
-            Step::Load {
+            ReplicaAction::Load {
                 target, version, ..
             } => {
                 self.wishes.remove(target);
@@ -546,7 +551,7 @@
                 }
                 took
             }
-            Step::Unload { target, .. } => {
+            ReplicaAction::Unload { target, .. } => {
                 let slot = self.slots.remove(target);
                 // Dropped at once, which counts as an order; one that had to
                 // wait for its runs was counted when it was accepted.
@@ -555,7 +560,7 @@
                 }
                 None
             }
-            Step::Look => None,
+            ReplicaAction::Look => None,
         }
     }
 }
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -19,8 +19,8 @@
 use crate::serving::program::experiment::Experiment;
 
 pub use step::OrderEnd;
+pub use step::ReplicaAction;
 pub use step::Report;
-pub use step::Step;
 pub use step::Took;
 
 use self::book::Book;
@@ -149,7 +149,7 @@
         name: &ReplicaName,
         versions: &Versions,
         model: Option<&ModelName>,
-    ) -> Option<Step> {
+    ) -> Option<ReplicaAction> {
         let ceiling = self.ceiling;
         let fetch = self.under_way < self.pace.capacity();
         let book = self.books.get_mut(name)?;
@@ -157,7 +157,7 @@
             return None;
         }
         let step = book.next(now, versions, fetch);
-        if let Some(Step::Load { target, .. }) = &step
+        if let Some(ReplicaAction::Load { target, .. }) = &step
             && book.is_fetch(target)
         {
             self.under_way += 1;
@@ -221,14 +221,13 @@
         &mut self,
         now: Moment,
         name: &ReplicaName,
-        step: &Step,
+        step: &ReplicaAction,
         end: OrderEnd,
     ) -> Option<Took> {
         let time = self.pace.expected();
         let book = self.books.get_mut(name)?;
         book.busy = false;
-        let fetched =
-            matches!(step, Step::Load { target, .. } if book.is_near(target) == Some(false));
+        let fetched = matches!(step, ReplicaAction::Load { target, .. } if book.is_near(target) == Some(false));
         let took = book.ended(now, step, end, time);
         if let Some(took) = took.filter(|_| fetched) {
             self.pace.learn(took, self.under_way);
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -8,7 +8,7 @@
 
 /// What to do at a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum ReplicaAction {
     /// Read its report.
     Look,
     /// Load an adapter, or replace it by a newer version.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -12,8 +12,8 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::decisions::books::OrderEnd;
+use crate::serving::decisions::books::ReplicaAction;
 use crate::serving::decisions::books::Report;
-use crate::serving::decisions::books::Step;
 use crate::serving::decisions::books::Took;
 use crate::serving::path::codec::Order;
 use crate::serving::program::experiment::Mechanism;
@@ -82,7 +82,7 @@
 }
 
 /// What is due at each of our replicas.
-fn due_steps(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, Step)> {
+fn due_steps(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, ReplicaAction)> {
     if node.phase() == Phase::Draining {
         return Vec::new();
     }
@@ -109,9 +109,9 @@
     due
 }
 
-async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, step: Step) {
+async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, step: ReplicaAction) {
     match &step {
-        Step::Look => {
+        ReplicaAction::Look => {
             let report = fetch_report(&node, &name).await;
             let mut b = node.state();
             b.books.finish_inspection(now(), &name, report);
@@ -142,16 +142,16 @@
     node: &Node,
     name: &ReplicaName,
     token: Token,
-    step: &Step,
+    step: &ReplicaAction,
     end: OrderEnd,
     took: Option<Took>,
 ) {
     let (what, target, expected) = match step {
-        Step::Load {
+        ReplicaAction::Load {
             target, expected, ..
         } => ("load", target.to_string(), *expected),
-        Step::Unload { target, expected } => ("unload", target.to_string(), *expected),
-        Step::Look => ("look", String::new(), 0),
+        ReplicaAction::Unload { target, expected } => ("unload", target.to_string(), *expected),
+        ReplicaAction::Look => ("look", String::new(), 0),
     };
     metrics::counter!("serve_orders_total", "what" => what, "end" => end.word()).increment(1);
     if let Some(took) = took {
@@ -182,15 +182,20 @@
     }
 }
 
-async fn send_order(node: &Node, name: &ReplicaName, token: Token, step: &Step) -> OrderEnd {
+async fn send_order(
+    node: &Node,
+    name: &ReplicaName,
+    token: Token,
+    step: &ReplicaAction,
+) -> OrderEnd {
     let (load, target, version, expected) = match step {
-        Step::Load {
+        ReplicaAction::Load {
             target,
             version,
             expected,
         } => (true, target, *version, *expected),
-        Step::Unload { target, expected } => (false, target, None, *expected),
-        Step::Look => return OrderEnd::Refused,
+        ReplicaAction::Unload { target, expected } => (false, target, None, *expected),
+        ReplicaAction::Look => return OrderEnd::Refused,
     };
     let order = Order {
         load,
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -8,9 +8,9 @@
 use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::OrderEnd;
 use banyangauge::serving::Pace;
+use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Report;
-use banyangauge::serving::Step;
 use banyangauge::serving::Target;
 use banyangauge::serving::Took;
 use banyangauge::serving::Versions;
@@ -52,7 +52,7 @@
             name: listing.name,
             model: ModelName::new("base").unwrap(),
         };
-        assert_eq!(desk.next(0), Some(Step::Look));
+        assert_eq!(desk.next(0), Some(ReplicaAction::Look));
         let here = held.iter().map(|t| (target(t), 1)).collect();
         let report = Report {
             accepted,
@@ -65,7 +65,7 @@
         desk
     }
 
-    fn next(&mut self, at: u64) -> Option<Step> {
+    fn next(&mut self, at: u64) -> Option<ReplicaAction> {
         let model = Some(&self.model);
         self.books
             .next_action(ms(at), &self.name, &self.versions, model)
@@ -76,7 +76,7 @@
             .request_load(ms(at), &self.name, &target(adapter));
     }
 
-    fn end(&mut self, at: u64, step: &Step, end: OrderEnd) {
+    fn end(&mut self, at: u64, step: &ReplicaAction, end: OrderEnd) {
         self.books.finish_order(ms(at), &self.name, step, end);
     }
 
@@ -89,16 +89,16 @@
     }
 }
 
-fn load(text: &str, expected: u64) -> Option<Step> {
-    Some(Step::Load {
+fn load(text: &str, expected: u64) -> Option<ReplicaAction> {
+    Some(ReplicaAction::Load {
         target: target(text),
         version: None,
         expected,
     })
 }
 
-fn unload(text: &str, expected: u64) -> Option<Step> {
-    Some(Step::Unload {
+fn unload(text: &str, expected: u64) -> Option<ReplicaAction> {
+    Some(ReplicaAction::Unload {
         target: target(text),
         expected,
     })
@@ -209,7 +209,7 @@
     let mut desk = Desk::new(&["base"], 0);
     books.track(ms(10), &listing, 2);
     desk.books = books;
-    assert_eq!(desk.next(10), Some(Step::Look));
+    assert_eq!(desk.next(10), Some(ReplicaAction::Look));
     let report = Report {
         here: [(target("base"), 0)].into(),
         ..Report::default()
@@ -335,7 +335,7 @@
     }
     desk.wish(400, "base/a1");
     assert_eq!(desk.next(400), None);
-    assert_eq!(desk.next(700), Some(Step::Look));
+    assert_eq!(desk.next(700), Some(ReplicaAction::Look));
 }
 
 /// It was carried out after all: the count tells, and the replica is looked at.
@@ -348,7 +348,7 @@
     let step = desk.next(80).unwrap();
     desk.end(85, &step, OrderEnd::Conflict);
     assert_eq!(desk.next(90), None);
-    assert_eq!(desk.next(400), Some(Step::Look));
+    assert_eq!(desk.next(400), Some(ReplicaAction::Look));
 }
 
 /// Loads in ten seconds at a replica that leaves one in so many orders
@@ -363,7 +363,7 @@
             now += 10;
             continue;
         };
-        assert!(step != Step::Look, "at {now}");
+        assert!(step != ReplicaAction::Look, "at {now}");
         orders += 1;
         if orders % one_in == 0 {
             now += 80;
@@ -372,11 +372,11 @@
         }
         now += 4;
         let done = match (&step, ready) {
-            (Step::Load { .. }, None) => {
+            (ReplicaAction::Load { .. }, None) => {
                 ready = Some(now + 250);
                 false
             }
-            (Step::Load { .. }, Some(at)) => at <= now,
+            (ReplicaAction::Load { .. }, Some(at)) => at <= now,
             _ => true,
         };
         let end = if done {
@@ -384,7 +384,7 @@
         } else {
             OrderEnd::Accepted
         };
-        if done && matches!(step, Step::Load { .. }) {
+        if done && matches!(step, ReplicaAction::Load { .. }) {
             ready = None;
             loads += 1;
         }
@@ -425,7 +425,7 @@
     };
     assert!(desk.versions.announce(ms(0), &news));
     let step = desk.next(0).unwrap();
-    let Step::Load {
+    let ReplicaAction::Load {
         target: t, version, ..
     } = &step
     else {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -10,10 +10,10 @@
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
 use banyangauge::serving::Load;
+use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::Report;
 use banyangauge::serving::RunOutcome;
-use banyangauge::serving::Step;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
 
@@ -108,7 +108,7 @@
     books.track(at(0), &started(1, &held), 2);
     assert_eq!(
         books.next_action(at(0), &name, &versions, None),
-        Some(Step::Look)
+        Some(ReplicaAction::Look)
     );
     books.finish_inspection(at(0), &name, Some(report(1, 9, &held)));
     books.track(at(10), &started(2, &[]), 2);
@@ -116,13 +116,13 @@
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(
         books.next_action(at(10), &name, &versions, None),
-        Some(Step::Look)
+        Some(ReplicaAction::Look)
     );
     books.finish_inspection(at(10), &name, Some(report(2, 0, &["base"])));
     books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
     let next = books.next_action(at(20), &name, &versions, None);
     assert!(
-        matches!(next, Some(Step::Load { expected: 0, .. })),
+        matches!(next, Some(ReplicaAction::Load { expected: 0, .. })),
         "{next:?}"
     );
 }
@@ -150,7 +150,7 @@
     books.request_load(at(30), &name, &Target::parse("base/a2").unwrap());
     let next = books.next_action(at(30), &name, &versions, None);
     assert!(
-        matches!(next, Some(Step::Load { expected: 4, .. })),
+        matches!(next, Some(ReplicaAction::Load { expected: 4, .. })),
         "{next:?}"
     );
 }
