--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -299,13 +299,13 @@
         fetch: bool,
     ) -> Option<ReplicaAction> {
         let Some(expected) = self.accepted else {
-            return (now >= self.look_from).then_some(ReplicaAction::Look);
+            return (now >= self.look_from).then_some(ReplicaAction::Inspect);
         };
         self.wishes
             .retain(|_, (_, renewed)| now.since(*renewed) < WISH_KEPT);
         if self.lost(now) {
             self.accepted = None;
-            return Some(ReplicaAction::Look);
+            return Some(ReplicaAction::Inspect);
         }
         let load = |target: Target| {
             let version = versions.newest(&target);
@@ -491,7 +491,7 @@
     fn is_under_way(&self, step: &ReplicaAction) -> bool {
         let target = match step {
             ReplicaAction::Load { target, .. } | ReplicaAction::Unload { target, .. } => target,
-            ReplicaAction::Look => return false,
+            ReplicaAction::Inspect => return false,
         };
         let slot = self.slots.get(target);
         matches!(
@@ -527,7 +527,7 @@
                     slot.phase = Phase::Leaving(now.after(UNLOAD_CHECK));
                 }
             }
-            ReplicaAction::Look => {}
+            ReplicaAction::Inspect => {}
         }
     }
 
@@ -560,7 +560,7 @@
                 }
                 None
             }
-            ReplicaAction::Look => None,
+            ReplicaAction::Inspect => None,
         }
     }
 }
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicaAction {
     /// Read its report.
-    Look,
+    Inspect,
     /// Load an adapter, or replace it by a newer version.
     Load {
         /// Which.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -111,7 +111,7 @@
 
 async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, step: ReplicaAction) {
     match &step {
-        ReplicaAction::Look => {
+        ReplicaAction::Inspect => {
             let report = fetch_report(&node, &name).await;
             let mut b = node.state();
             b.books.finish_inspection(now(), &name, report);
@@ -151,7 +151,7 @@
             target, expected, ..
         } => ("load", target.to_string(), *expected),
         ReplicaAction::Unload { target, expected } => ("unload", target.to_string(), *expected),
-        ReplicaAction::Look => ("look", String::new(), 0),
+        ReplicaAction::Inspect => ("look", String::new(), 0),
     };
     metrics::counter!("serve_orders_total", "what" => what, "end" => end.word()).increment(1);
     if let Some(took) = took {
@@ -195,7 +195,7 @@
             expected,
         } => (true, target, *version, *expected),
         ReplicaAction::Unload { target, expected } => (false, target, None, *expected),
-        ReplicaAction::Look => return OrderEnd::Refused,
+        ReplicaAction::Inspect => return OrderEnd::Refused,
     };
     let order = Order {
         load,
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -52,7 +52,7 @@
             name: listing.name,
             model: ModelName::new("base").unwrap(),
         };
-        assert_eq!(desk.next(0), Some(ReplicaAction::Look));
+        assert_eq!(desk.next(0), Some(ReplicaAction::Inspect));
         let here = held.iter().map(|t| (target(t), 1)).collect();
         let report = Report {
             accepted,
@@ -209,7 +209,7 @@
     let mut desk = Desk::new(&["base"], 0);
     books.track(ms(10), &listing, 2);
     desk.books = books;
-    assert_eq!(desk.next(10), Some(ReplicaAction::Look));
+    assert_eq!(desk.next(10), Some(ReplicaAction::Inspect));
     let report = Report {
         here: [(target("base"), 0)].into(),
         ..Report::default()
@@ -335,7 +335,7 @@
     }
     desk.wish(400, "base/a1");
     assert_eq!(desk.next(400), None);
-    assert_eq!(desk.next(700), Some(ReplicaAction::Look));
+    assert_eq!(desk.next(700), Some(ReplicaAction::Inspect));
 }
 
 /// It was carried out after all: the count tells, and the replica is looked at.
@@ -348,7 +348,7 @@
     let step = desk.next(80).unwrap();
     desk.end(85, &step, OrderEnd::Conflict);
     assert_eq!(desk.next(90), None);
-    assert_eq!(desk.next(400), Some(ReplicaAction::Look));
+    assert_eq!(desk.next(400), Some(ReplicaAction::Inspect));
 }
 
 /// Loads in ten seconds at a replica that leaves one in so many orders
@@ -363,7 +363,7 @@
             now += 10;
             continue;
         };
-        assert!(step != ReplicaAction::Look, "at {now}");
+        assert!(step != ReplicaAction::Inspect, "at {now}");
         orders += 1;
         if orders % one_in == 0 {
             now += 80;
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -108,7 +108,7 @@
     books.track(at(0), &started(1, &held), 2);
     assert_eq!(
         books.next_action(at(0), &name, &versions, None),
-        Some(ReplicaAction::Look)
+        Some(ReplicaAction::Inspect)
     );
     books.finish_inspection(at(0), &name, Some(report(1, 9, &held)));
     books.track(at(10), &started(2, &[]), 2);
@@ -116,7 +116,7 @@
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(
         books.next_action(at(10), &name, &versions, None),
-        Some(ReplicaAction::Look)
+        Some(ReplicaAction::Inspect)
     );
     books.finish_inspection(at(10), &name, Some(report(2, 0, &["base"])));
     books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
