--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-use super::OrderEnd;
+use super::OrderOutcome;
 use super::ReplicaAction;
 use super::Report;
 use super::Took;
@@ -454,33 +454,33 @@
         &mut self,
         now: Moment,
         step: &ReplicaAction,
-        end: OrderEnd,
+        end: OrderOutcome,
         time: Span,
     ) -> Option<Took> {
-        if end != OrderEnd::Unknown {
+        if end != OrderOutcome::Unknown {
             self.unanswered = 0;
         }
         match end {
-            OrderEnd::Accepted => {
+            OrderOutcome::Accepted => {
                 // A question about an order under way is no new order.
                 let under_way = self.is_under_way(step);
                 self.accepted = self.accepted.map(|n| n + u64::from(!under_way));
                 self.accepted_order(now, step, time);
                 None
             }
-            OrderEnd::Holds => self.holds(now, step),
+            OrderOutcome::Holds => self.holds(now, step),
             // Whether it was carried out or not, or will be: the next order
             // expects the same count, so no more than one of them is.
-            OrderEnd::Unknown if self.unanswered < MOST_UNANSWERED => {
+            OrderOutcome::Unknown if self.unanswered < MOST_UNANSWERED => {
                 self.unanswered += 1;
                 None
             }
-            OrderEnd::Conflict | OrderEnd::Unknown | OrderEnd::Refused => {
+            OrderOutcome::Conflict | OrderOutcome::Unknown | OrderOutcome::Refused => {
                 self.accepted = None;
                 self.look_from = now.after(RESYNC_PAUSE);
                 None
             }
-            OrderEnd::Fenced | OrderEnd::Gone => {
+            OrderOutcome::Fenced | OrderOutcome::Gone => {
                 self.look_from = now.after(Span(RESYNC_PAUSE.0 * 4));
                 self.accepted = None;
                 None
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -18,7 +18,7 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
 
-pub use step::OrderEnd;
+pub use step::OrderOutcome;
 pub use step::ReplicaAction;
 pub use step::Report;
 pub use step::Took;
@@ -222,7 +222,7 @@
         now: Moment,
         name: &ReplicaName,
         step: &ReplicaAction,
-        end: OrderEnd,
+        end: OrderOutcome,
     ) -> Option<Took> {
         let time = self.pace.expected();
         let book = self.books.get_mut(name)?;
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -31,7 +31,7 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
     /// What it asks for holds already.
@@ -48,7 +48,7 @@
     Unknown,
 }
 
-impl OrderEnd {
+impl OrderOutcome {
     /// A word for logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -40,7 +40,7 @@
 pub use cluster::update::TopicUpdate;
 pub use decisions::access;
 pub use decisions::books::AdapterPlanner;
-pub use decisions::books::OrderEnd;
+pub use decisions::books::OrderOutcome;
 pub use decisions::books::ReplicaAction;
 pub use decisions::books::Report;
 pub use decisions::books::Took;
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -11,7 +11,7 @@
 use crate::ids::Token;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::decisions::books::OrderEnd;
+use crate::serving::decisions::books::OrderOutcome;
 use crate::serving::decisions::books::ReplicaAction;
 use crate::serving::decisions::books::Report;
 use crate::serving::decisions::books::Took;
@@ -120,7 +120,7 @@
             let end = send_order(&node, &name, token, &step).await;
             let mut b = node.state();
             let took = b.books.finish_order(now(), &name, &step, end);
-            if matches!(end, OrderEnd::Fenced) {
+            if matches!(end, OrderOutcome::Fenced) {
                 b.ownership.record_refusal(&name, token);
             }
             drop(b);
@@ -143,7 +143,7 @@
     name: &ReplicaName,
     token: Token,
     step: &ReplicaAction,
-    end: OrderEnd,
+    end: OrderOutcome,
     took: Option<Took>,
 ) {
     let (what, target, expected) = match step {
@@ -187,7 +187,7 @@
     name: &ReplicaName,
     token: Token,
     step: &ReplicaAction,
-) -> OrderEnd {
+) -> OrderOutcome {
     let (load, target, version, expected) = match step {
         ReplicaAction::Load {
             target,
@@ -195,7 +195,7 @@
             expected,
         } => (true, target, *version, *expected),
         ReplicaAction::Unload { target, expected } => (false, target, None, *expected),
-        ReplicaAction::Inspect => return OrderEnd::Refused,
+        ReplicaAction::Inspect => return OrderOutcome::Refused,
     };
     let order = Order {
         load,
@@ -207,11 +207,11 @@
         replica: name,
     };
     let Ok(request) = (node.codec.encode_order)(&order) else {
-        return OrderEnd::Refused;
+        return OrderOutcome::Refused;
     };
     // The lease is looked at right before the order goes out.
     if node.state().ownership.token(now(), name) != Some(token) {
-        return OrderEnd::Refused;
+        return OrderOutcome::Refused;
     }
     let unanswered = node.state().books.unanswered(name).min(MAX_DOUBLINGS);
     let wait = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
@@ -220,7 +220,7 @@
     };
     match call(node, name, request, wait).await {
         Some((status, _)) => (node.codec.parse_order_end)(status),
-        None => OrderEnd::Unknown,
+        None => OrderOutcome::Unknown,
     }
 }
 
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -6,7 +6,7 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::AdapterPlanner;
 use banyangauge::serving::AnnouncedVersion;
-use banyangauge::serving::OrderEnd;
+use banyangauge::serving::OrderOutcome;
 use banyangauge::serving::Pace;
 use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
@@ -76,7 +76,7 @@
             .request_load(ms(at), &self.name, &target(adapter));
     }
 
-    fn end(&mut self, at: u64, step: &ReplicaAction, end: OrderEnd) {
+    fn end(&mut self, at: u64, step: &ReplicaAction, end: OrderOutcome) {
         self.books.finish_order(ms(at), &self.name, step, end);
     }
 
@@ -84,8 +84,8 @@
     fn load(&mut self, at: u64, adapter: &str) {
         self.wish(at, adapter);
         let step = self.next(at).unwrap();
-        self.end(at, &step, OrderEnd::Accepted);
-        self.end(at + 250, &step, OrderEnd::Holds);
+        self.end(at, &step, OrderOutcome::Accepted);
+        self.end(at + 250, &step, OrderOutcome::Holds);
     }
 }
 
@@ -119,7 +119,7 @@
     desk.wish(0, "base/a2");
     let first = desk.next(0).unwrap();
     assert_eq!(desk.next(1), None);
-    desk.end(2, &first, OrderEnd::Accepted);
+    desk.end(2, &first, OrderOutcome::Accepted);
     assert_eq!(desk.next(2), load("base/a2", 4));
 }
 
@@ -162,7 +162,7 @@
     desk.wish(1_000, "base/a3");
     let step = desk.next(1_000).unwrap();
     assert_eq!(Some(step.clone()), unload("base/a1", 7));
-    desk.end(1_001, &step, OrderEnd::Holds);
+    desk.end(1_001, &step, OrderOutcome::Holds);
     assert_eq!(desk.next(1_001), load("base/a3", 8));
 }
 
@@ -171,11 +171,11 @@
     let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 7);
     desk.wish(1_000, "base/a3");
     let step = desk.next(1_000).unwrap();
-    desk.end(1_001, &step, OrderEnd::Accepted);
+    desk.end(1_001, &step, OrderOutcome::Accepted);
     desk.wish(1_400, "base/a3");
     let again = desk.next(1_400).unwrap();
     assert_eq!(Some(again.clone()), unload("base/a1", 8));
-    desk.end(1_400, &again, OrderEnd::Holds);
+    desk.end(1_400, &again, OrderOutcome::Holds);
     assert_eq!(desk.next(1_400), load("base/a3", 8));
 }
 
@@ -185,7 +185,7 @@
     let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 7);
     desk.wish(1_000, "base/a3");
     let step = desk.next(1_000).unwrap();
-    desk.end(1_001, &step, OrderEnd::Accepted);
+    desk.end(1_001, &step, OrderOutcome::Accepted);
     desk.wish(1_100, "base/a4");
     assert_eq!(desk.next(1_100), None);
 }
@@ -226,10 +226,10 @@
     let mut desk = Desk::new(&["base"], 3);
     desk.wish(0, "base/a1");
     let step = desk.next(0).unwrap();
-    desk.end(0, &step, OrderEnd::Accepted);
+    desk.end(0, &step, OrderOutcome::Accepted);
     let again = desk.next(300).unwrap();
     assert_eq!(Some(again.clone()), load("base/a1", 4));
-    desk.end(300, &again, OrderEnd::Accepted);
+    desk.end(300, &again, OrderOutcome::Accepted);
     assert_eq!(desk.next(400), load("base/a1", 4));
 }
 
@@ -254,7 +254,7 @@
     desk.wish(2_000, "base/a3");
     let step = desk.next(2_000).unwrap();
     assert_eq!(Some(step.clone()), unload("base/a1", 2));
-    desk.end(2_000, &step, OrderEnd::Holds);
+    desk.end(2_000, &step, OrderOutcome::Holds);
     desk.books.set_fetches(20, 0);
     desk.wish(2_010, "base/a1");
     assert_eq!(desk.next(2_010), load("base/a1", 3));
@@ -331,7 +331,7 @@
     for i in 0..5 {
         let step = desk.next(80 * i).unwrap();
         assert_eq!(Some(step.clone()), load("base/a1", 3));
-        desk.end(80 * i + 80, &step, OrderEnd::Unknown);
+        desk.end(80 * i + 80, &step, OrderOutcome::Unknown);
     }
     desk.wish(400, "base/a1");
     assert_eq!(desk.next(400), None);
@@ -344,9 +344,9 @@
     let mut desk = Desk::new(&["base"], 3);
     desk.wish(0, "base/a1");
     let step = desk.next(0).unwrap();
-    desk.end(80, &step, OrderEnd::Unknown);
+    desk.end(80, &step, OrderOutcome::Unknown);
     let step = desk.next(80).unwrap();
-    desk.end(85, &step, OrderEnd::Conflict);
+    desk.end(85, &step, OrderOutcome::Conflict);
     assert_eq!(desk.next(90), None);
     assert_eq!(desk.next(400), Some(ReplicaAction::Inspect));
 }
@@ -367,7 +367,7 @@
         orders += 1;
         if orders % one_in == 0 {
             now += 80;
-            desk.end(now, &step, OrderEnd::Unknown);
+            desk.end(now, &step, OrderOutcome::Unknown);
             continue;
         }
         now += 4;
@@ -380,9 +380,9 @@
             _ => true,
         };
         let end = if done {
-            OrderEnd::Holds
+            OrderOutcome::Holds
         } else {
-            OrderEnd::Accepted
+            OrderOutcome::Accepted
         };
         if done && matches!(step, ReplicaAction::Load { .. }) {
             ready = None;
@@ -408,10 +408,10 @@
     desk.wish(0, "base/a1");
     let step = desk.next(0);
     assert_eq!(step, load("base", 0));
-    desk.end(0, &step.unwrap(), OrderEnd::Accepted);
+    desk.end(0, &step.unwrap(), OrderOutcome::Accepted);
     desk.wish(100, "base/a1");
     assert_eq!(desk.next(100), None);
-    desk.end(900, &load("base", 1).unwrap(), OrderEnd::Holds);
+    desk.end(900, &load("base", 1).unwrap(), OrderOutcome::Holds);
     desk.wish(900, "base/a1");
     assert_eq!(desk.next(900), load("base/a1", 1));
 }
@@ -432,8 +432,8 @@
         panic!("{step:?}");
     };
     assert_eq!((t.to_string().as_str(), *version), ("base/a1", Some(2)));
-    desk.end(0, &step, OrderEnd::Accepted);
-    desk.end(250, &step, OrderEnd::Holds);
+    desk.end(0, &step, OrderOutcome::Accepted);
+    desk.end(250, &step, OrderOutcome::Holds);
     assert_eq!(desk.next(251), None);
     let held = desk.books.residency(&desk.name).unwrap();
     assert_eq!(held.loaded.get(&target("base/a1")), Some(&2));
