--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -468,7 +468,7 @@
                 self.accepted_order(now, step, time);
                 None
             }
-            OrderOutcome::Holds => self.holds(now, step),
+            OrderOutcome::InEffect => self.holds(now, step),
             // Whether it was carried out or not, or will be: the next order
             // expects the same count, so no more than one of them is.
             OrderOutcome::Unknown if self.unanswered < MOST_UNANSWERED => {
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -35,7 +35,7 @@
     /// It is being carried out.
     Accepted,
     /// What it asks for holds already.
-    Holds,
+    InEffect,
     /// Another order is under way, or others came in between.
     Conflict,
     /// The replica has seen a higher fencing token.
@@ -53,7 +53,7 @@
     pub fn word(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
-            Self::Holds => "holds",
+            Self::InEffect => "holds",
             Self::Conflict => "conflict",
             Self::Fenced => "fenced",
             Self::Gone => "gone",
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -85,7 +85,7 @@
         self.wish(at, adapter);
         let step = self.next(at).unwrap();
         self.end(at, &step, OrderOutcome::Accepted);
-        self.end(at + 250, &step, OrderOutcome::Holds);
+        self.end(at + 250, &step, OrderOutcome::InEffect);
     }
 }
 
@@ -162,7 +162,7 @@
     desk.wish(1_000, "base/a3");
     let step = desk.next(1_000).unwrap();
     assert_eq!(Some(step.clone()), unload("base/a1", 7));
-    desk.end(1_001, &step, OrderOutcome::Holds);
+    desk.end(1_001, &step, OrderOutcome::InEffect);
     assert_eq!(desk.next(1_001), load("base/a3", 8));
 }
 
@@ -175,7 +175,7 @@
     desk.wish(1_400, "base/a3");
     let again = desk.next(1_400).unwrap();
     assert_eq!(Some(again.clone()), unload("base/a1", 8));
-    desk.end(1_400, &again, OrderOutcome::Holds);
+    desk.end(1_400, &again, OrderOutcome::InEffect);
     assert_eq!(desk.next(1_400), load("base/a3", 8));
 }
 
@@ -254,7 +254,7 @@
     desk.wish(2_000, "base/a3");
     let step = desk.next(2_000).unwrap();
     assert_eq!(Some(step.clone()), unload("base/a1", 2));
-    desk.end(2_000, &step, OrderOutcome::Holds);
+    desk.end(2_000, &step, OrderOutcome::InEffect);
     desk.books.set_fetches(20, 0);
     desk.wish(2_010, "base/a1");
     assert_eq!(desk.next(2_010), load("base/a1", 3));
@@ -380,7 +380,7 @@
             _ => true,
         };
         let end = if done {
-            OrderOutcome::Holds
+            OrderOutcome::InEffect
         } else {
             OrderOutcome::Accepted
         };
@@ -411,7 +411,7 @@
     desk.end(0, &step.unwrap(), OrderOutcome::Accepted);
     desk.wish(100, "base/a1");
     assert_eq!(desk.next(100), None);
-    desk.end(900, &load("base", 1).unwrap(), OrderOutcome::Holds);
+    desk.end(900, &load("base", 1).unwrap(), OrderOutcome::InEffect);
     desk.wish(900, "base/a1");
     assert_eq!(desk.next(900), load("base/a1", 1));
 }
@@ -433,7 +433,7 @@
     };
     assert_eq!((t.to_string().as_str(), *version), ("base/a1", Some(2)));
     desk.end(0, &step, OrderOutcome::Accepted);
-    desk.end(250, &step, OrderOutcome::Holds);
+    desk.end(250, &step, OrderOutcome::InEffect);
     assert_eq!(desk.next(251), None);
     let held = desk.books.residency(&desk.name).unwrap();
     assert_eq!(held.loaded.get(&target("base/a1")), Some(&2));
