--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -50,7 +50,7 @@
 
 impl OrderOutcome {
     /// A word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
             Self::InEffect => "holds",
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -153,12 +153,12 @@
         ReplicaAction::Unload { target, expected } => ("unload", target.to_string(), *expected),
         ReplicaAction::Inspect => ("look", String::new(), 0),
     };
-    metrics::counter!("serve_orders_total", "what" => what, "end" => end.word()).increment(1);
+    metrics::counter!("serve_orders_total", "what" => what, "end" => end.as_str()).increment(1);
     if let Some(took) = took {
         metrics::histogram!("serve_load_seconds").record(took.most.0 as f64 / 1e6);
     }
     slog::info!(node.log, "order"; "what" => what, "replica" => name.as_str(),
-        "target" => target, "expected" => expected, "token" => token.0, "end" => end.word(),
+        "target" => target, "expected" => expected, "token" => token.0, "end" => end.as_str(),
         "took_ms" => took.map(|t| t.most.as_millis()));
 }
 
