--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -5,7 +5,7 @@
 
 use super::OrderOutcome;
 use super::ReplicaAction;
-use super::Report;
+use super::ReplicaReport;
 use super::Took;
 use crate::ids::ModelName;
 use crate::ids::VmName;
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(super) fn looked(&mut self, now: Moment, report: Option<Report>) {
+    pub(super) fn looked(&mut self, now: Moment, report: Option<ReplicaReport>) {
         let Some(report) = report else {
             self.look_from = now.after(RESYNC_PAUSE);
             return;
@@ -426,7 +426,7 @@
         slots.chain(wished).min()
     }
 
-    fn take_report(&mut self, now: Moment, report: &Report) {
+    fn take_report(&mut self, now: Moment, report: &ReplicaReport) {
         let slots = &mut self.slots;
         slots.retain(|t, s| {
             let told = report.here.contains_key(t) || report.coming.contains(t);
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -20,7 +20,7 @@
 
 pub use step::OrderOutcome;
 pub use step::ReplicaAction;
-pub use step::Report;
+pub use step::ReplicaReport;
 pub use step::Took;
 
 use self::book::Book;
@@ -208,7 +208,12 @@
     }
 
     /// A report was read, or could not be.
-    pub fn finish_inspection(&mut self, now: Moment, name: &ReplicaName, report: Option<Report>) {
+    pub fn finish_inspection(
+        &mut self,
+        now: Moment,
+        name: &ReplicaName,
+        report: Option<ReplicaReport>,
+    ) {
         let Some(book) = self.books.get_mut(name) else {
             return;
         };
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -65,7 +65,7 @@
 
 /// A replica's report of itself; it lags some hundred ms.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Report {
+pub struct ReplicaReport {
     /// When the replica started, in Unix milliseconds; 0 where it does not say.
     pub born: u64,
     /// Orders that it has accepted.
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -42,7 +42,7 @@
 pub use decisions::books::AdapterPlanner;
 pub use decisions::books::OrderOutcome;
 pub use decisions::books::ReplicaAction;
-pub use decisions::books::Report;
+pub use decisions::books::ReplicaReport;
 pub use decisions::books::Took;
 pub use decisions::budget::Budget;
 pub use decisions::budget::BudgetLimits;
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -12,7 +12,7 @@
 use crate::ids::Token;
 use crate::ids::VmName;
 use crate::serving::decisions::books::OrderOutcome;
-use crate::serving::decisions::books::Report;
+use crate::serving::decisions::books::ReplicaReport;
 use crate::serving::path::types::AnnouncedVersion;
 use crate::serving::path::types::Config;
 use crate::serving::path::types::ReplicaInfo;
@@ -135,5 +135,5 @@
     /// Encodes a request for a replica's status report.
     pub encode_report_request: fn() -> Result<Request<Parts>, BadRecord>,
     /// Parses a replica's status report.
-    pub parse_report: fn(&[u8]) -> Result<Report, BadRecord>,
+    pub parse_report: fn(&[u8]) -> Result<ReplicaReport, BadRecord>,
 }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -13,7 +13,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::books::OrderOutcome;
 use crate::serving::decisions::books::ReplicaAction;
-use crate::serving::decisions::books::Report;
+use crate::serving::decisions::books::ReplicaReport;
 use crate::serving::decisions::books::Took;
 use crate::serving::path::codec::Order;
 use crate::serving::program::experiment::Mechanism;
@@ -162,7 +162,7 @@
         "took_ms" => took.map(|t| t.most.as_millis()));
 }
 
-async fn fetch_report(node: &Node, name: &ReplicaName) -> Option<Report> {
+async fn fetch_report(node: &Node, name: &ReplicaName) -> Option<ReplicaReport> {
     let request = (node.codec.encode_report_request)().ok()?;
     let (status, body) = call(node, name, request, MAX_ANSWER_TIMEOUT).await?;
     if !status.is_success() {
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -10,7 +10,7 @@
 use banyangauge::serving::Pace;
 use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
-use banyangauge::serving::Report;
+use banyangauge::serving::ReplicaReport;
 use banyangauge::serving::Target;
 use banyangauge::serving::Took;
 use banyangauge::serving::Versions;
@@ -54,11 +54,11 @@
         };
         assert_eq!(desk.next(0), Some(ReplicaAction::Inspect));
         let here = held.iter().map(|t| (target(t), 1)).collect();
-        let report = Report {
+        let report = ReplicaReport {
             accepted,
             here,
             weights_near: true,
-            ..Report::default()
+            ..ReplicaReport::default()
         };
         desk.books
             .finish_inspection(ms(0), &desk.name, Some(report));
@@ -210,9 +210,9 @@
     books.track(ms(10), &listing, 2);
     desk.books = books;
     assert_eq!(desk.next(10), Some(ReplicaAction::Inspect));
-    let report = Report {
+    let report = ReplicaReport {
         here: [(target("base"), 0)].into(),
-        ..Report::default()
+        ..ReplicaReport::default()
     };
     desk.books
         .finish_inspection(ms(11), &desk.name, Some(report));
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -12,7 +12,7 @@
 use banyangauge::serving::Load;
 use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
-use banyangauge::serving::Report;
+use banyangauge::serving::ReplicaReport;
 use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
@@ -87,9 +87,9 @@
     assert!(!fleet.is_current(&instance(1)));
 }
 
-fn report(born: u64, accepted: u64, held: &[&str]) -> Report {
+fn report(born: u64, accepted: u64, held: &[&str]) -> ReplicaReport {
     let here = held.iter().map(|t| (Target::parse(t).unwrap(), 1));
-    Report {
+    ReplicaReport {
         born,
         accepted,
         here: here.collect(),
