--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -429,12 +429,12 @@
     fn take_report(&mut self, now: Moment, report: &ReplicaReport) {
         let slots = &mut self.slots;
         slots.retain(|t, s| {
-            let told = report.here.contains_key(t) || report.coming.contains(t);
+            let told = report.loaded.contains_key(t) || report.coming.contains(t);
             // What was ordered just now is not in the report yet.
             let new = matches!(s.phase, Phase::Coming(c) if now.since(c.since) < RESYNC_PAUSE);
             told || new
         });
-        for (t, version) in &report.here {
+        for (t, version) in &report.loaded {
             let slot = slots.entry(t.clone()).or_insert(Slot::here(*version));
             if slot.phase == Phase::Here {
                 slot.version = *version;
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -71,7 +71,7 @@
     /// Orders that it has accepted.
     pub accepted: u64,
     /// Adapters that it holds.
-    pub here: BTreeMap<Target, u32>,
+    pub loaded: BTreeMap<Target, u32>,
     /// Adapters on their way to it.
     pub coming: BTreeSet<Target>,
     /// Whether it has weights in its own memory or on its disk.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -171,7 +171,7 @@
     match (node.codec.parse_report)(&body) {
         Ok(report) => {
             slog::info!(node.log, "report"; "replica" => name.as_str(),
-                "accepted" => report.accepted, "here" => report.here.len(),
+                "accepted" => report.accepted, "here" => report.loaded.len(),
                 "coming" => report.coming.len());
             Some(report)
         }
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -56,7 +56,7 @@
         let here = held.iter().map(|t| (target(t), 1)).collect();
         let report = ReplicaReport {
             accepted,
-            here,
+            loaded: here,
             weights_near: true,
             ..ReplicaReport::default()
         };
@@ -211,7 +211,7 @@
     desk.books = books;
     assert_eq!(desk.next(10), Some(ReplicaAction::Inspect));
     let report = ReplicaReport {
-        here: [(target("base"), 0)].into(),
+        loaded: [(target("base"), 0)].into(),
         ..ReplicaReport::default()
     };
     desk.books
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -92,7 +92,7 @@
     ReplicaReport {
         born,
         accepted,
-        here: here.collect(),
+        loaded: here.collect(),
         coming: BTreeSet::new(),
         weights_near: true,
     }
