--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -429,7 +429,7 @@
     fn take_report(&mut self, now: Moment, report: &ReplicaReport) {
         let slots = &mut self.slots;
         slots.retain(|t, s| {
-            let told = report.loaded.contains_key(t) || report.coming.contains(t);
+            let told = report.loaded.contains_key(t) || report.loading.contains(t);
             // What was ordered just now is not in the report yet.
             let new = matches!(s.phase, Phase::Coming(c) if now.since(c.since) < RESYNC_PAUSE);
             told || new
@@ -440,7 +440,7 @@
                 slot.version = *version;
             }
         }
-        for t in &report.coming {
+        for t in &report.loading {
             let slot = slots.entry(t.clone()).or_insert(Slot::here(0));
             if slot.phase == Phase::Here {
                 slot.phase = Phase::Coming(Coming::new(now, CHECK_AGAIN));
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -73,7 +73,7 @@
     /// Adapters that it holds.
     pub loaded: BTreeMap<Target, u32>,
     /// Adapters on their way to it.
-    pub coming: BTreeSet<Target>,
+    pub loading: BTreeSet<Target>,
     /// Whether it has weights in its own memory or on its disk.
     pub weights_near: bool,
 }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -172,7 +172,7 @@
         Ok(report) => {
             slog::info!(node.log, "report"; "replica" => name.as_str(),
                 "accepted" => report.accepted, "here" => report.loaded.len(),
-                "coming" => report.coming.len());
+                "coming" => report.loading.len());
             Some(report)
         }
         Err(e) => {
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -93,7 +93,7 @@
         born,
         accepted,
         loaded: here.collect(),
-        coming: BTreeSet::new(),
+        loading: BTreeSet::new(),
         weights_near: true,
     }
 }
