--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -446,7 +446,7 @@
                 slot.phase = Phase::Coming(Coming::new(now, CHECK_AGAIN));
             }
         }
-        self.weights_near = report.weights_near;
+        self.weights_near = report.weights_cached;
         self.changed = true;
     }
 
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -75,7 +75,7 @@
     /// Adapters on their way to it.
     pub loading: BTreeSet<Target>,
     /// Whether it has weights in its own memory or on its disk.
-    pub weights_near: bool,
+    pub weights_cached: bool,
 }
 
 /// How long a load took: its end is seen when it is asked about.
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -57,7 +57,7 @@
         let report = ReplicaReport {
             accepted,
             loaded: here,
-            weights_near: true,
+            weights_cached: true,
             ..ReplicaReport::default()
         };
         desk.books
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -94,7 +94,7 @@
         accepted,
         loaded: here.collect(),
         loading: BTreeSet::new(),
-        weights_near: true,
+        weights_cached: true,
     }
 }
 
