--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
+use super::LoadDuration;
 use super::OrderOutcome;
 use super::ReplicaAction;
 use super::ReplicaReport;
-use super::Took;
 use crate::ids::ModelName;
 use crate::ids::VmName;
 use crate::pool::Demand;
@@ -98,8 +98,8 @@
     }
 
     /// It is there now.
-    fn took(&self, now: Moment) -> Took {
-        Took {
+    fn took(&self, now: Moment) -> LoadDuration {
+        LoadDuration {
             least: self.missed.since(self.since),
             most: now.since(self.since),
         }
@@ -456,7 +456,7 @@
         step: &ReplicaAction,
         end: OrderOutcome,
         time: Span,
-    ) -> Option<Took> {
+    ) -> Option<LoadDuration> {
         if end != OrderOutcome::Unknown {
             self.unanswered = 0;
         }
@@ -531,7 +531,7 @@
         }
     }
 
-    fn holds(&mut self, now: Moment, step: &ReplicaAction) -> Option<Took> {
+    fn holds(&mut self, now: Moment, step: &ReplicaAction) -> Option<LoadDuration> {
         self.changed = true;
         match step {
             ReplicaAction::Load {
--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -18,10 +18,10 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
 
+pub use step::LoadDuration;
 pub use step::OrderOutcome;
 pub use step::ReplicaAction;
 pub use step::ReplicaReport;
-pub use step::Took;
 
 use self::book::Book;
 
@@ -228,7 +228,7 @@
         name: &ReplicaName,
         step: &ReplicaAction,
         end: OrderOutcome,
-    ) -> Option<Took> {
+    ) -> Option<LoadDuration> {
         let time = self.pace.expected();
         let book = self.books.get_mut(name)?;
         book.busy = false;
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -80,7 +80,7 @@
 
 /// How long a load took: its end is seen when it is asked about.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Took {
+pub struct LoadDuration {
     /// After so long it was not there yet.
     pub least: Span,
     /// After so long it was.
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -1,7 +1,7 @@
 //! How many adapters are fetched from the weight store at a time.
 
 use crate::pool::Span;
-use crate::serving::decisions::books::Took;
+use crate::serving::decisions::books::LoadDuration;
 use crate::serving::program::experiment::Experiment;
 use crate::serving::program::experiment::Mechanism;
 
@@ -87,7 +87,7 @@
     /// A fetch took so long while `under_way` were on their way with it. One
     /// whose end was seen late, as the replica left orders unanswered, may have
     /// been slow or not, and tells nothing.
-    pub fn learn(&mut self, took: Took, under_way: usize) {
+    pub fn learn(&mut self, took: LoadDuration, under_way: usize) {
         if !self.learns {
             return;
         }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -11,10 +11,10 @@
 use crate::ids::Token;
 use crate::pool::Moment;
 use crate::pool::Span;
+use crate::serving::decisions::books::LoadDuration;
 use crate::serving::decisions::books::OrderOutcome;
 use crate::serving::decisions::books::ReplicaAction;
 use crate::serving::decisions::books::ReplicaReport;
-use crate::serving::decisions::books::Took;
 use crate::serving::path::codec::Order;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
@@ -144,7 +144,7 @@
     token: Token,
     step: &ReplicaAction,
     end: OrderOutcome,
-    took: Option<Took>,
+    took: Option<LoadDuration>,
 ) {
     let (what, target, expected) = match step {
         ReplicaAction::Load {
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -6,13 +6,13 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::AdapterPlanner;
 use banyangauge::serving::AnnouncedVersion;
+use banyangauge::serving::LoadDuration;
 use banyangauge::serving::OrderOutcome;
 use banyangauge::serving::Pace;
 use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::ReplicaReport;
 use banyangauge::serving::Target;
-use banyangauge::serving::Took;
 use banyangauge::serving::Versions;
 use rstest::rstest;
 
@@ -26,8 +26,8 @@
     Target::parse(text).unwrap()
 }
 
-fn took(ms: u64) -> Took {
-    Took {
+fn took(ms: u64) -> LoadDuration {
+    LoadDuration {
         least: Span::from_millis(ms),
         most: Span::from_millis(ms),
     }
@@ -303,7 +303,7 @@
     }
     let capacity = pace.capacity();
     for _ in 0..20 {
-        let late = Took {
+        let late = LoadDuration {
             least: Span::from_millis(240),
             most: Span::from_millis(1_200),
         };
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -2,9 +2,9 @@
 
 use banyangauge::pool::Span;
 use banyangauge::serving::Experiment;
+use banyangauge::serving::LoadDuration;
 use banyangauge::serving::Mechanism;
 use banyangauge::serving::Pace;
-use banyangauge::serving::Took;
 use rstest::rstest;
 
 /// Nothing is off unless it is named, and only that.
@@ -49,7 +49,7 @@
     pace.set_experiment(&Experiment {
         off: off.iter().copied().collect(),
     });
-    let took = |ms| Took {
+    let took = |ms| LoadDuration {
         least: Span::from_millis(ms),
         most: Span::from_millis(ms),
     };
