--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -100,7 +100,7 @@
     /// It is there now.
     fn took(&self, now: Moment) -> LoadDuration {
         LoadDuration {
-            least: self.missed.since(self.since),
+            min: self.missed.since(self.since),
             most: now.since(self.since),
         }
     }
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadDuration {
     /// After so long it was not there yet.
-    pub least: Span,
+    pub min: Span,
     /// After so long it was.
     pub most: Span,
 }
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -28,7 +28,7 @@
 
 fn took(ms: u64) -> LoadDuration {
     LoadDuration {
-        least: Span::from_millis(ms),
+        min: Span::from_millis(ms),
         most: Span::from_millis(ms),
     }
 }
@@ -304,7 +304,7 @@
     let capacity = pace.capacity();
     for _ in 0..20 {
         let late = LoadDuration {
-            least: Span::from_millis(240),
+            min: Span::from_millis(240),
             most: Span::from_millis(1_200),
         };
         pace.learn(late, 12);
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -50,7 +50,7 @@
         off: off.iter().copied().collect(),
     });
     let took = |ms| LoadDuration {
-        least: Span::from_millis(ms),
+        min: Span::from_millis(ms),
         most: Span::from_millis(ms),
     };
     // A store that serves one at a time: eight share its speed.
