--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -101,7 +101,7 @@
     fn took(&self, now: Moment) -> LoadDuration {
         LoadDuration {
             min: self.missed.since(self.since),
-            most: now.since(self.since),
+            max: now.since(self.since),
         }
     }
 }
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -84,5 +84,5 @@
     /// After so long it was not there yet.
     pub min: Span,
     /// After so long it was.
-    pub most: Span,
+    pub max: Span,
 }
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -91,7 +91,7 @@
         if !self.learns {
             return;
         }
-        let (least, most) = (took.min.0 as f64, (took.most.0 as f64).max(1.0));
+        let (least, most) = (took.min.0 as f64, (took.max.0 as f64).max(1.0));
         self.alone = (self.alone * CREEP).min(most);
         let slowed = self.alone * SLOWED;
         let n = under_way.max(1) as f64;
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -155,11 +155,11 @@
     };
     metrics::counter!("serve_orders_total", "what" => what, "end" => end.as_str()).increment(1);
     if let Some(took) = took {
-        metrics::histogram!("serve_load_seconds").record(took.most.0 as f64 / 1e6);
+        metrics::histogram!("serve_load_seconds").record(took.max.0 as f64 / 1e6);
     }
     slog::info!(node.log, "order"; "what" => what, "replica" => name.as_str(),
         "target" => target, "expected" => expected, "token" => token.0, "end" => end.as_str(),
-        "took_ms" => took.map(|t| t.most.as_millis()));
+        "took_ms" => took.map(|t| t.max.as_millis()));
 }
 
 async fn fetch_report(node: &Node, name: &ReplicaName) -> Option<ReplicaReport> {
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -29,7 +29,7 @@
 fn took(ms: u64) -> LoadDuration {
     LoadDuration {
         min: Span::from_millis(ms),
-        most: Span::from_millis(ms),
+        max: Span::from_millis(ms),
     }
 }
 
@@ -305,7 +305,7 @@
     for _ in 0..20 {
         let late = LoadDuration {
             min: Span::from_millis(240),
-            most: Span::from_millis(1_200),
+            max: Span::from_millis(1_200),
         };
         pace.learn(late, 12);
     }
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -51,7 +51,7 @@
     });
     let took = |ms| LoadDuration {
         min: Span::from_millis(ms),
-        most: Span::from_millis(ms),
+        max: Span::from_millis(ms),
     };
     // A store that serves one at a time: eight share its speed.
     pace.learn(took(2_000), 8);
