--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -13,7 +13,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::fleet::Residency;
 use crate::serving::decisions::fleet::Versions;
-use crate::serving::decisions::pace::Pace;
+use crate::serving::decisions::pace::FetchLimiter;
 use crate::serving::path::types::ReplicaInfo;
 use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct AdapterPlanner {
     books: BTreeMap<ReplicaName, Book>,
-    pace: Pace,
+    pace: FetchLimiter,
     ceiling: Ceiling,
     /// Fetches under way at all replicas, as far as known.
     under_way: usize,
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -45,7 +45,7 @@
 /// thought smaller than it is costs more: with 140 engines that start empty and
 /// eight fetches at a time, 30 loads a second came where 60 were asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct FetchLimiter {
     alone: f64,
     capacity: f64,
     learned: bool,
@@ -56,7 +56,7 @@
     holds: bool,
 }
 
-impl Default for Pace {
+impl Default for FetchLimiter {
     fn default() -> Self {
         Self {
             alone: FETCH_GUESS,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Pace {
+impl FetchLimiter {
     /// Sets what is switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
         self.learns = experiment.is_enabled(Mechanism::FetchWidth);
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -48,7 +48,7 @@
 pub use decisions::budget::BudgetLimits;
 pub use decisions::decide;
 pub use decisions::fleet::*;
-pub use decisions::pace::Pace;
+pub use decisions::pace::FetchLimiter;
 pub use decisions::quota;
 pub use decisions::reserved::Reserved;
 pub use decisions::strain::Strain;
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -6,9 +6,9 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::AdapterPlanner;
 use banyangauge::serving::AnnouncedVersion;
+use banyangauge::serving::FetchLimiter;
 use banyangauge::serving::LoadDuration;
 use banyangauge::serving::OrderOutcome;
-use banyangauge::serving::Pace;
 use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
 use banyangauge::serving::ReplicaReport;
@@ -262,7 +262,7 @@
 
 #[test]
 fn pace_learns_what_the_store_serves() {
-    let mut pace = Pace::default();
+    let mut pace = FetchLimiter::default();
     for _ in 0..60 {
         // Twenty at a time, of which five are served at full speed.
         pace.learn(took(1_000), 20);
@@ -282,7 +282,7 @@
 #[case::wide(24.0, 22)]
 #[case::narrow(8.0, 6)]
 fn pace_finds_the_width_at_the_start(#[case] width: f64, #[case] least: usize) {
-    let mut pace = Pace::default();
+    let mut pace = FetchLimiter::default();
     let mut most = 0;
     for _ in 0..24 {
         let n = pace.capacity();
@@ -297,7 +297,7 @@
 /// A load whose end was seen late may have been fast: it tells nothing.
 #[test]
 fn pace_learns_nothing_from_what_was_seen_late() {
-    let mut pace = Pace::default();
+    let mut pace = FetchLimiter::default();
     for _ in 0..20 {
         pace.learn(took(250), 12);
     }
@@ -474,7 +474,7 @@
 /// What fetches have shown goes before what the fleet's size lets expect.
 #[test]
 fn pace_that_has_learned_expects_nothing() {
-    let mut pace = Pace::default();
+    let mut pace = FetchLimiter::default();
     pace.expect(140);
     pace.learn(took(250), 4);
     for _ in 0..40 {
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -2,9 +2,9 @@
 
 use banyangauge::pool::Span;
 use banyangauge::serving::Experiment;
+use banyangauge::serving::FetchLimiter;
 use banyangauge::serving::LoadDuration;
 use banyangauge::serving::Mechanism;
-use banyangauge::serving::Pace;
 use rstest::rstest;
 
 /// Nothing is off unless it is named, and only that.
@@ -45,7 +45,7 @@
 #[case::no_pace(&[Mechanism::FetchPace], usize::MAX)]
 #[case::no_width(&[Mechanism::FetchWidth], 8)]
 fn pace_without(#[case] off: &[Mechanism], #[case] capacity: usize) {
-    let mut pace = Pace::default();
+    let mut pace = FetchLimiter::default();
     pace.set_experiment(&Experiment {
         off: off.iter().copied().collect(),
     });
