--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -180,7 +180,7 @@
     /// engines the weight store serves.
     pub fn set_fetches(&mut self, under_way: usize, engines: usize) {
         self.under_way = under_way;
-        self.pace.expect(engines);
+        self.pace.set_engine_count(engines);
     }
 
     /// Sets how often this VM may have weights loaded from the weight store.
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -78,7 +78,7 @@
 
     /// Expects a weight store that fits so many engines, until a fetch has
     /// shown what it serves.
-    pub fn expect(&mut self, engines: usize) {
+    pub fn set_engine_count(&mut self, engines: usize) {
         if !self.learned {
             self.capacity = FIRST_CAPACITY.max(engines as f64 * CAPACITY_AN_ENGINE);
         }
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -475,11 +475,11 @@
 #[test]
 fn pace_that_has_learned_expects_nothing() {
     let mut pace = FetchLimiter::default();
-    pace.expect(140);
+    pace.set_engine_count(140);
     pace.learn(took(250), 4);
     for _ in 0..40 {
         pace.learn(took(2_500), 80);
     }
-    pace.expect(140);
+    pace.set_engine_count(140);
     assert!(pace.capacity() < 20, "{}", pace.capacity());
 }
