--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -235,7 +235,7 @@
         let fetched = matches!(step, ReplicaAction::Load { target, .. } if book.is_near(target) == Some(false));
         let took = book.ended(now, step, end, time);
         if let Some(took) = took.filter(|_| fetched) {
-            self.pace.learn(took, self.under_way);
+            self.pace.observe(took, self.under_way);
         }
         took
     }
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -87,7 +87,7 @@
     /// A fetch took so long while `under_way` were on their way with it. One
     /// whose end was seen late, as the replica left orders unanswered, may have
     /// been slow or not, and tells nothing.
-    pub fn learn(&mut self, took: LoadDuration, under_way: usize) {
+    pub fn observe(&mut self, took: LoadDuration, under_way: usize) {
         if !self.learns {
             return;
         }
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -265,12 +265,12 @@
     let mut pace = FetchLimiter::default();
     for _ in 0..60 {
         // Twenty at a time, of which five are served at full speed.
-        pace.learn(took(1_000), 20);
-        pace.learn(took(250), 3);
+        pace.observe(took(1_000), 20);
+        pace.observe(took(250), 3);
     }
     assert!((4..=8).contains(&pace.capacity()), "{}", pace.capacity());
     for n in 1..60 {
-        pace.learn(took(250), n);
+        pace.observe(took(250), n);
     }
     assert!(pace.capacity() > 20, "{}", pace.capacity());
 }
@@ -288,7 +288,7 @@
         let n = pace.capacity();
         most = most.max(n);
         let slowed = (n as f64 / width).max(1.0);
-        pace.learn(took((250.0 * slowed) as u64), n);
+        pace.observe(took((250.0 * slowed) as u64), n);
     }
     assert!(pace.capacity() >= least, "{}", pace.capacity());
     assert!(most as f64 <= width * 1.5, "{most}");
@@ -299,7 +299,7 @@
 fn pace_learns_nothing_from_what_was_seen_late() {
     let mut pace = FetchLimiter::default();
     for _ in 0..20 {
-        pace.learn(took(250), 12);
+        pace.observe(took(250), 12);
     }
     let capacity = pace.capacity();
     for _ in 0..20 {
@@ -307,7 +307,7 @@
             min: Span::from_millis(240),
             max: Span::from_millis(1_200),
         };
-        pace.learn(late, 12);
+        pace.observe(late, 12);
     }
     assert_eq!(pace.capacity(), capacity);
 }
@@ -476,9 +476,9 @@
 fn pace_that_has_learned_expects_nothing() {
     let mut pace = FetchLimiter::default();
     pace.set_engine_count(140);
-    pace.learn(took(250), 4);
+    pace.observe(took(250), 4);
     for _ in 0..40 {
-        pace.learn(took(2_500), 80);
+        pace.observe(took(2_500), 80);
     }
     pace.set_engine_count(140);
     assert!(pace.capacity() < 20, "{}", pace.capacity());
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -54,6 +54,6 @@
         max: Span::from_millis(ms),
     };
     // A store that serves one at a time: eight share its speed.
-    pace.learn(took(2_000), 8);
+    pace.observe(took(2_000), 8);
     assert_eq!(pace.capacity(), capacity);
 }
