--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -229,7 +229,7 @@
         step: &ReplicaAction,
         end: OrderOutcome,
     ) -> Option<LoadDuration> {
-        let time = self.pace.expected();
+        let time = self.pace.first_check_delay();
         let book = self.books.get_mut(name)?;
         book.busy = false;
         let fetched = matches!(step, ReplicaAction::Load { target, .. } if book.is_near(target) == Some(false));
--- a/lib/src/serving/decisions/pace.rs
+++ b/lib/src/serving/decisions/pace.rs
@@ -130,7 +130,7 @@
     }
 
     /// When a fetch is first asked about.
-    pub fn expected(&self) -> Span {
+    pub fn first_check_delay(&self) -> Span {
         Span((self.alone * EARLY) as u64)
     }
 }
