--- a/lib/src/serving/decisions/budget.rs
+++ b/lib/src/serving/decisions/budget.rs
@@ -14,7 +14,7 @@
 
 /// The limits of the retry budget that all VMs share.
 #[derive(Clone, Copy, Debug)]
-pub struct BudgetLimits {
+pub struct RetryLimits {
     /// Repeats for each first send.
     pub ratio: f64,
     /// The window, in microseconds.
@@ -38,13 +38,13 @@
 /// others to keep the sum of all within the limit.
 #[derive(Debug)]
 pub struct Budget {
-    limits: BudgetLimits,
+    limits: RetryLimits,
     slices: BTreeMap<ServiceName, [Slice; SLICES]>,
 }
 
 impl Budget {
     /// An unspent budget.
-    pub fn new(limits: BudgetLimits) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
             slices: BTreeMap::new(),
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -45,7 +45,7 @@
 pub use decisions::books::ReplicaAction;
 pub use decisions::books::ReplicaReport;
 pub use decisions::budget::Budget;
-pub use decisions::budget::BudgetLimits;
+pub use decisions::budget::RetryLimits;
 pub use decisions::decide;
 pub use decisions::fleet::*;
 pub use decisions::pace::FetchLimiter;
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::ids::VmName;
 use crate::ids::ZoneName;
-use crate::serving::decisions::budget::BudgetLimits;
+use crate::serving::decisions::budget::RetryLimits;
 use crate::serving::decisions::quota::Allowance;
 use crate::serving::program::experiment::Experiment;
 
@@ -44,7 +44,7 @@
     /// Usage that is tolerated above the organisations' limits.
     pub allowance: Allowance,
     /// Retry budget: how many requests may be sent again.
-    pub budget: BudgetLimits,
+    pub budget: RetryLimits,
     /// Mechanisms that are switched off for measurements; none in production.
     #[builder(default)]
     pub experiment: Experiment,
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -5,15 +5,15 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Budget;
-use banyangauge::serving::BudgetLimits;
 use banyangauge::serving::Instance;
+use banyangauge::serving::RetryLimits;
 use banyangauge::serving::Strikes;
 use banyangauge::serving::decide::Ended;
 use banyangauge::serving::decide::Refusal;
 use banyangauge::serving::decide::Tries;
 use rstest::rstest;
 
-const LIMITS: BudgetLimits = BudgetLimits {
+const LIMITS: RetryLimits = RetryLimits {
     ratio: 0.2,
     window_us: 10_000_000,
     slack: 60.0,
