--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -24,7 +24,7 @@
 use crate::serving::decisions::access::Freshness;
 use crate::serving::decisions::access::Keys;
 use crate::serving::decisions::books::AdapterPlanner;
-use crate::serving::decisions::budget::Budget;
+use crate::serving::decisions::budget::RetryBudget;
 use crate::serving::decisions::fleet::Fleet;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::quota::Borrower;
@@ -82,7 +82,7 @@
 pub(in crate::serving) struct NodeState {
     pub(in crate::serving) active: Option<Rc<ActiveConfig>>,
     pub(in crate::serving) fleet: Fleet,
-    pub(in crate::serving) budget: Budget,
+    pub(in crate::serving) budget: RetryBudget,
     pub(in crate::serving) members: Members,
     pub(in crate::serving) ownership: Ownership,
     pub(in crate::serving) books: AdapterPlanner,
@@ -126,7 +126,7 @@
         let mut state = Self {
             active: None,
             fleet: Fleet::new(settings.zone.clone()),
-            budget: Budget::new(settings.budget),
+            budget: RetryBudget::new(settings.budget),
             members: Members::new(settings.vm.clone(), now),
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
             books: AdapterPlanner::default(),
--- a/lib/src/serving/decisions/budget.rs
+++ b/lib/src/serving/decisions/budget.rs
@@ -37,12 +37,12 @@
 /// it the repeats would multiply the overload. A VM needs no word with the
 /// others to keep the sum of all within the limit.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     limits: RetryLimits,
     slices: BTreeMap<ServiceName, [Slice; SLICES]>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// An unspent budget.
     pub fn new(limits: RetryLimits) -> Self {
         Self {
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -3,7 +3,7 @@
 //! | folder | contents |
 //! |---|---|
 //! | `path` | the path of a request, starting at `path/serve.rs` |
-//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`Budget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
+//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`RetryBudget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
 //! | `cluster` | what the VM knows: [`Feed`] (of the stored objects), [`Members`] (of the VMs), [`Ownership`] (of who may give orders to which replica) |
 //! | `peers` | messages between VMs |
 //! | `store` | the interface of the store, and the tasks that follow it |
@@ -44,7 +44,7 @@
 pub use decisions::books::OrderOutcome;
 pub use decisions::books::ReplicaAction;
 pub use decisions::books::ReplicaReport;
-pub use decisions::budget::Budget;
+pub use decisions::budget::RetryBudget;
 pub use decisions::budget::RetryLimits;
 pub use decisions::decide;
 pub use decisions::fleet::*;
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -4,8 +4,8 @@
 use banyangauge::ids::ServiceName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Budget;
 use banyangauge::serving::Instance;
+use banyangauge::serving::RetryBudget;
 use banyangauge::serving::RetryLimits;
 use banyangauge::serving::Strikes;
 use banyangauge::serving::decide::Ended;
@@ -28,7 +28,7 @@
 #[test]
 fn budget_holds_over_all_vms() {
     let service: ServiceName = "llm".parse().unwrap();
-    let mut vms: Vec<_> = (0..10).map(|_| Budget::new(LIMITS)).collect();
+    let mut vms: Vec<_> = (0..10).map(|_| RetryBudget::new(LIMITS)).collect();
     let mut repeats = Vec::new();
     for ms in (0..30_000).step_by(20) {
         let vm = ms as usize / 20 % 10;
