--- a/lib/src/serving/decisions/budget.rs
+++ b/lib/src/serving/decisions/budget.rs
@@ -52,7 +52,7 @@
     }
 
     /// Notes a request that is sent for the first time.
-    pub fn first(&mut self, now: Moment, service: &ServiceName) {
+    pub fn record_first_send(&mut self, now: Moment, service: &ServiceName) {
         self.slice(now, service).firsts += 1;
     }
 
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -318,7 +318,7 @@
         ..Tries::default()
     };
     let mut avoid = BTreeSet::new();
-    node.state().budget.first(now(), &routed.service);
+    node.state().budget.record_first_send(now(), &routed.service);
     let mut started = first_attempt(node, &routed, &req, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -32,7 +32,7 @@
     let mut repeats = Vec::new();
     for ms in (0..30_000).step_by(20) {
         let vm = ms as usize / 20 % 10;
-        vms[vm].first(at(ms), &service);
+        vms[vm].record_first_send(at(ms), &service);
         for _ in 0..3 {
             if vms[vm].spend(at(ms), &service, 10) {
                 repeats.push(ms);
