--- a/lib/src/serving/decisions/budget.rs
+++ b/lib/src/serving/decisions/budget.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes one repeat, if the part of this VM among `vms` allows it.
-    pub fn spend(&mut self, now: Moment, service: &ServiceName, vms: usize) -> bool {
+    pub fn try_retry(&mut self, now: Moment, service: &ServiceName, vms: usize) -> bool {
         let part = self.limits.slack / vms.max(1) as f64;
         let ratio = self.limits.ratio;
         let oldest = self.number(now).saturating_sub(SLICES as u64 - 1);
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -484,7 +484,7 @@
 fn spend_retry(node: &Node, routed: &RoutedRequest) -> bool {
     let mut b = node.state();
     let vms = b.members.count();
-    b.budget.spend(now(), &routed.service, vms)
+    b.budget.try_retry(now(), &routed.service, vms)
 }
 
 fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: Ended) {
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -34,7 +34,7 @@
         let vm = ms as usize / 20 % 10;
         vms[vm].record_first_send(at(ms), &service);
         for _ in 0..3 {
-            if vms[vm].spend(at(ms), &service, 10) {
+            if vms[vm].try_retry(at(ms), &service, 10) {
                 repeats.push(ms);
             }
         }
