--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -17,7 +17,7 @@
 
 /// When to come back while there is no configuration or no replica: about the
 /// time in which a watch is renewed or a replica is listed.
-pub const COME_BACK: Duration = Duration::from_millis(500);
+pub const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How a try ended without an answer to pass on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -142,7 +142,7 @@
     pub fn of_denial(denial: Denial) -> Self {
         match denial {
             Denial::UnknownKey => Self::denied(StatusCode::UNAUTHORIZED, denial.word()),
-            Denial::ConfigOld => Self::not_run(denial.word(), COME_BACK),
+            Denial::ConfigOld => Self::not_run(denial.word(), RETRY_DELAY),
         }
     }
 
@@ -162,7 +162,7 @@
             return Self::of_denial(denial);
         }
         if tries.runs == 0 && !ended.may_have_run() {
-            return Self::not_run(reason, COME_BACK);
+            return Self::not_run(reason, RETRY_DELAY);
         }
         let status = match ended {
             Ended::Overdue => StatusCode::GATEWAY_TIMEOUT,
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -12,7 +12,7 @@
 use crate::ids::VmName;
 use crate::pool::Span;
 use crate::serving::cluster::state::lender_seed;
-use crate::serving::decisions::decide::COME_BACK;
+use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::quota::Answer;
 use crate::serving::decisions::quota::Ask as LeaseAsk;
@@ -152,7 +152,7 @@
     }
     slog::info!(node.log, "no lender answered and the local share is used up"; "id" => &request.id, "organisation" => name.as_str(),
         "weight" => weight, "heard_part" => node.state().members.reachable_fraction(now()));
-    Err(Refusal::not_run("no_lender", COME_BACK))
+    Err(Refusal::not_run("no_lender", RETRY_DELAY))
 }
 
 /// Result of asking a lender.
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -9,7 +9,7 @@
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::decisions::decide::COME_BACK;
+use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::fleet::Placement;
 use crate::serving::decisions::fleet::PlacementRequest;
@@ -104,14 +104,14 @@
                 }
                 (
                     load_deadline,
-                    Refusal::not_run("not_loaded_in_time", COME_BACK),
+                    Refusal::not_run("not_loaded_in_time", RETRY_DELAY),
                 )
             }
             Placement::Full => (
                 capacity_deadline,
                 Refusal::not_run("replicas_full", FULL_RETRY_AFTER),
             ),
-            Placement::Unavailable => (capacity_deadline, Refusal::not_run("no_replica", COME_BACK)),
+            Placement::Unavailable => (capacity_deadline, Refusal::not_run("no_replica", RETRY_DELAY)),
         };
         let stopping = node.phase() != Phase::Serving;
         let deadline = match stopping {
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -29,8 +29,8 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::cluster::state::ActiveConfig;
-use crate::serving::decisions::decide::COME_BACK;
 use crate::serving::decisions::decide::Ended;
+use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::decide::Tries;
 use crate::serving::decisions::fleet::Load;
@@ -163,7 +163,7 @@
         let b = node.state();
         b.active.clone().filter(|_| b.replicas_listed)
     };
-    let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
+    let active = active.ok_or(Refusal::not_run("no_configuration", RETRY_DELAY))?;
     let (head, body) = request.into_parts();
     let routed = find_route(&active, &head.uri, &head.headers, &ask)?;
     let organisation = authorize(node, &active, &routed, &ask)?;
