--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -21,7 +21,7 @@
 
 /// How a try ended without an answer to pass on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum AttemptFailure {
     /// Not a byte was sent.
     NotSent,
     /// The replica refused it.
@@ -38,7 +38,7 @@
     Denied(Denial),
 }
 
-impl Ended {
+impl AttemptFailure {
     /// Whether the request may have run.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::NotSent | Self::NotRun(_) | Self::Denied(_))
@@ -82,7 +82,7 @@
 
 impl Tries {
     /// Notes how a send ended.
-    pub fn note(&mut self, ended: Ended) {
+    pub fn note(&mut self, ended: AttemptFailure) {
         self.sends += 1;
         self.runs += u32::from(ended.may_have_run());
     }
@@ -91,18 +91,18 @@
     /// already. The retry budget has its own word.
     ///
     /// ```
-    /// use banyangauge::serving::decide::{Ended, Tries};
+    /// use banyangauge::serving::decide::{AttemptFailure, Tries};
     /// let mut t = Tries { most_runs: 2, ..Tries::default() };
-    /// t.note(Ended::NotSent);
-    /// assert!(t.again(Ended::NotSent));
-    /// t.note(Ended::Broken);
-    /// assert!(!t.again(Ended::Broken)); // it may have run, and runs once
+    /// t.note(AttemptFailure::NotSent);
+    /// assert!(t.again(AttemptFailure::NotSent));
+    /// t.note(AttemptFailure::Broken);
+    /// assert!(!t.again(AttemptFailure::Broken)); // it may have run, and runs once
     /// ```
-    pub fn again(&self, ended: Ended) -> bool {
+    pub fn again(&self, ended: AttemptFailure) -> bool {
         let allowed = self.idempotent || self.runs == 0;
         allowed
-            && ended != Ended::Overdue
-            && !matches!(ended, Ended::Denied(_))
+            && ended != AttemptFailure::Overdue
+            && !matches!(ended, AttemptFailure::Denied(_))
             && self.sends < MOST_SENDS
             && self.runs < self.most_runs.max(1)
     }
@@ -156,16 +156,16 @@
     }
 
     /// The final answer after tries of which the last ended so.
-    pub fn after(tries: &Tries, ended: Ended) -> Self {
+    pub fn after(tries: &Tries, ended: AttemptFailure) -> Self {
         let reason = ended.word();
-        if let (0, Ended::Denied(denial)) = (tries.runs, ended) {
+        if let (0, AttemptFailure::Denied(denial)) = (tries.runs, ended) {
             return Self::of_denial(denial);
         }
         if tries.runs == 0 && !ended.may_have_run() {
             return Self::not_run(reason, RETRY_DELAY);
         }
         let status = match ended {
-            Ended::Overdue => StatusCode::GATEWAY_TIMEOUT,
+            AttemptFailure::Overdue => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
         Self {
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -20,7 +20,7 @@
 use crate::ids::OrganisationName;
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
-use crate::serving::decisions::decide::Ended;
+use crate::serving::decisions::decide::AttemptFailure;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::decisions::turns::LONG_PROMPT;
@@ -170,10 +170,10 @@
     req: &BufferedRequest,
     replica: &ReplicaName,
     resume_after: Option<u64>,
-) -> Result<StartedResponse, Ended> {
+) -> Result<StartedResponse, AttemptFailure> {
     let address = {
         let b = node.state();
-        let listing = b.fleet.listing(replica).ok_or(Ended::NotSent)?;
+        let listing = b.fleet.listing(replica).ok_or(AttemptFailure::NotSent)?;
         listing.address
     };
     let mut run = Run::begin(node, req, replica);
@@ -186,16 +186,16 @@
     let timeout = Duration::from_micros(req.deadline.since(now()).0);
     let sent = tokio::time::timeout(timeout, node.upstreams.send(address, request)).await;
     let answer = match sent {
-        Err(_) => return Err(Ended::Overdue),
+        Err(_) => return Err(AttemptFailure::Overdue),
         Ok(Err(SendError::NotSent(_))) => {
             run.record_end(RunOutcome::Unreached);
             send.inspect(|s| s.revert());
-            return Err(Ended::NotSent);
+            return Err(AttemptFailure::NotSent);
         }
         Ok(Err(SendError::Broken(_))) => {
             run.record_end(RunOutcome::Broken);
             record_strike(node, req, &run.instance());
-            return Err(Ended::Broken);
+            return Err(AttemptFailure::Broken);
         }
         Ok(Ok(answer)) => answer,
     };
@@ -215,18 +215,18 @@
         Reply::NotRun(reason) => {
             send.inspect(|s| s.revert());
             record_refusal(node, req, &run, reason);
-            Err(Ended::NotRun(reason))
+            Err(AttemptFailure::NotRun(reason))
         }
         Reply::Invalid(reason) => {
             run.record_end(RunOutcome::Broken);
-            Err(Ended::Spoilt(reason))
+            Err(AttemptFailure::Spoilt(reason))
         }
     }
 }
 
 /// Checks that the API key of a request is still valid: it may have been revoked while the
 /// request waited for a replica or this VM was suspended.
-fn check_key(node: &Node, req: &BufferedRequest) -> Result<(), Ended> {
+fn check_key(node: &Node, req: &BufferedRequest) -> Result<(), AttemptFailure> {
     let Some(key) = &req.caller.key else {
         return Ok(());
     };
@@ -234,7 +234,7 @@
     let freshness = b.key_freshness(now());
     let keys = b.active.as_ref().and_then(|a| a.keys.as_ref());
     let admitted = b.key_bounds.admit(keys, false, Some(key), &freshness);
-    admitted.map(|_| ()).map_err(Ended::Denied)
+    admitted.map(|_| ()).map_err(AttemptFailure::Denied)
 }
 
 fn record_refusal(
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -19,7 +19,7 @@
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
 use crate::pool::Span;
-use crate::serving::decisions::decide::Ended;
+use crate::serving::decisions::decide::AttemptFailure;
 use crate::serving::decisions::decide::Tries;
 use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::path::forward::BufferedRequest;
@@ -157,17 +157,17 @@
                 Err(_) if !self.should_move() => continue,
                 Err(_) => {
                     self.log_broken("silent");
-                    Ended::Broken
+                    AttemptFailure::Broken
                 }
                 Ok(Some(Ok(bytes))) => match self.accept_data(bytes) {
                     Ok(bytes) if bytes.is_empty() => continue,
                     Ok(bytes) => return Some(Ok(bytes)),
-                    Err(what) => Ended::Spoilt(what),
+                    Err(what) => AttemptFailure::Spoilt(what),
                 },
-                Ok(Some(Err(_))) => Ended::Broken,
+                Ok(Some(Err(_))) => AttemptFailure::Broken,
                 Ok(None) => match self.finish() {
                     Ok(rest) => return rest.map(Ok),
-                    Err(what) => Ended::Spoilt(what),
+                    Err(what) => AttemptFailure::Spoilt(what),
                 },
             };
             if let Err(e) = self.resume(ended).await {
@@ -244,7 +244,7 @@
     }
 
     /// Goes on at another replica after a break, where the route allows it.
-    async fn resume(&mut self, ended: Ended) -> Result<(), ResponseAborted> {
+    async fn resume(&mut self, ended: AttemptFailure) -> Result<(), ResponseAborted> {
         let Some(started) = self.response.take() else {
             return Err(ResponseAborted("no answer"));
         };
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -29,7 +29,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::cluster::state::ActiveConfig;
-use crate::serving::decisions::decide::Ended;
+use crate::serving::decisions::decide::AttemptFailure;
 use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::decide::Tries;
@@ -328,7 +328,7 @@
             Ok(read) if started.failed && tries.idempotent => {
                 whole = read;
                 started.run.record_end(RunOutcome::Failed);
-                tries.note(Ended::Failed);
+                tries.note(AttemptFailure::Failed);
                 let pieces = std::mem::take(&mut ahead);
                 avoid.insert(started.run.replica.clone());
                 let next = retry(
@@ -337,7 +337,7 @@
                     &req,
                     &mut tries,
                     &mut avoid,
-                    Ended::Failed,
+                    AttemptFailure::Failed,
                     None,
                 );
                 match next.await {
@@ -403,13 +403,13 @@
     started: &mut StartedResponse,
     req: &BufferedRequest,
     ahead: &mut VecDeque<Bytes>,
-) -> Result<bool, Ended> {
+) -> Result<bool, AttemptFailure> {
     let mut read = 0;
     while read < READ_AHEAD_BYTES {
         match tokio::time::timeout_at(to_instant(req.deadline), started.answer.data()).await {
-            Err(_) => return Err(Ended::Overdue),
+            Err(_) => return Err(AttemptFailure::Overdue),
             Ok(None) => return Ok(true),
-            Ok(Some(Err(_))) => return Err(Ended::Broken),
+            Ok(Some(Err(_))) => return Err(AttemptFailure::Broken),
             Ok(Some(Ok(piece))) => {
                 read += piece.len();
                 ahead.push_back(piece);
@@ -446,7 +446,7 @@
     req: &BufferedRequest,
     tries: &mut Tries,
     avoid: &mut BTreeSet<ReplicaName>,
-    ended: Ended,
+    ended: AttemptFailure,
     resume_after: Option<u64>,
 ) -> Result<StartedResponse, Refusal> {
     let mut ended = ended;
@@ -454,7 +454,7 @@
         if !tries.again(ended) {
             return Err(Refusal::after(tries, ended));
         }
-        if ended == Ended::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
+        if ended == AttemptFailure::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
             // Only a replica's word on an adapter was wrong, not the replica.
             avoid.clear();
         }
@@ -470,7 +470,7 @@
             // A failure cannot go on an answer that has started.
             Ok(started) if tries.answered && !started.answer.head.status.is_success() => {
                 started.run.record_end(RunOutcome::Failed);
-                Ended::Failed
+                AttemptFailure::Failed
             }
             Ok(started) => return Ok(started),
             Err(next) => next,
@@ -487,7 +487,7 @@
     b.budget.try_retry(now(), &routed.service, vms)
 }
 
-fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: Ended) {
+fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: AttemptFailure) {
     let standing = node.state().fleet.standing(now(), at);
     slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
         "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -8,7 +8,7 @@
 use banyangauge::serving::RetryBudget;
 use banyangauge::serving::RetryLimits;
 use banyangauge::serving::Strikes;
-use banyangauge::serving::decide::Ended;
+use banyangauge::serving::decide::AttemptFailure;
 use banyangauge::serving::decide::Refusal;
 use banyangauge::serving::decide::Tries;
 use rstest::rstest;
@@ -54,10 +54,10 @@
 }
 
 #[rstest]
-#[case::not_sent(Ended::NotSent, 503)]
-#[case::broken(Ended::Broken, 502)]
-#[case::overdue(Ended::Overdue, 504)]
-fn refusal_tells_the_truth(#[case] ended: Ended, #[case] status: u16) {
+#[case::not_sent(AttemptFailure::NotSent, 503)]
+#[case::broken(AttemptFailure::Broken, 502)]
+#[case::overdue(AttemptFailure::Overdue, 504)]
+fn refusal_tells_the_truth(#[case] ended: AttemptFailure, #[case] status: u16) {
     let mut tries = Tries::default();
     tries.note(ended);
     assert_eq!(Refusal::after(&tries, ended).status, status);
@@ -67,9 +67,9 @@
 #[test]
 fn refusal_after_a_run_promises_nothing() {
     let mut tries = Tries::default();
-    tries.note(Ended::Broken);
-    tries.note(Ended::NotSent);
-    let refusal = Refusal::after(&tries, Ended::NotSent);
+    tries.note(AttemptFailure::Broken);
+    tries.note(AttemptFailure::NotSent);
+    let refusal = Refusal::after(&tries, AttemptFailure::NotSent);
     assert_eq!((refusal.status.as_u16(), refusal.retry_after), (502, None));
 }
 
