--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -29,7 +29,7 @@
     /// The connection broke before an answer.
     Broken,
     /// What came is not this request's answer.
-    Spoilt(&'static str),
+    InvalidReply(&'static str),
     /// The replica answered with a failure of its own.
     Failed,
     /// No answer came in time.
@@ -57,7 +57,7 @@
             Self::NotRun(NotRun::NotLoaded) => "not_loaded",
             Self::NotRun(NotRun::Full) => "replica_full",
             Self::Broken => "broken",
-            Self::Spoilt(_) => "spoilt",
+            Self::InvalidReply(_) => "spoilt",
             Self::Failed => "failed",
             Self::Overdue => "overdue",
             Self::Denied(denial) => denial.word(),
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -219,7 +219,7 @@
         }
         Reply::Invalid(reason) => {
             run.record_end(RunOutcome::Broken);
-            Err(AttemptFailure::Spoilt(reason))
+            Err(AttemptFailure::InvalidReply(reason))
         }
     }
 }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -162,12 +162,12 @@
                 Ok(Some(Ok(bytes))) => match self.accept_data(bytes) {
                     Ok(bytes) if bytes.is_empty() => continue,
                     Ok(bytes) => return Some(Ok(bytes)),
-                    Err(what) => AttemptFailure::Spoilt(what),
+                    Err(what) => AttemptFailure::InvalidReply(what),
                 },
                 Ok(Some(Err(_))) => AttemptFailure::Broken,
                 Ok(None) => match self.finish() {
                     Ok(rest) => return rest.map(Ok),
-                    Err(what) => AttemptFailure::Spoilt(what),
+                    Err(what) => AttemptFailure::InvalidReply(what),
                 },
             };
             if let Err(e) = self.resume(ended).await {
