--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -33,7 +33,7 @@
     /// The replica answered with a failure of its own.
     Failed,
     /// No answer came in time.
-    Overdue,
+    TimedOut,
     /// It was not sent: its key was taken away, or may have been.
     Denied(Denial),
 }
@@ -59,7 +59,7 @@
             Self::Broken => "broken",
             Self::InvalidReply(_) => "spoilt",
             Self::Failed => "failed",
-            Self::Overdue => "overdue",
+            Self::TimedOut => "overdue",
             Self::Denied(denial) => denial.word(),
         }
     }
@@ -101,7 +101,7 @@
     pub fn again(&self, ended: AttemptFailure) -> bool {
         let allowed = self.idempotent || self.runs == 0;
         allowed
-            && ended != AttemptFailure::Overdue
+            && ended != AttemptFailure::TimedOut
             && !matches!(ended, AttemptFailure::Denied(_))
             && self.sends < MOST_SENDS
             && self.runs < self.most_runs.max(1)
@@ -165,7 +165,7 @@
             return Self::not_run(reason, RETRY_DELAY);
         }
         let status = match ended {
-            AttemptFailure::Overdue => StatusCode::GATEWAY_TIMEOUT,
+            AttemptFailure::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
         Self {
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -186,7 +186,7 @@
     let timeout = Duration::from_micros(req.deadline.since(now()).0);
     let sent = tokio::time::timeout(timeout, node.upstreams.send(address, request)).await;
     let answer = match sent {
-        Err(_) => return Err(AttemptFailure::Overdue),
+        Err(_) => return Err(AttemptFailure::TimedOut),
         Ok(Err(SendError::NotSent(_))) => {
             run.record_end(RunOutcome::Unreached);
             send.inspect(|s| s.revert());
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -407,7 +407,7 @@
     let mut read = 0;
     while read < READ_AHEAD_BYTES {
         match tokio::time::timeout_at(to_instant(req.deadline), started.answer.data()).await {
-            Err(_) => return Err(AttemptFailure::Overdue),
+            Err(_) => return Err(AttemptFailure::TimedOut),
             Ok(None) => return Ok(true),
             Ok(Some(Err(_))) => return Err(AttemptFailure::Broken),
             Ok(Some(Ok(piece))) => {
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -56,7 +56,7 @@
 #[rstest]
 #[case::not_sent(AttemptFailure::NotSent, 503)]
 #[case::broken(AttemptFailure::Broken, 502)]
-#[case::overdue(AttemptFailure::Overdue, 504)]
+#[case::overdue(AttemptFailure::TimedOut, 504)]
 fn refusal_tells_the_truth(#[case] ended: AttemptFailure, #[case] status: u16) {
     let mut tries = Tries::default();
     tries.note(ended);
