--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether the replica got it, so that another send is a repeat.
-    pub fn arrived(self) -> bool {
+    pub fn reached_replica(self) -> bool {
         !matches!(self, Self::NotSent | Self::Denied(_))
     }
 
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -463,7 +463,7 @@
             Err(refusal) if tries.runs == 0 => return Err(refusal),
             Err(_) => return Err(Refusal::after(tries, ended)),
         };
-        if ended.arrived() && !spend_retry(node, routed) {
+        if ended.reached_replica() && !spend_retry(node, routed) {
             return Err(Refusal::after(tries, ended));
         }
         ended = match forward(node, req, &at, resume_after).await {
