--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -50,7 +50,7 @@
     }
 
     /// A word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
             Self::NotRun(NotRun::Gone) => "replica_gone",
@@ -157,7 +157,7 @@
 
     /// The final answer after tries of which the last ended so.
     pub fn after(tries: &Tries, ended: AttemptFailure) -> Self {
-        let reason = ended.word();
+        let reason = ended.as_str();
         if let (0, AttemptFailure::Denied(denial)) = (tries.runs, ended) {
             return Self::of_denial(denial);
         }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -253,7 +253,7 @@
         self.avoid.insert(started.run.replica.clone());
         // Its connection is closed now, so the replica ends the run.
         drop(started);
-        self.log_broken(ended.word());
+        self.log_broken(ended.as_str());
         let Some(events) = &mut self.events else {
             count_outcome("broken_off");
             return Err(ResponseAborted("the upstream broke off"));
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -490,9 +490,9 @@
 fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: AttemptFailure) {
     let standing = node.state().fleet.standing(now(), at);
     slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
-        "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
+        "why" => ended.as_str(), "standing" => standing, "sends" => tries.sends,
         "runs" => tries.runs, "left_ms" => req.deadline.since(now()).as_millis());
-    metrics::counter!("serve_tries_total", "end" => ended.word()).increment(1);
+    metrics::counter!("serve_tries_total", "end" => ended.as_str()).increment(1);
 }
 
 /// Counts the end of a request.
