--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -67,7 +67,7 @@
 
 /// What has been tried of one request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     /// Sends so far.
     pub sends: u32,
     /// Those in which it may have run.
@@ -80,7 +80,7 @@
     pub answered: bool,
 }
 
-impl Tries {
+impl Attempts {
     /// Notes how a send ended.
     pub fn note(&mut self, ended: AttemptFailure) {
         self.sends += 1;
@@ -91,8 +91,8 @@
     /// already. The retry budget has its own word.
     ///
     /// ```
-    /// use banyangauge::serving::decide::{AttemptFailure, Tries};
-    /// let mut t = Tries { most_runs: 2, ..Tries::default() };
+    /// use banyangauge::serving::decide::{AttemptFailure, Attempts};
+    /// let mut t = Attempts { most_runs: 2, ..Attempts::default() };
     /// t.note(AttemptFailure::NotSent);
     /// assert!(t.again(AttemptFailure::NotSent));
     /// t.note(AttemptFailure::Broken);
@@ -156,7 +156,7 @@
     }
 
     /// The final answer after tries of which the last ended so.
-    pub fn after(tries: &Tries, ended: AttemptFailure) -> Self {
+    pub fn after(tries: &Attempts, ended: AttemptFailure) -> Self {
         let reason = ended.as_str();
         if let (0, AttemptFailure::Denied(denial)) = (tries.runs, ended) {
             return Self::of_denial(denial);
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -20,7 +20,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::decisions::decide::AttemptFailure;
-use crate::serving::decisions::decide::Tries;
+use crate::serving::decisions::decide::Attempts;
 use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::forward::StartedResponse;
@@ -76,7 +76,7 @@
     pub(in crate::serving) response: Option<StartedResponse>,
     /// Pieces that were read already.
     pub(in crate::serving) buffered: VecDeque<Bytes>,
-    pub(in crate::serving) tries: Tries,
+    pub(in crate::serving) tries: Attempts,
     pub(in crate::serving) avoid: BTreeSet<ReplicaName>,
     /// Cuts a stream into whole events; `None` for other bodies.
     pub(in crate::serving) events: Option<EventTracker>,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -30,9 +30,9 @@
 use crate::pool::Span;
 use crate::serving::cluster::state::ActiveConfig;
 use crate::serving::decisions::decide::AttemptFailure;
+use crate::serving::decisions::decide::Attempts;
 use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
-use crate::serving::decisions::decide::Tries;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::fleet::RunOutcome;
 use crate::serving::path::charge;
@@ -312,10 +312,10 @@
     arrived: Moment,
     open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let mut tries = Tries {
+    let mut tries = Attempts {
         most_runs: routed.route.max_attempts,
         idempotent: routed.route.idempotent(),
-        ..Tries::default()
+        ..Attempts::default()
     };
     let mut avoid = BTreeSet::new();
     node.state().budget.record_first_send(now(), &routed.service);
@@ -424,7 +424,7 @@
     node: &Rc<Node>,
     routed: &RoutedRequest,
     req: &BufferedRequest,
-    tries: &mut Tries,
+    tries: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
 ) -> Result<StartedResponse, Refusal> {
     let at = wait_for_replica(node, routed, req, avoid).await?;
@@ -444,7 +444,7 @@
     node: &Rc<Node>,
     routed: &RoutedRequest,
     req: &BufferedRequest,
-    tries: &mut Tries,
+    tries: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
     ended: AttemptFailure,
     resume_after: Option<u64>,
@@ -487,7 +487,7 @@
     b.budget.try_retry(now(), &routed.service, vms)
 }
 
-fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Tries, ended: AttemptFailure) {
+fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Attempts, ended: AttemptFailure) {
     let standing = node.state().fleet.standing(now(), at);
     slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
         "why" => ended.as_str(), "standing" => standing, "sends" => tries.sends,
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -9,8 +9,8 @@
 use banyangauge::serving::RetryLimits;
 use banyangauge::serving::Strikes;
 use banyangauge::serving::decide::AttemptFailure;
+use banyangauge::serving::decide::Attempts;
 use banyangauge::serving::decide::Refusal;
-use banyangauge::serving::decide::Tries;
 use rstest::rstest;
 
 const LIMITS: RetryLimits = RetryLimits {
@@ -58,7 +58,7 @@
 #[case::broken(AttemptFailure::Broken, 502)]
 #[case::overdue(AttemptFailure::TimedOut, 504)]
 fn refusal_tells_the_truth(#[case] ended: AttemptFailure, #[case] status: u16) {
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     tries.note(ended);
     assert_eq!(Refusal::after(&tries, ended).status, status);
 }
@@ -66,7 +66,7 @@
 /// It may have run in an earlier try, whatever the last one was refused for.
 #[test]
 fn refusal_after_a_run_promises_nothing() {
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     tries.note(AttemptFailure::Broken);
     tries.note(AttemptFailure::NotSent);
     let refusal = Refusal::after(&tries, AttemptFailure::NotSent);
