--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -73,7 +73,7 @@
     /// Those in which it may have run.
     pub runs: u32,
     /// Replicas that may run it.
-    pub most_runs: u32,
+    pub max_runs: u32,
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Whether the caller has the head of an answer already.
@@ -104,7 +104,7 @@
             && ended != AttemptFailure::TimedOut
             && !matches!(ended, AttemptFailure::Denied(_))
             && self.sends < MOST_SENDS
-            && self.runs < self.most_runs.max(1)
+            && self.runs < self.max_runs.max(1)
     }
 }
 
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -189,7 +189,7 @@
         }
         let mut avoid = self.avoid.clone();
         avoid.insert(replica.clone());
-        self.tries.runs + 1 < self.tries.most_runs
+        self.tries.runs + 1 < self.tries.max_runs
             && has_other_replica(&self.node, &self.routed, &self.request, &avoid)
     }
 
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -313,7 +313,7 @@
     open: InFlight,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = Attempts {
-        most_runs: routed.route.max_attempts,
+        max_runs: routed.route.max_attempts,
         idempotent: routed.route.idempotent(),
         ..Attempts::default()
     };
