--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -82,7 +82,7 @@
 
 impl Attempts {
     /// Notes how a send ended.
-    pub fn note(&mut self, ended: AttemptFailure) {
+    pub fn record(&mut self, ended: AttemptFailure) {
         self.sends += 1;
         self.runs += u32::from(ended.may_have_run());
     }
@@ -93,9 +93,9 @@
     /// ```
     /// use banyangauge::serving::decide::{AttemptFailure, Attempts};
     /// let mut t = Attempts { most_runs: 2, ..Attempts::default() };
-    /// t.note(AttemptFailure::NotSent);
+    /// t.record(AttemptFailure::NotSent);
     /// assert!(t.again(AttemptFailure::NotSent));
-    /// t.note(AttemptFailure::Broken);
+    /// t.record(AttemptFailure::Broken);
     /// assert!(!t.again(AttemptFailure::Broken)); // it may have run, and runs once
     /// ```
     pub fn again(&self, ended: AttemptFailure) -> bool {
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -259,7 +259,7 @@
             return Err(ResponseAborted("the upstream broke off"));
         };
         events.scanner.reset();
-        self.tries.note(ended);
+        self.tries.record(ended);
         let resume_after = events.last_id;
         let next = retry(
             &self.node,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -328,7 +328,7 @@
             Ok(read) if started.failed && tries.idempotent => {
                 whole = read;
                 started.run.record_end(RunOutcome::Failed);
-                tries.note(AttemptFailure::Failed);
+                tries.record(AttemptFailure::Failed);
                 let pieces = std::mem::take(&mut ahead);
                 avoid.insert(started.run.replica.clone());
                 let next = retry(
@@ -359,7 +359,7 @@
             Err(ended) => {
                 started.run.record_end(RunOutcome::Broken);
                 crate::serving::path::forward::record_strike(node, &req, &started.run.instance());
-                tries.note(ended);
+                tries.record(ended);
                 avoid.insert(started.run.replica.clone());
                 drop(started);
                 ahead.clear();
@@ -431,7 +431,7 @@
     match forward(node, req, &at, None).await {
         Ok(started) => Ok(started),
         Err(ended) => {
-            tries.note(ended);
+            tries.record(ended);
             log_attempt(node, req, &at, tries, ended);
             avoid.insert(at);
             retry(node, routed, req, tries, avoid, ended, None).await
@@ -475,7 +475,7 @@
             Ok(started) => return Ok(started),
             Err(next) => next,
         };
-        tries.note(ended);
+        tries.record(ended);
         log_attempt(node, req, &at, tries, ended);
         avoid.insert(at);
     }
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -59,7 +59,7 @@
 #[case::overdue(AttemptFailure::TimedOut, 504)]
 fn refusal_tells_the_truth(#[case] ended: AttemptFailure, #[case] status: u16) {
     let mut tries = Attempts::default();
-    tries.note(ended);
+    tries.record(ended);
     assert_eq!(Refusal::after(&tries, ended).status, status);
 }
 
@@ -67,8 +67,8 @@
 #[test]
 fn refusal_after_a_run_promises_nothing() {
     let mut tries = Attempts::default();
-    tries.note(AttemptFailure::Broken);
-    tries.note(AttemptFailure::NotSent);
+    tries.record(AttemptFailure::Broken);
+    tries.record(AttemptFailure::NotSent);
     let refusal = Refusal::after(&tries, AttemptFailure::NotSent);
     assert_eq!((refusal.status.as_u16(), refusal.retry_after), (502, None));
 }
