--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -94,11 +94,11 @@
     /// use banyangauge::serving::decide::{AttemptFailure, Attempts};
     /// let mut t = Attempts { most_runs: 2, ..Attempts::default() };
     /// t.record(AttemptFailure::NotSent);
-    /// assert!(t.again(AttemptFailure::NotSent));
+    /// assert!(t.may_retry(AttemptFailure::NotSent));
     /// t.record(AttemptFailure::Broken);
-    /// assert!(!t.again(AttemptFailure::Broken)); // it may have run, and runs once
+    /// assert!(!t.may_retry(AttemptFailure::Broken)); // it may have run, and runs once
     /// ```
-    pub fn again(&self, ended: AttemptFailure) -> bool {
+    pub fn may_retry(&self, ended: AttemptFailure) -> bool {
         let allowed = self.idempotent || self.runs == 0;
         allowed
             && ended != AttemptFailure::TimedOut
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -451,7 +451,7 @@
 ) -> Result<StartedResponse, Refusal> {
     let mut ended = ended;
     loop {
-        if !tries.again(ended) {
+        if !tries.may_retry(ended) {
             return Err(Refusal::after(tries, ended));
         }
         if ended == AttemptFailure::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
