--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -20,9 +20,9 @@
 use crate::serving::cluster::recency::WitnessQueue;
 use crate::serving::cluster::subscriptions::Subscriptions;
 use crate::serving::cluster::topic::Topic;
+use crate::serving::decisions::access::ApiKeys;
 use crate::serving::decisions::access::Bounds;
 use crate::serving::decisions::access::Freshness;
-use crate::serving::decisions::access::Keys;
 use crate::serving::decisions::books::AdapterPlanner;
 use crate::serving::decisions::budget::RetryBudget;
 use crate::serving::decisions::fleet::Fleet;
@@ -50,7 +50,7 @@
     pub(in crate::serving) config: Config,
     pub(in crate::serving) routes: Routes,
     /// The keys of callers; `None` if callers need no key.
-    pub(in crate::serving) keys: Option<Keys>,
+    pub(in crate::serving) keys: Option<ApiKeys>,
     /// The limits of organisations that have one.
     pub(in crate::serving) use_limits: BTreeMap<OrganisationName, RateLimit>,
 }
@@ -62,7 +62,7 @@
         let limits = all.unwrap_or_default().iter();
         let limits = limits.filter_map(|o| Some((o.name.clone(), o.limit?)));
         Self {
-            keys: all.map(Keys::new),
+            keys: all.map(ApiKeys::new),
             use_limits: limits.collect(),
             routes,
             config,
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -18,11 +18,11 @@
 
 /// The organisations of a configuration, by their keys.
 #[derive(Debug)]
-pub struct Keys {
+pub struct ApiKeys {
     by_key: BTreeMap<KeyDigest, Rc<Organisation>>,
 }
 
-impl Keys {
+impl ApiKeys {
     /// Indexes the organisations of a configuration.
     pub fn new(organisations: &[Organisation]) -> Self {
         let mut by_key = BTreeMap::new();
@@ -105,7 +105,7 @@
     /// When it may not run.
     pub fn admit(
         &self,
-        keys: Option<&Keys>,
+        keys: Option<&ApiKeys>,
         public: bool,
         key: Option<&KeyDigest>,
         freshness: &Freshness,
--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -3,16 +3,16 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::KeyDigest;
 use banyangauge::serving::Organisation;
+use banyangauge::serving::access::ApiKeys;
 use banyangauge::serving::access::Bounds;
 use banyangauge::serving::access::Denial;
 use banyangauge::serving::access::Freshness;
-use banyangauge::serving::access::Keys;
 use rstest::rstest;
 
 const REVOKE: Span = Span::from_millis(5_000);
 
-fn keys() -> Keys {
-    Keys::new(&[Organisation {
+fn keys() -> ApiKeys {
+    ApiKeys::new(&[Organisation {
         name: "halls".parse().unwrap(),
         keys: [KeyDigest::of(b"one"), KeyDigest::of(b"two")].into(),
         limit: None,
