--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -36,7 +36,7 @@
     }
 
     /// Who holds a key.
-    pub fn find(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
+    pub fn holder(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
         self.by_key.get(key)
     }
 }
@@ -113,7 +113,7 @@
         let Some(keys) = keys else {
             return Ok(None);
         };
-        let holder = key.and_then(|key| keys.find(key)).cloned();
+        let holder = key.and_then(|key| keys.holder(key)).cloned();
         let holds = self.holds(freshness);
         if public {
             return Ok(holder.filter(|_| holds));
