--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -22,7 +22,7 @@
 use crate::serving::cluster::topic::Topic;
 use crate::serving::decisions::access::ApiKeys;
 use crate::serving::decisions::access::Bounds;
-use crate::serving::decisions::access::Freshness;
+use crate::serving::decisions::access::ConfigAge;
 use crate::serving::decisions::books::AdapterPlanner;
 use crate::serving::decisions::budget::RetryBudget;
 use crate::serving::decisions::fleet::Fleet;
@@ -173,8 +173,8 @@
     }
 
     /// Returns the age of the key configuration.
-    pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> Freshness {
-        Freshness {
+    pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> ConfigAge {
+        ConfigAge {
             proven: self.recency.age(now),
             believed: self.feeds.get(Topic::Config).age(now),
         }
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -43,7 +43,7 @@
 
 /// How old what a VM knows of the keys is.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Freshness {
+pub struct ConfigAge {
     /// Since the configuration was surely the newest.
     pub proven: Option<Span>,
     /// Since it was the newest as far as is known.
@@ -84,15 +84,15 @@
     ///
     /// ```
     /// use banyangauge::pool::Span;
-    /// use banyangauge::serving::access::{Bounds, Freshness};
+    /// use banyangauge::serving::access::{Bounds, ConfigAge};
     /// let revoke = Some(Span::from_millis(5_000));
     /// let bounds = Bounds { revoke, apply: Span::from_millis(3_000) };
-    /// let aged = |ms| Freshness { proven: Some(Span::from_millis(ms)), ..Freshness::default() };
+    /// let aged = |ms| ConfigAge { proven: Some(Span::from_millis(ms)), ..ConfigAge::default() };
     /// assert!(bounds.holds(&aged(4_000)));
     /// assert!(!bounds.holds(&aged(5_000)));
-    /// assert!(!bounds.holds(&Freshness::default()));
+    /// assert!(!bounds.holds(&ConfigAge::default()));
     /// ```
-    pub fn holds(&self, freshness: &Freshness) -> bool {
+    pub fn holds(&self, freshness: &ConfigAge) -> bool {
         let held = |revoke: Span| Span((revoke.0 as f64 * HELD_PART) as u64);
         self.revoke
             .is_none_or(|revoke| freshness.proven.is_some_and(|age| age < held(revoke)))
@@ -108,7 +108,7 @@
         keys: Option<&ApiKeys>,
         public: bool,
         key: Option<&KeyDigest>,
-        freshness: &Freshness,
+        freshness: &ConfigAge,
     ) -> Result<Option<Rc<Organisation>>, Denial> {
         let Some(keys) = keys else {
             return Ok(None);
--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -5,8 +5,8 @@
 use banyangauge::serving::Organisation;
 use banyangauge::serving::access::ApiKeys;
 use banyangauge::serving::access::Bounds;
+use banyangauge::serving::access::ConfigAge;
 use banyangauge::serving::access::Denial;
-use banyangauge::serving::access::Freshness;
 use rstest::rstest;
 
 const REVOKE: Span = Span::from_millis(5_000);
@@ -26,8 +26,8 @@
     }
 }
 
-fn aged(proven: Option<u64>, believed: u64) -> Freshness {
-    Freshness {
+fn aged(proven: Option<u64>, believed: u64) -> ConfigAge {
+    ConfigAge {
         proven: proven.map(Span::from_millis),
         believed: Some(Span::from_millis(believed)),
     }
@@ -64,7 +64,7 @@
 
 #[test]
 fn admit_where_nobody_needs_keys() {
-    let admitted = bounds(true).admit(None, false, None, &Freshness::default());
+    let admitted = bounds(true).admit(None, false, None, &ConfigAge::default());
     assert_eq!(admitted, Ok(None));
 }
 
