--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -175,7 +175,7 @@
     /// Returns the age of the key configuration.
     pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> ConfigAge {
         ConfigAge {
-            proven: self.recency.age(now),
+            confirmed: self.recency.age(now),
             believed: self.feeds.get(Topic::Config).age(now),
         }
     }
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigAge {
     /// Since the configuration was surely the newest.
-    pub proven: Option<Span>,
+    pub confirmed: Option<Span>,
     /// Since it was the newest as far as is known.
     pub believed: Option<Span>,
 }
@@ -95,7 +95,7 @@
     pub fn holds(&self, freshness: &ConfigAge) -> bool {
         let held = |revoke: Span| Span((revoke.0 as f64 * HELD_PART) as u64);
         self.revoke
-            .is_none_or(|revoke| freshness.proven.is_some_and(|age| age < held(revoke)))
+            .is_none_or(|revoke| freshness.confirmed.is_some_and(|age| age < held(revoke)))
     }
 
     /// Whose request this is; `Ok(None)` where nobody's name goes with it.
--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -28,7 +28,7 @@
 
 fn aged(proven: Option<u64>, believed: u64) -> ConfigAge {
     ConfigAge {
-        proven: proven.map(Span::from_millis),
+        confirmed: proven.map(Span::from_millis),
         believed: Some(Span::from_millis(believed)),
     }
 }
