--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -176,7 +176,7 @@
     pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> ConfigAge {
         ConfigAge {
             confirmed: self.recency.age(now),
-            believed: self.feeds.get(Topic::Config).age(now),
+            estimated: self.feeds.get(Topic::Config).age(now),
         }
     }
 
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -47,7 +47,7 @@
     /// Since the configuration was surely the newest.
     pub confirmed: Option<Span>,
     /// Since it was the newest as far as is known.
-    pub believed: Option<Span>,
+    pub estimated: Option<Span>,
 }
 
 /// Within how long changes of the keys must be heeded.
@@ -121,7 +121,7 @@
         if !holds {
             return Err(Denial::ConfigOld);
         }
-        let recent = freshness.believed.is_some_and(|age| age <= self.apply);
+        let recent = freshness.estimated.is_some_and(|age| age <= self.apply);
         match holder {
             Some(holder) => Ok(Some(holder)),
             // It may be a new one that this VM has not heard of.
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -236,7 +236,7 @@
         slog::info!(node.log, "key refused"; "id" => &ask.id, "why" => denial.word(),
             "borne" => ask.key.is_some(), "config" => active.config.version,
             "proven_ms" => freshness.confirmed.map(Span::as_millis),
-            "believed_ms" => freshness.believed.map(Span::as_millis));
+            "believed_ms" => freshness.estimated.map(Span::as_millis));
         Refusal::of_denial(denial)
     })
 }
--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -29,7 +29,7 @@
 fn aged(proven: Option<u64>, believed: u64) -> ConfigAge {
     ConfigAge {
         confirmed: proven.map(Span::from_millis),
-        believed: Some(Span::from_millis(believed)),
+        estimated: Some(Span::from_millis(believed)),
     }
 }
 
