--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -21,8 +21,8 @@
 use crate::serving::cluster::subscriptions::Subscriptions;
 use crate::serving::cluster::topic::Topic;
 use crate::serving::decisions::access::ApiKeys;
-use crate::serving::decisions::access::Bounds;
 use crate::serving::decisions::access::ConfigAge;
+use crate::serving::decisions::access::KeyBounds;
 use crate::serving::decisions::books::AdapterPlanner;
 use crate::serving::decisions::budget::RetryBudget;
 use crate::serving::decisions::fleet::Fleet;
@@ -105,7 +105,7 @@
     /// Whether the replicas were listed at least once.
     pub(in crate::serving) replicas_listed: bool,
     /// The time limits for applying changes of keys.
-    pub(in crate::serving) key_bounds: Bounds,
+    pub(in crate::serving) key_bounds: KeyBounds,
     /// When the configuration was last proven to be the newest.
     pub(in crate::serving) recency: Recency,
     pub(in crate::serving) witnesses: WitnessQueue,
@@ -141,7 +141,7 @@
             feeds: Feeds::new(|topic| follow::poll_policy(settings, topic)),
             relay_queue: BTreeMap::new(),
             replicas_listed: false,
-            key_bounds: Bounds {
+            key_bounds: KeyBounds {
                 revoke: settings.key_revocation.map(to_span),
                 apply: to_span(settings.config_apply),
             },
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -52,7 +52,7 @@
 
 /// Within how long changes of the keys must be heeded.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct KeyBounds {
     /// For a key that was taken away, by every VM; `None` where only those that
     /// reach the store must heed it.
     pub revoke: Option<Span>,
@@ -79,14 +79,14 @@
     }
 }
 
-impl Bounds {
+impl KeyBounds {
     /// Whether this VM may still go by the keys that it knows.
     ///
     /// ```
     /// use banyangauge::pool::Span;
-    /// use banyangauge::serving::access::{Bounds, ConfigAge};
+    /// use banyangauge::serving::access::{KeyBounds, ConfigAge};
     /// let revoke = Some(Span::from_millis(5_000));
-    /// let bounds = Bounds { revoke, apply: Span::from_millis(3_000) };
+    /// let bounds = KeyBounds { revoke, apply: Span::from_millis(3_000) };
     /// let aged = |ms| ConfigAge { proven: Some(Span::from_millis(ms)), ..ConfigAge::default() };
     /// assert!(bounds.holds(&aged(4_000)));
     /// assert!(!bounds.holds(&aged(5_000)));
--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -4,9 +4,9 @@
 use banyangauge::serving::KeyDigest;
 use banyangauge::serving::Organisation;
 use banyangauge::serving::access::ApiKeys;
-use banyangauge::serving::access::Bounds;
 use banyangauge::serving::access::ConfigAge;
 use banyangauge::serving::access::Denial;
+use banyangauge::serving::access::KeyBounds;
 use rstest::rstest;
 
 const REVOKE: Span = Span::from_millis(5_000);
@@ -19,8 +19,8 @@
     }])
 }
 
-fn bounds(strict: bool) -> Bounds {
-    Bounds {
+fn bounds(strict: bool) -> KeyBounds {
+    KeyBounds {
         revoke: strict.then_some(REVOKE),
         apply: Span::from_millis(3_000),
     }
