--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -184,7 +184,7 @@
     pub(in crate::serving) fn keys_valid(&mut self, now: Moment) -> bool {
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
         let freshness = self.key_freshness(now);
-        !needed || self.key_bounds.holds(&freshness)
+        !needed || self.key_bounds.may_use_keys(&freshness)
     }
 
     /// Whether the store must be asked now to prove that the keys are current.
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -88,11 +88,11 @@
     /// let revoke = Some(Span::from_millis(5_000));
     /// let bounds = KeyBounds { revoke, apply: Span::from_millis(3_000) };
     /// let aged = |ms| ConfigAge { proven: Some(Span::from_millis(ms)), ..ConfigAge::default() };
-    /// assert!(bounds.holds(&aged(4_000)));
-    /// assert!(!bounds.holds(&aged(5_000)));
-    /// assert!(!bounds.holds(&ConfigAge::default()));
+    /// assert!(bounds.may_use_keys(&aged(4_000)));
+    /// assert!(!bounds.may_use_keys(&aged(5_000)));
+    /// assert!(!bounds.may_use_keys(&ConfigAge::default()));
     /// ```
-    pub fn holds(&self, freshness: &ConfigAge) -> bool {
+    pub fn may_use_keys(&self, freshness: &ConfigAge) -> bool {
         let held = |revoke: Span| Span((revoke.0 as f64 * HELD_PART) as u64);
         self.revoke
             .is_none_or(|revoke| freshness.confirmed.is_some_and(|age| age < held(revoke)))
@@ -114,7 +114,7 @@
             return Ok(None);
         };
         let holder = key.and_then(|key| keys.holder(key)).cloned();
-        let holds = self.holds(freshness);
+        let holds = self.may_use_keys(freshness);
         if public {
             return Ok(holder.filter(|_| holds));
         }
