--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -66,7 +66,7 @@
     /// Nobody holds its key.
     UnknownKey,
     /// The configuration may be too old to tell.
-    ConfigOld,
+    StaleConfig,
 }
 
 impl Denial {
@@ -74,7 +74,7 @@
     pub fn word(self) -> &'static str {
         match self {
             Self::UnknownKey => "unknown_key",
-            Self::ConfigOld => "configuration_old",
+            Self::StaleConfig => "configuration_old",
         }
     }
 }
@@ -119,13 +119,13 @@
             return Ok(holder.filter(|_| holds));
         }
         if !holds {
-            return Err(Denial::ConfigOld);
+            return Err(Denial::StaleConfig);
         }
         let recent = freshness.estimated.is_some_and(|age| age <= self.apply);
         match holder {
             Some(holder) => Ok(Some(holder)),
             // It may be a new one that this VM has not heard of.
-            None if !recent => Err(Denial::ConfigOld),
+            None if !recent => Err(Denial::StaleConfig),
             None => Err(Denial::UnknownKey),
         }
     }
--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -142,7 +142,7 @@
     pub fn of_denial(denial: Denial) -> Self {
         match denial {
             Denial::UnknownKey => Self::denied(StatusCode::UNAUTHORIZED, denial.word()),
-            Denial::ConfigOld => Self::not_run(denial.word(), RETRY_DELAY),
+            Denial::StaleConfig => Self::not_run(denial.word(), RETRY_DELAY),
         }
     }
 
