--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -71,7 +71,7 @@
 
 impl Denial {
     /// A word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownKey => "unknown_key",
             Self::StaleConfig => "configuration_old",
--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/decide.rs
@@ -60,7 +60,7 @@
             Self::InvalidReply(_) => "spoilt",
             Self::Failed => "failed",
             Self::TimedOut => "overdue",
-            Self::Denied(denial) => denial.word(),
+            Self::Denied(denial) => denial.as_str(),
         }
     }
 }
@@ -141,8 +141,8 @@
     /// A key is not known, or may not hold any more.
     pub fn of_denial(denial: Denial) -> Self {
         match denial {
-            Denial::UnknownKey => Self::denied(StatusCode::UNAUTHORIZED, denial.word()),
-            Denial::StaleConfig => Self::not_run(denial.word(), RETRY_DELAY),
+            Denial::UnknownKey => Self::denied(StatusCode::UNAUTHORIZED, denial.as_str()),
+            Denial::StaleConfig => Self::not_run(denial.as_str(), RETRY_DELAY),
         }
     }
 
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -233,7 +233,7 @@
     let (keys, public) = (active.keys.as_ref(), routed.route.public);
     let found = bounds.admit(keys, public, ask.key.as_ref(), &freshness);
     found.map_err(|denial| {
-        slog::info!(node.log, "key refused"; "id" => &ask.id, "why" => denial.word(),
+        slog::info!(node.log, "key refused"; "id" => &ask.id, "why" => denial.as_str(),
             "borne" => ask.key.is_some(), "config" => active.config.version,
             "proven_ms" => freshness.confirmed.map(Span::as_millis),
             "believed_ms" => freshness.estimated.map(Span::as_millis));
