--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -12,7 +12,7 @@
 
 /// What may be used beyond the limits, over all VMs in any window.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct Overshoot {
     /// The window, in seconds.
     pub window: f64,
     /// The part of the limit beyond it.
@@ -117,13 +117,13 @@
 /// The buckets of the organisations that this VM lends for.
 #[derive(Debug)]
 pub struct Lender {
-    allowance: Allowance,
+    allowance: Overshoot,
     accounts: BTreeMap<OrganisationName, Account>,
 }
 
 impl Lender {
     /// Nothing is lent yet.
-    pub fn new(allowance: Allowance) -> Self {
+    pub fn new(allowance: Overshoot) -> Self {
         Self {
             allowance,
             accounts: BTreeMap::new(),
--- a/lib/src/serving/decisions/quota/mod.rs
+++ b/lib/src/serving/decisions/quota/mod.rs
@@ -20,10 +20,10 @@
 
 pub use borrower::Borrower;
 pub use borrower::Spend;
-pub use lender::Allowance;
 pub use lender::Answer;
 pub use lender::Ask;
 pub use lender::Lender;
+pub use lender::Overshoot;
 
 /// A token bucket that is filled as time passes.
 #[derive(Clone, Copy, Debug)]
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -8,7 +8,7 @@
 use crate::ids::VmName;
 use crate::ids::ZoneName;
 use crate::serving::decisions::budget::RetryLimits;
-use crate::serving::decisions::quota::Allowance;
+use crate::serving::decisions::quota::Overshoot;
 use crate::serving::program::experiment::Experiment;
 
 /// The settings of the serving process.
@@ -42,7 +42,7 @@
     /// reach the store; `None` if the bound holds only for VMs that can.
     pub key_revocation: Option<Duration>,
     /// Usage that is tolerated above the organisations' limits.
-    pub allowance: Allowance,
+    pub allowance: Overshoot,
     /// Retry budget: how many requests may be sent again.
     pub budget: RetryLimits,
     /// Mechanisms that are switched off for measurements; none in production.
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -13,11 +13,11 @@
 use banyangauge::serving::Members;
 use banyangauge::serving::RateLimit;
 use banyangauge::serving::Weight;
-use banyangauge::serving::quota::Allowance;
 use banyangauge::serving::quota::Answer;
 use banyangauge::serving::quota::Ask;
 use banyangauge::serving::quota::Borrower;
 use banyangauge::serving::quota::Lender;
+use banyangauge::serving::quota::Overshoot;
 use banyangauge::serving::quota::Spend;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -39,7 +39,7 @@
 };
 
 /// What may be used beyond a limit: a tenth, and what three large requests take.
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: Overshoot = Overshoot {
     window: 8.0,
     over: 0.1,
     slack: 300.0,
