--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -7,7 +7,7 @@
 use crate::pool::Span;
 use crate::serving::decisions::quota::Bucket;
 use crate::serving::decisions::quota::lender::Answer;
-use crate::serving::decisions::quota::lender::Ask;
+use crate::serving::decisions::quota::lender::LendRequest;
 use crate::serving::path::types::RateLimit;
 
 /// How long what was lent may be used; the lender counts it as used at once.
@@ -39,7 +39,7 @@
     /// It was lent enough: the request may run.
     Spent,
     /// The lender is to be asked.
-    Ask(Ask),
+    Ask(LendRequest),
     /// The lender said a moment ago that the limit is used up.
     Short(Span),
 }
@@ -115,7 +115,7 @@
         {
             return Spend::Short(after);
         }
-        Spend::Ask(Ask {
+        Spend::Ask(LendRequest {
             need: weight - account.lent,
             ahead: account.ahead(weight),
         })
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -36,7 +36,7 @@
 
 /// What a borrower asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct LendRequest {
     /// For a request at hand.
     pub need: f64,
     /// For its next ones.
@@ -155,7 +155,7 @@
         limit: &RateLimit,
         heard: f64,
         first: bool,
-        ask: Ask,
+        ask: LendRequest,
     ) -> Answer {
         let start = self.start(limit);
         let account = self.account(now, name, start);
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -15,7 +15,7 @@
 use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
 use crate::serving::decisions::quota::Answer;
-use crate::serving::decisions::quota::Ask as LeaseAsk;
+use crate::serving::decisions::quota::LendRequest as LeaseAsk;
 use crate::serving::decisions::quota::Spend;
 use crate::serving::path::types::Organisation;
 use crate::serving::path::types::RateLimit;
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -14,8 +14,8 @@
 use banyangauge::serving::RateLimit;
 use banyangauge::serving::Weight;
 use banyangauge::serving::quota::Answer;
-use banyangauge::serving::quota::Ask;
 use banyangauge::serving::quota::Borrower;
+use banyangauge::serving::quota::LendRequest;
 use banyangauge::serving::quota::Lender;
 use banyangauge::serving::quota::Overshoot;
 use banyangauge::serving::quota::Spend;
@@ -45,8 +45,8 @@
     slack: 300.0,
 };
 
-fn ask(need: f64, ahead: f64) -> Ask {
-    Ask { need, ahead }
+fn ask(need: f64, ahead: f64) -> LendRequest {
+    LendRequest { need, ahead }
 }
 
 /// A lender that has been the first in the order for long.
