--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -6,7 +6,7 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::decisions::quota::Bucket;
-use crate::serving::decisions::quota::lender::Answer;
+use crate::serving::decisions::quota::lender::LendReply;
 use crate::serving::decisions::quota::lender::LendRequest;
 use crate::serving::path::types::RateLimit;
 
@@ -128,11 +128,11 @@
         now: Moment,
         name: &OrganisationName,
         weight: f64,
-        answer: Answer,
+        answer: LendReply,
     ) -> bool {
         let account = self.account(now, name);
         match answer {
-            Answer::Lent(tokens) => {
+            LendReply::Lent(tokens) => {
                 if account.until <= now {
                     account.lent = 0.0;
                 }
@@ -147,7 +147,7 @@
                 account.note_use(now, weight);
                 true
             }
-            Answer::Short(after) => {
+            LendReply::Short(after) => {
                 let until = now.after(after.min(SHORT_KEPT));
                 account.short = Some((weight, until, after));
                 false
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -45,7 +45,7 @@
 
 /// What it is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum LendReply {
     /// So much is lent.
     Lent(f64),
     /// The limit is used up; the caller may come back after this time.
@@ -156,7 +156,7 @@
         heard: f64,
         first: bool,
         ask: LendRequest,
-    ) -> Answer {
+    ) -> LendReply {
         let start = self.start(limit);
         let account = self.account(now, name, start);
         let part = account.pass(now, limit, start, heard, first);
@@ -166,13 +166,13 @@
             let spare = bucket.level - limit.burst * AHEAD_RESERVE;
             let ahead = ask.ahead.min(spare).max(0.0);
             bucket.level -= ahead;
-            return Answer::Lent(ask.need + ahead);
+            return LendReply::Lent(ask.need + ahead);
         }
         let queue = Span((account.queued / limit.rate.max(f64::MIN_POSITIVE) * 1e6) as u64);
         let wait = Span(bucket.wait(limit, part, ask.need).0 + queue.0);
         let longest = limit.rate * LONGEST_QUEUE;
         account.queued = (account.queued + ask.need).min(longest);
-        Answer::Short(wait.min(LONGEST_WAIT))
+        LendReply::Short(wait.min(LONGEST_WAIT))
     }
 
     /// Time passes while this VM lends for these organisations and for no others:
--- a/lib/src/serving/decisions/quota/mod.rs
+++ b/lib/src/serving/decisions/quota/mod.rs
@@ -20,7 +20,7 @@
 
 pub use borrower::Borrower;
 pub use borrower::Spend;
-pub use lender::Answer;
+pub use lender::LendReply;
 pub use lender::LendRequest;
 pub use lender::Lender;
 pub use lender::Overshoot;
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -14,7 +14,7 @@
 use crate::serving::cluster::state::lender_seed;
 use crate::serving::decisions::decide::RETRY_DELAY;
 use crate::serving::decisions::decide::Refusal;
-use crate::serving::decisions::quota::Answer;
+use crate::serving::decisions::quota::LendReply;
 use crate::serving::decisions::quota::LendRequest as LeaseAsk;
 use crate::serving::decisions::quota::Spend;
 use crate::serving::path::types::Organisation;
@@ -138,7 +138,7 @@
             return Ok(Some(charge()));
         }
         drop(b);
-        if let Answer::Short(after) = answer {
+        if let LendReply::Short(after) = answer {
             return Err(over(after, "asked"));
         }
     }
@@ -157,7 +157,7 @@
 
 /// Result of asking a lender.
 enum LenderReply {
-    Answer(Answer),
+    Answer(LendReply),
     Unanswered,
     /// No lender is known.
     NoLender,
@@ -206,11 +206,11 @@
     let (outcome, asked) = match call.wait(ANSWER_TIMEOUT).await {
         Some(answer) if answer.declined => ("declined", LenderReply::Unanswered),
         Some(answer) if answer.lent > 0.0 => {
-            ("lent", LenderReply::Answer(Answer::Lent(answer.lent)))
+            ("lent", LenderReply::Answer(LendReply::Lent(answer.lent)))
         }
         Some(answer) => {
             let after = Span(answer.after_us);
-            ("short", LenderReply::Answer(Answer::Short(after)))
+            ("short", LenderReply::Answer(LendReply::Short(after)))
         }
         None => ("unanswered", LenderReply::Unanswered),
     };
@@ -244,8 +244,8 @@
         ..wire::LeaseAnswer::default()
     };
     match lend(node, &name, question) {
-        Some(Answer::Lent(lent)) => answer.lent = lent,
-        Some(Answer::Short(after)) => answer.after_us = after.0,
+        Some(LendReply::Lent(lent)) => answer.lent = lent,
+        Some(LendReply::Short(after)) => answer.after_us = after.0,
         None => answer.declined = true,
     }
     send_message(node, Body::LeaseAnswer(answer), address).await;
@@ -253,7 +253,7 @@
 
 /// Lends a part of an organisation's limit; returns `None` if this VM is not among the
 /// organisation's lenders.
-fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<Answer> {
+fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<LendReply> {
     let mut b = node.state();
     let b = &mut *b;
     let at = now();
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -13,8 +13,8 @@
 use banyangauge::serving::Members;
 use banyangauge::serving::RateLimit;
 use banyangauge::serving::Weight;
-use banyangauge::serving::quota::Answer;
 use banyangauge::serving::quota::Borrower;
+use banyangauge::serving::quota::LendReply;
 use banyangauge::serving::quota::LendRequest;
 use banyangauge::serving::quota::Lender;
 use banyangauge::serving::quota::Overshoot;
@@ -62,13 +62,13 @@
 fn lender_lends_the_burst_and_then_the_rate() {
     let mut lender = lender(9_000);
     let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
-    assert_eq!(lent(9_000, 1_000.0), Answer::Lent(1_000.0));
+    assert_eq!(lent(9_000, 1_000.0), LendReply::Lent(1_000.0));
     assert_eq!(
         lent(9_000, 500.0),
-        Answer::Short(Span::from_millis(500)),
+        LendReply::Short(Span::from_millis(500)),
         "the time at which it fits"
     );
-    assert_eq!(lent(9_500, 500.0), Answer::Lent(500.0));
+    assert_eq!(lent(9_500, 500.0), LendReply::Lent(500.0));
 }
 
 /// Those who are told to come back do not all come at the same moment.
@@ -77,24 +77,24 @@
     let mut lender = lender(9_000);
     let mut told = |need| lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     told(1_000.0);
-    assert_eq!(told(200.0), Answer::Short(Span::from_millis(200)));
-    assert_eq!(told(200.0), Answer::Short(Span::from_millis(400)));
+    assert_eq!(told(200.0), LendReply::Short(Span::from_millis(200)));
+    assert_eq!(told(200.0), LendReply::Short(Span::from_millis(400)));
 }
 
 #[test]
 fn lender_request_larger_than_the_bucket_runs_on_debt() {
     let mut lender = lender(9_000);
     let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
-    assert_eq!(lent(9_000, 1_500.0), Answer::Lent(1_500.0));
-    assert!(matches!(lent(9_400, 1.0), Answer::Short(_)));
-    assert_eq!(lent(9_502, 1.0), Answer::Lent(1.0));
+    assert_eq!(lent(9_000, 1_500.0), LendReply::Lent(1_500.0));
+    assert!(matches!(lent(9_400, 1.0), LendReply::Short(_)));
+    assert_eq!(lent(9_502, 1.0), LendReply::Lent(1.0));
 }
 
 #[test]
 fn lender_keeps_half_of_the_bucket_for_requests_at_hand() {
     let mut lender = lender(9_000);
     let answer = lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
-    assert_eq!(answer, Answer::Lent(500.0));
+    assert_eq!(answer, LendReply::Lent(500.0));
 }
 
 #[test]
@@ -106,9 +106,9 @@
         ..LIMIT
     };
     let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert_eq!(answer, Answer::Lent(100.0));
+    assert_eq!(answer, LendReply::Lent(100.0));
     let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert!(matches!(answer, Answer::Short(_)));
+    assert!(matches!(answer, LendReply::Short(_)));
 }
 
 #[test]
@@ -117,7 +117,7 @@
     for i in 0..50 {
         let now = at(i * 20);
         if let Spend::Ask(need) = borrower.spend(now, &name(), 10.0) {
-            let lent = Answer::Lent(need.need + need.ahead);
+            let lent = LendReply::Lent(need.need + need.ahead);
             assert!(borrower.answered(now, &name(), 10.0, lent));
         }
     }
@@ -129,7 +129,7 @@
 #[test]
 fn borrower_what_was_lent_ends() {
     let mut borrower = Borrower::default();
-    borrower.answered(at(0), &name(), 10.0, Answer::Lent(30.0));
+    borrower.answered(at(0), &name(), 10.0, LendReply::Lent(30.0));
     assert!(matches!(
         borrower.spend(at(100), &name(), 10.0),
         Spend::Spent
@@ -143,7 +143,7 @@
 #[test]
 fn borrower_what_did_not_run_is_used_by_another() {
     let mut borrower = Borrower::default();
-    assert!(borrower.answered(at(0), &name(), 10.0, Answer::Lent(10.0)));
+    assert!(borrower.answered(at(0), &name(), 10.0, LendReply::Lent(10.0)));
     borrower.give_back(at(50), &name(), 10.0);
     assert!(matches!(
         borrower.spend(at(60), &name(), 10.0),
@@ -155,7 +155,7 @@
 fn borrower_goes_by_the_lenders_word_for_a_moment() {
     let mut borrower = Borrower::default();
     let after = Span::from_millis(700);
-    borrower.answered(at(0), &name(), 10.0, Answer::Short(after));
+    borrower.answered(at(0), &name(), 10.0, LendReply::Short(after));
     let Spend::Short(told) = borrower.spend(at(50), &name(), 10.0) else {
         panic!("it asks again at once");
     };
@@ -383,7 +383,7 @@
             if self.vms[i].borrower.answered(now, &name(), weight, answer) {
                 return self.used.push((ms, weight));
             }
-            if matches!(answer, Answer::Short(_)) {
+            if matches!(answer, LendReply::Short(_)) {
                 return self.refused += weight;
             }
         }
