--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -147,7 +147,7 @@
                 account.note_use(now, weight);
                 true
             }
-            LendReply::Short(after) => {
+            LendReply::Exhausted(after) => {
                 let until = now.after(after.min(SHORT_KEPT));
                 account.short = Some((weight, until, after));
                 false
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -49,7 +49,7 @@
     /// So much is lent.
     Lent(f64),
     /// The limit is used up; the caller may come back after this time.
-    Short(Span),
+    Exhausted(Span),
 }
 
 /// How long a VM that was not seen to be the first in the order still counts as
@@ -172,7 +172,7 @@
         let wait = Span(bucket.wait(limit, part, ask.need).0 + queue.0);
         let longest = limit.rate * LONGEST_QUEUE;
         account.queued = (account.queued + ask.need).min(longest);
-        LendReply::Short(wait.min(LONGEST_WAIT))
+        LendReply::Exhausted(wait.min(LONGEST_WAIT))
     }
 
     /// Time passes while this VM lends for these organisations and for no others:
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -138,7 +138,7 @@
             return Ok(Some(charge()));
         }
         drop(b);
-        if let LendReply::Short(after) = answer {
+        if let LendReply::Exhausted(after) = answer {
             return Err(over(after, "asked"));
         }
     }
@@ -210,7 +210,7 @@
         }
         Some(answer) => {
             let after = Span(answer.after_us);
-            ("short", LenderReply::Answer(LendReply::Short(after)))
+            ("short", LenderReply::Answer(LendReply::Exhausted(after)))
         }
         None => ("unanswered", LenderReply::Unanswered),
     };
@@ -245,7 +245,7 @@
     };
     match lend(node, &name, question) {
         Some(LendReply::Lent(lent)) => answer.lent = lent,
-        Some(LendReply::Short(after)) => answer.after_us = after.0,
+        Some(LendReply::Exhausted(after)) => answer.after_us = after.0,
         None => answer.declined = true,
     }
     send_message(node, Body::LeaseAnswer(answer), address).await;
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -65,7 +65,7 @@
     assert_eq!(lent(9_000, 1_000.0), LendReply::Lent(1_000.0));
     assert_eq!(
         lent(9_000, 500.0),
-        LendReply::Short(Span::from_millis(500)),
+        LendReply::Exhausted(Span::from_millis(500)),
         "the time at which it fits"
     );
     assert_eq!(lent(9_500, 500.0), LendReply::Lent(500.0));
@@ -77,8 +77,8 @@
     let mut lender = lender(9_000);
     let mut told = |need| lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     told(1_000.0);
-    assert_eq!(told(200.0), LendReply::Short(Span::from_millis(200)));
-    assert_eq!(told(200.0), LendReply::Short(Span::from_millis(400)));
+    assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(200)));
+    assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(400)));
 }
 
 #[test]
@@ -86,7 +86,7 @@
     let mut lender = lender(9_000);
     let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     assert_eq!(lent(9_000, 1_500.0), LendReply::Lent(1_500.0));
-    assert!(matches!(lent(9_400, 1.0), LendReply::Short(_)));
+    assert!(matches!(lent(9_400, 1.0), LendReply::Exhausted(_)));
     assert_eq!(lent(9_502, 1.0), LendReply::Lent(1.0));
 }
 
@@ -108,7 +108,7 @@
     let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
     assert_eq!(answer, LendReply::Lent(100.0));
     let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert!(matches!(answer, LendReply::Short(_)));
+    assert!(matches!(answer, LendReply::Exhausted(_)));
 }
 
 #[test]
@@ -155,7 +155,7 @@
 fn borrower_goes_by_the_lenders_word_for_a_moment() {
     let mut borrower = Borrower::default();
     let after = Span::from_millis(700);
-    borrower.answered(at(0), &name(), 10.0, LendReply::Short(after));
+    borrower.answered(at(0), &name(), 10.0, LendReply::Exhausted(after));
     let Spend::Short(told) = borrower.spend(at(50), &name(), 10.0) else {
         panic!("it asks again at once");
     };
@@ -383,7 +383,7 @@
             if self.vms[i].borrower.answered(now, &name(), weight, answer) {
                 return self.used.push((ms, weight));
             }
-            if matches!(answer, LendReply::Short(_)) {
+            if matches!(answer, LendReply::Exhausted(_)) {
                 return self.refused += weight;
             }
         }
