--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -148,7 +148,7 @@
     /// off and use their own parts. `first` says whether it is the VM that lends
     /// for this organisation; a VM that is asked in place of one that does not
     /// answer lends what it may give out at once, and no more.
-    pub fn ask(
+    pub fn lend(
         &mut self,
         now: Moment,
         name: &OrganisationName,
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -185,7 +185,7 @@
         if *lender == node.settings.vm {
             let reachable = b.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
-            let answer = b.lender.ask(now(), name, limit, reachable, first, question);
+            let answer = b.lender.lend(now(), name, limit, reachable, first, question);
             return LenderReply::Answer(answer);
         }
         b.members.address(lender)
@@ -263,6 +263,6 @@
     let reachable = b.members.reachable_fraction(at);
     Some(
         b.lender
-            .ask(at, name, &limit, reachable, rank == 0, question),
+            .lend(at, name, &limit, reachable, rank == 0, question),
     )
 }
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -61,7 +61,7 @@
 #[test]
 fn lender_lends_the_burst_and_then_the_rate() {
     let mut lender = lender(9_000);
-    let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    let mut lent = |ms, need| lender.lend(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     assert_eq!(lent(9_000, 1_000.0), LendReply::Lent(1_000.0));
     assert_eq!(
         lent(9_000, 500.0),
@@ -75,7 +75,7 @@
 #[test]
 fn lender_spreads_those_who_come_back() {
     let mut lender = lender(9_000);
-    let mut told = |need| lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    let mut told = |need| lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     told(1_000.0);
     assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(200)));
     assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(400)));
@@ -84,7 +84,7 @@
 #[test]
 fn lender_request_larger_than_the_bucket_runs_on_debt() {
     let mut lender = lender(9_000);
-    let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    let mut lent = |ms, need| lender.lend(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     assert_eq!(lent(9_000, 1_500.0), LendReply::Lent(1_500.0));
     assert!(matches!(lent(9_400, 1.0), LendReply::Exhausted(_)));
     assert_eq!(lent(9_502, 1.0), LendReply::Lent(1.0));
@@ -93,7 +93,7 @@
 #[test]
 fn lender_keeps_half_of_the_bucket_for_requests_at_hand() {
     let mut lender = lender(9_000);
-    let answer = lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
+    let answer = lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
     assert_eq!(answer, LendReply::Lent(500.0));
 }
 
@@ -105,9 +105,9 @@
         burst: 100.0,
         ..LIMIT
     };
-    let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
+    let answer = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
     assert_eq!(answer, LendReply::Lent(100.0));
-    let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
+    let answer = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
     assert!(matches!(answer, LendReply::Exhausted(_)));
 }
 
@@ -379,7 +379,7 @@
             let part = self.part(ms, lender);
             let first = its_place == 0 || self.guard == Guard::Standby;
             let lent = &mut self.vms[lender].lender;
-            let answer = lent.ask(now, &name(), &LIMIT, part, first, need);
+            let answer = lent.lend(now, &name(), &LIMIT, part, first, need);
             if self.vms[i].borrower.answered(now, &name(), weight, answer) {
                 return self.used.push((ms, weight));
             }
