--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -209,7 +209,7 @@
             lenders.first() == Some(&own)
         };
         let kept = active.use_limits.iter().filter(|(name, _)| first(name));
-        self.lender.keep(now, part, kept);
+        self.lender.renew(now, part, kept);
     }
 
     /// Whether requests can be served.
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -177,7 +177,7 @@
 
     /// Time passes while this VM lends for these organisations and for no others:
     /// they were not taken over by another one, even if nobody asked.
-    pub fn keep<'a>(
+    pub fn renew<'a>(
         &mut self,
         now: Moment,
         heard: f64,
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -53,7 +53,7 @@
 fn lender(until: u64) -> Lender {
     let mut lender = Lender::new(ALLOWANCE);
     for ms in (0..=until).step_by(300) {
-        lender.keep(at(ms), 1.0, [(&name(), &LIMIT)].into_iter());
+        lender.renew(at(ms), 1.0, [(&name(), &LIMIT)].into_iter());
     }
     lender
 }
@@ -356,7 +356,7 @@
         let first = lenders.first() == Some(&i) || self.guard == Guard::Standby;
         let kept = [(&name(), &LIMIT)];
         let kept = kept.into_iter().filter(|_| first);
-        self.vms[i].lender.keep(at(ms), part, kept);
+        self.vms[i].lender.renew(at(ms), part, kept);
     }
 
     fn request(&mut self, ms: u64, i: usize, weight: f64) {
