--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -41,7 +41,7 @@
     /// The lender is to be asked.
     Ask(LendRequest),
     /// The lender said a moment ago that the limit is used up.
-    Short(Span),
+    Exhausted(Span),
 }
 
 #[derive(Debug)]
@@ -113,7 +113,7 @@
             && weight >= least
             && now < until
         {
-            return Spend::Short(after);
+            return Spend::Exhausted(after);
         }
         Spend::Ask(LendRequest {
             need: weight - account.lent,
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -122,7 +122,7 @@
         let spend = node.state().borrower.spend(now(), name, weight);
         let question = match spend {
             Spend::Spent => return Ok(Some(charge())),
-            Spend::Short(after) => return Err(over(after, "told")),
+            Spend::Exhausted(after) => return Err(over(after, "told")),
             Spend::Ask(question) => question,
         };
         let answer = match ask_lender(node, name, limit, rank, question).await {
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -156,7 +156,7 @@
     let mut borrower = Borrower::default();
     let after = Span::from_millis(700);
     borrower.answered(at(0), &name(), 10.0, LendReply::Exhausted(after));
-    let Spend::Short(told) = borrower.spend(at(50), &name(), 10.0) else {
+    let Spend::Exhausted(told) = borrower.spend(at(50), &name(), 10.0) else {
         panic!("it asks again at once");
     };
     assert_eq!(told, after);
@@ -364,7 +364,7 @@
         for place in [0, 0, 1] {
             let need = match self.vms[i].borrower.spend(now, &name(), weight) {
                 Spend::Spent => return self.used.push((ms, weight)),
-                Spend::Short(_) => return self.refused += weight,
+                Spend::Exhausted(_) => return self.refused += weight,
                 Spend::Ask(need) => need,
             };
             let Some(lender) = self.lenders(ms, i).get(place).copied() else {
