--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -123,7 +123,7 @@
 
     /// The lender answered what was asked for a request of this weight; gives
     /// whether it may run.
-    pub fn answered(
+    pub fn apply_reply(
         &mut self,
         now: Moment,
         name: &OrganisationName,
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -134,7 +134,7 @@
             }
         };
         let mut b = node.state();
-        if b.borrower.answered(now(), name, weight, answer) {
+        if b.borrower.apply_reply(now(), name, weight, answer) {
             return Ok(Some(charge()));
         }
         drop(b);
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -118,7 +118,7 @@
         let now = at(i * 20);
         if let Spend::Ask(need) = borrower.spend(now, &name(), 10.0) {
             let lent = LendReply::Lent(need.need + need.ahead);
-            assert!(borrower.answered(now, &name(), 10.0, lent));
+            assert!(borrower.apply_reply(now, &name(), 10.0, lent));
         }
     }
     let Spend::Spent = borrower.spend(at(1_000), &name(), 10.0) else {
@@ -129,7 +129,7 @@
 #[test]
 fn borrower_what_was_lent_ends() {
     let mut borrower = Borrower::default();
-    borrower.answered(at(0), &name(), 10.0, LendReply::Lent(30.0));
+    borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(30.0));
     assert!(matches!(
         borrower.spend(at(100), &name(), 10.0),
         Spend::Spent
@@ -143,7 +143,7 @@
 #[test]
 fn borrower_what_did_not_run_is_used_by_another() {
     let mut borrower = Borrower::default();
-    assert!(borrower.answered(at(0), &name(), 10.0, LendReply::Lent(10.0)));
+    assert!(borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(10.0)));
     borrower.give_back(at(50), &name(), 10.0);
     assert!(matches!(
         borrower.spend(at(60), &name(), 10.0),
@@ -155,7 +155,7 @@
 fn borrower_goes_by_the_lenders_word_for_a_moment() {
     let mut borrower = Borrower::default();
     let after = Span::from_millis(700);
-    borrower.answered(at(0), &name(), 10.0, LendReply::Exhausted(after));
+    borrower.apply_reply(at(0), &name(), 10.0, LendReply::Exhausted(after));
     let Spend::Exhausted(told) = borrower.spend(at(50), &name(), 10.0) else {
         panic!("it asks again at once");
     };
@@ -380,7 +380,10 @@
             let first = its_place == 0 || self.guard == Guard::Standby;
             let lent = &mut self.vms[lender].lender;
             let answer = lent.lend(now, &name(), &LIMIT, part, first, need);
-            if self.vms[i].borrower.answered(now, &name(), weight, answer) {
+            if self.vms[i]
+                .borrower
+                .apply_reply(now, &name(), weight, answer)
+            {
                 return self.used.push((ms, weight));
             }
             if matches!(answer, LendReply::Exhausted(_)) {
