--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -156,7 +156,7 @@
     }
 
     /// A request did not run: what it took may be used by another one.
-    pub fn give_back(&mut self, now: Moment, name: &OrganisationName, weight: f64) {
+    pub fn refund(&mut self, now: Moment, name: &OrganisationName, weight: f64) {
         let account = self.account(now, name);
         if account.until <= now {
             account.lent = 0.0;
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -80,7 +80,7 @@
         count_usage(&self.organisation, outcome, self.weight);
         if !self.may_have_run.get() {
             let mut b = self.node.state();
-            b.borrower.give_back(now(), &self.organisation, self.weight);
+            b.borrower.refund(now(), &self.organisation, self.weight);
         }
     }
 }
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -144,7 +144,7 @@
 fn borrower_what_did_not_run_is_used_by_another() {
     let mut borrower = Borrower::default();
     assert!(borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(10.0)));
-    borrower.give_back(at(50), &name(), 10.0);
+    borrower.refund(at(50), &name(), 10.0);
     assert!(matches!(
         borrower.spend(at(60), &name(), 10.0),
         Spend::Spent
