--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -168,7 +168,7 @@
     /// No lender answers: whether a request fits this VM's own part among
     /// `vms`, which is all that it may use then. The lender, if there is one
     /// that does not hear us, lends that much less.
-    pub fn spend_own(
+    pub fn spend_local(
         &mut self,
         now: Moment,
         name: &OrganisationName,
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -145,7 +145,7 @@
     let covered = {
         let mut b = node.state();
         let vm_count = b.members.count();
-        b.borrower.spend_own(now(), name, limit, vm_count, weight)
+        b.borrower.spend_local(now(), name, limit, vm_count, weight)
     };
     if covered {
         return Ok(Some(charge()));
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -396,7 +396,7 @@
         };
         match self.vms[i]
             .borrower
-            .spend_own(now, &name(), &LIMIT, vms, weight)
+            .spend_local(now, &name(), &LIMIT, vms, weight)
         {
             true => self.used.push((ms, weight)),
             false => self.refused += weight,
