--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -29,7 +29,7 @@
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::quota::Borrower;
 use crate::serving::decisions::quota::Lender;
-use crate::serving::decisions::reserved::Reserved;
+use crate::serving::decisions::reserved::Reservations;
 use crate::serving::decisions::strain::Strain;
 use crate::serving::decisions::strikes::Strikes;
 use crate::serving::decisions::turns::Turns;
@@ -91,7 +91,7 @@
     pub(in crate::serving) turns: Turns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted recently.
-    pub(in crate::serving) reserved: Reserved,
+    pub(in crate::serving) reserved: Reservations,
     /// Leaving replicas to announce to the other VMs.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
     /// VMs that wait for changes of our replicas.
@@ -134,7 +134,7 @@
             strain: Strain::default(),
             turns: Turns::default(),
             local_uses: BTreeMap::new(),
-            reserved: Reserved::default(),
+            reserved: Reservations::default(),
             leaving: BTreeSet::new(),
             subscriptions: Subscriptions::default(),
             last_reports: BTreeMap::new(),
--- a/lib/src/serving/decisions/reserved.rs
+++ b/lib/src/serving/decisions/reserved.rs
@@ -27,11 +27,11 @@
 /// is sent and knows better. Asking costs two datagrams and some milliseconds,
 /// where objectives are hundreds.
 #[derive(Debug, Default)]
-pub struct Reserved {
+pub struct Reservations {
     places: BTreeMap<ReplicaName, VecDeque<(Moment, Load)>>,
 }
 
-impl Reserved {
+impl Reservations {
     /// What was granted at a replica and is not reported yet.
     pub fn load(&mut self, now: Moment, replica: &ReplicaName) -> Load {
         let Some(places) = self.places.get_mut(replica) else {
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -50,7 +50,7 @@
 pub use decisions::fleet::*;
 pub use decisions::pace::FetchLimiter;
 pub use decisions::quota;
-pub use decisions::reserved::Reserved;
+pub use decisions::reserved::Reservations;
 pub use decisions::strain::Strain;
 pub use decisions::strikes::Strikes;
 pub use decisions::turns::LONGEST_WAIT;
--- a/lib/tests/test_serving_reserved.rs
+++ b/lib/tests/test_serving_reserved.rs
@@ -4,7 +4,7 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::Load;
-use banyangauge::serving::Reserved;
+use banyangauge::serving::Reservations;
 
 fn at(ms: u64) -> Moment {
     Moment(1_000_000).after(Span::from_millis(ms))
@@ -25,7 +25,7 @@
 /// in the same moment: one gets the place, and the others look elsewhere.
 #[test]
 fn herd_is_stopped_at_the_first() {
-    let mut reserved = Reserved::default();
+    let mut reserved = Reservations::default();
     let grants = (0..200).filter(|_| {
         let idle = Load::default();
         reserved.grant(at(0), &replica(), idle, idle.busy_ms(), PROMPT)
@@ -37,7 +37,7 @@
 /// place that it knows.
 #[test]
 fn informed_choice_stands() {
-    let mut reserved = Reserved::default();
+    let mut reserved = Reservations::default();
     let believed = PROMPT.busy_ms();
     assert!(reserved.grant(at(0), &replica(), PROMPT, believed, PROMPT));
     assert!(!reserved.grant(at(0), &replica(), PROMPT, believed, PROMPT));
@@ -48,7 +48,7 @@
 /// A granted place counts until its VM has reported the request itself.
 #[test]
 fn grant_lapses() {
-    let mut reserved = Reserved::default();
+    let mut reserved = Reservations::default();
     assert!(reserved.grant(at(0), &replica(), Load::default(), 0.0, PROMPT));
     assert_eq!(reserved.load(at(100), &replica()), PROMPT);
     assert_eq!(reserved.load(at(150), &replica()), Load::default());
