--- a/lib/src/serving/decisions/reserved.rs
+++ b/lib/src/serving/decisions/reserved.rs
@@ -50,7 +50,7 @@
 
     /// Whether a request may be sent to a replica with `reported` under way,
     /// whose sender believes it to be this busy; if so, its place is taken.
-    pub fn grant(
+    pub fn try_reserve(
         &mut self,
         now: Moment,
         replica: &ReplicaName,
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -120,7 +120,7 @@
         };
         let assumed_ms = ask.believed_ms as f64;
         let total = reported.plus(b.reserved.load(at, &name));
-        let granted = !lacks && b.reserved.grant(at, &name, reported, assumed_ms, cost);
+        let granted = !lacks && b.reserved.try_reserve(at, &name, reported, assumed_ms, cost);
         let answer = wire::PlaceAnswer {
             number: ask.number,
             granted,
--- a/lib/tests/test_serving_reserved.rs
+++ b/lib/tests/test_serving_reserved.rs
@@ -28,7 +28,7 @@
     let mut reserved = Reservations::default();
     let grants = (0..200).filter(|_| {
         let idle = Load::default();
-        reserved.grant(at(0), &replica(), idle, idle.busy_ms(), PROMPT)
+        reserved.try_reserve(at(0), &replica(), idle, idle.busy_ms(), PROMPT)
     });
     assert_eq!(grants.count(), 1);
 }
@@ -39,17 +39,17 @@
 fn informed_choice_stands() {
     let mut reserved = Reservations::default();
     let believed = PROMPT.busy_ms();
-    assert!(reserved.grant(at(0), &replica(), PROMPT, believed, PROMPT));
-    assert!(!reserved.grant(at(0), &replica(), PROMPT, believed, PROMPT));
+    assert!(reserved.try_reserve(at(0), &replica(), PROMPT, believed, PROMPT));
+    assert!(!reserved.try_reserve(at(0), &replica(), PROMPT, believed, PROMPT));
     let believed = PROMPT.plus(PROMPT).busy_ms();
-    assert!(reserved.grant(at(0), &replica(), PROMPT, believed, PROMPT));
+    assert!(reserved.try_reserve(at(0), &replica(), PROMPT, believed, PROMPT));
 }
 
 /// A granted place counts until its VM has reported the request itself.
 #[test]
 fn grant_lapses() {
     let mut reserved = Reservations::default();
-    assert!(reserved.grant(at(0), &replica(), Load::default(), 0.0, PROMPT));
+    assert!(reserved.try_reserve(at(0), &replica(), Load::default(), 0.0, PROMPT));
     assert_eq!(reserved.load(at(100), &replica()), PROMPT);
     assert_eq!(reserved.load(at(150), &replica()), Load::default());
 }
