--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -30,7 +30,7 @@
 use crate::serving::decisions::quota::Borrower;
 use crate::serving::decisions::quota::Lender;
 use crate::serving::decisions::reserved::Reservations;
-use crate::serving::decisions::strain::Strain;
+use crate::serving::decisions::strain::StallDetector;
 use crate::serving::decisions::strikes::Strikes;
 use crate::serving::decisions::turns::Turns;
 use crate::serving::path::routes::Routes;
@@ -87,7 +87,7 @@
     pub(in crate::serving) ownership: Ownership,
     pub(in crate::serving) books: AdapterPlanner,
     pub(in crate::serving) strikes: Strikes,
-    pub(in crate::serving) strain: Strain,
+    pub(in crate::serving) strain: StallDetector,
     pub(in crate::serving) turns: Turns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted recently.
@@ -131,7 +131,7 @@
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
             books: AdapterPlanner::default(),
             strikes: Strikes::default(),
-            strain: Strain::default(),
+            strain: StallDetector::default(),
             turns: Turns::default(),
             local_uses: BTreeMap::new(),
             reserved: Reservations::default(),
--- a/lib/src/serving/decisions/strain.rs
+++ b/lib/src/serving/decisions/strain.rs
@@ -25,12 +25,12 @@
 /// callers allow depends on the engine and on the route, and shows only in the
 /// streams themselves.
 #[derive(Debug, Default)]
-pub struct Strain {
+pub struct StallDetector {
     late: f64,
     until: Option<Moment>,
 }
 
-impl Strain {
+impl StallDetector {
     /// A stream with events of `steps` engine steps ended; `late` says whether
     /// it paused too long. Gives whether this is the reason to let prompts take
     /// turns from now on.
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -51,7 +51,7 @@
 pub use decisions::pace::FetchLimiter;
 pub use decisions::quota;
 pub use decisions::reserved::Reservations;
-pub use decisions::strain::Strain;
+pub use decisions::strain::StallDetector;
 pub use decisions::strikes::Strikes;
 pub use decisions::turns::LONGEST_WAIT;
 pub use decisions::turns::TurnId;
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -4,7 +4,7 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::LONGEST_WAIT;
-use banyangauge::serving::Strain;
+use banyangauge::serving::StallDetector;
 use banyangauge::serving::TurnId;
 use banyangauge::serving::Turns;
 
@@ -100,7 +100,7 @@
 
 #[test]
 fn strain_shows_in_streams_that_pause() {
-    let mut strain = Strain::default();
+    let mut strain = StallDetector::default();
     for n in 0..200 {
         // One in fifty is no reason.
         assert!(!strain.ended(at(n), 8, n % 50 == 0));
@@ -158,7 +158,7 @@
 /// Streams with events of five steps that pause are a reason for turns.
 #[test]
 fn strain_shows_in_events_of_five_steps() {
-    let mut strain = Strain::default();
+    let mut strain = StallDetector::default();
     assert!((0..20).any(|n| strain.ended(at(n), 5, true)));
 }
 
@@ -166,6 +166,6 @@
 /// no order of prompts mends what pauses the stream.
 #[test]
 fn short_events_are_no_reason() {
-    let mut strain = Strain::default();
+    let mut strain = StallDetector::default();
     assert!(!(0..100).any(|n| strain.ended(at(n), 4, true)));
 }
