--- a/lib/src/serving/decisions/strain.rs
+++ b/lib/src/serving/decisions/strain.rs
@@ -34,7 +34,7 @@
     /// A stream with events of `steps` engine steps ended; `late` says whether
     /// it paused too long. Gives whether this is the reason to let prompts take
     /// turns from now on.
-    pub fn ended(&mut self, now: Moment, steps: u32, late: bool) -> bool {
+    pub fn record_stream(&mut self, now: Moment, steps: u32, late: bool) -> bool {
         if steps < LEAST_STEPS {
             return false;
         }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -292,7 +292,7 @@
         if self.events.is_some() {
             let mut b = self.node.state();
             let steps = b.fleet.steps_per_event(&self.routed.service);
-            let reason = b.strain.ended(now(), steps, pause);
+            let reason = b.strain.record_stream(now(), steps, pause);
             drop(b);
             if reason {
                 slog::info!(self.node.log, "prompts take turns"; "id" => &self.request.id,
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -103,9 +103,9 @@
     let mut strain = StallDetector::default();
     for n in 0..200 {
         // One in fifty is no reason.
-        assert!(!strain.ended(at(n), 8, n % 50 == 0));
+        assert!(!strain.record_stream(at(n), 8, n % 50 == 0));
     }
-    let reason = (0..20).any(|n| strain.ended(at(300 + n), 8, true));
+    let reason = (0..20).any(|n| strain.record_stream(at(300 + n), 8, true));
     assert!(reason && strain.active(at(400)));
     assert!(!strain.active(at(300_000)));
 }
@@ -159,7 +159,7 @@
 #[test]
 fn strain_shows_in_events_of_five_steps() {
     let mut strain = StallDetector::default();
-    assert!((0..20).any(|n| strain.ended(at(n), 5, true)));
+    assert!((0..20).any(|n| strain.record_stream(at(n), 5, true)));
 }
 
 /// All steps of such an event are no longer than callers allow, whatever is read:
@@ -167,5 +167,5 @@
 #[test]
 fn short_events_are_no_reason() {
     let mut strain = StallDetector::default();
-    assert!(!(0..100).any(|n| strain.ended(at(n), 4, true)));
+    assert!(!(0..100).any(|n| strain.record_stream(at(n), 4, true)));
 }
