--- a/lib/src/serving/decisions/strain.rs
+++ b/lib/src/serving/decisions/strain.rs
@@ -50,7 +50,7 @@
     }
 
     /// Another VM has seen a reason.
-    pub fn told(&mut self, now: Moment, left: Span) {
+    pub fn extend(&mut self, now: Moment, left: Span) {
         let until = now.after(left);
         self.until = Some(self.until.map_or(until, |u| u.max(until)));
     }
