--- a/lib/src/serving/decisions/strain.rs
+++ b/lib/src/serving/decisions/strain.rs
@@ -56,12 +56,12 @@
     }
 
     /// How long prompts still take turns.
-    pub fn left(&self, now: Moment) -> Span {
+    pub fn remaining(&self, now: Moment) -> Span {
         self.until.map_or(Span(0), |until| until.since(now))
     }
 
     /// Whether prompts take turns now.
     pub fn active(&self, now: Moment) -> bool {
-        self.left(now) > Span(0)
+        self.remaining(now) > Span(0)
     }
 }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -142,7 +142,7 @@
     state.books.take_changed();
     let mut beacon = new_beacon(node, state, number);
     beacon.owners = state.ownership.revision;
-    beacon.turns_ms = state.strain.left(now).as_millis();
+    beacon.turns_ms = state.strain.remaining(now).as_millis();
     beacon.books = names
         .iter()
         .filter_map(|n| encode_book(state, now, n))
