--- a/lib/src/serving/decisions/strain.rs
+++ b/lib/src/serving/decisions/strain.rs
@@ -43,7 +43,7 @@
         if self.late < LATE_PART {
             return false;
         }
-        let before = self.active(now);
+        let before = self.is_active(now);
         self.late = 0.0;
         self.until = Some(now.after(KEPT));
         !before
@@ -61,7 +61,7 @@
     }
 
     /// Whether prompts take turns now.
-    pub fn active(&self, now: Moment) -> bool {
+    pub fn is_active(&self, now: Moment) -> bool {
         self.remaining(now) > Span(0)
     }
 }
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -45,7 +45,7 @@
         let b = node.state();
         let enabled = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
         let owner = b.ownership.owner(replica).cloned().filter(|_| enabled);
-        owner.filter(|vm| b.strain.active(at) && b.members.is_live(at, vm))?
+        owner.filter(|vm| b.strain.is_active(at) && b.members.is_live(at, vm))?
     };
     let call = node.turn_calls.register(number);
     let turn = PrefillTurn {
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -106,8 +106,8 @@
         assert!(!strain.record_stream(at(n), 8, n % 50 == 0));
     }
     let reason = (0..20).any(|n| strain.record_stream(at(300 + n), 8, true));
-    assert!(reason && strain.active(at(400)));
-    assert!(!strain.active(at(300_000)));
+    assert!(reason && strain.is_active(at(400)));
+    assert!(!strain.is_active(at(300_000)));
 }
 
 /// The longest event of a stream, in milliseconds, on an engine to which six
