--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -31,7 +31,7 @@
 use crate::serving::decisions::quota::Lender;
 use crate::serving::decisions::reserved::Reservations;
 use crate::serving::decisions::strain::StallDetector;
-use crate::serving::decisions::strikes::Strikes;
+use crate::serving::decisions::strikes::CrashTracker;
 use crate::serving::decisions::turns::Turns;
 use crate::serving::path::routes::Routes;
 use crate::serving::path::types::Config;
@@ -86,7 +86,7 @@
     pub(in crate::serving) members: Members,
     pub(in crate::serving) ownership: Ownership,
     pub(in crate::serving) books: AdapterPlanner,
-    pub(in crate::serving) strikes: Strikes,
+    pub(in crate::serving) strikes: CrashTracker,
     pub(in crate::serving) strain: StallDetector,
     pub(in crate::serving) turns: Turns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
@@ -130,7 +130,7 @@
             members: Members::new(settings.vm.clone(), now),
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
             books: AdapterPlanner::default(),
-            strikes: Strikes::default(),
+            strikes: CrashTracker::default(),
             strain: StallDetector::default(),
             turns: Turns::default(),
             local_uses: BTreeMap::new(),
--- a/lib/src/serving/decisions/strikes.rs
+++ b/lib/src/serving/decisions/strikes.rs
@@ -36,11 +36,11 @@
 /// answer clears it, so requests that broke with a crash of another's doing
 /// are not refused for it.
 #[derive(Debug, Default)]
-pub struct Strikes {
+pub struct CrashTracker {
     known: BTreeMap<Fingerprint, BTreeMap<Instance, Strike>>,
 }
 
-impl Strikes {
+impl CrashTracker {
     /// An upstream broke while it ran this request; gives whether that is news.
     pub fn note(&mut self, now: Moment, request: Fingerprint, replica: &Instance) -> bool {
         let strikes = self.strikes(now, request);
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -3,7 +3,7 @@
 //! | folder | contents |
 //! |---|---|
 //! | `path` | the path of a request, starting at `path/serve.rs` |
-//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`RetryBudget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
+//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`RetryBudget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`CrashTracker`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
 //! | `cluster` | what the VM knows: [`Feed`] (of the stored objects), [`Members`] (of the VMs), [`Ownership`] (of who may give orders to which replica) |
 //! | `peers` | messages between VMs |
 //! | `store` | the interface of the store, and the tasks that follow it |
@@ -52,7 +52,7 @@
 pub use decisions::quota;
 pub use decisions::reserved::Reservations;
 pub use decisions::strain::StallDetector;
-pub use decisions::strikes::Strikes;
+pub use decisions::strikes::CrashTracker;
 pub use decisions::turns::LONGEST_WAIT;
 pub use decisions::turns::TurnId;
 pub use decisions::turns::Turns;
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -4,10 +4,10 @@
 use banyangauge::ids::ServiceName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
+use banyangauge::serving::CrashTracker;
 use banyangauge::serving::Instance;
 use banyangauge::serving::RetryBudget;
 use banyangauge::serving::RetryLimits;
-use banyangauge::serving::Strikes;
 use banyangauge::serving::decide::AttemptFailure;
 use banyangauge::serving::decide::Attempts;
 use banyangauge::serving::decide::Refusal;
@@ -83,7 +83,7 @@
 /// One replica that starts again under its name is brought down three times.
 #[test]
 fn strikes_convict_what_crashes_one_replica_thrice() {
-    let mut strikes = Strikes::default();
+    let mut strikes = CrashTracker::default();
     for born in 1..=3 {
         let name = "i-1".parse().unwrap();
         strikes.note(
@@ -101,7 +101,7 @@
 
 #[test]
 fn strikes_convict_what_crashes_three() {
-    let mut strikes = Strikes::default();
+    let mut strikes = CrashTracker::default();
     let request = Fingerprint(1);
     for name in ["i-1", "i-2"] {
         strikes.note(at(0), request, &instance(name));
@@ -119,11 +119,11 @@
 /// beacons until they filled the links.
 #[test]
 fn strikes_heard_are_not_told_on() {
-    let mut strikes = Strikes::default();
+    let mut strikes = CrashTracker::default();
     let replica = instance("i-1");
     strikes.hear(at(0), Fingerprint(1), &replica);
     strikes.note(at(0), Fingerprint(2), &replica);
-    let told = |strikes: &Strikes| -> Vec<u64> {
+    let told = |strikes: &CrashTracker| -> Vec<u64> {
         let recent = strikes.recent(at(10), Span::from_millis(5_000));
         recent.iter().map(|(f, _)| f.0).collect()
     };
@@ -136,7 +136,7 @@
 
 #[test]
 fn strikes_told_fit_a_datagram() {
-    let mut strikes = Strikes::default();
+    let mut strikes = CrashTracker::default();
     let replica = instance("i-1");
     for i in 0..1_000 {
         strikes.note(at(i), Fingerprint(i), &replica);
@@ -149,7 +149,7 @@
 /// Strikes that other VMs saw count as much.
 #[test]
 fn strikes_heard_convict() {
-    let mut strikes = Strikes::default();
+    let mut strikes = CrashTracker::default();
     for name in ["i-1", "i-2", "i-3"] {
         strikes.hear(at(0), Fingerprint(1), &instance(name));
     }
