--- a/lib/src/serving/decisions/strikes.rs
+++ b/lib/src/serving/decisions/strikes.rs
@@ -42,7 +42,7 @@
 
 impl CrashTracker {
     /// An upstream broke while it ran this request; gives whether that is news.
-    pub fn note(&mut self, now: Moment, request: Fingerprint, replica: &Instance) -> bool {
+    pub fn record(&mut self, now: Moment, request: Fingerprint, replica: &Instance) -> bool {
         let strikes = self.strikes(now, request);
         let strike = Strike { at: now, own: true };
         strikes.insert(replica.clone(), strike).is_none()
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -259,7 +259,7 @@
 /// Records that an upstream failed while it ran this request, and lets the next beacon go
 /// out at once if that is news for the other VMs.
 pub(in crate::serving) fn record_strike(node: &Node, req: &BufferedRequest, replica: &Instance) {
-    let is_new = node.state().strikes.note(now(), req.fingerprint, replica);
+    let is_new = node.state().strikes.record(now(), req.fingerprint, replica);
     if is_new {
         node.beacon_wake.notify_one();
     }
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -86,7 +86,7 @@
     let mut strikes = CrashTracker::default();
     for born in 1..=3 {
         let name = "i-1".parse().unwrap();
-        strikes.note(
+        strikes.record(
             at(0),
             Fingerprint(1),
             &Instance {
@@ -104,10 +104,10 @@
     let mut strikes = CrashTracker::default();
     let request = Fingerprint(1);
     for name in ["i-1", "i-2"] {
-        strikes.note(at(0), request, &instance(name));
+        strikes.record(at(0), request, &instance(name));
     }
     assert!(!strikes.convicted(at(0), request, |_| true));
-    strikes.note(at(0), request, &instance("i-3"));
+    strikes.record(at(0), request, &instance("i-3"));
     assert!(strikes.convicted(at(0), request, |_| true));
     assert!(!strikes.convicted(at(0), request, |r| r.name.as_str() != "i-1"));
     strikes.clear(request);
@@ -122,7 +122,7 @@
     let mut strikes = CrashTracker::default();
     let replica = instance("i-1");
     strikes.hear(at(0), Fingerprint(1), &replica);
-    strikes.note(at(0), Fingerprint(2), &replica);
+    strikes.record(at(0), Fingerprint(2), &replica);
     let told = |strikes: &CrashTracker| -> Vec<u64> {
         let recent = strikes.recent(at(10), Span::from_millis(5_000));
         recent.iter().map(|(f, _)| f.0).collect()
@@ -139,7 +139,7 @@
     let mut strikes = CrashTracker::default();
     let replica = instance("i-1");
     for i in 0..1_000 {
-        strikes.note(at(i), Fingerprint(i), &replica);
+        strikes.record(at(i), Fingerprint(i), &replica);
     }
     let told = strikes.recent(at(1_000), Span::from_millis(5_000));
     assert_eq!(told.len(), 64);
