--- a/lib/src/serving/decisions/strikes.rs
+++ b/lib/src/serving/decisions/strikes.rs
@@ -50,7 +50,7 @@
 
     /// Another VM saw that. It is not told on: whoever saw it tells all, and
     /// strikes that are told on go around for ever.
-    pub fn hear(&mut self, now: Moment, request: Fingerprint, replica: &Instance) {
+    pub fn record_remote(&mut self, now: Moment, request: Fingerprint, replica: &Instance) {
         let strikes = self.strikes(now, request);
         let strike = Strike {
             at: now,
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -309,7 +309,7 @@
         if let Some(replica) = parse_instance(&note.replica, note.born) {
             state
                 .strikes
-                .hear(now, Fingerprint(note.fingerprint), &replica);
+                .record_remote(now, Fingerprint(note.fingerprint), &replica);
         }
     }
     if beacon.complete {
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -121,7 +121,7 @@
 fn strikes_heard_are_not_told_on() {
     let mut strikes = CrashTracker::default();
     let replica = instance("i-1");
-    strikes.hear(at(0), Fingerprint(1), &replica);
+    strikes.record_remote(at(0), Fingerprint(1), &replica);
     strikes.record(at(0), Fingerprint(2), &replica);
     let told = |strikes: &CrashTracker| -> Vec<u64> {
         let recent = strikes.recent(at(10), Span::from_millis(5_000));
@@ -129,7 +129,7 @@
     };
     assert_eq!(told(&strikes), [2]);
     // Hearing of its own from another VM keeps it its own, and no younger.
-    strikes.hear(at(9), Fingerprint(2), &replica);
+    strikes.record_remote(at(9), Fingerprint(2), &replica);
     assert_eq!(told(&strikes), [2]);
     assert!(strikes.recent(at(10), Span::from_millis(5)).is_empty());
 }
@@ -151,7 +151,7 @@
 fn strikes_heard_convict() {
     let mut strikes = CrashTracker::default();
     for name in ["i-1", "i-2", "i-3"] {
-        strikes.hear(at(0), Fingerprint(1), &instance(name));
+        strikes.record_remote(at(0), Fingerprint(1), &instance(name));
     }
     assert!(strikes.convicted(at(0), Fingerprint(1), |_| true));
 }
