--- a/lib/src/serving/decisions/strikes.rs
+++ b/lib/src/serving/decisions/strikes.rs
@@ -75,7 +75,7 @@
 
     /// Whether it has brought down as many replicas as it may; `down` says
     /// whether a replica that broke is gone.
-    pub fn convicted(
+    pub fn is_poison(
         &self,
         now: Moment,
         request: Fingerprint,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -299,7 +299,7 @@
     let b = node.state();
     let now = now();
     let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.status(now, &r.name) != "live";
-    match b.strikes.convicted(now, req.fingerprint, down) {
+    match b.strikes.is_poison(now, req.fingerprint, down) {
         true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
     }
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -95,8 +95,8 @@
             },
         );
     }
-    assert!(strikes.convicted(at(0), Fingerprint(1), |r| r.started_ms < 4));
-    assert!(!strikes.convicted(at(0), Fingerprint(1), |r| r.started_ms < 3));
+    assert!(strikes.is_poison(at(0), Fingerprint(1), |r| r.started_ms < 4));
+    assert!(!strikes.is_poison(at(0), Fingerprint(1), |r| r.started_ms < 3));
 }
 
 #[test]
@@ -106,12 +106,12 @@
     for name in ["i-1", "i-2"] {
         strikes.record(at(0), request, &instance(name));
     }
-    assert!(!strikes.convicted(at(0), request, |_| true));
+    assert!(!strikes.is_poison(at(0), request, |_| true));
     strikes.record(at(0), request, &instance("i-3"));
-    assert!(strikes.convicted(at(0), request, |_| true));
-    assert!(!strikes.convicted(at(0), request, |r| r.name.as_str() != "i-1"));
+    assert!(strikes.is_poison(at(0), request, |_| true));
+    assert!(!strikes.is_poison(at(0), request, |r| r.name.as_str() != "i-1"));
     strikes.clear(request);
-    assert!(!strikes.convicted(at(0), request, |_| true));
+    assert!(!strikes.is_poison(at(0), request, |_| true));
 }
 
 /// A crash of many replicas leaves a strike for each request that ran there.
@@ -153,5 +153,5 @@
     for name in ["i-1", "i-2", "i-3"] {
         strikes.record_remote(at(0), Fingerprint(1), &instance(name));
     }
-    assert!(strikes.convicted(at(0), Fingerprint(1), |_| true));
+    assert!(strikes.is_poison(at(0), Fingerprint(1), |_| true));
 }
