--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -32,7 +32,7 @@
 use crate::serving::decisions::reserved::Reservations;
 use crate::serving::decisions::strain::StallDetector;
 use crate::serving::decisions::strikes::CrashTracker;
-use crate::serving::decisions::turns::Turns;
+use crate::serving::decisions::turns::PrefillTurns;
 use crate::serving::path::routes::Routes;
 use crate::serving::path::types::Config;
 use crate::serving::path::types::Instance;
@@ -88,7 +88,7 @@
     pub(in crate::serving) books: AdapterPlanner,
     pub(in crate::serving) strikes: CrashTracker,
     pub(in crate::serving) strain: StallDetector,
-    pub(in crate::serving) turns: Turns,
+    pub(in crate::serving) turns: PrefillTurns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted recently.
     pub(in crate::serving) reserved: Reservations,
@@ -132,7 +132,7 @@
             books: AdapterPlanner::default(),
             strikes: CrashTracker::default(),
             strain: StallDetector::default(),
-            turns: Turns::default(),
+            turns: PrefillTurns::default(),
             local_uses: BTreeMap::new(),
             reserved: Reservations::default(),
             leaving: BTreeSet::new(),
--- a/lib/src/serving/decisions/turns.rs
+++ b/lib/src/serving/decisions/turns.rs
@@ -62,11 +62,11 @@
 /// are given by the replica's owner, as the VMs' pictures of a replica are
 /// older than a prompt takes; without an owner prompts are sent as they come.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct PrefillTurns {
     desks: BTreeMap<ReplicaName, Desk>,
 }
 
-impl Turns {
+impl PrefillTurns {
     /// A prompt of `tokens` is to be read.
     pub fn ask(&mut self, now: Moment, replica: &ReplicaName, id: TurnId, tokens: u64) {
         let desk = self.desks.entry(replica.clone()).or_default();
@@ -105,7 +105,7 @@
         grants
     }
 
-    /// When [`Turns::grants`] is worth asking again without news.
+    /// When [`PrefillTurns::grants`] is worth asking again without news.
     pub fn next_wake(&self) -> Option<Moment> {
         let desks = self.desks.values().filter(|d| !d.waiting.is_empty());
         let lost = |d: &Desk| d.reading.iter().map(|t| t.until).min();
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -4,9 +4,9 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge::serving::LONGEST_WAIT;
+use banyangauge::serving::PrefillTurns;
 use banyangauge::serving::StallDetector;
 use banyangauge::serving::TurnId;
-use banyangauge::serving::Turns;
 
 fn at(ms: u64) -> Moment {
     Moment(10_000_000).after(Span::from_millis(ms))
@@ -19,7 +19,7 @@
     }
 }
 
-fn numbers(turns: &mut Turns, ms: u64) -> Vec<u64> {
+fn numbers(turns: &mut PrefillTurns, ms: u64) -> Vec<u64> {
     turns
         .grants(at(ms))
         .iter()
@@ -30,7 +30,7 @@
 /// Between two prompts every stream of the replica gets its next event.
 #[test]
 fn prompts_are_read_one_by_one_with_a_pause() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     turns.ask(at(0), &r, id(1), 9_000);
     turns.ask(at(1), &r, id(2), 9_000);
     assert_eq!(numbers(&mut turns, 1), [1]);
@@ -42,7 +42,7 @@
 
 #[test]
 fn small_prompts_share_a_turn() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     for n in 1..=3 {
         turns.ask(at(0), &r, id(n), 3_000);
     }
@@ -52,7 +52,7 @@
 /// A VM died, or its word was lost: the others do not wait for ever.
 #[test]
 fn turn_whose_end_was_lost_is_over() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     turns.ask(at(0), &r, id(1), 4_000);
     assert_eq!(numbers(&mut turns, 0), [1]);
     turns.ask(at(300), &r, id(2), 4_000);
@@ -63,7 +63,7 @@
 
 #[test]
 fn prompt_that_waits_no_more_is_passed_over() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     turns.ask(at(0), &r, id(1), 90_000);
     assert_eq!(numbers(&mut turns, 0), [1]);
     turns.ask(at(1), &r, id(2), 9_000);
@@ -77,7 +77,7 @@
 /// after a bounded wait, and streams get a pause between prompts.
 #[test]
 fn saturation_keeps_the_order_and_the_pause() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     let (mut reading, mut order, mut next) = (None, Vec::new(), 0);
     for ms in 0..6_000 {
         if ms % 150 == 0 {
@@ -114,7 +114,7 @@
 /// prompts of 9,200 tokens come at once. A step reads up to 4,096 tokens of those
 /// that wait, 35 in a millisecond, and takes 6 ms besides; an event takes `steps`.
 fn longest_event(steps: usize, turns: bool) -> u64 {
-    let (mut desk, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut desk, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     let mut queue: Vec<(u64, u64)> = Vec::new();
     for number in 0..6 {
         match turns {
