--- a/lib/src/serving/decisions/turns.rs
+++ b/lib/src/serving/decisions/turns.rs
@@ -68,7 +68,7 @@
 
 impl PrefillTurns {
     /// A prompt of `tokens` is to be read.
-    pub fn ask(&mut self, now: Moment, replica: &ReplicaName, id: TurnId, tokens: u64) {
+    pub fn request(&mut self, now: Moment, replica: &ReplicaName, id: TurnId, tokens: u64) {
         let desk = self.desks.entry(replica.clone()).or_default();
         desk.waiting.push_back(Turn {
             id,
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -55,7 +55,7 @@
     };
     if owner == node.settings.vm {
         let id = TurnId { vm: owner, number };
-        node.state().turns.ask(at, replica, id, tokens);
+        node.state().turns.request(at, replica, id, tokens);
         node.turns_wake.notify_one();
     } else {
         let ask = wire::TurnAsk {
@@ -143,7 +143,7 @@
         vm,
         number: ask.number,
     };
-    node.state().turns.ask(now(), &replica, id, ask.tokens);
+    node.state().turns.request(now(), &replica, id, ask.tokens);
     node.turns_wake.notify_one();
 }
 
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -31,8 +31,8 @@
 #[test]
 fn prompts_are_read_one_by_one_with_a_pause() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
-    turns.ask(at(0), &r, id(1), 9_000);
-    turns.ask(at(1), &r, id(2), 9_000);
+    turns.request(at(0), &r, id(1), 9_000);
+    turns.request(at(1), &r, id(2), 9_000);
     assert_eq!(numbers(&mut turns, 1), [1]);
     assert!(numbers(&mut turns, 150).is_empty());
     turns.end(at(200), &r, &id(1));
@@ -44,7 +44,7 @@
 fn small_prompts_share_a_turn() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     for n in 1..=3 {
-        turns.ask(at(0), &r, id(n), 3_000);
+        turns.request(at(0), &r, id(n), 3_000);
     }
     assert_eq!(numbers(&mut turns, 0), [1, 2]);
 }
@@ -53,9 +53,9 @@
 #[test]
 fn turn_whose_end_was_lost_is_over() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
-    turns.ask(at(0), &r, id(1), 4_000);
+    turns.request(at(0), &r, id(1), 4_000);
     assert_eq!(numbers(&mut turns, 0), [1]);
-    turns.ask(at(300), &r, id(2), 4_000);
+    turns.request(at(300), &r, id(2), 4_000);
     assert!(numbers(&mut turns, 320).is_empty());
     assert_eq!(turns.next_wake(), Some(at(350)));
     assert_eq!(numbers(&mut turns, 350), [2]);
@@ -64,10 +64,10 @@
 #[test]
 fn prompt_that_waits_no_more_is_passed_over() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
-    turns.ask(at(0), &r, id(1), 90_000);
+    turns.request(at(0), &r, id(1), 90_000);
     assert_eq!(numbers(&mut turns, 0), [1]);
-    turns.ask(at(1), &r, id(2), 9_000);
-    turns.ask(at(500), &r, id(3), 9_000);
+    turns.request(at(1), &r, id(2), 9_000);
+    turns.request(at(500), &r, id(3), 9_000);
     turns.end(at(900), &r, &id(1));
     assert!(LONGEST_WAIT < Span::from_millis(900));
     assert_eq!(numbers(&mut turns, 930), [3]);
@@ -82,7 +82,7 @@
     for ms in 0..6_000 {
         if ms % 150 == 0 {
             next += 1;
-            turns.ask(at(ms), &r, id(next), 9_000);
+            turns.request(at(ms), &r, id(next), 9_000);
         }
         if reading.is_some_and(|(_, end)| end <= ms) {
             let (number, _) = reading.take().unwrap();
@@ -118,7 +118,7 @@
     let mut queue: Vec<(u64, u64)> = Vec::new();
     for number in 0..6 {
         match turns {
-            true => desk.ask(at(0), &r, id(number), 9_200),
+            true => desk.request(at(0), &r, id(number), 9_200),
             false => queue.push((number, 9_200)),
         }
     }
