--- a/lib/src/serving/decisions/turns.rs
+++ b/lib/src/serving/decisions/turns.rs
@@ -78,7 +78,7 @@
     }
 
     /// It was read, or is wanted no more.
-    pub fn end(&mut self, now: Moment, replica: &ReplicaName, id: &TurnId) {
+    pub fn finish(&mut self, now: Moment, replica: &ReplicaName, id: &TurnId) {
         let Some(desk) = self.desks.get_mut(replica) else {
             return;
         };
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -84,7 +84,7 @@
         if owner == vm {
             let id = TurnId { vm, number };
             let mut b = self.node.state();
-            b.turns.end(now(), &self.replica, &id);
+            b.turns.finish(now(), &self.replica, &id);
             drop(b);
             self.node.turns_wake.notify_one();
             return;
@@ -156,6 +156,6 @@
         vm,
         number: end.number,
     };
-    node.state().turns.end(now(), &replica, &id);
+    node.state().turns.finish(now(), &replica, &id);
     node.turns_wake.notify_one();
 }
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -35,7 +35,7 @@
     turns.request(at(1), &r, id(2), 9_000);
     assert_eq!(numbers(&mut turns, 1), [1]);
     assert!(numbers(&mut turns, 150).is_empty());
-    turns.end(at(200), &r, &id(1));
+    turns.finish(at(200), &r, &id(1));
     assert!(numbers(&mut turns, 201).is_empty());
     assert_eq!(numbers(&mut turns, 230), [2]);
 }
@@ -68,7 +68,7 @@
     assert_eq!(numbers(&mut turns, 0), [1]);
     turns.request(at(1), &r, id(2), 9_000);
     turns.request(at(500), &r, id(3), 9_000);
-    turns.end(at(900), &r, &id(1));
+    turns.finish(at(900), &r, &id(1));
     assert!(LONGEST_WAIT < Span::from_millis(900));
     assert_eq!(numbers(&mut turns, 930), [3]);
 }
@@ -86,7 +86,7 @@
         }
         if reading.is_some_and(|(_, end)| end <= ms) {
             let (number, _) = reading.take().unwrap();
-            turns.end(at(ms), &r, &id(number));
+            turns.finish(at(ms), &r, &id(number));
         }
         for number in numbers(&mut turns, ms) {
             assert!(reading.is_none(), "two prompts at a time");
@@ -130,7 +130,7 @@
             let read = (*left).min(room);
             (*left, room) = (*left - read, room - read);
             if *left == 0 {
-                desk.end(at(now), &r, &id(*number));
+                desk.finish(at(now), &r, &id(*number));
                 queue.remove(0);
             }
         }
