--- a/lib/src/serving/decisions/turns.rs
+++ b/lib/src/serving/decisions/turns.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whose turn it is now; each is told once.
-    pub fn grants(&mut self, now: Moment) -> Vec<(ReplicaName, TurnId)> {
+    pub fn take_grants(&mut self, now: Moment) -> Vec<(ReplicaName, TurnId)> {
         let mut grants = Vec::new();
         for (name, desk) in &mut self.desks {
             desk.reading.retain(|t| t.until > now);
@@ -105,7 +105,7 @@
         grants
     }
 
-    /// When [`PrefillTurns::grants`] is worth asking again without news.
+    /// When [`PrefillTurns::take_grants`] is worth asking again without news.
     pub fn next_wake(&self) -> Option<Moment> {
         let desks = self.desks.values().filter(|d| !d.waiting.is_empty());
         let lost = |d: &Desk| d.reading.iter().map(|t| t.until).min();
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -114,7 +114,7 @@
     loop {
         let (grants, wake) = {
             let mut b = node.state();
-            (b.turns.grants(now()), b.turns.next_wake())
+            (b.turns.take_grants(now()), b.turns.next_wake())
         };
         for (_, id) in grants {
             if id.vm == node.settings.vm {
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -21,7 +21,7 @@
 
 fn numbers(turns: &mut PrefillTurns, ms: u64) -> Vec<u64> {
     turns
-        .grants(at(ms))
+        .take_grants(at(ms))
         .iter()
         .map(|(_, id)| id.number)
         .collect()
