--- a/lib/src/serving/decisions/turns.rs
+++ b/lib/src/serving/decisions/turns.rs
@@ -21,7 +21,7 @@
 
 /// How long a prompt waits for its turn at the most: later it would miss its
 /// objective, and is sent all the same.
-pub const LONGEST_WAIT: Span = Span::from_millis(600);
+pub const MAX_TURN_WAIT: Span = Span::from_millis(600);
 
 /// Microseconds for a token after which a turn is over whose end was lost:
 /// twice what an engine takes.
@@ -73,7 +73,7 @@
         desk.waiting.push_back(Turn {
             id,
             tokens,
-            until: now.after(LONGEST_WAIT),
+            until: now.after(MAX_TURN_WAIT),
         });
     }
 
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -53,7 +53,7 @@
 pub use decisions::reserved::Reservations;
 pub use decisions::strain::StallDetector;
 pub use decisions::strikes::CrashTracker;
-pub use decisions::turns::LONGEST_WAIT;
+pub use decisions::turns::MAX_TURN_WAIT;
 pub use decisions::turns::PrefillTurns;
 pub use decisions::turns::TurnId;
 pub use path::codec::BadRecord;
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -10,7 +10,7 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::decisions::turns::LONGEST_WAIT;
+use crate::serving::decisions::turns::MAX_TURN_WAIT;
 use crate::serving::decisions::turns::TurnId;
 use crate::serving::peers::beacons;
 use crate::serving::program::experiment::Mechanism;
@@ -66,7 +66,7 @@
         };
         send_message(node, &owner, Body::TurnAsk(ask)).await;
     }
-    let end = at.after(LONGEST_WAIT).min(deadline);
+    let end = at.after(MAX_TURN_WAIT).min(deadline);
     if call.wait(time_until(end)).await.is_none() {
         slog::debug!(node.log, "no prefill turn granted in time; sending the prompt"; "replica" => replica.as_str());
     }
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -3,7 +3,7 @@
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::LONGEST_WAIT;
+use banyangauge::serving::MAX_TURN_WAIT;
 use banyangauge::serving::PrefillTurns;
 use banyangauge::serving::StallDetector;
 use banyangauge::serving::TurnId;
@@ -69,7 +69,7 @@
     turns.request(at(1), &r, id(2), 9_000);
     turns.request(at(500), &r, id(3), 9_000);
     turns.finish(at(900), &r, &id(1));
-    assert!(LONGEST_WAIT < Span::from_millis(900));
+    assert!(MAX_TURN_WAIT < Span::from_millis(900));
     assert_eq!(numbers(&mut turns, 930), [3]);
 }
 
