--- a/lib/src/serving/decisions/turns.rs
+++ b/lib/src/serving/decisions/turns.rs
@@ -10,7 +10,7 @@
 
 /// A prompt from this length on waits for its turn: an engine reads shorter
 /// ones within a few steps.
-pub(in crate::serving) const LONG_PROMPT: u64 = 3_000;
+pub(in crate::serving) const LONG_PROMPT_TOKENS: u64 = 3_000;
 
 /// Tokens that are read at a time, at the most, unless one prompt is longer.
 const READ_AT_ONCE: u64 = 6_000;
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -23,7 +23,7 @@
 use crate::serving::decisions::decide::AttemptFailure;
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::fleet::RunOutcome;
-use crate::serving::decisions::turns::LONG_PROMPT;
+use crate::serving::decisions::turns::LONG_PROMPT_TOKENS;
 use crate::serving::path::charge::Charge;
 use crate::serving::path::codec::ForwardHeaders;
 use crate::serving::path::codec::Reply;
@@ -102,7 +102,7 @@
     /// Waits for a long prompt's turn, then expects the first byte: the caller sends the
     /// request next.
     async fn wait_for_turn(&mut self, deadline: Moment) {
-        if self.cost.prefill >= LONG_PROMPT {
+        if self.cost.prefill >= LONG_PROMPT_TOKENS {
             let node = self.node.clone();
             let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.prefill, deadline);
             self.prefill_turn = turn.await;
