--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -247,7 +247,7 @@
         for l in &all {
             if self
                 .fleet
-                .born(&l.name)
+                .started_ms(&l.name)
                 .is_some_and(|old| old != l.started_ms)
             {
                 self.local_uses.remove(&l.name);
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -326,13 +326,13 @@
     }
 
     /// The start of a replica that is listed.
-    pub fn born(&self, name: &ReplicaName) -> Option<u64> {
+    pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
         self.listing(name).map(|l| l.started_ms)
     }
 
     /// Whether a replica has not started anew since.
     pub fn is_current(&self, replica: &Instance) -> bool {
-        self.born(&replica.name) == Some(replica.started_ms)
+        self.started_ms(&replica.name) == Some(replica.started_ms)
     }
 
     /// The replicas as the store lists them.
