--- a/lib/src/serving/decisions/books/mod.rs
+++ b/lib/src/serving/decisions/books/mod.rs
@@ -75,7 +75,7 @@
     }
 
     /// The start of a replica whose book this is.
-    pub fn born(&self, name: &ReplicaName) -> Option<u64> {
+    pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
         self.books.get(name).map(|b| b.born)
     }
 
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -137,7 +137,7 @@
     books.track(at(0), &started(1, &["base", "base/a1"]), 2);
     books.next_action(at(0), &name, &versions, None);
     books.finish_inspection(at(0), &name, Some(report(2, 4, &["base"])));
-    assert_eq!(books.born(&name), Some(2));
+    assert_eq!(books.started_ms(&name), Some(2));
     assert!(
         !books
             .residency(&name)
