--- a/lib/src/serving/decisions/books/book.rs
+++ b/lib/src/serving/decisions/books/book.rs
@@ -210,8 +210,8 @@
             self.look_from = now.after(RESYNC_PAUSE);
             return;
         };
-        if report.born != self.born {
-            self.restarted(now, report.born);
+        if report.started_ms != self.born {
+            self.restarted(now, report.started_ms);
         }
         self.accepted = Some(report.accepted);
         self.take_report(now, &report);
--- a/lib/src/serving/decisions/books/step.rs
+++ b/lib/src/serving/decisions/books/step.rs
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ReplicaReport {
     /// When the replica started, in Unix milliseconds; 0 where it does not say.
-    pub born: u64,
+    pub started_ms: u64,
     /// Orders that it has accepted.
     pub accepted: u64,
     /// Adapters that it holds.
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -90,7 +90,7 @@
 fn report(born: u64, accepted: u64, held: &[&str]) -> ReplicaReport {
     let here = held.iter().map(|t| (Target::parse(t).unwrap(), 1));
     ReplicaReport {
-        born,
+        started_ms: born,
         accepted,
         loaded: here.collect(),
         loading: BTreeSet::new(),
