--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -236,7 +236,11 @@
     /// what requests may use.
     pub(in crate::serving) fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
         let (name, started_ms) = (listing.name.clone(), listing.started_ms);
-        if self.fleet.born(&name).is_some_and(|old| old != started_ms) {
+        if self
+            .fleet
+            .started_ms(&name)
+            .is_some_and(|old| old != started_ms)
+        {
             self.local_uses.remove(&name);
         }
         self.fleet.apply_listing(listing)
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -79,7 +79,7 @@
         for name in state.books.take_changed() {
             state.subscriptions.record_change(now, &name);
             // Also apply it here.
-            if let Some(held) = state.books.held(&name) {
+            if let Some(held) = state.books.residency(&name) {
                 state.fleet.apply_residency(now, &name, held);
             }
         }
@@ -138,7 +138,7 @@
 
 /// Builds the part of a beacon that is the same for all VMs.
 fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
-    let names: Vec<_> = state.books.names().cloned().collect();
+    let names: Vec<_> = state.books.replicas().cloned().collect();
     state.books.take_changed();
     let mut beacon = new_beacon(node, state, number);
     beacon.owners = state.ownership.revision;
@@ -148,7 +148,7 @@
         .filter_map(|n| encode_book(state, now, n))
         .collect();
     for name in &names {
-        if let Some(held) = state.books.held(name) {
+        if let Some(held) = state.books.residency(name) {
             state.fleet.apply_residency(now, name, held);
         }
     }
@@ -210,10 +210,10 @@
 
 /// Encodes the contents of a replica owned by this VM.
 fn encode_book(state: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
-    let held = state.books.held(name)?;
+    let held = state.books.residency(name)?;
     let token = state.ownership.token(now, name)?;
-    let here = held.here.iter().map(|(t, v)| (t, *v, false));
-    let coming = held.coming.iter().map(|t| (t, 0, true));
+    let here = held.loaded.iter().map(|(t, v)| (t, *v, false));
+    let coming = held.loading.iter().map(|t| (t, 0, true));
     let slots = here
         .chain(coming)
         .map(|(t, version, coming)| wire::AdapterSlot {
@@ -225,7 +225,7 @@
         replica: name.to_string(),
         token: token.0,
         slots: slots.collect(),
-        born: state.books.born(name)?,
+        born: state.books.started_ms(name)?,
     })
 }
 
@@ -427,7 +427,7 @@
     if !state.books.request_load(now, &name, &target) {
         return;
     }
-    let held = state.books.held(&name).unwrap_or_default();
+    let held = state.books.residency(&name).unwrap_or_default();
     let known = held.loaded.contains_key(&target) || held.loading.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
         state.subscriptions.subscribe(now, &vm, &name, known);
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -114,9 +114,9 @@
             replica: name.to_string(),
             requests: load.requests,
             tokens: load.tokens,
-            unread: load.unread,
+            unread: load.prefill,
             uses: encode_uses(&uses),
-            born: state.fleet.born(&name).unwrap_or_default(),
+            born: state.fleet.started_ms(&name).unwrap_or_default(),
         });
     }
     flights
@@ -142,8 +142,8 @@
         replica: name.to_string(),
         requests: load.requests,
         tokens: load.tokens,
-        unread: load.unread,
-        born: state.fleet.born(name)?,
+        unread: load.prefill,
+        born: state.fleet.started_ms(name)?,
     })
 }
 
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -148,7 +148,7 @@
     let mut state = node.state();
     let draining = state.fleet.listing(&name).is_some_and(|l| l.draining);
     let leaving = change.removed || draining;
-    let Some(born) = state.fleet.born(&name).filter(|_| leaving) else {
+    let Some(born) = state.fleet.started_ms(&name).filter(|_| leaving) else {
         return;
     };
     state.leaving.insert(Instance {
