--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -185,7 +185,9 @@
         if *lender == node.settings.vm {
             let reachable = b.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
-            let answer = b.lender.lend(now(), name, limit, reachable, first, question);
+            let answer = b
+                .lender
+                .lend(now(), name, limit, reachable, first, question);
             return LenderReply::Answer(answer);
         }
         b.members.address(lender)
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -86,7 +86,7 @@
         let id = node.next_id();
         let mut b = node.state();
         b.begin_run(replica, req.target.as_ref(), req.cost);
-        let started_ms = b.fleet.born(replica).unwrap_or_default();
+        let started_ms = b.fleet.started_ms(replica).unwrap_or_default();
         Self {
             node: node.clone(),
             replica: replica.clone(),
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -60,7 +60,7 @@
             replica: replica.to_string(),
             target: target.to_string(),
             tokens: req.cost.tokens,
-            unread: req.cost.unread,
+            unread: req.cost.prefill,
             believed_ms: assumed.busy_ms() as u64,
         };
         (address, ask)
@@ -111,7 +111,7 @@
             return;
         }
         let reported = b.fleet.total_load(at, &name).unwrap_or_default();
-        let req = b.books.held(&name);
+        let req = b.books.residency(&name);
         let lacks = req.is_some_and(|h| !h.loaded.keys().any(|t| t.to_string() == ask.target));
         let cost = Load {
             requests: 1,
@@ -120,7 +120,9 @@
         };
         let assumed_ms = ask.believed_ms as f64;
         let total = reported.plus(b.reserved.load(at, &name));
-        let granted = !lacks && b.reserved.try_reserve(at, &name, reported, assumed_ms, cost);
+        let granted = !lacks
+            && b.reserved
+                .try_reserve(at, &name, reported, assumed_ms, cost);
         let answer = wire::PlaceAnswer {
             number: ask.number,
             granted,
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -111,7 +111,10 @@
                 capacity_deadline,
                 Refusal::not_run("replicas_full", FULL_RETRY_AFTER),
             ),
-            Placement::Unavailable => (capacity_deadline, Refusal::not_run("no_replica", RETRY_DELAY)),
+            Placement::Unavailable => (
+                capacity_deadline,
+                Refusal::not_run("no_replica", RETRY_DELAY),
+            ),
         };
         let stopping = node.phase() != Phase::Serving;
         let deadline = match stopping {
@@ -139,12 +142,12 @@
 ) {
     let at = now();
     let b = node.state();
-    let survey = b.fleet.survey(at, &routed.service, req.target.as_ref());
+    let survey = b.fleet.summarize(at, &routed.service, req.target.as_ref());
     slog::info!(node.log, "no replica can take the request"; "id" => &req.id, "why" => reason,
         "target" => req.target.as_ref().map(ToString::to_string),
         "service" => routed.service.as_str(), "waited_ms" => waited.as_millis(),
         "replicas" => survey.listed, "live" => survey.live, "holders" => survey.holders,
-        "words" => survey.words, "requests" => survey.requests,
+        "words" => survey.fresh_reports, "requests" => survey.requests,
         "owners_term" => b.ownership.table.term.0);
 }
 
@@ -163,7 +166,7 @@
         service: &routed.service,
         target: req.target.as_ref(),
         cost: req.cost,
-        shared: req.shared,
+        shared_prefix: req.shared,
         body_kb: bytes as f64 / 1024.0,
         objective_ms: routed.route.objective.as_secs_f64() * 1e3,
         waited,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -318,7 +318,9 @@
         ..Attempts::default()
     };
     let mut avoid = BTreeSet::new();
-    node.state().budget.record_first_send(now(), &routed.service);
+    node.state()
+        .budget
+        .record_first_send(now(), &routed.service);
     let mut started = first_attempt(node, &routed, &req, &mut tries, &mut avoid).await?;
     let mut ahead = VecDeque::new();
     let mut whole = false;
@@ -487,8 +489,14 @@
     b.budget.try_retry(now(), &routed.service, vms)
 }
 
-fn log_attempt(node: &Node, req: &BufferedRequest, at: &ReplicaName, tries: &Attempts, ended: AttemptFailure) {
-    let standing = node.state().fleet.standing(now(), at);
+fn log_attempt(
+    node: &Node,
+    req: &BufferedRequest,
+    at: &ReplicaName,
+    tries: &Attempts,
+    ended: AttemptFailure,
+) {
+    let standing = node.state().fleet.status(now(), at);
     slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
         "why" => ended.as_str(), "standing" => standing, "sends" => tries.sends,
         "runs" => tries.runs, "left_ms" => req.deadline.since(now()).as_millis());
