--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -34,7 +34,7 @@
     orders: Orders,
     pool: PoolName,
     token: Token,
-    honours: bool,
+    honours_token: bool,
     address: SocketAddr,
     adapter: AdapterVersion,
     evict: Option<AdapterVersion>,
@@ -174,7 +174,7 @@
             orders: self.orders.clone(),
             pool: self.name.clone(),
             token: self.token(),
-            honours: self.safety.honours(),
+            honours_token: self.safety.honours_token(),
             address: known.address,
             adapter,
             evict,
@@ -261,7 +261,7 @@
     let leases = load.local.leases.borrow();
     let tenure = leases.get(&load.pool).filter(|t| t.token == load.token);
     match tenure {
-        Some(t) if load.honours || now < t.valid_until => Ok(()),
+        Some(t) if load.honours_token || now < t.valid_until => Ok(()),
         _ => Err(OrderError::Unreachable("the lease is over".to_owned())),
     }
 }
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -23,7 +23,7 @@
         };
         self.facts = ExternalState {
             majority: self.local.majority(now),
-            former_left: left,
+            predecessor_left: left,
             synced: self.requests.synced().clone(),
         };
     }
@@ -86,7 +86,7 @@
         let replicas: BTreeSet<_> = self.replicas.keys().cloned().collect();
         let closed = self.safety.is_frozen(now, &replicas, &self.facts);
         // Past the lease, slots at engines that ignore tokens are not changed.
-        self.frozen = closed && !self.safety.honours() || !self.safety.may_order(now);
+        self.frozen = closed && !self.safety.honours_token() || !self.safety.may_order(now);
         self.keeping = closed;
         if !closed && !self.settled {
             self.settled = true;
@@ -115,7 +115,7 @@
         }
         // An unload under way may still take effect; where the engine does not
         // refuse it, a successor must not grant before it has ended.
-        if self.unloading > 0 && !self.safety.honours() {
+        if self.unloading > 0 && !self.safety.honours_token() {
             return;
         }
         // An earlier owner's grants may be out that nobody here knows of.
--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -1,7 +1,7 @@
-//! Owners of pools: each drives one [`Pool`](crate::pool::Pool).
+//! Pool owners. Each owner drives one [`Pool`](crate::pool::Pool).
 //!
-//! [`requests`](RequestTable) and [`safety`](SafetyRules) are plain state; the actor carries
-//! out what they and the pool decide.
+//! [`RequestTable`] and [`SafetyRules`] hold state and do no I/O; the actor carries
+//! out the decisions of both and of the pool.
 
 mod actor;
 mod dispatch;
--- a/lib/src/control/owner/requests.rs
+++ b/lib/src/control/owner/requests.rs
@@ -1,4 +1,4 @@
-//! Who asked for what, and which grants are out; plain state.
+//! Tracks waiting requests, outstanding grants and entry streams; no I/O.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,82 +11,84 @@
 use crate::pool::Span;
 use crate::pool::Ticket;
 
-/// Bits of a ticket below the owner's token: tickets, which are also the
-/// numbers of grants, never meet those of an earlier owner. 2^36 requests at
-/// 33,000 a second last 24 days; 2^28 changes of owner last longer.
+/// Bits of a ticket below the owner's token. Tickets, which also number the
+/// grants, thus differ from those of earlier owners. 2^36 requests at 33,000 a
+/// second last 24 days; 2^28 changes of owner last longer.
 const TICKET_BITS: u32 = 36;
 
 /// One stream from an entry.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct SessionId(pub u64);
 
-/// One request that waits or is granted.
+/// A request that waits or is granted.
 #[derive(Clone, Debug)]
 pub struct TrackedRequest {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
     /// The entry's number for it.
     pub request: u64,
-    /// What it asked; the grant repeats parts of it.
+    /// The request as received; the grant repeats parts of it.
     pub acquire: wire::Acquire,
-    /// The key that it claims.
+    /// The key that it claims, if any.
     pub claim: Option<ClaimKey>,
-    /// Until when its grant counts as in use; `None` while it waits.
-    pub until: Option<Moment>,
-    /// The grant as sent or adopted.
+    /// When its grant expires; `None` while the request waits.
+    pub expires: Option<Moment>,
+    /// The grant, once sent or adopted.
     pub grant: Option<wire::Grant>,
 }
 
-/// What a new stream ends of its entry's earlier one.
+/// Requests of an entry that end when it opens a new stream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Superseded {
-    /// Grants that were lost on the way: by its hello the entry will not use
-    /// them.
+    /// Grants that the entry never received: its hello does not list them, so it
+    /// will not use them.
     pub unused: Vec<Ticket>,
-    /// Requests that waited; the entry asks again for those it still wants.
+    /// Waiting requests; the entry sends those it still wants again.
     pub waiting: Vec<Ticket>,
 }
 
-/// All requests of a pool that its owner knows of.
+/// All requests and grants of a pool that its owner knows of.
 #[derive(Clone, Debug)]
 pub struct RequestTable {
-    next: u64,
+    next_ticket: u64,
     sessions: BTreeMap<SessionId, String>,
+    // The latest stream of each entry.
     current: BTreeMap<String, SessionId>,
-    items: BTreeMap<Ticket, TrackedRequest>,
+    requests: BTreeMap<Ticket, TrackedRequest>,
+    // By entry and the entry's number of the request.
     waiting: BTreeMap<(String, u64), Ticket>,
     synced: BTreeSet<String>,
 }
 
 impl RequestTable {
-    /// An empty book for an owner with this token.
+    /// Creates an empty table for an owner with this token.
     pub fn new(token: Token) -> Self {
         Self {
-            next: token.0 << TICKET_BITS,
+            next_ticket: token.0 << TICKET_BITS,
             sessions: BTreeMap::new(),
             current: BTreeMap::new(),
-            items: BTreeMap::new(),
+            requests: BTreeMap::new(),
             waiting: BTreeMap::new(),
             synced: BTreeSet::new(),
         }
     }
 
-    /// A new stream takes the place of the entry's earlier one, and with it
-    /// what the entry holds and waits for.
+    /// Replaces the entry's earlier stream, if any, with a new one on which the
+    /// entry reported the grants in `held`. Returns the requests that end.
     pub fn open(&mut self, session: SessionId, entry: &str, held: &BTreeSet<u64>) -> Superseded {
         self.sessions.insert(session, entry.to_owned());
         self.current.insert(entry.to_owned(), session);
         self.synced.insert(entry.to_owned());
-        let of_entry = || self.items.iter().filter(|(_, i)| i.entry == entry);
-        let unused = of_entry().filter(|(t, i)| i.until.is_some() && !held.contains(&t.0));
-        let waiting = of_entry().filter(|(_, i)| i.until.is_none());
+        let of_entry = || self.requests.iter().filter(|(_, r)| r.entry == entry);
+        let unused = of_entry().filter(|(t, r)| r.expires.is_some() && !held.contains(&t.0));
+        let waiting = of_entry().filter(|(_, r)| r.expires.is_none());
         Superseded {
             unused: unused.map(|(t, _)| *t).collect(),
             waiting: waiting.map(|(t, _)| *t).collect(),
         }
     }
 
-    /// A stream ended. Gives the tickets that waited on it.
+    /// Removes a stream that ended. Returns the requests that waited on it.
     pub fn close(&mut self, session: SessionId) -> Vec<Ticket> {
         let Some(entry) = self.sessions.remove(&session) else {
             return Vec::new();
@@ -95,123 +97,127 @@
             return Vec::new();
         }
         self.current.remove(&entry);
-        let waits = |(_, i): &(&Ticket, &TrackedRequest)| i.entry == entry && i.until.is_none();
-        self.items.iter().filter(waits).map(|(t, _)| *t).collect()
+        let waits = |(_, r): &(&Ticket, &TrackedRequest)| r.entry == entry && r.expires.is_none();
+        self.requests
+            .iter()
+            .filter(waits)
+            .map(|(t, _)| *t)
+            .collect()
     }
 
-    /// The entry that speaks on a stream, unless another stream has replaced
-    /// this one.
+    /// Returns the entry of a stream, unless another stream has replaced it.
     pub fn entry_of(&self, session: SessionId) -> Option<&str> {
         let entry = self.sessions.get(&session)?;
         (self.current.get(entry) == Some(&session)).then_some(entry.as_str())
     }
 
-    /// The stream to an entry.
+    /// Returns the current stream of an entry.
     pub fn session_of(&self, entry: &str) -> Option<SessionId> {
         self.current.get(entry).copied()
     }
 
-    /// Enters a request that waits.
+    /// Adds a waiting request.
     pub fn enqueue(
         &mut self,
         entry: &str,
         acquire: wire::Acquire,
         claim: Option<ClaimKey>,
     ) -> Ticket {
-        let ticket = Ticket(self.next);
-        self.next += 1;
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
         let key = (entry.to_owned(), acquire.request);
-        let item = TrackedRequest {
+        let tracked = TrackedRequest {
             entry: entry.to_owned(),
             request: acquire.request,
             acquire,
             claim,
-            until: None,
+            expires: None,
             grant: None,
         };
         self.waiting.insert(key, ticket);
-        self.items.insert(ticket, item);
+        self.requests.insert(ticket, tracked);
         ticket
     }
 
-    /// Enters a grant that an entry holds from this or an earlier owner.
-    /// False when it was known.
-    pub fn adopt(&mut self, entry: &str, grant: &wire::Grant, until: Moment) -> bool {
+    /// Adds a grant that an entry holds from this or an earlier owner. Returns
+    /// false if it was known already.
+    pub fn adopt(&mut self, entry: &str, grant: &wire::Grant, expires: Moment) -> bool {
         let ticket = Ticket(grant.grant);
-        if let Some(item) = self.items.get_mut(&ticket) {
-            item.until = item.until.map(|old| old.max(until));
+        if let Some(tracked) = self.requests.get_mut(&ticket) {
+            tracked.expires = tracked.expires.map(|old| old.max(expires));
             return false;
         }
-        let item = TrackedRequest {
+        let tracked = TrackedRequest {
             entry: entry.to_owned(),
             request: grant.request,
             acquire: wire::Acquire::default(),
             claim: None,
-            until: Some(until),
+            expires: Some(expires),
             grant: Some(grant.clone()),
         };
-        self.items.insert(ticket, item);
+        self.requests.insert(ticket, tracked);
         true
     }
 
-    /// The ticket of a request that waits.
+    /// Returns the ticket of a waiting request.
     pub fn waiting(&self, entry: &str, request: u64) -> Option<Ticket> {
         self.waiting.get(&(entry.to_owned(), request)).copied()
     }
 
-    /// A request by its ticket.
+    /// Returns a request by its ticket.
     pub fn get(&self, ticket: Ticket) -> Option<&TrackedRequest> {
-        self.items.get(&ticket)
+        self.requests.get(&ticket)
     }
 
-    /// A request is granted until then.
-    pub fn mark_granted(&mut self, ticket: Ticket, grant: wire::Grant, until: Moment) {
-        if let Some(item) = self.items.get_mut(&ticket) {
-            self.waiting.remove(&(item.entry.clone(), item.request));
-            item.grant = Some(grant);
-            item.until = Some(until);
+    /// Records that a request was granted until the given moment.
+    pub fn mark_granted(&mut self, ticket: Ticket, grant: wire::Grant, expires: Moment) {
+        if let Some(tracked) = self.requests.get_mut(&ticket) {
+            self.waiting
+                .remove(&(tracked.entry.clone(), tracked.request));
+            tracked.grant = Some(grant);
+            tracked.expires = Some(expires);
         }
     }
 
-    /// Prolongs a grant of this entry; gives it.
-    pub fn renew(&mut self, entry: &str, grant: u64, until: Moment) -> bool {
-        match self.items.get_mut(&Ticket(grant)) {
-            Some(item) if item.entry == entry && item.until.is_some() => {
-                item.until = Some(until);
+    /// Extends a grant. Returns false if the entry does not hold it.
+    pub fn renew(&mut self, entry: &str, grant: u64, expires: Moment) -> bool {
+        match self.requests.get_mut(&Ticket(grant)) {
+            Some(tracked) if tracked.entry == entry && tracked.expires.is_some() => {
+                tracked.expires = Some(expires);
                 true
             }
             _ => false,
         }
     }
 
-    /// Strikes a request out.
+    /// Removes a request or grant.
     pub fn remove(&mut self, ticket: Ticket) -> Option<TrackedRequest> {
-        let item = self.items.remove(&ticket)?;
-        let key = (item.entry.clone(), item.request);
+        let tracked = self.requests.remove(&ticket)?;
+        let key = (tracked.entry.clone(), tracked.request);
         if self.waiting.get(&key) == Some(&ticket) {
             self.waiting.remove(&key);
         }
-        Some(item)
+        Some(tracked)
     }
 
-    /// Grants whose time, with `margin`, has passed unrenewed.
+    /// Returns the grants that expired at least `margin` ago.
     pub fn expired(&self, now: Moment, margin: Span) -> Vec<Ticket> {
-        self.items
+        self.requests
             .iter()
-            .filter(|(_, i)| i.until.is_some_and(|u| u.after(margin) <= now))
+            .filter(|(_, r)| r.expires.is_some_and(|u| u.after(margin) <= now))
             .map(|(t, _)| *t)
             .collect()
     }
 
-    /// Entries with a stream or a grant.
+    /// Returns the entries with a stream or a grant.
     pub fn entries(&self) -> BTreeSet<String> {
-        let holders = self.items.values().filter(|i| i.until.is_some());
-        let holders = holders.map(|i| i.entry.clone());
+        let holders = self.requests.values().filter(|r| r.expires.is_some());
+        let holders = holders.map(|r| r.entry.clone());
         holders.chain(self.current.keys().cloned()).collect()
     }
 
-    /// Entries that have opened a stream since this owner began, and so have
-    /// told of all grants that they held.
+    /// Returns the entries that have opened a stream to this owner and thereby
+    /// reported all grants that they held.
     pub fn synced(&self) -> &BTreeSet<String> {
         &self.synced
     }
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -1,10 +1,9 @@
-//! When an owner may order, grant and change slots; plain functions over
-//! plain state.
+//! When an owner may send orders, issue grants and change slots; no I/O.
 //!
-//! Made for owners that are paused past their lease, cut off from the platform
-//! or dead. The harm prevented: a slot is changed under a request that another
-//! owner's grant lets run. `docs/design/0005-ownership.md` has the argument;
-//! each limit is explained where it stands.
+//! The rules cover owners that are paused past their lease, partitioned from the
+//! platform or crashed. They prevent a slot from being changed under a request
+//! that runs on another owner's grant. `docs/design/0005-ownership.md` has the
+//! proof.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,74 +15,77 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How long an owner past its lease grants on a replica after the engine's
-/// last word that it has seen no higher token. Four polls; a successor adds it
-/// to its wait.
+/// How long an owner with an expired lease may grant on a replica after asking
+/// an engine that then confirmed to have seen no higher token. Four polls; a
+/// successor waits this much longer.
 pub(super) const FENCE_MAX_AGE: Span = Span::from_millis(1_000);
 
-/// How recently a majority of peers must have answered for an owner past its
-/// lease to go on granting at engines that ignore tokens.
+/// The greatest age of the last answers of a majority of peers at which an owner
+/// with an expired lease may grant on engines that ignore tokens.
 pub const MAJORITY_MAX_AGE: Span = Span::from_millis(2_000);
 
-/// Between the publication of a tenure and its being on every digest that
-/// this process sends.
+/// The time from acquiring a lease until every digest that this process sends
+/// contains it.
 pub(super) const PUBLISH_DELAY: Span = Span::from_millis(100);
 
-/// What the owner knows from outside at one moment.
+/// State outside the owner that its rules depend on, at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct ExternalState {
-    /// A majority of the configured peers has answered exchanges begun at this
-    /// moment or later.
+    /// A majority of the configured peers has answered exchanges that began at
+    /// this moment or later.
     pub majority: Moment,
-    /// Whether the former owner's VM has left the platform's VM list.
-    pub former_left: bool,
-    /// Entries that have told which grants they hold.
+    /// Whether the previous owner's VM has left the platform's VM list.
+    pub predecessor_left: bool,
+    /// Entries that have reported the grants they hold to this owner.
     pub synced: BTreeSet<String>,
 }
 
-/// One owner's rules for its pool.
+/// The safety rules of one owner.
 #[derive(Clone, Debug)]
 pub struct SafetyRules {
-    honours: bool,
-    tenure: HeldLease,
+    // Whether the pool's engines honour fencing tokens.
+    honours_token: bool,
+    lease: HeldLease,
     margin: Span,
     quarantine: Span,
-    // The incarnation that was fenced, first and last time.
+    // Per replica the incarnation that is fenced, and when its first and last
+    // confirmations were requested.
     fenced: BTreeMap<ReplicaName, (Incarnation, Moment, Moment)>,
-    told: Option<Moment>,
-    open: bool,
+    // When this owner found that a majority of the peers knows its lease.
+    announced: Option<Moment>,
+    unfrozen: bool,
 }
 
 impl SafetyRules {
-    /// Rules for a pool whose engines honour tokens, or ignore them.
-    pub fn new(honours: bool, tenure: HeldLease, margin: Span, quarantine: Span) -> Self {
+    /// Creates the rules for a pool whose engines honour or ignore fencing tokens.
+    pub fn new(honours_token: bool, lease: HeldLease, margin: Span, quarantine: Span) -> Self {
         Self {
-            honours,
-            tenure,
+            honours_token,
+            lease,
             margin,
             quarantine,
             fenced: BTreeMap::new(),
-            told: None,
-            open: false,
+            announced: None,
+            unfrozen: false,
         }
     }
 
-    /// The lease was renewed.
-    pub fn renew(&mut self, until: Moment) {
-        self.tenure.valid_until = until;
+    /// Records a renewal of the lease.
+    pub fn renew(&mut self, valid_until: Moment) {
+        self.lease.valid_until = valid_until;
     }
 
-    /// The tenure.
+    /// Returns the lease.
     pub fn lease(&self) -> &HeldLease {
-        &self.tenure
+        &self.lease
     }
 
-    /// Whether engines honour tokens here.
-    pub fn honours(&self) -> bool {
-        self.honours
+    /// Returns whether the pool's engines honour fencing tokens.
+    pub fn honours_token(&self) -> bool {
+        self.honours_token
     }
 
-    /// An engine confirmed, to a question sent at `asked`, that it has seen no
+    /// Records that an engine, asked at `asked`, confirmed that it has seen no
     /// higher token.
     pub fn confirm(&mut self, asked: Moment, replica: &ReplicaName, incarnation: Incarnation) {
         let fence = self
@@ -96,57 +98,61 @@
         fence.2 = fence.2.max(asked);
     }
 
-    /// Whether the replica must be asked again before it is granted on.
+    /// Returns whether the replica must confirm the token again before the owner
+    /// grants on it.
     pub fn needs_fence(
         &self,
         now: Moment,
         replica: &ReplicaName,
         incarnation: Incarnation,
     ) -> bool {
-        if !self.honours {
+        if !self.honours_token {
             return false;
         }
         let Some((fenced, _, last)) = self.fenced.get(replica) else {
             return true;
         };
-        // Half of the limit, so that a slow answer does not interrupt grants.
-        *fenced != incarnation || (self.is_past(now) && now.since(*last).0 > FENCE_MAX_AGE.0 / 2)
+        // Asks at half of the limit, so that a slow answer does not interrupt
+        // grants.
+        *fenced != incarnation || (self.is_expired(now) && now.since(*last).0 > FENCE_MAX_AGE.0 / 2)
     }
 
-    /// Whether the lease is past its end, as this process counts.
-    pub fn is_past(&self, now: Moment) -> bool {
-        now >= self.tenure.valid_until
+    /// Returns whether the lease has expired by this process's count.
+    pub fn is_expired(&self, now: Moment) -> bool {
+        now >= self.lease.valid_until
     }
 
-    /// Whether to grant or prolong on a replica.
+    /// Returns whether a grant on a replica may be issued or renewed.
     ///
-    /// Within the lease always, once the engine refuses the former owner's
-    /// orders. Past it, which takes an outage of the platform, only while no
-    /// successor can be about to change slots: engines that honour tokens say
-    /// so themselves; for the others a majority of the peers does.
-    pub fn may_grant(&self, now: Moment, replica: &ReplicaName, facts: &ExternalState) -> bool {
-        if !self.honours {
-            return !self.is_past(now) || now <= facts.majority.after(MAJORITY_MAX_AGE);
+    /// Allowed while the lease is valid, on engines that honour tokens once they
+    /// refuse the previous owner's orders. After it has expired, which happens
+    /// in outages of the platform, allowed only while no successor can be about
+    /// to change slots: engines that honour tokens confirm that themselves, for
+    /// the others a majority of the peers does.
+    pub fn may_grant(&self, now: Moment, replica: &ReplicaName, external: &ExternalState) -> bool {
+        if !self.honours_token {
+            return !self.is_expired(now) || now <= external.majority.after(MAJORITY_MAX_AGE);
         }
         let Some((_, _, last)) = self.fenced.get(replica) else {
             return false;
         };
-        !self.is_past(now) || now.since(*last) <= FENCE_MAX_AGE
+        !self.is_expired(now) || now.since(*last) <= FENCE_MAX_AGE
     }
 
-    /// Whether to send an order now; asked immediately before each.
+    /// Returns whether an order may be sent now.
     ///
-    /// Engines that honour tokens refuse an old owner's orders themselves. At
-    /// the others nothing may be ordered past the lease.
+    /// Engines that honour tokens refuse an old owner's orders themselves. On
+    /// others no order may be sent after the lease has expired.
     pub fn may_order(&self, now: Moment) -> bool {
-        self.honours || !self.is_past(now)
+        self.honours_token || !self.is_expired(now)
     }
 
-    /// Whether a slot of this replica may be given up: on an engine that
-    /// restarted, and so forgot the fence, a former owner past its lease may
-    /// have granted until this one fenced it again.
+    /// Returns whether a slot of this replica may be evicted.
+    ///
+    /// An engine that restarted has lost the fence, and a previous owner with an
+    /// expired lease may have granted on it until this owner fenced it again.
     pub fn may_evict(&self, now: Moment, replica: &ReplicaName) -> bool {
-        if !self.honours || !self.former_may_grant() {
+        if !self.honours_token || !self.predecessor_may_grant() {
             return true;
         }
         self.fenced
@@ -154,65 +160,66 @@
             .is_some_and(|(_, first, _)| now >= first.after(self.fence_wait()))
     }
 
-    /// Whether slots may not be changed yet.
+    /// Returns whether slots must not be changed yet; once false, it stays false.
     pub fn is_frozen(
         &mut self,
         now: Moment,
         replicas: &BTreeSet<ReplicaName>,
-        facts: &ExternalState,
+        external: &ExternalState,
     ) -> bool {
-        if self.open {
+        if self.unfrozen {
             return false;
         }
-        self.open = self.is_open(now, replicas, facts);
-        !self.open
+        self.unfrozen = self.can_unfreeze(now, replicas, external);
+        !self.unfrozen
     }
 
-    // Whether an earlier owner may be alive and past its lease.
-    fn former_may_grant(&self) -> bool {
+    // Whether an earlier owner may still be running with an expired lease.
+    fn predecessor_may_grant(&self) -> bool {
         matches!(
-            self.tenure.predecessor,
+            self.lease.predecessor,
             Predecessor::Lapsed(_) | Predecessor::Unsettled
         )
     }
 
     fn grant_wait(&self) -> Span {
-        Span(self.tenure.predecessor_ttl.0 + self.margin.0)
+        Span(self.lease.predecessor_ttl.0 + self.margin.0)
     }
 
     fn fence_wait(&self) -> Span {
         Span(FENCE_MAX_AGE.0 + self.grant_wait().0)
     }
 
-    fn is_open(
+    fn can_unfreeze(
         &mut self,
         now: Moment,
         replicas: &BTreeSet<ReplicaName>,
-        facts: &ExternalState,
+        external: &ExternalState,
     ) -> bool {
-        let waited = now >= self.tenure.acquired_at.after(self.grant_wait());
-        match &self.tenure.predecessor {
+        let waited = now >= self.lease.acquired_at.after(self.grant_wait());
+        match &self.lease.predecessor {
             Predecessor::None => true,
-            // Its last grant was sent before it ended.
+            // It sent its last grant before it ended.
             Predecessor::Ended | Predecessor::Released(None) => waited,
-            Predecessor::Released(Some(entries)) => waited || entries.is_subset(&facts.synced),
-            Predecessor::Lapsed(_) | Predecessor::Unsettled if self.honours => {
-                // Unreachable replicas get nothing until they are fenced, and
-                // then are held by `may_evict`.
-                let last = replicas
+            Predecessor::Released(Some(entries)) => waited || entries.is_subset(&external.synced),
+            Predecessor::Lapsed(_) | Predecessor::Unsettled if self.honours_token => {
+                // Replicas that are not fenced yet get no grants, and after
+                // fencing `may_evict` protects their slots.
+                let last_fenced = replicas
                     .iter()
                     .filter_map(|r| self.fenced.get(r))
                     .map(|(_, first, _)| *first)
                     .max();
-                last.is_some_and(|at| now >= at.after(self.fence_wait()))
+                last_fenced.is_some_and(|at| now >= at.after(self.fence_wait()))
             }
-            Predecessor::Lapsed(_) if facts.former_left => waited,
+            Predecessor::Lapsed(_) if external.predecessor_left => waited,
             Predecessor::Lapsed(_) | Predecessor::Unsettled => {
-                let told = facts.majority >= self.tenure.acquired_at.after(PUBLISH_DELAY);
-                if self.told.is_none() && told {
-                    self.told = Some(now);
+                let known = external.majority >= self.lease.acquired_at.after(PUBLISH_DELAY);
+                if self.announced.is_none() && known {
+                    self.announced = Some(now);
                 }
-                self.told.is_some_and(|at| now >= at.after(self.quarantine))
+                self.announced
+                    .is_some_and(|at| now >= at.after(self.quarantine))
             }
         }
     }
--- a/lib/tests/test_owner_requests.rs
+++ b/lib/tests/test_owner_requests.rs
@@ -1,4 +1,4 @@
-//! The owner's book of requests and grants.
+//! The owner's table of requests and grants.
 
 use std::collections::BTreeSet;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn tickets_of_owners_never_meet() {
+fn tickets_differ_between_owners() {
     let mut first = RequestTable::new(Token(1));
     let mut second = RequestTable::new(Token(2));
     let a = first.enqueue("vm-1/1", acquire(1), None);
@@ -43,48 +43,48 @@
 
 #[test]
 fn new_stream_replaces_the_old() {
-    let mut book = RequestTable::new(Token(1));
-    book.open(ONE, "vm-1/1", &BTreeSet::new());
-    let held = book.enqueue("vm-1/1", acquire(1), None);
-    let lost = book.enqueue("vm-1/1", acquire(2), None);
-    let waits = book.enqueue("vm-1/1", acquire(3), None);
-    let other = book.enqueue("vm-2/1", acquire(1), None);
+    let mut table = RequestTable::new(Token(1));
+    table.open(ONE, "vm-1/1", &BTreeSet::new());
+    let held = table.enqueue("vm-1/1", acquire(1), None);
+    let lost = table.enqueue("vm-1/1", acquire(2), None);
+    let waits = table.enqueue("vm-1/1", acquire(3), None);
+    let other = table.enqueue("vm-2/1", acquire(1), None);
     for t in [held, lost, other] {
-        book.mark_granted(t, grant(t.0, 1), ms(10));
+        table.mark_granted(t, grant(t.0, 1), ms(10));
     }
-    let opened = book.open(TWO, "vm-1/1", &BTreeSet::from([held.0]));
+    let opened = table.open(TWO, "vm-1/1", &BTreeSet::from([held.0]));
     assert_eq!((opened.unused, opened.waiting), (vec![lost], vec![waits]));
     assert_eq!(
-        (book.entry_of(ONE), book.entry_of(TWO)),
+        (table.entry_of(ONE), table.entry_of(TWO)),
         (None, Some("vm-1/1"))
     );
-    // The end of the old stream ends nothing of the new one.
-    assert_eq!(book.close(ONE), []);
-    assert_eq!(book.session_of("vm-1/1"), Some(TWO));
+    // Closing the old stream ends no request of the new one.
+    assert_eq!(table.close(ONE), []);
+    assert_eq!(table.session_of("vm-1/1"), Some(TWO));
 }
 
 #[test]
 fn grant_lapses_unless_renewed() {
-    let mut book = RequestTable::new(Token(1));
-    book.open(ONE, "vm-1/1", &BTreeSet::new());
-    let ticket = book.enqueue("vm-1/1", acquire(1), None);
-    book.mark_granted(ticket, grant(ticket.0, 1), ms(10_000));
+    let mut table = RequestTable::new(Token(1));
+    table.open(ONE, "vm-1/1", &BTreeSet::new());
+    let ticket = table.enqueue("vm-1/1", acquire(1), None);
+    table.mark_granted(ticket, grant(ticket.0, 1), ms(10_000));
     let margin = Span::from_millis(2_000);
-    assert_eq!(book.expired(ms(11_999), margin), []);
-    assert!(book.renew("vm-1/1", ticket.0, ms(15_000)));
-    assert_eq!(book.expired(ms(12_000), margin), []);
-    assert_eq!(book.expired(ms(17_000), margin), [ticket]);
-    // Nobody prolongs another's grant.
-    assert!(!book.renew("vm-2/1", ticket.0, ms(90_000)));
+    assert_eq!(table.expired(ms(11_999), margin), []);
+    assert!(table.renew("vm-1/1", ticket.0, ms(15_000)));
+    assert_eq!(table.expired(ms(12_000), margin), []);
+    assert_eq!(table.expired(ms(17_000), margin), [ticket]);
+    // An entry cannot renew another entry's grant.
+    assert!(!table.renew("vm-2/1", ticket.0, ms(90_000)));
 }
 
 #[test]
 fn adopted_grant_outlives_its_stream() {
-    let mut book = RequestTable::new(Token(2));
-    book.open(ONE, "vm-1/1", &BTreeSet::from([77]));
-    assert!(book.adopt("vm-1/1", &grant(77, 5), ms(10)));
-    assert!(!book.adopt("vm-1/1", &grant(77, 5), ms(20)));
-    assert_eq!(book.close(ONE), []);
-    assert!(book.entries().contains("vm-1/1"));
-    assert_eq!(book.expired(ms(20), Span(0)).len(), 1);
+    let mut table = RequestTable::new(Token(2));
+    table.open(ONE, "vm-1/1", &BTreeSet::from([77]));
+    assert!(table.adopt("vm-1/1", &grant(77, 5), ms(10)));
+    assert!(!table.adopt("vm-1/1", &grant(77, 5), ms(20)));
+    assert_eq!(table.close(ONE), []);
+    assert!(table.entries().contains("vm-1/1"));
+    assert_eq!(table.expired(ms(20), Span(0)).len(), 1);
 }
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -1,4 +1,4 @@
-//! When an owner may grant, order and change slots.
+//! When an owner may issue grants, send orders and change slots.
 
 use std::collections::BTreeSet;
 
@@ -28,9 +28,9 @@
     Predecessor::Lapsed(VmName::new("vm-1").unwrap())
 }
 
-/// Acquired at 1,000 ms, holds until 3,700 ms.
+/// Rules for a lease that is acquired at 1,000 ms and valid until 3,700 ms.
 fn safety(honours: bool, predecessor: Predecessor) -> SafetyRules {
-    let tenure = HeldLease {
+    let lease = HeldLease {
         token: Token(2),
         valid_until: ms(3_700),
         acquired_at: ms(1_000),
@@ -38,17 +38,17 @@
         predecessor_ttl: Span::from_millis(10_000),
     };
     let margin = Span::from_millis(2_000);
-    SafetyRules::new(honours, tenure, margin, Span::from_millis(30_000))
+    SafetyRules::new(honours, lease, margin, Span::from_millis(30_000))
 }
 
-fn facts(majority: u64) -> ExternalState {
+fn external(majority: u64) -> ExternalState {
     ExternalState {
         majority: ms(majority),
         ..ExternalState::default()
     }
 }
 
-fn opens_at(s: &mut SafetyRules, f: &ExternalState) -> Option<u64> {
+fn unfrozen_at(s: &mut SafetyRules, f: &ExternalState) -> Option<u64> {
     let all = BTreeSet::from([replica()]);
     (1_000..60_000)
         .step_by(100)
@@ -58,36 +58,43 @@
 #[test]
 fn honoured_grants_wait_for_the_fence() {
     let mut s = safety(true, lapsed());
-    let f = facts(0);
+    let f = external(0);
     assert!(!s.may_grant(ms(1_100), &replica(), &f));
     s.confirm(ms(1_100), &replica(), ONE);
     assert!(s.may_grant(ms(1_200), &replica(), &f));
-    // Within the lease nothing more is asked.
+    // While the lease is valid the engine is not asked again.
     assert!(s.may_grant(ms(3_600), &replica(), &f));
     assert!(!s.needs_fence(ms(3_600), &replica(), ONE));
     assert!(s.needs_fence(ms(3_600), &replica(), Incarnation(2)));
 }
 
 #[test]
-fn honoured_past_the_lease() {
+fn expired_lease_where_tokens_are_honoured() {
     let mut s = safety(true, lapsed());
-    let f = facts(0);
+    let f = external(0);
     s.confirm(ms(1_100), &replica(), ONE);
     assert!(s.needs_fence(ms(3_700), &replica(), ONE));
     assert!(!s.may_grant(ms(3_700), &replica(), &f));
     s.confirm(ms(3_700), &replica(), ONE);
     assert!(s.may_grant(ms(4_700), &replica(), &f));
     assert!(!s.may_grant(ms(4_701), &replica(), &f));
-    // Its orders are the engine's to refuse.
+    // The engine refuses its orders if there is a successor.
     assert!(s.may_order(ms(99_000)));
 }
 
 #[rstest]
-#[case::majority_lately(9_000, 10_900, true)]
-#[case::majority_long_ago(8_000, 10_100, false)]
-fn ignored_past_the_lease(#[case] majority: u64, #[case] now: u64, #[case] grants: bool) {
+#[case::recent_majority(9_000, 10_900, true)]
+#[case::old_majority(8_000, 10_100, false)]
+fn expired_lease_where_tokens_are_ignored(
+    #[case] majority: u64,
+    #[case] now: u64,
+    #[case] grants: bool,
+) {
     let s = safety(false, lapsed());
-    assert_eq!(s.may_grant(ms(now), &replica(), &facts(majority)), grants);
+    assert_eq!(
+        s.may_grant(ms(now), &replica(), &external(majority)),
+        grants
+    );
     assert!(s.may_order(ms(3_699)));
     assert!(!s.may_order(ms(3_700)));
 }
@@ -95,25 +102,29 @@
 #[test]
 fn frozen_never_for_a_first_owner() {
     let mut s = safety(true, Predecessor::None);
-    assert_eq!(opens_at(&mut s, &facts(0)), Some(1_000));
+    assert_eq!(unfrozen_at(&mut s, &external(0)), Some(1_000));
 }
 
 #[test]
 fn frozen_until_the_former_grants_lapsed() {
-    // The former owner may have granted past its lease until the fence, for
-    // one second after the engine's last word; those grants lapse 12 s later.
+    // The previous owner may have granted with an expired lease until one second
+    // after the engine's last confirmation, which precedes the fence at 1.5 s; its
+    // grants expire 12 s later.
     let mut s = safety(true, lapsed());
-    assert_eq!(opens_at(&mut s, &facts(0)), None);
+    assert_eq!(unfrozen_at(&mut s, &external(0)), None);
     s.confirm(ms(1_500), &replica(), ONE);
     s.confirm(ms(9_000), &replica(), ONE);
-    assert_eq!(opens_at(&mut s, &facts(0)), Some(1_500 + 1_000 + 12_000));
+    assert_eq!(
+        unfrozen_at(&mut s, &external(0)),
+        Some(1_500 + 1_000 + 12_000)
+    );
 }
 
 #[test]
-fn frozen_after_a_release_until_all_told() {
+fn frozen_after_a_release_until_all_entries_reported() {
     let entries = BTreeSet::from(["vm-1/1".to_owned(), "vm-2/1".to_owned()]);
     let mut s = safety(true, Predecessor::Released(Some(entries.clone())));
-    let mut f = facts(0);
+    let mut f = external(0);
     f.synced = BTreeSet::from(["vm-1/1".to_owned(), "vm-9/9".to_owned()]);
     let all = BTreeSet::from([replica()]);
     assert!(s.is_frozen(ms(1_100), &all, &f));
@@ -123,33 +134,33 @@
 
 #[rstest]
 #[case::unknown_entries(Predecessor::Released(None), 13_000)]
-#[case::one_never_comes(
+#[case::entry_never_connects(
     Predecessor::Released(Some(BTreeSet::from(["vm-1/1".to_owned()]))),
     13_000
 )]
 #[case::restarted(Predecessor::Ended, 13_000)]
-fn frozen_at_the_longest(#[case] predecessor: Predecessor, #[case] opens: u64) {
+fn frozen_at_most_for_the_grant_ttl(#[case] predecessor: Predecessor, #[case] unfrozen: u64) {
     let mut s = safety(false, predecessor);
-    assert_eq!(opens_at(&mut s, &facts(0)), Some(opens));
+    assert_eq!(unfrozen_at(&mut s, &external(0)), Some(unfrozen));
 }
 
 #[test]
 fn quarantine_where_tokens_are_ignored() {
     let mut s = safety(false, lapsed());
-    // It counts from when a majority knows of the new owner.
+    // It counts from when a majority of the peers knows the new owner.
     let all = BTreeSet::from([replica()]);
-    assert!(s.is_frozen(ms(40_000), &all, &facts(1_050)));
-    assert!(s.is_frozen(ms(41_000), &all, &facts(40_500)));
-    assert!(s.is_frozen(ms(70_999), &all, &facts(40_500)));
-    assert!(!s.is_frozen(ms(71_000), &all, &facts(40_500)));
+    assert!(s.is_frozen(ms(40_000), &all, &external(1_050)));
+    assert!(s.is_frozen(ms(41_000), &all, &external(40_500)));
+    assert!(s.is_frozen(ms(70_999), &all, &external(40_500)));
+    assert!(!s.is_frozen(ms(71_000), &all, &external(40_500)));
 }
 
 #[test]
 fn quarantine_ends_with_the_former_vm() {
     let mut s = safety(false, lapsed());
-    let mut f = facts(0);
-    f.former_left = true;
-    assert_eq!(opens_at(&mut s, &f), Some(13_000));
+    let mut f = external(0);
+    f.predecessor_left = true;
+    assert_eq!(unfrozen_at(&mut s, &f), Some(13_000));
 }
 
 #[test]
