--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -1,5 +1,6 @@
-//! The owner of one pool: an actor that feeds the pool and carries out what it
-//! decides. Its parts stand in `sessions`, `dispatch` and `replicas`.
+//! The actor that owns one pool: it passes events to the pool and carries out
+//! the pool's commands. `sessions`, `dispatch`, `replicas`, `journal` and
+//! `maintenance` implement its parts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,7 +26,7 @@
 use crate::control::owner::RequestTable;
 use crate::control::owner::SafetyRules;
 use crate::control::owner::SessionId;
-use crate::control::owner::maintenance::AHEAD;
+use crate::control::owner::maintenance::FREEZE_AHEAD;
 use crate::control::owner::sessions::message;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
@@ -49,11 +50,11 @@
 use crate::upstream::Orders;
 use crate::upstream::Report;
 
-/// The stream to an entry; a full one means that the entry does not read, and
-/// its requests are refused.
+/// The stream to an entry. A full one means that the entry does not read it;
+/// then its requests are refused.
 pub(super) type Outbox = mpsc::Sender<Result<wire::OwnerMessage, tonic::Status>>;
 
-/// What an owner is told.
+/// An event that an owner processes.
 #[derive(Debug)]
 pub enum Event {
     /// An entry opened a stream.
@@ -62,84 +63,87 @@
         session: SessionId,
         /// Its first message.
         hello: wire::Hello,
-        /// Where answers go.
+        /// The stream for answers.
         out: mpsc::Sender<Result<wire::OwnerMessage, tonic::Status>>,
     },
-    /// An entry says something.
+    /// An entry sent a message.
     EntryMessage {
-        /// On which stream.
+        /// The stream.
         session: SessionId,
-        /// What.
+        /// The message.
         body: wire::entry_message::Body,
     },
     /// A stream ended.
     SessionClosed(SessionId),
-    /// A load report came, or none.
+    /// A replica was asked for a load report.
     LoadReport {
-        /// Which replica.
+        /// The replica.
         replica: ReplicaName,
-        /// Where it was asked.
+        /// The address that was asked.
         address: SocketAddr,
-        /// Its answer.
+        /// The report, or why there is none.
         report: Result<Report, OrderError>,
     },
-    /// An engine was asked for its fence.
+    /// An engine was asked to confirm the fencing token.
     FenceAnswer {
-        /// Which replica.
+        /// The replica.
         replica: ReplicaName,
-        /// Where it was asked.
+        /// The address that was asked.
         address: SocketAddr,
         /// When it was asked.
         asked: Moment,
         /// Its answer.
         answer: Result<Fence, OrderError>,
-        /// The report that made the owner ask.
+        /// The load report that made the owner ask.
         report: Report,
     },
-    /// An order ended.
+    /// An order to a replica ended.
     OrderEnded {
-        /// Its number.
+        /// The order.
         order: OrderId,
-        /// How it ended.
+        /// The outcome.
         end: OrderEnd,
     },
-    /// An unload began or ended.
+    /// An unload began (true) or ended (false).
     Unloading(bool),
-    /// The journal was read.
+    /// The journal was read, or could not be.
     JournalRead(Result<Vec<(Segment, String)>, PlatformError>),
-    /// The earlier owner was shut out of the journal, or not.
+    /// The earlier owner was fenced off from the journal, or could not be.
     JournalSealed(Result<Vec<String>, PlatformError>),
     /// A commit to the journal ended.
     Committed(WriteOutcome),
-    /// The lease is over: refuse what waits and end.
+    /// The lease has ended: the owner refuses waiting requests and stops.
     LeaseEnded,
-    /// Time passes.
+    /// Time-driven work is due.
     Tick,
 }
 
-/// One replica as the owner sees it.
+/// The state of one replica and the task that polls it.
 #[derive(Debug)]
-pub(super) struct Watched {
+pub(super) struct ReplicaMonitor {
     pub(super) address: SocketAddr,
     pub(super) incarnation: Incarnation,
+    // Load reports that failed in a row.
     pub(super) failures: u32,
     pub(super) leaving: bool,
-    pub(super) fencing: bool,
+    // A fence request is in flight.
+    pub(super) fence_pending: bool,
     pub(super) health: Health,
-    pub(super) polling: JoinHandle<()>,
+    pub(super) poll_task: JoinHandle<()>,
 }
 
-impl Drop for Watched {
+impl Drop for ReplicaMonitor {
     fn drop(&mut self) {
-        self.polling.abort();
+        self.poll_task.abort();
     }
 }
 
-/// How often time passes at the least.
-const TICK: Span = Span::from_millis(100);
+/// The longest time between two ticks.
+const TICK_INTERVAL: Span = Span::from_millis(100);
 
-/// How often the pool's state is published for `banyan status`.
-const PUBLISH: Span = Span::from_millis(500);
+/// The shortest time between two publications of the pool's state for
+/// `banyan status`.
+const PUBLISH_INTERVAL: Span = Span::from_millis(500);
 
 /// The owner of one pool.
 pub struct OwnerActor {
@@ -151,28 +155,37 @@
     pub(super) pool: Pool,
     pub(super) requests: RequestTable,
     pub(super) safety: SafetyRules,
-    pub(super) facts: ExternalState,
+    pub(super) external: ExternalState,
     pub(super) journal: Journal,
-    pub(super) held: BTreeMap<ClaimKey, (Ticket, wire::Grant)>,
-    // Grants on replicas that the catalog here does not name yet.
+    // Grants that are sent once their claim is durable.
+    pub(super) awaiting_commit: BTreeMap<ClaimKey, (Ticket, wire::Grant)>,
+    // Grants on replicas that are not in this process's catalog yet.
     pub(super) orphans: Vec<InheritedDispatch>,
     pub(super) outboxes: BTreeMap<SessionId, Outbox>,
-    pub(super) replicas: BTreeMap<ReplicaName, Watched>,
-    pub(super) orders: Orders,
-    pub(super) reports: Orders,
+    pub(super) replicas: BTreeMap<ReplicaName, ReplicaMonitor>,
+    // Sends load and unload orders.
+    pub(super) order_client: Orders,
+    // Requests load reports and fences, with a timeout of its own.
+    pub(super) report_client: Orders,
+    // Blocked request fingerprints, each with the uptime in ms at which its block
+    // ends.
     pub(super) verdicts: BTreeMap<Fingerprint, u64>,
-    pub(super) unloading: u32,
+    pub(super) pending_unloads: u32,
     pub(super) draining: bool,
+    // There is, or may be, a successor: no grants and orders any more.
     pub(super) deposed: bool,
-    /// No order may be given.
+    // No order may be sent.
     pub(super) frozen: bool,
-    /// No slot may be given up.
-    pub(super) keeping: bool,
+    // No slot may be evicted.
+    pub(super) evictions_frozen: bool,
+    // No grant of an earlier owner can be in use any more.
     pub(super) settled: bool,
+    // The journal is being read and sealed.
     pub(super) recovering: bool,
+    // When the journal may be read again after a failure.
     pub(super) recover_at: Moment,
-    published: Moment,
-    wake: watch::Sender<Moment>,
+    last_publish: Moment,
+    next_tick: watch::Sender<Moment>,
     pub(super) address: Option<Address<Self>>,
 }
 
@@ -181,8 +194,8 @@
 
     async fn started(&mut self, mailbox: &Mailbox<Self>) -> Result<(), ()> {
         self.address = mailbox.address().try_upgrade();
-        // Before the first entry speaks: the pool must know its replicas to
-        // count what entries hold on them.
+        // The pool must know its replicas before the first entry reports its
+        // grants on them.
         self.tick(clock::now());
         Ok(())
     }
@@ -191,12 +204,13 @@
 }
 
 impl OwnerActor {
-    /// An owner that knows nothing of its replicas yet.
+    /// Creates an owner that has not read its journal nor polled its replicas.
+    /// Returns `None` if the catalog does not contain the pool.
     pub fn new(
         shared: Shared,
         local: Arc<Local>,
         name: PoolName,
-        tenure: HeldLease,
+        lease: HeldLease,
     ) -> Option<Self> {
         let catalog = shared.board.catalog.borrow().clone();
         let spec = catalog.pools.get(&name)?.clone();
@@ -207,82 +221,82 @@
         let grants = &local.settings.grants;
         let margin = Span::from_millis(grants.margin_ms);
         let quarantine = Span::from_millis(grants.quarantine_ms);
-        let times = &local.settings.upstreams;
-        let orders = Orders::new(std::time::Duration::from_millis(times.order_ms));
-        let reports = Orders::new(std::time::Duration::from_millis(times.report_ms));
+        let upstreams = &local.settings.upstreams;
+        let order_client = Orders::new(std::time::Duration::from_millis(upstreams.order_ms));
+        let report_client = Orders::new(std::time::Duration::from_millis(upstreams.report_ms));
         let limits = local.settings.claim_limits();
         let mut pool = new_pool(&catalog, &spec);
-        pool.freeze_slots(clock::now().after(AHEAD));
+        pool.freeze_slots(clock::now().after(FREEZE_AHEAD));
         Some(Self {
             pool,
-            requests: RequestTable::new(tenure.token),
-            journal: Journal::new(tenure.token, limits),
-            safety: SafetyRules::new(honours, tenure, margin, quarantine),
+            requests: RequestTable::new(lease.token),
+            journal: Journal::new(lease.token, limits),
+            safety: SafetyRules::new(honours, lease, margin, quarantine),
             spec: PoolSpec {
                 replicas: Vec::new(),
                 ..spec
             },
             catalog: Arc::default(),
-            facts: ExternalState::default(),
-            held: BTreeMap::new(),
+            external: ExternalState::default(),
+            awaiting_commit: BTreeMap::new(),
             orphans: Vec::new(),
             outboxes: BTreeMap::new(),
             replicas: BTreeMap::new(),
             verdicts: BTreeMap::new(),
-            unloading: 0,
+            pending_unloads: 0,
             draining: false,
             deposed: false,
             frozen: true,
-            keeping: true,
+            evictions_frozen: true,
             settled: false,
             recovering: false,
             recover_at: Moment(0),
-            published: Moment(0),
-            wake: watch::Sender::new(Moment(0)),
+            last_publish: Moment(0),
+            next_tick: watch::Sender::new(Moment(0)),
             address: None,
             shared,
             local,
             name,
-            orders,
-            reports,
+            order_client,
+            report_client,
         })
     }
 
-    /// When the owner next wants a tick.
-    pub fn wakes(&self) -> watch::Receiver<Moment> {
-        self.wake.subscribe()
+    /// Returns when the owner next needs a tick.
+    pub fn next_tick(&self) -> watch::Receiver<Moment> {
+        self.next_tick.subscribe()
     }
 
     pub(super) fn token(&self) -> Token {
         self.safety.lease().token
     }
 
-    /// Sends an event to this owner from a task of its own.
-    pub(super) fn later(&self, work: impl Future<Output = Event> + Send + 'static) {
+    /// Spawns a task that sends the resulting event to this owner.
+    pub(super) fn spawn_event(&self, task: impl Future<Output = Event> + Send + 'static) {
         let Some(address) = self.address.clone() else {
             return;
         };
         tokio::spawn(async move {
-            let event = work.await;
+            let event = task.await;
             let _ = address.send(event).detach().await;
         });
     }
 
     fn tick(&mut self, now: Moment) {
-        self.learn_facts(now);
-        self.follow_tenure();
-        self.follow_catalog(now);
-        self.follow_verdicts(now);
-        self.judge_replicas(now);
-        self.end_lapsed(now);
-        self.keep_frozen(now);
-        self.keep_journal(now);
+        self.update_external(now);
+        self.check_ownership();
+        self.apply_catalog(now);
+        self.apply_verdicts(now);
+        self.update_replicas(now);
+        self.expire_grants(now);
+        self.update_freeze(now);
+        self.maintain_journal(now);
         self.drain_if_stopping(now);
         self.pool.tick(now);
     }
 
-    // Tells every entry to look for another owner.
-    fn part(&mut self) {
+    // Tells every entry that this process is not the owner any more.
+    fn redirect_entries(&mut self) {
         for (_, out) in std::mem::take(&mut self.outboxes) {
             let answer = wire::owner_message::Body::NotOwner(wire::NotOwner::default());
             let _ = out.try_send(Ok(message(answer)));
@@ -291,10 +305,10 @@
     }
 
     fn publish(&mut self, now: Moment) {
-        if now < self.published.after(PUBLISH) {
+        if now < self.last_publish.after(PUBLISH_INTERVAL) {
             return;
         }
-        self.published = now;
+        self.last_publish = now;
         let status = self.status();
         self.shared
             .board
@@ -303,21 +317,21 @@
     }
 
     fn schedule(&self, now: Moment) {
-        let mut next = now.after(TICK);
-        for wish in [self.pool.next_wake(), self.journal.next_wake()] {
-            next = next.min(wish.unwrap_or(next));
+        let mut next = now.after(TICK_INTERVAL);
+        for wake in [self.pool.next_wake(), self.journal.next_wake()] {
+            next = next.min(wake.unwrap_or(next));
         }
-        self.wake.send_if_modified(|wake| {
-            let changed = next < *wake || *wake <= now;
+        self.next_tick.send_if_modified(|tick| {
+            let changed = next < *tick || *tick <= now;
             if changed {
-                *wake = next;
+                *tick = next;
             }
             changed
         });
     }
 }
 
-// The one place where a pool is made from what operators configured.
+// Creates the pool from its specification in the catalog.
 fn new_pool(catalog: &Catalog, spec: &PoolSpec) -> Pool {
     let shares = shares(catalog);
     let settings = match &spec.kind {
@@ -337,7 +351,7 @@
     Pool::new(settings)
 }
 
-/// The shares of all teams.
+/// Returns the shares of all teams.
 pub(super) fn shares(catalog: &Catalog) -> Shares {
     let teams = catalog.teams.iter();
     teams.map(|(name, t)| (name.clone(), t.share)).collect()
@@ -348,39 +362,41 @@
 
     async fn handle(&mut self, event: Event, ctx: &mut Context<Self>) {
         let now = clock::now();
-        let last = matches!(event, Event::LeaseEnded);
+        let ended = matches!(event, Event::LeaseEnded);
         match event {
             Event::SessionOpened {
                 session,
                 hello,
                 out,
-            } => self.open(now, session, &hello, out),
-            Event::EntryMessage { session, body } => self.say(now, session, body),
-            Event::SessionClosed(session) => self.close(now, session),
+            } => self.open_session(now, session, &hello, out),
+            Event::EntryMessage { session, body } => self.handle_message(now, session, body),
+            Event::SessionClosed(session) => self.close_session(now, session),
             Event::LoadReport {
                 replica,
                 address,
                 report,
-            } => self.reported(now, &replica, address, report),
+            } => self.handle_report(now, &replica, address, report),
             Event::FenceAnswer {
                 replica,
                 address,
                 asked,
                 answer,
                 report,
-            } => self.fenced(now, &replica, address, asked, answer, &report),
-            Event::OrderEnded { order, end } => self.ordered(now, order, end),
-            Event::Unloading(true) => self.unloading += 1,
-            Event::Unloading(false) => self.unloading = self.unloading.saturating_sub(1),
-            Event::JournalRead(read) => self.journal_read(now, read),
-            Event::JournalSealed(sealed) => self.journal_sealed(now, sealed),
-            Event::Committed(end) => self.committed(now, end),
+            } => self.handle_fence(now, &replica, address, asked, answer, &report),
+            Event::OrderEnded { order, end } => self.handle_order_end(now, order, end),
+            Event::Unloading(true) => self.pending_unloads += 1,
+            Event::Unloading(false) => {
+                self.pending_unloads = self.pending_unloads.saturating_sub(1)
+            }
+            Event::JournalRead(read) => self.handle_journal_read(now, read),
+            Event::JournalSealed(sealed) => self.handle_journal_sealed(now, sealed),
+            Event::Committed(end) => self.handle_commit(now, end),
             Event::LeaseEnded => self.depose(),
             Event::Tick => self.tick(now),
         }
-        self.carry_out(now);
-        if last {
-            self.part();
+        self.run_commands(now);
+        if ended {
+            self.redirect_entries();
             ctx.stop_self();
             return;
         }
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -1,10 +1,10 @@
-//! Carries out what the pool decided.
+//! Carries out the pool's commands.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use banyangauge_proto as wire;
-use wire::owner_message::Body as Answer;
+use wire::owner_message::Body as OwnerBody;
 
 use crate::claims::Durability;
 use crate::control::clock;
@@ -28,7 +28,7 @@
 use crate::upstream::OrderError;
 use crate::upstream::Orders;
 
-/// One load with its eviction.
+/// One load order with the unload that precedes it.
 struct Load {
     local: Arc<Local>,
     orders: Orders,
@@ -38,24 +38,24 @@
     address: SocketAddr,
     adapter: AdapterVersion,
     evict: Option<AdapterVersion>,
-    // The engine may still run a request on what is to be unloaded.
 }
 
 impl OwnerActor {
-    /// Carries out all that was decided, and what that makes the pool decide.
-    pub(super) fn carry_out(&mut self, now: Moment) {
+    /// Carries out the pool's commands until there are none, since carrying one
+    /// out can cause others.
+    pub(super) fn run_commands(&mut self, now: Moment) {
         loop {
             let commands = self.pool.take_commands();
             if commands.is_empty() {
                 return;
             }
             for command in commands {
-                self.carry_out_one(now, command);
+                self.run_command(now, command);
             }
         }
     }
 
-    fn carry_out_one(&mut self, now: Moment, command: Command) {
+    fn run_command(&mut self, now: Moment, command: Command) {
         match command {
             Command::Grant {
                 ticket,
@@ -74,11 +74,11 @@
                 incarnation,
                 adapter,
                 evict,
-            } => self.load(now, order, &replica, incarnation, adapter, evict),
+            } => self.start_load(now, order, &replica, incarnation, adapter, evict),
             Command::Block { fingerprint, hold } => {
                 slog::warn!(self.shared.log, "convicted"; "pool" => %self.name,
                     "fingerprint" => fingerprint.0);
-                self.note(Kind::Convicted, None, "", &fingerprint.0.to_string());
+                self.record_event(Kind::Convicted, None, "", &fingerprint.0.to_string());
                 Peers::convict(&self.shared, &self.local, fingerprint, hold);
             }
         }
@@ -93,12 +93,12 @@
         priority: i32,
     ) {
         let address = self.replicas.get(replica).map(|r| r.address);
-        let allowed = !self.deposed && self.safety.may_grant(now, replica, &self.facts);
+        let allowed = !self.deposed && self.safety.may_grant(now, replica, &self.external);
         let Some(address) = address.filter(|_| allowed) else {
-            return self.take_back(now, ticket, Reason::Draining.as_str());
+            return self.refuse_granted(now, ticket, Reason::Draining.as_str());
         };
         let Some(item) = self.requests.get(ticket) else {
-            return self.take_back(now, ticket, Reason::Draining.as_str());
+            return self.refuse_granted(now, ticket, Reason::Draining.as_str());
         };
         let grant = wire::Grant {
             request: item.request,
@@ -119,40 +119,40 @@
         let Some(key) = item.claim.clone() else {
             return self.send_grant(now, ticket, grant);
         };
-        // The claim is durable before anybody can act on the grant.
+        // The claim must be durable before the entry can act on the grant.
         match self.journal.record(&key) {
             Durability::Durable => self.send_grant(now, ticket, grant),
             Durability::Pending => {
-                self.held.insert(key, (ticket, grant));
+                self.awaiting_commit.insert(key, (ticket, grant));
             }
-            Durability::Missing => self.take_back(now, ticket, "platform_down"),
+            Durability::Missing => self.refuse_granted(now, ticket, "platform_down"),
         }
     }
 
-    /// Sends a grant; it counts as in use from here on.
+    /// Sends a grant, which counts as in use from then on.
     pub(super) fn send_grant(&mut self, now: Moment, ticket: Ticket, grant: wire::Grant) {
         let session = self
             .requests
             .get(ticket)
             .and_then(|i| self.requests.session_of(&i.entry));
-        // A commit takes time: whether to grant is asked again.
+        // A commit takes time, so the owner checks again whether it may grant.
         let replica = ReplicaName::new(&grant.replica).ok();
         let allowed = !self.deposed
             && !self.draining
-            && replica.is_some_and(|r| self.safety.may_grant(now, &r, &self.facts));
+            && replica.is_some_and(|r| self.safety.may_grant(now, &r, &self.external));
         let sent = match session.filter(|_| allowed) {
-            Some(session) => self.tell(session, Answer::Granted(grant.clone())),
+            Some(session) => self.send(session, OwnerBody::Granted(grant.clone())),
             None => false,
         };
         if !sent {
-            return self.take_back(now, ticket, Reason::Draining.as_str());
+            return self.refuse_granted(now, ticket, Reason::Draining.as_str());
         }
         metrics::counter!("granted_total").increment(1);
         self.requests
             .mark_granted(ticket, grant, now.after(self.grant_ttl()));
     }
 
-    fn load(
+    fn start_load(
         &mut self,
         now: Moment,
         order: OrderId,
@@ -161,25 +161,26 @@
         adapter: AdapterVersion,
         evict: Option<AdapterVersion>,
     ) {
-        let known = self.replicas.get(replica);
-        let known = known.filter(|r| r.incarnation == incarnation);
-        let allowed = evict.is_none() || !self.keeping && self.safety.may_evict(now, replica);
-        let Some(known) =
-            known.filter(|_| allowed && !self.frozen && !self.deposed && !self.draining)
+        let target = self.replicas.get(replica);
+        let target = target.filter(|r| r.incarnation == incarnation);
+        let allowed =
+            evict.is_none() || !self.evictions_frozen && self.safety.may_evict(now, replica);
+        let Some(target) =
+            target.filter(|_| allowed && !self.frozen && !self.deposed && !self.draining)
         else {
             return self.pool.order_end(now, order, OrderEnd::Failed);
         };
         let load = Load {
             local: Arc::clone(&self.local),
-            orders: self.orders.clone(),
+            orders: self.order_client.clone(),
             pool: self.name.clone(),
             token: self.token(),
             honours_token: self.safety.honours_token(),
-            address: known.address,
+            address: target.address,
             adapter,
             evict,
         };
-        self.note(
+        self.record_event(
             Kind::LoadOrdered,
             Some(&load.adapter),
             replica.as_str(),
@@ -189,20 +190,20 @@
                 .map_or(String::new(), |e| format!("evicts {e}")),
         );
         metrics::counter!("load_orders_total").increment(1);
-        let unloads = load.evict.is_some();
-        if unloads {
-            self.unloading += 1;
+        let evicts = load.evict.is_some();
+        if evicts {
+            self.pending_unloads += 1;
         }
         let Some(address) = self.address.clone() else {
             return;
         };
         tokio::spawn(async move {
-            let evicted = unload(&load).await;
-            if unloads {
+            let unloaded = send_unload(&load).await;
+            if evicts {
                 let _ = address.send(Event::Unloading(false)).detach().await;
             }
-            let end = match evicted {
-                Ok(()) => order_end(load_one(&load).await),
+            let end = match unloaded {
+                Ok(()) => order_end(send_load(&load).await),
                 Err(e) => order_end(Err(e)),
             };
             let _ = address
@@ -212,8 +213,8 @@
         });
     }
 
-    pub(super) fn ordered(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
-        self.note(Kind::LoadEnded, None, "", &format!("{end:?}"));
+    pub(super) fn handle_order_end(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
+        self.record_event(Kind::LoadEnded, None, "", &format!("{end:?}"));
         if end == OrderEnd::Fenced {
             slog::warn!(self.shared.log, "order fenced"; "pool" => %self.name);
             self.depose();
@@ -221,7 +222,7 @@
         self.pool.order_end(now, order, end);
     }
 
-    pub(super) fn note(
+    pub(super) fn record_event(
         &self,
         kind: Kind,
         adapter: Option<&AdapterVersion>,
@@ -239,28 +240,29 @@
     }
 }
 
-async fn unload(load: &Load) -> Result<(), OrderError> {
+async fn send_unload(load: &Load) -> Result<(), OrderError> {
     let Some(evict) = &load.evict else {
         return Ok(());
     };
-    check(load)?;
+    check_lease(load)?;
     load.orders.unload(load.address, load.token, evict).await
 }
 
-async fn load_one(load: &Load) -> Result<(), OrderError> {
-    check(load)?;
+async fn send_load(load: &Load) -> Result<(), OrderError> {
+    check_lease(load)?;
     load.orders
         .load(load.address, load.token, &load.adapter)
         .await
 }
 
-// Immediately before each order, on a clock that runs during suspension: is
-// this still the owner? What is left is the time from here to the send.
-fn check(load: &Load) -> Result<(), OrderError> {
+// Checks, on a clock that also runs during suspension, that this process still
+// holds the lease. Called immediately before each order; the remaining race is
+// the time from here to the sending, which the lease's margin covers.
+fn check_lease(load: &Load) -> Result<(), OrderError> {
     let now = clock::now();
     let leases = load.local.leases.borrow();
-    let tenure = leases.get(&load.pool).filter(|t| t.token == load.token);
-    match tenure {
+    let lease = leases.get(&load.pool).filter(|t| t.token == load.token);
+    match lease {
         Some(t) if load.honours_token || now < t.valid_until => Ok(()),
         _ => Err(OrderError::Unreachable("the lease is over".to_owned())),
     }
--- a/lib/src/control/owner/journal.rs
+++ b/lib/src/control/owner/journal.rs
@@ -1,4 +1,4 @@
-//! Reads and writes a pool's journal of claims.
+//! Reads and writes a pool's claim journal on the platform.
 
 use xtra::Address;
 
@@ -13,28 +13,28 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// The kind of journal objects.
+/// The platform's kind of journal objects.
 const CLAIMS: &str = "claims";
 
-/// How long after a failed reading of the journal the next is tried.
-const JOURNAL_PAUSE: Span = Span::from_millis(500);
+/// The delay after a failure to read or seal the journal.
+const JOURNAL_RETRY_DELAY: Span = Span::from_millis(500);
 
 fn object_name(pool: &PoolName, number: u64) -> String {
     format!("{pool}-{number}")
 }
 
-// Whether the object is a segment of the pool: the name of one pool may begin
-// with that of another.
+// Returns whether an object is a segment of the pool: one pool's name may be a
+// prefix of another's.
 fn is_segment(pool: &PoolName, name: &str, segment: &Segment) -> bool {
     name == object_name(pool, segment.number)
 }
 
-/// Reads all segments.
+/// Reads all segments of a pool with their versions, in order.
 ///
 /// # Errors
 ///
-/// The failures of any call to the platform.
-pub(super) async fn read_all(
+/// Any failure of the call to the platform.
+pub(super) async fn read_segments(
     platform: &Platform,
     pool: &PoolName,
 ) -> Result<Vec<(Segment, String)>, PlatformError> {
@@ -49,24 +49,25 @@
     Ok(segments)
 }
 
-/// Carries out the writes that shut an earlier owner out; gives the versions.
+/// Carries out the writes that fence off an earlier owner. Returns the new
+/// versions.
 ///
 /// # Errors
 ///
-/// Any failure; the journal is then read again.
-pub(super) async fn seal(
+/// Any failure of a write; the journal is then read again.
+pub(super) async fn write_seal(
     platform: &Platform,
     pool: &PoolName,
     writes: Vec<Write>,
 ) -> Result<Vec<String>, PlatformError> {
     let mut versions = Vec::new();
     for write in writes {
-        versions.push(send(platform, pool, &write).await?);
+        versions.push(write_segment(platform, pool, &write).await?);
     }
     Ok(versions)
 }
 
-async fn send(
+async fn write_segment(
     platform: &Platform,
     pool: &PoolName,
     write: &Write,
@@ -82,22 +83,22 @@
     }
 }
 
-/// Carries out one commit and tells the owner; a lost answer or a conflict is
-/// settled by reading back.
+/// Writes one commit and sends its outcome to the owner. After a lost answer or
+/// a conflict the segment is read back.
 pub(super) async fn commit(
     owner: Address<OwnerActor>,
     platform: Platform,
     pool: PoolName,
     write: Write,
 ) {
-    let end = match send(&platform, &pool, &write).await {
+    let outcome = match write_segment(&platform, &pool, &write).await {
         Ok(version) => WriteOutcome::Done(version),
         Err(
             PlatformError::Refused(_) | PlatformError::Unreachable(_) | PlatformError::TooLarge,
         ) => WriteOutcome::Unconfirmed(None),
         Err(_) => read_back(&platform, &pool, &write).await,
     };
-    let _ = owner.send(Event::Committed(end)).detach().await;
+    let _ = owner.send(Event::Committed(outcome)).detach().await;
 }
 
 async fn read_back(platform: &Platform, pool: &PoolName, write: &Write) -> WriteOutcome {
@@ -111,35 +112,37 @@
     }
 }
 
-/// Deletes segments whose claims are all past their retention.
+/// Deletes segments all of whose claims are past their retention.
 pub(super) async fn delete(platform: Platform, pool: PoolName, numbers: Vec<u64>) {
     for number in numbers {
-        // One that stays is read by the next owner and expires there.
+        // If this fails, the next owner reads the segment and expires it.
         let _ = platform.delete(CLAIMS, &object_name(&pool, number)).await;
     }
 }
 
 impl OwnerActor {
-    pub(super) fn keep_journal(&mut self, now: Moment) {
+    pub(super) fn maintain_journal(&mut self, now: Moment) {
         let numbers = self.journal.expire(now);
         if !numbers.is_empty() {
-            let work = delete(self.shared.platform.clone(), self.name.clone(), numbers);
-            tokio::spawn(work);
+            let task = delete(self.shared.platform.clone(), self.name.clone(), numbers);
+            tokio::spawn(task);
         }
         if !self.journal.is_ready() && !self.recovering && now >= self.recover_at {
             self.recovering = true;
             let (platform, pool) = (self.shared.platform.clone(), self.name.clone());
-            self.later(async move { Event::JournalRead(read_all(&platform, &pool).await) });
+            self.spawn_event(
+                async move { Event::JournalRead(read_segments(&platform, &pool).await) },
+            );
         }
     }
 
-    pub(super) fn journal_read(
+    pub(super) fn handle_journal_read(
         &mut self,
         now: Moment,
         read: Result<Vec<(Segment, String)>, PlatformError>,
     ) {
         let Ok(segments) = read else {
-            return self.journal_failed(now);
+            return self.schedule_journal_read(now);
         };
         if segments.iter().any(|(s, _)| s.token > self.token()) {
             return self.depose();
@@ -147,10 +150,12 @@
         self.journal.recover(now, &segments);
         let writes = self.journal.seal();
         let (platform, pool) = (self.shared.platform.clone(), self.name.clone());
-        self.later(async move { Event::JournalSealed(seal(&platform, &pool, writes).await) });
+        self.spawn_event(async move {
+            Event::JournalSealed(write_seal(&platform, &pool, writes).await)
+        });
     }
 
-    pub(super) fn journal_sealed(
+    pub(super) fn handle_journal_sealed(
         &mut self,
         now: Moment,
         sealed: Result<Vec<String>, PlatformError>,
@@ -160,13 +165,13 @@
                 self.recovering = false;
                 self.journal.seal_done(&versions);
             }
-            Err(_) => self.journal_failed(now),
+            Err(_) => self.schedule_journal_read(now),
         }
     }
 
-    pub(super) fn journal_failed(&mut self, now: Moment) {
+    pub(super) fn schedule_journal_read(&mut self, now: Moment) {
         self.recovering = false;
-        self.recover_at = now.after(JOURNAL_PAUSE);
+        self.recover_at = now.after(JOURNAL_RETRY_DELAY);
     }
 
     pub(super) fn commit_journal(&mut self, now: Moment) {
@@ -180,15 +185,15 @@
         tokio::spawn(commit(address, platform, pool, write));
     }
 
-    pub(super) fn committed(&mut self, now: Moment, end: WriteOutcome) {
-        let (keys, done) = self.journal.write_done(now, end);
+    pub(super) fn handle_commit(&mut self, now: Moment, outcome: WriteOutcome) {
+        let (keys, done) = self.journal.write_done(now, outcome);
         for key in keys {
-            let Some((ticket, grant)) = self.held.remove(&key) else {
+            let Some((ticket, grant)) = self.awaiting_commit.remove(&key) else {
                 continue;
             };
             match done {
                 true => self.send_grant(now, ticket, grant),
-                false => self.take_back(now, ticket, "platform_down"),
+                false => self.refuse_granted(now, ticket, "platform_down"),
             }
         }
         if self.journal.is_deposed() {
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -1,5 +1,5 @@
-//! What an owner checks as time passes: its lease, its successor, what it may
-//! change, whether it stops.
+//! The owner's periodic checks: its lease, a possible successor, whether slots
+//! may be changed, and whether the process stops.
 
 use std::collections::BTreeSet;
 
@@ -11,43 +11,44 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How far ahead the pool is told that slots are frozen: several ticks, and
-/// the most by which they open late.
-pub(super) const AHEAD: Span = Span::from_millis(500);
+/// How far ahead the pool's slots are frozen: several ticks, and the most by
+/// which the slots are unfrozen late.
+pub(super) const FREEZE_AHEAD: Span = Span::from_millis(500);
 
 impl OwnerActor {
-    pub(super) fn learn_facts(&mut self, now: Moment) {
+    pub(super) fn update_external(&mut self, now: Moment) {
         let left = match &self.safety.lease().predecessor {
             Predecessor::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
             _ => false,
         };
-        self.facts = ExternalState {
+        self.external = ExternalState {
             majority: self.local.majority(now),
             predecessor_left: left,
             synced: self.requests.synced().clone(),
         };
     }
 
-    // Another owner with a higher token may be known before the lease object
-    // says so: from peers, in an outage of the platform.
-    pub(super) fn follow_tenure(&mut self) {
+    // In an outage of the platform peers may report an owner with a higher token
+    // before the lease object shows it.
+    pub(super) fn check_ownership(&mut self) {
         let token = self.token();
-        let until = {
+        let valid_until = {
             let leases = self.local.leases.borrow();
-            let tenure = leases.get(&self.name).filter(|t| t.token == token);
-            tenure.map(|t| t.valid_until)
+            let lease = leases.get(&self.name).filter(|t| t.token == token);
+            lease.map(|t| t.valid_until)
         };
         let higher = {
             let owners = self.shared.board.owners.borrow();
             owners.get(&self.name).is_some_and(|o| o.token > token)
         };
-        match until {
+        match valid_until {
             Some(until) if !higher => self.safety.renew(until),
             _ => self.depose(),
         }
     }
 
-    /// Grants and orders nothing any more.
+    /// Stops issuing grants and sending orders, because there is or may be a
+    /// successor.
     pub(super) fn depose(&mut self) {
         if self.deposed {
             return;
@@ -61,7 +62,7 @@
         self.pool.drain(clock::now());
     }
 
-    pub(super) fn follow_verdicts(&mut self, now: Moment) {
+    pub(super) fn apply_verdicts(&mut self, now: Moment) {
         let board = self.shared.board.verdicts.borrow().clone();
         if board == self.verdicts {
             return;
@@ -76,19 +77,20 @@
         self.verdicts = board;
     }
 
-    // The pool is told a little ahead, so that it plans no change it may not
-    // make; should a tick come later than that, `load` still refuses.
+    // The pool's slots are frozen a little ahead, so that it plans no change that
+    // is not allowed; should a tick come later than that, `start_load` refuses.
     //
     // While an earlier owner's grants may be in use, engines that honour tokens
-    // take loads into free slots: they refuse the earlier owner's orders, and
-    // such a load takes nothing from a request.
-    pub(super) fn keep_frozen(&mut self, now: Moment) {
+    // still get loads into free slots: they refuse the earlier owner's orders, and
+    // such a load evicts nothing that a request may use.
+    pub(super) fn update_freeze(&mut self, now: Moment) {
         let replicas: BTreeSet<_> = self.replicas.keys().cloned().collect();
-        let closed = self.safety.is_frozen(now, &replicas, &self.facts);
-        // Past the lease, slots at engines that ignore tokens are not changed.
-        self.frozen = closed && !self.safety.honours_token() || !self.safety.may_order(now);
-        self.keeping = closed;
-        if !closed && !self.settled {
+        let slots_frozen = self.safety.is_frozen(now, &replicas, &self.external);
+        // After the lease has expired, slots on engines that ignore tokens are not
+        // changed.
+        self.frozen = slots_frozen && !self.safety.honours_token() || !self.safety.may_order(now);
+        self.evictions_frozen = slots_frozen;
+        if !slots_frozen && !self.settled {
             self.settled = true;
             let token = self.token();
             self.local.settled.send_modify(|s| {
@@ -96,15 +98,15 @@
             });
         }
         if self.frozen {
-            self.pool.freeze_slots(now.after(AHEAD));
+            self.pool.freeze_slots(now.after(FREEZE_AHEAD));
         }
-        if self.keeping {
-            self.pool.freeze_evictions(now.after(AHEAD));
+        if self.evictions_frozen {
+            self.pool.freeze_evictions(now.after(FREEZE_AHEAD));
         }
     }
 
-    // Stopping: first grant and order nothing more, then say so, so that the
-    // election can release the lease.
+    // When the process stops, ends grants and orders first and then publishes
+    // that, so that the election can release the lease.
     pub(super) fn drain_if_stopping(&mut self, now: Moment) {
         if !*self.shared.board.stopping.borrow() {
             return;
@@ -113,12 +115,13 @@
             self.draining = true;
             self.pool.drain(now);
         }
-        // An unload under way may still take effect; where the engine does not
+        // An unload in flight may still take effect. Where the engine does not
         // refuse it, a successor must not grant before it has ended.
-        if self.unloading > 0 && !self.safety.honours_token() {
+        if self.pending_unloads > 0 && !self.safety.honours_token() {
             return;
         }
-        // An earlier owner's grants may be out that nobody here knows of.
+        // Until settled, entries unknown to this owner may hold grants of an
+        // earlier owner.
         let entries = self.settled.then(|| self.requests.entries());
         self.local.drained.send_if_modified(|drained| {
             let new = !drained.contains_key(&self.name);
--- a/lib/src/control/owner/probes.rs
+++ b/lib/src/control/owner/probes.rs
@@ -1,4 +1,4 @@
-//! Polls one replica for the owner: load reports and fences.
+//! Requests load reports and fences from replicas for the owner.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 use crate::upstream::Orders;
 use crate::upstream::read_report;
 
-/// Polls until the owner ends.
+/// Polls one replica for load reports until the owner stops.
 pub(super) async fn poll(
     owner: Address<OwnerActor>,
     orders: Orders,
     replica: ReplicaName,
     address: SocketAddr,
-    every: Duration,
+    interval: Duration,
 ) {
-    let mut tick = tokio::time::interval(every);
+    let mut tick = tokio::time::interval(interval);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
@@ -32,14 +32,14 @@
             address,
             report,
         };
-        // The mailbox is bounded; a poll waits its turn.
+        // The mailbox is bounded: waits while it is full.
         if owner.send(event).detach().await.is_err() {
             return;
         }
     }
 }
 
-/// Asks one engine for its fence and tells the owner.
+/// Asks an engine to confirm the token and sends its answer to the owner.
 pub(super) async fn fence(
     owner: Address<OwnerActor>,
     orders: Orders,
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -1,4 +1,4 @@
-//! What an owner learns of its replicas.
+//! The owner's view of its replicas: the catalog, load reports, fences, health.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use banyangauge_proto as wire;
 
 use crate::control::owner::OwnerActor;
-use crate::control::owner::actor::Watched;
+use crate::control::owner::actor::ReplicaMonitor;
 use crate::control::owner::actor::shares;
 use crate::control::owner::probes;
 use crate::ids::Incarnation;
@@ -22,8 +22,8 @@
 use crate::upstream::Report;
 
 impl OwnerActor {
-    /// Takes over the pool's replicas from the catalog in force.
-    pub(super) fn follow_catalog(&mut self, now: Moment) {
+    /// Applies the pool's specification from the catalog in force.
+    pub(super) fn apply_catalog(&mut self, now: Moment) {
         let catalog = self.shared.board.catalog.borrow().clone();
         if Arc::ptr_eq(&catalog, &self.catalog) {
             return;
@@ -53,34 +53,34 @@
     }
 
     fn watch_replicas(&mut self) {
-        let wanted = &self.spec.replicas;
+        let listed = &self.spec.replicas;
         self.replicas.retain(|name, w| {
-            wanted
+            listed
                 .iter()
                 .any(|r| r.name == *name && r.address == w.address)
         });
         let Some(owner) = self.address.clone() else {
             return;
         };
-        let every = Duration::from_millis(self.local.settings.upstreams.poll_ms);
-        for replica in wanted {
+        let interval = Duration::from_millis(self.local.settings.upstreams.poll_ms);
+        for replica in listed {
             let (name, address) = (replica.name.clone(), replica.address);
-            let (owner, reports) = (owner.clone(), self.reports.clone());
+            let (owner, client) = (owner.clone(), self.report_client.clone());
             self.replicas
                 .entry(name.clone())
-                .or_insert_with(|| Watched {
+                .or_insert_with(|| ReplicaMonitor {
                     address,
                     incarnation: Incarnation(0),
                     failures: 0,
                     leaving: false,
-                    fencing: false,
+                    fence_pending: false,
                     health: Health::Suspect,
-                    polling: tokio::spawn(probes::poll(owner, reports, name, address, every)),
+                    poll_task: tokio::spawn(probes::poll(owner, client, name, address, interval)),
                 });
         }
     }
 
-    pub(super) fn reported(
+    pub(super) fn handle_report(
         &mut self,
         now: Moment,
         name: &ReplicaName,
@@ -92,24 +92,24 @@
         };
         let Ok(report) = report else {
             replica.failures = replica.failures.saturating_add(1);
-            return self.judge(now, name);
+            return self.update_health(now, name);
         };
         replica.failures = 0;
         let incarnation = Incarnation(report.incarnation);
         if !self.safety.needs_fence(now, name, incarnation) {
-            return self.accept(now, name, &report);
+            return self.accept_report(now, name, &report);
         }
-        if replica.fencing || self.deposed {
+        if replica.fence_pending || self.deposed {
             return;
         }
-        replica.fencing = true;
+        replica.fence_pending = true;
         let Some(owner) = self.address.clone() else {
             return;
         };
-        let (orders, token) = (self.reports.clone(), self.token());
+        let (client, token) = (self.report_client.clone(), self.token());
         tokio::spawn(probes::fence(
             owner,
-            orders,
+            client,
             name.clone(),
             address,
             token,
@@ -117,7 +117,7 @@
         ));
     }
 
-    pub(super) fn fenced(
+    pub(super) fn handle_fence(
         &mut self,
         now: Moment,
         name: &ReplicaName,
@@ -129,15 +129,16 @@
         let Some(replica) = self.replicas.get_mut(name).filter(|r| r.address == address) else {
             return;
         };
-        replica.fencing = false;
+        replica.fence_pending = false;
         match answer {
             Ok(Fence::Highest(_)) => {
                 self.safety
                     .confirm(asked, name, Incarnation(report.incarnation));
-                self.accept(now, name, report);
+                self.accept_report(now, name, report);
             }
             Ok(Fence::Ignored) => {
-                // Configured otherwise: nothing protects this engine's slots.
+                // The pool is configured to honour tokens, so this engine's slots
+                // are not protected: it gets no grants.
                 slog::error!(self.shared.log, "engine ignores fencing tokens";
                     "pool" => %self.name, "replica" => %name);
             }
@@ -146,8 +147,8 @@
         }
     }
 
-    // A report counts once the engine refuses earlier owners' orders.
-    fn accept(&mut self, now: Moment, name: &ReplicaName, report: &Report) {
+    // Applies a load report, once the engine refuses earlier owners' orders.
+    fn accept_report(&mut self, now: Moment, name: &ReplicaName, report: &Report) {
         let Some(replica) = self.replicas.get_mut(name) else {
             return;
         };
@@ -155,36 +156,36 @@
         if replica.incarnation != incarnation {
             let detail = format!("incarnation {}", incarnation.0);
             replica.incarnation = incarnation;
-            self.note(Kind::Health, None, name.as_str(), &detail);
+            self.record_event(Kind::Health, None, name.as_str(), &detail);
         }
         if let Some(replica) = self.replicas.get_mut(name) {
             replica.leaving = report.leaving;
         }
-        self.judge(now, name);
+        self.update_health(now, name);
         self.pool.report(now, report.for_pool(name));
     }
 
-    /// Judges all replicas; what was heard of them may have changed.
-    pub(super) fn judge_replicas(&mut self, now: Moment) {
+    /// Updates the health of all replicas.
+    pub(super) fn update_replicas(&mut self, now: Moment) {
         let names: Vec<ReplicaName> = self.replicas.keys().cloned().collect();
         for name in names {
-            self.judge(now, &name);
+            self.update_health(now, &name);
         }
         self.publish_leaving();
     }
 
-    fn judge(&mut self, now: Moment, name: &ReplicaName) {
+    fn update_health(&mut self, now: Moment, name: &ReplicaName) {
         let limit = self.local.settings.upstreams.failures;
         let Some(replica) = self.replicas.get_mut(name) else {
             return;
         };
-        let told = self
+        let listed_leaving = self
             .shared
             .board
             .leaving
             .borrow()
             .contains(&replica.address);
-        let health = if replica.leaving || told {
+        let health = if replica.leaving || listed_leaving {
             Health::Leaving
         } else if replica.failures >= limit || replica.incarnation == Incarnation(0) {
             Health::Suspect
@@ -198,7 +199,7 @@
         self.pool.set_health(now, name, health);
         slog::info!(self.shared.log, "replica"; "pool" => %self.name, "replica" => %name,
             "health" => ?health);
-        self.note(Kind::Health, None, name.as_str(), &format!("{health:?}"));
+        self.record_event(Kind::Health, None, name.as_str(), &format!("{health:?}"));
     }
 
     fn publish_leaving(&self) {
@@ -208,20 +209,20 @@
             .filter(|r| r.leaving)
             .map(|r| r.address)
             .collect();
-        let news = self.local.reported.send_if_modified(|reported| {
+        let changed = self.local.reported.send_if_modified(|reported| {
             let known = reported.get(&self.name);
-            let news = known.map_or(!leaving.is_empty(), |k| *k != leaving);
-            if news {
+            let changed = known.map_or(!leaving.is_empty(), |k| *k != leaving);
+            if changed {
                 reported.insert(self.name.clone(), leaving);
             }
-            news
+            changed
         });
-        if news {
+        if changed {
             self.local.urgent.notify_one();
         }
     }
 
-    /// The pool's state for operators.
+    /// Returns the pool's state as shown to operators.
     pub(super) fn status(&self) -> wire::PoolStatus {
         let view = self.pool.view();
         let names = |set: Option<&BTreeSet<crate::ids::AdapterVersion>>| {
--- a/lib/src/control/owner/service.rs
+++ b/lib/src/control/owner/service.rs
@@ -1,4 +1,4 @@
-//! The gRPC side of grants.
+//! The gRPC service through which entries acquire grants.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 use tonic::Response;
 use tonic::Status;
 use tonic::Streaming;
-use wire::entry_message::Body as Said;
+use wire::entry_message::Body as EntryBody;
 use wire::grants_server::Grants;
-use wire::owner_message::Body as Answer;
+use wire::owner_message::Body as OwnerBody;
 use xtra::Address;
 
 use crate::control::Shared;
@@ -27,29 +27,29 @@
 use crate::control::owner::sessions::message;
 use crate::ids::PoolName;
 
-/// Answers that may wait for one entry to read them.
-const OUTBOX: usize = 4_096;
+/// How many messages may wait for one entry to read them.
+const OUTBOX_CAPACITY: usize = 4_096;
 
-/// The longest that the first message of a stream may take.
-const HELLO: Duration = Duration::from_secs(5);
+/// How long the owner waits for the first message of a stream.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-type Out = mpsc::Sender<Result<wire::OwnerMessage, Status>>;
+type Outbox = mpsc::Sender<Result<wire::OwnerMessage, Status>>;
 
-/// Serves grants for the pools that are owned here.
+/// Serves grants for the pools that this process owns.
 #[derive(Clone)]
 pub struct GrantsService {
     shared: Shared,
     registry: Arc<Registry>,
-    sessions: Arc<AtomicU64>,
+    next_session: Arc<AtomicU64>,
 }
 
 impl GrantsService {
-    /// A service over the owners in the registry.
+    /// Creates a service for the owners in the registry.
     pub fn new(shared: Shared, registry: Arc<Registry>) -> Self {
         Self {
             shared,
             registry,
-            sessions: Arc::new(AtomicU64::new(1)),
+            next_session: Arc::new(AtomicU64::new(1)),
         }
     }
 
@@ -57,7 +57,7 @@
         let owners = self.shared.board.owners.borrow();
         let other = owners.get(pool).filter(|o| o.vm != self.shared.vm);
         let address = other.map_or(String::new(), |o| o.address.to_string());
-        message(Answer::NotOwner(wire::NotOwner { address }))
+        message(OwnerBody::NotOwner(wire::NotOwner { address }))
     }
 }
 
@@ -69,49 +69,53 @@
         &self,
         request: Request<Streaming<wire::EntryMessage>>,
     ) -> Result<Response<Self::SessionStream>, Status> {
-        let (out, answers) = mpsc::channel(OUTBOX);
-        // An entry says hello only once the stream is open, so the answer's
-        // head must not wait for it.
-        tokio::spawn(converse(self.clone(), request.into_inner(), out));
-        Ok(Response::new(Box::pin(ReceiverStream::new(answers))))
+        let (out, messages) = mpsc::channel(OUTBOX_CAPACITY);
+        // An entry sends its hello only once the stream is open, so the response
+        // head must not wait for the hello.
+        tokio::spawn(run_session(self.clone(), request.into_inner(), out));
+        Ok(Response::new(Box::pin(ReceiverStream::new(messages))))
     }
 }
 
-async fn converse(service: GrantsService, mut said: Streaming<wire::EntryMessage>, out: Out) {
-    let (pool, hello) = match read_hello(&mut said).await {
+async fn run_session(
+    service: GrantsService,
+    mut messages: Streaming<wire::EntryMessage>,
+    out: Outbox,
+) {
+    let (pool, hello) = match read_hello(&mut messages).await {
         Ok(first) => first,
         Err(status) => {
-            // The entry may be gone; nobody else waits for this.
+            // The entry may be gone; then there is nobody to answer.
             let _ = out.try_send(Err(status));
             return;
         }
     };
-    let last = service.not_owner(&pool);
+    let not_owner = service.not_owner(&pool);
     let Some(owner) = service.registry.get(&pool) else {
-        let _ = out.try_send(Ok(last));
+        let _ = out.try_send(Ok(not_owner));
         return;
     };
-    let session = SessionId(service.sessions.fetch_add(1, Ordering::Relaxed));
+    let session = SessionId(service.next_session.fetch_add(1, Ordering::Relaxed));
     let open = Event::SessionOpened {
         session,
         hello,
         out: out.clone(),
     };
     if owner.send(open).detach().await.is_err() {
-        let _ = out.try_send(Ok(last));
+        let _ = out.try_send(Ok(not_owner));
         return;
     }
-    listen(said, owner, session, out, last).await;
+    forward(messages, owner, session, out, not_owner).await;
 }
 
 async fn read_hello(
-    said: &mut Streaming<wire::EntryMessage>,
+    messages: &mut Streaming<wire::EntryMessage>,
 ) -> Result<(PoolName, wire::Hello), Status> {
-    let first = tokio::time::timeout(HELLO, said.message())
+    let first = tokio::time::timeout(HELLO_TIMEOUT, messages.message())
         .await
         .map_err(|_| Status::deadline_exceeded("no hello"))??;
     match first.and_then(|m| m.body) {
-        Some(Said::Hello(hello)) => {
+        Some(EntryBody::Hello(hello)) => {
             let pool =
                 PoolName::new(&hello.pool).map_err(|e| Status::invalid_argument(e.to_string()))?;
             Ok((pool, hello))
@@ -120,15 +124,15 @@
     }
 }
 
-// Passes on what the entry says until it, or the owner, ends.
-async fn listen(
-    mut said: Streaming<wire::EntryMessage>,
+// Forwards the entry's messages until the entry or the owner ends.
+async fn forward(
+    mut messages: Streaming<wire::EntryMessage>,
     owner: Address<OwnerActor>,
     session: SessionId,
-    out: Out,
-    last: wire::OwnerMessage,
+    out: Outbox,
+    not_owner: wire::OwnerMessage,
 ) {
-    while let Ok(Some(m)) = said.message().await {
+    while let Ok(Some(m)) = messages.message().await {
         let Some(body) = m.body else { continue };
         if owner
             .send(Event::EntryMessage { session, body })
@@ -136,7 +140,7 @@
             .await
             .is_err()
         {
-            let _ = out.try_send(Ok(last));
+            let _ = out.try_send(Ok(not_owner));
             return;
         }
     }
--- a/lib/src/control/owner/sessions.rs
+++ b/lib/src/control/owner/sessions.rs
@@ -1,10 +1,10 @@
-//! What entries say to an owner.
+//! Handles the streams and messages of entries.
 
 use std::collections::BTreeSet;
 
 use banyangauge_proto as wire;
-use wire::entry_message::Body as Said;
-use wire::owner_message::Body as Answer;
+use wire::entry_message::Body as EntryBody;
+use wire::owner_message::Body as OwnerBody;
 
 use crate::claims::ClaimKey;
 use crate::claims::ClaimResult;
@@ -28,15 +28,15 @@
 use crate::pool::Span;
 use crate::pool::Ticket;
 
-/// When a refused caller may come back, where nothing better is known.
-const COME_BACK: Span = Span::from_millis(1_000);
+/// The retry-after time of refusals for which the pool computes none.
+const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
 
-/// The most grants taken from one hello: a bound on what a faulty entry can
-/// make the owner hold. An entry runs a few thousand requests at the most.
-const MAX_HELD: usize = 65_536;
+/// The most grants accepted from one hello: bounds the memory that a faulty entry
+/// can use. An entry runs a few thousand requests at most.
+const MAX_REPORTED_GRANTS: usize = 65_536;
 
 impl OwnerActor {
-    pub(super) fn open(
+    pub(super) fn open_session(
         &mut self,
         now: Moment,
         session: SessionId,
@@ -44,63 +44,63 @@
         out: Outbox,
     ) {
         if self.deposed || self.draining {
-            let _ = out.try_send(Ok(message(Answer::NotOwner(wire::NotOwner::default()))));
+            let _ = out.try_send(Ok(message(OwnerBody::NotOwner(wire::NotOwner::default()))));
             return;
         }
         let entry = format!("{}/{}", hello.entry, hello.incarnation);
-        let numbers: BTreeSet<u64> = hello.held.iter().map(|g| g.grant).collect();
+        let held: BTreeSet<u64> = hello.held.iter().map(|g| g.grant).collect();
         self.outboxes.insert(session, out);
-        let opened = self.requests.open(session, &entry, &numbers);
+        let opened = self.requests.open(session, &entry, &held);
         for ticket in opened.unused {
-            self.finish(now, ticket, Outcome::NotRun);
+            self.end_dispatch(now, ticket, Outcome::NotRun);
         }
         for ticket in opened.waiting {
-            self.forget(now, ticket);
+            self.cancel_waiting(now, ticket);
         }
-        for grant in hello.held.iter().take(MAX_HELD) {
-            self.adopt(now, &entry, grant);
+        for grant in hello.held.iter().take(MAX_REPORTED_GRANTS) {
+            self.adopt_grant(now, &entry, grant);
         }
         let welcome = wire::Welcome {
             token: self.token().0,
             ttl_ms: self.local.settings.grants.ttl_ms,
         };
-        self.tell(session, Answer::Welcome(welcome));
+        self.send(session, OwnerBody::Welcome(welcome));
     }
 
-    pub(super) fn close(&mut self, now: Moment, session: SessionId) {
+    pub(super) fn close_session(&mut self, now: Moment, session: SessionId) {
         self.outboxes.remove(&session);
         for ticket in self.requests.close(session) {
-            self.forget(now, ticket);
+            self.cancel_waiting(now, ticket);
         }
     }
 
-    pub(super) fn say(&mut self, now: Moment, session: SessionId, said: Said) {
+    pub(super) fn handle_message(&mut self, now: Moment, session: SessionId, body: EntryBody) {
         let Some(entry) = self.requests.entry_of(session).map(str::to_owned) else {
             return;
         };
-        match said {
-            // A second hello on a stream has no meaning.
-            Said::Hello(_) | Said::Revoked(_) => {}
-            Said::Acquire(acquire) => self.acquire(now, session, &entry, acquire),
-            Said::Abandon(abandon) => {
+        match body {
+            // Ignored: a hello is only the first message of a stream.
+            EntryBody::Hello(_) | EntryBody::Revoked(_) => {}
+            EntryBody::Acquire(acquire) => self.acquire(now, session, &entry, acquire),
+            EntryBody::Abandon(abandon) => {
                 if let Some(ticket) = self.requests.waiting(&entry, abandon.request) {
-                    self.forget(now, ticket);
+                    self.cancel_waiting(now, ticket);
                 }
             }
-            Said::Release(release) => self.release(now, &entry, &release),
-            Said::Renew(renew) => self.renew(now, session, &entry, &renew),
+            EntryBody::Release(release) => self.release(now, &entry, &release),
+            EntryBody::Renew(renew) => self.renew(now, session, &entry, &renew),
         }
     }
 
-    fn adopt(&mut self, now: Moment, entry: &str, grant: &wire::Grant) {
-        let until = now.after(self.grant_ttl());
+    fn adopt_grant(&mut self, now: Moment, entry: &str, grant: &wire::Grant) {
+        let expires = now.after(self.grant_ttl());
         let Ok(replica) = ReplicaName::new(&grant.replica) else {
             return;
         };
         let Ok(team) = TeamName::new(&grant.team) else {
             return;
         };
-        if grant.token > self.token().0 || !self.requests.adopt(entry, grant, until) {
+        if grant.token > self.token().0 || !self.requests.adopt(entry, grant, expires) {
             return;
         }
         let held = InheritedDispatch {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Counts grants on replicas that the catalog names only now.
+    /// Passes inherited grants to the pool whose replicas the catalog lists now.
     pub(super) fn adopt_orphans(&mut self, now: Moment) {
         for held in std::mem::take(&mut self.orphans) {
             if self.requests.get(held.ticket).is_none() {
@@ -135,21 +135,22 @@
     fn acquire(&mut self, now: Moment, session: SessionId, entry: &str, acquire: wire::Acquire) {
         let request = acquire.request;
         let Ok(team) = TeamName::new(&acquire.team) else {
-            return self.tell_refusal(session, request, Reason::NoReplica.as_str(), "");
+            return self.send_refusal(session, request, Reason::NoReplica.as_str(), "");
         };
         if self.deposed || self.draining {
-            return self.tell_refusal(session, request, Reason::Draining.as_str(), "");
+            return self.send_refusal(session, request, Reason::Draining.as_str(), "");
         }
-        // Dispatched once: nothing tells whether the first try ran.
+        // Dispatched at most once, since it is unknown whether the first attempt
+        // ran.
         if !acquire.idempotent && acquire.claim.is_empty() && acquire.attempt > 0 {
-            return self.tell_refusal(session, request, Reason::RetryBudget.as_str(), "");
+            return self.send_refusal(session, request, Reason::RetryBudget.as_str(), "");
         }
         if let Some(ticket) = self.requests.waiting(entry, request) {
-            self.forget(now, ticket);
+            self.cancel_waiting(now, ticket);
         }
         let claim = match self.claim(now, entry, &acquire) {
             Ok(claim) => claim,
-            Err((reason, state)) => return self.tell_refusal(session, request, reason, state),
+            Err((reason, state)) => return self.send_refusal(session, request, reason, state),
         };
         let ticket = self.requests.enqueue(entry, acquire.clone(), claim);
         let arrival = Arrival {
@@ -173,7 +174,7 @@
         self.pool.offer(now, arrival);
     }
 
-    // Takes the key in memory; it becomes durable before the grant is sent.
+    // Claims the key in memory; the claim becomes durable before the grant is sent.
     fn claim(
         &mut self,
         now: Moment,
@@ -183,16 +184,16 @@
         if acquire.claim.is_empty() {
             return Ok(None);
         }
-        // Without the journal nobody knows whether the key was seen before.
+        // Until the journal is read, it is unknown whether the key was used before.
         if !self.journal.is_ready() {
             return Err(("platform_down", ""));
         }
         let key = ClaimKey::new(&acquire.claim);
-        let who = Claimant {
+        let claimant = Claimant {
             entry: entry.to_owned(),
             request: acquire.request,
         };
-        match self.journal.claim(now, &key, &who) {
+        match self.journal.claim(now, &key, &claimant) {
             ClaimResult::Claimed => Ok(Some(key)),
             ClaimResult::Duplicate(state) => Err(("claim", state.as_str())),
             ClaimResult::Full => Err((Reason::QueueFull.as_str(), "")),
@@ -205,12 +206,12 @@
             return;
         };
         let outcome = outcome_of(release.outcome);
-        // An adopted grant's key is known from its entry only.
-        let told = Some(&release.claim).filter(|c| !c.is_empty());
+        // Only the entry knows the key of an adopted grant.
+        let reported = Some(&release.claim).filter(|c| !c.is_empty());
         let claim = item.claim.clone();
-        let claim = claim.or_else(|| told.map(|c| ClaimKey::new(c)));
+        let claim = claim.or_else(|| reported.map(|c| ClaimKey::new(c)));
         if let Some(key) = claim {
-            self.end_claim(now, &key, outcome, &release.claim_outcome);
+            self.settle_claim(now, &key, outcome, &release.claim_outcome);
         }
         self.requests.remove(ticket);
         self.pool.finish(
@@ -225,20 +226,20 @@
         );
     }
 
-    fn end_claim(&mut self, now: Moment, key: &ClaimKey, outcome: Outcome, told: &str) {
-        match (told, outcome) {
+    fn settle_claim(&mut self, now: Moment, key: &ClaimKey, outcome: Outcome, reported: &str) {
+        match (reported, outcome) {
             ("answered", _) | ("", Outcome::Answered) => {
                 self.journal.set_outcome(now, key, State::Answered);
             }
             ("", Outcome::NotRun) => self.journal.free(now, key),
-            // The entry may still settle it by resuming.
+            // The entry may still complete the call by resuming the stream.
             ("", Outcome::BrokenEarly | Outcome::BrokenLate) => self.journal.mark_started(key),
             _ => self.journal.set_outcome(now, key, State::Unknown),
         }
     }
 
     fn renew(&mut self, now: Moment, session: SessionId, entry: &str, renew: &wire::Renew) {
-        let until = now.after(self.grant_ttl());
+        let expires = now.after(self.grant_ttl());
         let mut renewed = wire::Renewed::default();
         for number in &renew.grants {
             let replica = self
@@ -250,62 +251,66 @@
                 renewed.unknown.push(*number);
                 continue;
             };
-            if self.deposed || !self.safety.may_grant(now, &replica, &self.facts) {
-                // Neither prolonged nor unknown: the entry asks again.
+            if self.deposed || !self.safety.may_grant(now, &replica, &self.external) {
+                // Neither renewed nor unknown: the entry asks again.
                 continue;
             }
-            match self.requests.renew(entry, *number, until) {
+            match self.requests.renew(entry, *number, expires) {
                 true => renewed.grants.push(*number),
                 false => renewed.unknown.push(*number),
             }
         }
-        self.tell(session, Answer::Renewed(renewed));
+        self.send(session, OwnerBody::Renewed(renewed));
     }
 
-    // A request that waits is no longer wanted.
-    fn forget(&mut self, now: Moment, ticket: Ticket) {
+    // Removes a waiting request that its entry no longer wants.
+    fn cancel_waiting(&mut self, now: Moment, ticket: Ticket) {
         self.pool.abandon(now, ticket);
         if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
-            self.unhold(now, ticket, &key);
+            self.cancel_commit(now, ticket, &key);
             self.journal.free(now, &key);
         }
     }
 
-    // A grant that waited for its commit will not be sent.
-    fn unhold(&mut self, now: Moment, ticket: Ticket, key: &ClaimKey) {
-        if self.held.get(key).is_some_and(|(t, _)| *t == ticket) {
-            self.held.remove(key);
+    // Drops a grant that waits for its commit.
+    fn cancel_commit(&mut self, now: Moment, ticket: Ticket, key: &ClaimKey) {
+        if self
+            .awaiting_commit
+            .get(key)
+            .is_some_and(|(t, _)| *t == ticket)
+        {
+            self.awaiting_commit.remove(key);
             self.pool.finish(now, not_run(ticket));
         }
     }
 
-    /// Ends grants that lapsed: nobody uses them any more.
-    pub(super) fn end_lapsed(&mut self, now: Moment) {
+    /// Ends grants that have expired and are therefore no longer in use.
+    pub(super) fn expire_grants(&mut self, now: Moment) {
         let margin = Span::from_millis(self.local.settings.grants.margin_ms);
         for ticket in self.requests.expired(now, margin) {
-            self.finish(now, ticket, Outcome::Cancelled);
+            self.end_dispatch(now, ticket, Outcome::Cancelled);
         }
     }
 
-    /// Ends a dispatch without word from its entry.
-    pub(super) fn finish(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
+    /// Ends a dispatch that its entry did not release.
+    pub(super) fn end_dispatch(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
         if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
-            self.end_claim(now, &key, outcome, "");
+            self.settle_claim(now, &key, outcome, "");
         }
-        let finish = DispatchEnd {
+        let end = DispatchEnd {
             outcome,
             ..not_run(ticket)
         };
-        self.pool.finish(now, finish);
+        self.pool.finish(now, end);
     }
 
-    /// Refuses a request that the pool had granted but no entry was told of.
-    pub(super) fn take_back(&mut self, now: Moment, ticket: Ticket, reason: &str) {
+    /// Refuses a request that the pool granted but whose grant was not sent.
+    pub(super) fn refuse_granted(&mut self, now: Moment, ticket: Ticket, reason: &str) {
         self.pool.finish(now, not_run(ticket));
-        self.refuse(now, ticket, reason, COME_BACK);
+        self.refuse(now, ticket, reason, DEFAULT_RETRY_AFTER);
     }
 
-    /// Tells the entry that a request did not run, and frees its key.
+    /// Refuses a request and frees its key.
     pub(super) fn refuse(&mut self, now: Moment, ticket: Ticket, reason: &str, retry: Span) {
         let Some(item) = self.requests.remove(ticket) else {
             return;
@@ -321,27 +326,27 @@
                 retry_after_ms: retry.as_millis(),
                 claim_state: String::new(),
             };
-            self.tell(session, Answer::Refused(refusal));
+            self.send(session, OwnerBody::Refused(refusal));
         }
     }
 
-    fn tell_refusal(&mut self, session: SessionId, request: u64, reason: &str, state: &str) {
+    fn send_refusal(&mut self, session: SessionId, request: u64, reason: &str, state: &str) {
         let refusal = wire::Refusal {
             request,
             reason: reason.to_owned(),
-            retry_after_ms: COME_BACK.as_millis(),
+            retry_after_ms: DEFAULT_RETRY_AFTER.as_millis(),
             claim_state: state.to_owned(),
         };
-        self.tell(session, Answer::Refused(refusal));
+        self.send(session, OwnerBody::Refused(refusal));
     }
 
-    /// Sends to an entry. False when its stream is full or gone: it is ended,
-    /// and the entry says hello again with what it holds.
-    pub(super) fn tell(&mut self, session: SessionId, answer: Answer) -> bool {
+    /// Sends a message to an entry. If its stream is full or closed, closes it and
+    /// returns false; the entry then reconnects and reports its grants again.
+    pub(super) fn send(&mut self, session: SessionId, body: OwnerBody) -> bool {
         let Some(out) = self.outboxes.get(&session) else {
             return false;
         };
-        if out.try_send(Ok(message(answer))).is_ok() {
+        if out.try_send(Ok(message(body))).is_ok() {
             return true;
         }
         self.outboxes.remove(&session);
@@ -353,9 +358,9 @@
     }
 }
 
-/// A message to an entry.
-pub(super) fn message(answer: Answer) -> wire::OwnerMessage {
-    wire::OwnerMessage { body: Some(answer) }
+/// Wraps the body of a message to an entry.
+pub(super) fn message(body: OwnerBody) -> wire::OwnerMessage {
+    wire::OwnerMessage { body: Some(body) }
 }
 
 fn not_run(ticket: Ticket) -> DispatchEnd {
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -1,4 +1,4 @@
-//! The duty that runs an owner for each lease held.
+//! Runs one owner for each lease that this process holds.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,19 +20,18 @@
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
-/// Events that may wait for an owner. A full mailbox holds up the streams that
-/// feed it, so that an overload waits at the entries, where it is refused by
-/// deadline.
-const MAILBOX: usize = 4_096;
+/// How many events may wait for an owner. A full mailbox applies backpressure to
+/// the streams of the entries, which refuse the waiting requests by deadline.
+const MAILBOX_CAPACITY: usize = 4_096;
 
-/// The owners of this process.
+/// The owners that run in this process.
 #[derive(Default)]
 pub struct Registry {
     owners: Mutex<BTreeMap<PoolName, (Token, Address<OwnerActor>)>>,
 }
 
 impl Registry {
-    /// The owner of a pool, when it is here.
+    /// Returns the owner of a pool, if it runs in this process.
     pub fn get(&self, pool: &PoolName) -> Option<Address<OwnerActor>> {
         self.lock().get(pool).map(|(_, a)| a.clone())
     }
@@ -42,16 +41,16 @@
     }
 }
 
-/// Starts an owner when a lease is gained and drops it when it is lost.
+/// Starts an owner when a lease is acquired and stops it when it is lost.
 pub async fn run(shared: Shared, local: Arc<Local>, registry: Arc<Registry>) {
     let mut leases = local.leases.subscribe();
     loop {
         let held = leases.borrow_and_update().clone();
-        drop_lost(&shared, &registry, &held);
-        for (pool, tenure) in held {
+        stop_lost(&shared, &registry, &held);
+        for (pool, lease) in held {
             let known = registry.lock().get(&pool).map(|(t, _)| *t);
-            if known != Some(tenure.token) {
-                start(&shared, &local, &registry, pool, tenure);
+            if known != Some(lease.token) {
+                start(&shared, &local, &registry, pool, lease);
             }
         }
         if leases.changed().await.is_err() {
@@ -60,12 +59,12 @@
     }
 }
 
-fn drop_lost(shared: &Shared, registry: &Registry, held: &BTreeMap<PoolName, HeldLease>) {
+fn stop_lost(shared: &Shared, registry: &Registry, held: &BTreeMap<PoolName, HeldLease>) {
     registry.lock().retain(|pool, (token, address)| {
         let kept = held.get(pool).is_some_and(|t| t.token == *token);
         if !kept {
             shared.board.pools.send_modify(|p| drop(p.remove(pool)));
-            // It refuses what waits, then ends.
+            // The owner refuses its waiting requests, then stops.
             let address = address.clone();
             tokio::spawn(async move {
                 let _ = address.send(Event::LeaseEnded).detach().await;
@@ -80,28 +79,28 @@
     local: &Arc<Local>,
     registry: &Registry,
     pool: PoolName,
-    tenure: HeldLease,
+    lease: HeldLease,
 ) {
-    let token = tenure.token;
-    let owner = OwnerActor::new(shared.clone(), Arc::clone(local), pool.clone(), tenure);
+    let token = lease.token;
+    let owner = OwnerActor::new(shared.clone(), Arc::clone(local), pool.clone(), lease);
     let Some(owner) = owner else { return };
-    let wakes = owner.wakes();
-    let address = xtra::spawn_tokio(owner, Mailbox::bounded(MAILBOX));
-    tokio::spawn(keep_time(address.downgrade(), wakes));
+    let next_tick = owner.next_tick();
+    let address = xtra::spawn_tokio(owner, Mailbox::bounded(MAILBOX_CAPACITY));
+    tokio::spawn(send_ticks(address.downgrade(), next_tick));
     registry.lock().insert(pool, (token, address));
 }
 
-// Sends ticks when the owner wants them.
-async fn keep_time(owner: WeakAddress<OwnerActor>, mut wakes: watch::Receiver<Moment>) {
+// Sends a tick whenever the owner needs one.
+async fn send_ticks(owner: WeakAddress<OwnerActor>, mut next_tick: watch::Receiver<Moment>) {
     loop {
-        let at = *wakes.borrow_and_update();
-        let pause = clock::duration(at.since(clock::now()));
+        let at = *next_tick.borrow_and_update();
+        let delay = clock::duration(at.since(clock::now()));
         tokio::select! {
-            changed = wakes.changed() => match changed {
+            changed = next_tick.changed() => match changed {
                 Ok(()) => continue,
                 Err(_) => return,
             },
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
         }
         if owner.send(Event::Tick).await.is_err() {
             return;
