--- a/lib/src/control/owner/service.rs
+++ b/lib/src/control/owner/service.rs
@@ -113,14 +113,16 @@
 ) -> Result<(PoolName, wire::Hello), Status> {
     let first = tokio::time::timeout(HELLO_TIMEOUT, messages.message())
         .await
-        .map_err(|_| Status::deadline_exceeded("no hello"))??;
+        .map_err(|_| Status::deadline_exceeded("no hello within 5 s"))??;
     match first.and_then(|m| m.body) {
         Some(EntryBody::Hello(hello)) => {
             let pool =
                 PoolName::new(&hello.pool).map_err(|e| Status::invalid_argument(e.to_string()))?;
             Ok((pool, hello))
         }
-        _ => Err(Status::invalid_argument("the first message is a hello")),
+        _ => Err(Status::invalid_argument(
+            "the first message must be a hello",
+        )),
     }
 }
 
