--- a/lib/tests/test_claims_owner.rs
+++ b/lib/tests/test_claims_owner.rs
@@ -12,7 +12,7 @@
     controls: 2,
     engines: 1,
     slots: 4,
-    honours: true,
+    honours_token: true,
 };
 
 /// The states of all claims in the journal, in the order of the segments.
@@ -31,11 +31,11 @@
 async fn claim_durable_before_the_grant() {
     let rig = Rig::start(TWO).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     let grant = entry.granted_keyed(1, "a", "k").await;
     assert_eq!(recorded(&rig).await, ["r"]);
     // Another entry uses the same key.
-    let mut other = rig.enter(first, "f", &[]).await;
+    let mut other = rig.open_session(first, "f", &[]).await;
     other.acquire(1, "a", "k").await;
     let refusal = other.refused().await;
     assert_eq!(
@@ -52,11 +52,11 @@
 async fn claim_survives_its_owner() {
     let mut rig = Rig::start(TWO).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.granted_keyed(1, "a", "k").await;
     rig.controls[first] = None;
     let second = rig.owner(2).await;
-    let mut other = rig.enter(second, "f", &[]).await;
+    let mut other = rig.open_session(second, "f", &[]).await;
     // Calls with a key are refused until the journal is read.
     let mut request = 0;
     let refusal = loop {
@@ -77,15 +77,17 @@
 async fn adopted_outcome_recorded_by_the_next_owner() {
     let mut rig = Rig::start(TWO).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     let grant = entry.granted_keyed(1, "a", "k").await;
     rig.controls[first] = None;
     let second = rig.owner(2).await;
-    let entry = rig.enter(second, "e", std::slice::from_ref(&grant)).await;
+    let entry = rig
+        .open_session(second, "e", std::slice::from_ref(&grant))
+        .await;
     // The next owner has read the journal once its own segment exists.
     until(async || rig.object("claims", "p-2").await).await;
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-    entry.answer(&grant, "k").await;
+    entry.release_answered(&grant, "k").await;
     until(async || (recorded(&rig).await == ["a"]).then_some(())).await;
 }
 
@@ -93,7 +95,7 @@
 async fn outage_refuses_keyed_calls_only() {
     let rig = Rig::start(TWO).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     // A first grant shows that the journal is read, so that only the commit fails.
     entry.granted_keyed(9, "a", "other").await;
     rig.faults(json!({"down": true})).await;
@@ -112,7 +114,7 @@
 async fn lost_commit_answer_is_settled() {
     let rig = Rig::start(TWO).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.granted_keyed(9, "a", "other").await;
     // Lease renewals may lose their answers too; both are read back.
     rig.faults(json!({"lose_after_write": 3})).await;
--- a/lib/tests/test_owner_evict.rs
+++ b/lib/tests/test_owner_evict.rs
@@ -1,4 +1,5 @@
-//! An adapter that its engine may still run is not evicted yet.
+//! An adapter is not evicted while its engine may still run a request on it, that
+//! is after a dispatch that ended without a complete answer.
 
 use std::time::Duration;
 
@@ -18,10 +19,10 @@
         controls: 1,
         engines: 1,
         slots: 1,
-        honours: true,
+        honours_token: true,
     };
     let rig = Rig::start(plan).await;
-    let mut entry = rig.enter(rig.owner(1).await, "e", &[]).await;
+    let mut entry = rig.open_session(rig.owner(1).await, "e", &[]).await;
     entry.acquire(1, "a", "").await;
     let grant = entry.granted().await;
     entry.release(&grant, outcome, "").await;
--- a/lib/tests/test_owner_rig.rs
+++ b/lib/tests/test_owner_rig.rs
@@ -1,4 +1,5 @@
-//! Control processes in this process, on stand-ins of platform and engines.
+//! Test rig: control processes inside the test process, with stand-ins for the
+//! platform and the engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,17 +30,17 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 use tokio_stream::wrappers::ReceiverStream;
-use wire::entry_message::Body as Said;
-use wire::owner_message::Body as Answer;
+use wire::entry_message::Body as EntryBody;
+use wire::owner_message::Body as OwnerBody;
 
-/// The longest wait for anything: far above what is measured, so that a slow
-/// machine fails no test.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of every wait: far above the times measured, so that a slow machine
+/// fails no test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) const POOL: &str = "p";
 
-/// Times a tenth or less of the defaults.
-const TIMES: &str = r#"
+/// Settings with times of a tenth of the defaults or less.
+const FAST_SETTINGS: &str = r#"
 [lease]
 ttl_ms = 600
 renew_ms = 200
@@ -59,20 +60,20 @@
 gap_ms = 20
 "#;
 
-/// What a rig is made of.
+/// The size and kind of a rig.
 pub(crate) struct Plan {
     pub(crate) controls: usize,
     pub(crate) engines: usize,
     pub(crate) slots: u32,
-    pub(crate) honours: bool,
+    pub(crate) honours_token: bool,
 }
 
 pub(crate) struct Rig {
     pub(crate) platform: Running,
     pub(crate) engines: Vec<Running>,
     pub(crate) controls: Vec<Option<Control>>,
-    /// Each control's own way to the platform.
-    pub(crate) wires: Vec<Wire>,
+    /// Each control's connection to the platform.
+    pub(crate) links: Vec<Link>,
     plan: Plan,
 }
 
@@ -84,17 +85,17 @@
         for _ in 0..plan.engines {
             let args = EngineArgs::builder()
                 .slots(plan.slots as usize)
-                .honours_token(plan.honours)
+                .honours_token(plan.honours_token)
                 .report_lag_ms(0)
                 .build();
             engines.push(engine::start(args).await.unwrap());
         }
         let catalog = catalog(&plan, &engines);
         let mut listeners = Vec::new();
-        let mut wires = Vec::new();
+        let mut links = Vec::new();
         for _ in 0..plan.controls {
             listeners.push(TcpListener::bind("127.0.0.1:0").await.unwrap());
-            wires.push(Wire::start(platform.address).await);
+            links.push(Link::start(platform.address).await);
         }
         let all: Vec<SocketAddr> = listeners.iter().map(|l| l.local_addr().unwrap()).collect();
         let mut controls = Vec::new();
@@ -103,8 +104,8 @@
             let peers: Vec<String> = peers.map(|a| format!("{a:?}")).collect();
             let text = format!(
                 "vm = \"vm-{n}\"\nzone = \"z\"\norganisation = \"o\"\nlisten = \"{}\"\n\
-                 metrics = \"127.0.0.1:0\"\nplatform = \"{}\"\npeers = {peers:?}\n{TIMES}",
-                all[n], wires[n].address
+                 metrics = \"127.0.0.1:0\"\nplatform = \"{}\"\npeers = {peers:?}\n{FAST_SETTINGS}",
+                all[n], links[n].address
             );
             let settings: ControlSettings = toml::from_str(&text).unwrap();
             let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -116,7 +117,7 @@
             platform,
             engines,
             controls,
-            wires,
+            links,
             plan,
         }
     }
@@ -125,19 +126,19 @@
         self.controls[n].as_ref().unwrap()
     }
 
-    /// Waits until the platform's lease names a token of at least this; gives
-    /// the holder's place.
+    /// Waits until the platform's lease is held with a token of at least this;
+    /// returns the index of its holder.
     pub(crate) async fn owner(&self, token: u64) -> usize {
         let holder = until(async || {
             let lease = self.object("leases", "pool-p").await?;
-            let good = lease["token"].as_u64()? >= token && lease["released"] == false;
-            good.then(|| lease["holder"].as_str().map(str::to_owned))?
+            let held = lease["token"].as_u64()? >= token && lease["released"] == false;
+            held.then(|| lease["holder"].as_str().map(str::to_owned))?
         })
         .await;
         holder.strip_prefix("vm-").unwrap().parse().unwrap()
     }
 
-    /// The content of an object, as the platform holds it.
+    /// Returns the content of an object on the platform.
     pub(crate) async fn object(&self, kind: &str, name: &str) -> Option<Value> {
         let path = format!("/apis/banyangauge.dev/v1/{kind}/{name}");
         let answer = call(self.platform.address, "GET", &path, "").await;
@@ -149,7 +150,7 @@
         call(self.platform.control, "POST", "/faults", &body).await;
     }
 
-    /// The orders of one kind that an engine carried out, as (model, token).
+    /// Returns the orders of one kind that an engine carried out, as (model, token).
     pub(crate) async fn orders(&self, engine: usize, kind: &str) -> Vec<(String, u64)> {
         let history = call(self.engines[engine].control, "GET", "/history", "").await;
         let orders = history["orders"].as_array().unwrap().iter();
@@ -161,8 +162,8 @@
         .collect()
     }
 
-    /// Lists only some of the replicas, on every control, as a new revision.
-    pub(crate) fn list(&self, names: &[&str]) {
+    /// Applies a catalog revision with only these replicas on every control.
+    pub(crate) fn list_replicas(&self, names: &[&str]) {
         for control in self.controls.iter().flatten() {
             let mut next = Catalog::clone(&control.shared.board.catalog.borrow());
             let all = catalog(&self.plan, &self.engines);
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Opens a session at a control, waiting until it is the owner.
-    pub(crate) async fn enter(&self, n: usize, entry: &str, held: &[wire::Grant]) -> Entry {
+    /// Opens an entry's session at a control, waiting until it is the owner.
+    pub(crate) async fn open_session(&self, n: usize, entry: &str, held: &[wire::Grant]) -> Entry {
         let address = self.control(n).shared.address;
         until(async || Entry::open(address, entry, held).await).await
     }
@@ -193,7 +194,7 @@
     let mut changes = vec![
         json!({"change": "put_team", "team": "t", "keys": ["0".repeat(64)], "share": 1}),
         json!({"change": "put_pool", "pool": POOL, "spec": {
-            "kind": "engine", "base": "m", "honours_token": plan.honours,
+            "kind": "engine", "base": "m", "honours_token": plan.honours_token,
             "weighing": "stalls", "loads_per_s": 50.0, "step_us": 1000,
             "replicas": replicas}}),
     ];
@@ -211,21 +212,21 @@
     catalog
 }
 
-/// An entry's stream.
+/// An entry's session with an owner.
 pub(crate) struct Entry {
     pub(crate) token: u64,
     out: mpsc::Sender<wire::EntryMessage>,
-    answers: tonic::Streaming<wire::OwnerMessage>,
+    messages: tonic::Streaming<wire::OwnerMessage>,
 }
 
 impl Entry {
-    /// `None` when the process is not the owner, or not reached.
+    /// Returns `None` if the process is not the owner or not reachable.
     pub(crate) async fn open(
         address: SocketAddr,
         entry: &str,
         held: &[wire::Grant],
     ) -> Option<Self> {
-        let (out, said) = mpsc::channel(64);
+        let (out, sent) = mpsc::channel(64);
         let hello = wire::Hello {
             pool: POOL.to_owned(),
             entry: entry.to_owned(),
@@ -233,33 +234,33 @@
             held: held.to_vec(),
         };
         let first = wire::EntryMessage {
-            body: Some(Said::Hello(hello)),
+            body: Some(EntryBody::Hello(hello)),
         };
         out.send(first).await.unwrap();
         let target = format!("http://{address}");
         let mut client = wire::grants_client::GrantsClient::connect(target)
             .await
             .ok()?;
-        let answers = client.session(ReceiverStream::new(said)).await.ok()?;
+        let messages = client.session(ReceiverStream::new(sent)).await.ok()?;
         let mut entry = Self {
             token: 0,
             out,
-            answers: answers.into_inner(),
+            messages: messages.into_inner(),
         };
         match entry.next().await {
-            Some(Answer::Welcome(w)) => entry.token = w.token,
+            Some(OwnerBody::Welcome(w)) => entry.token = w.token,
             _ => return None,
         }
         Some(entry)
     }
 
-    pub(crate) async fn say(&self, said: Said) {
-        let message = wire::EntryMessage { body: Some(said) };
+    pub(crate) async fn send(&self, body: EntryBody) {
+        let message = wire::EntryMessage { body: Some(body) };
         self.out.send(message).await.unwrap();
     }
 
     pub(crate) async fn acquire(&self, request: u64, adapter: &str, claim: &str) {
-        self.say(Said::Acquire(wire::Acquire {
+        self.send(EntryBody::Acquire(wire::Acquire {
             request,
             team: "t".to_owned(),
             adapter: adapter.to_owned(),
@@ -275,7 +276,7 @@
     }
 
     pub(crate) async fn release(&self, grant: &wire::Grant, outcome: u32, claim: &str) {
-        self.say(Said::Release(wire::Release {
+        self.send(EntryBody::Release(wire::Release {
             request: grant.request,
             grant: grant.grant,
             outcome,
@@ -285,9 +286,9 @@
         .await;
     }
 
-    /// Ends a keyed call of an adopted grant with its answer.
-    pub(crate) async fn answer(&self, grant: &wire::Grant, claim: &str) {
-        self.say(Said::Release(wire::Release {
+    /// Releases an adopted grant whose call has a key and was answered.
+    pub(crate) async fn release_answered(&self, grant: &wire::Grant, claim: &str) {
+        self.send(EntryBody::Release(wire::Release {
             request: grant.request,
             grant: grant.grant,
             claim_outcome: "answered".to_owned(),
@@ -299,81 +300,81 @@
 
     pub(crate) async fn renew(&self, grants: &[u64]) {
         let grants = grants.to_vec();
-        self.say(Said::Renew(wire::Renew { grants })).await;
+        self.send(EntryBody::Renew(wire::Renew { grants })).await;
     }
 
-    /// The next answer; `None` when the stream ended.
-    pub(crate) async fn next(&mut self) -> Option<Answer> {
-        let message = tokio::time::timeout(PATIENCE, self.answers.message());
+    /// Returns the next message; `None` once the stream has ended.
+    pub(crate) async fn next(&mut self) -> Option<OwnerBody> {
+        let message = tokio::time::timeout(WAIT_TIMEOUT, self.messages.message());
         message.await.unwrap().ok()??.body
     }
 
     pub(crate) async fn granted(&mut self) -> wire::Grant {
         loop {
             match self.next().await {
-                Some(Answer::Granted(grant)) => return grant,
-                Some(Answer::Renewed(_)) => {}
-                other => panic!("no grant but {other:?}"),
+                Some(OwnerBody::Granted(grant)) => return grant,
+                Some(OwnerBody::Renewed(_)) => {}
+                other => panic!("expected a grant, got {other:?}"),
             }
         }
     }
 
-    /// Acquires with a key, again for as long as the owner reads the journal.
+    /// Acquires with a key, and retries until the owner has read its journal.
     pub(crate) async fn granted_keyed(
         &mut self,
         request: u64,
         adapter: &str,
         claim: &str,
     ) -> wire::Grant {
-        let work = async {
+        let acquire = async {
             loop {
                 self.acquire(request, adapter, claim).await;
                 match self.next().await {
-                    Some(Answer::Granted(grant)) => return grant,
-                    Some(Answer::Refused(r)) if r.reason == "platform_down" => {}
-                    other => panic!("no grant but {other:?}"),
+                    Some(OwnerBody::Granted(grant)) => return grant,
+                    Some(OwnerBody::Refused(r)) if r.reason == "platform_down" => {}
+                    other => panic!("expected a grant, got {other:?}"),
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, work).await.unwrap()
+        tokio::time::timeout(WAIT_TIMEOUT, acquire).await.unwrap()
     }
 
     pub(crate) async fn refused(&mut self) -> wire::Refusal {
         loop {
             match self.next().await {
-                Some(Answer::Refused(refusal)) => return refusal,
-                Some(Answer::Renewed(_)) => {}
-                other => panic!("no refusal but {other:?}"),
+                Some(OwnerBody::Refused(refusal)) => return refusal,
+                Some(OwnerBody::Renewed(_)) => {}
+                other => panic!("expected a refusal, got {other:?}"),
             }
         }
     }
 }
 
-/// A connection to the platform that can be cut.
-pub(crate) struct Wire {
+/// A TCP proxy to the platform that can be cut.
+pub(crate) struct Link {
     pub(crate) address: SocketAddr,
     cut: Arc<watch::Sender<bool>>,
 }
 
-impl Wire {
+impl Link {
     async fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let cut = Arc::new(watch::Sender::new(false));
         let sender = Arc::clone(&cut);
         tokio::spawn(async move {
-            while let Ok((mut from, _)) = listener.accept().await {
+            while let Ok((mut client, _)) = listener.accept().await {
                 let mut cut = sender.subscribe();
                 tokio::spawn(async move {
                     if *cut.borrow() {
                         return;
                     }
-                    let Ok(mut there) = TcpStream::connect(to).await else {
+                    let Ok(mut server) = TcpStream::connect(to).await else {
                         return;
                     };
                     tokio::select! {
-                        _ = tokio::io::copy_bidirectional(&mut from, &mut there) => {}
+                        _ = tokio::io::copy_bidirectional(&mut client, &mut server) => {}
                         _ = cut.wait_for(|c| *c) => {}
                     }
                 });
@@ -387,7 +388,7 @@
     }
 }
 
-/// Waits until `check` gives something.
+/// Waits until `check` returns a value.
 pub(crate) async fn until<T>(check: impl AsyncFn() -> Option<T>) -> T {
     let wait = async {
         loop {
@@ -397,10 +398,10 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.unwrap()
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.unwrap()
 }
 
-/// The pool of all tests here.
+/// The pool that all tests use.
 pub(crate) fn pool() -> PoolName {
     PoolName::new(POOL).unwrap()
 }
--- a/lib/tests/test_owner_takeover.rs
+++ b/lib/tests/test_owner_takeover.rs
@@ -1,4 +1,4 @@
-//! Owners that die, stop, lose the platform or are cut off from it.
+//! Owners that crash, stop, lose the platform or are partitioned from it.
 
 use std::time::Duration;
 
@@ -18,22 +18,24 @@
     controls: 3,
     engines: 1,
     slots: 1,
-    honours: true,
+    honours_token: true,
 };
 
 #[tokio::test]
 async fn killed_owner_held_adapter_stays() {
     let mut rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.acquire(1, "a", "").await;
     let grant = entry.granted().await;
     rig.controls[first] = None;
     let second = rig.owner(2).await;
     assert_ne!(first, second);
-    let mut entry = rig.enter(second, "e", std::slice::from_ref(&grant)).await;
+    let mut entry = rig
+        .open_session(second, "e", std::slice::from_ref(&grant))
+        .await;
     assert_eq!(entry.token, 2);
-    // The only slot holds what is in use, for longer than any freeze.
+    // The only slot is in use for longer than slots are frozen.
     entry.acquire(2, "b", "").await;
     for _ in 0..40 {
         entry.renew(&[grant.grant]).await;
@@ -50,17 +52,18 @@
 async fn killed_owner_unknown_grant_outlives_the_freeze() {
     let mut rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    let mut silent = rig.enter(first, "silent", &[]).await;
+    let mut silent = rig.open_session(first, "silent", &[]).await;
     silent.acquire(1, "a", "").await;
     silent.granted().await;
     let granted = tokio::time::Instant::now();
     rig.controls[first] = None;
     let second = rig.owner(2).await;
-    // The entry with the grant does not come; another wants the slot.
-    let mut entry = rig.enter(second, "e", &[]).await;
+    // The entry with the grant does not reconnect; another needs the slot.
+    let mut entry = rig.open_session(second, "e", &[]).await;
     entry.acquire(2, "b", "").await;
     entry.granted().await;
-    // Its grant lapsed 1.2 s after it was sent, and counted for no less.
+    // The unknown grant expired 1.2 s after it was sent; until then the slot must
+    // not be evicted.
     assert!(granted.elapsed() >= Duration::from_millis(1_200));
     drop(silent);
 }
@@ -73,20 +76,22 @@
     })
     .await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.acquire(1, "a", "").await;
     let grant = entry.granted().await;
-    let (place, other) = match grant.replica.as_str() {
+    let (held_at, other) = match grant.replica.as_str() {
         "r-0" => (0, "r-1"),
         _ => (1, "r-0"),
     };
-    // The next owner's catalog does not name the replica yet.
-    rig.list(&[other]);
+    // The next owner's catalog does not contain the replica yet.
+    rig.list_replicas(&[other]);
     rig.controls[first] = None;
     let second = rig.owner(2).await;
-    let mut entry = rig.enter(second, "e", std::slice::from_ref(&grant)).await;
-    rig.list(&["r-0", "r-1"]);
-    // Two adapters for the other slot: one of them wants this one.
+    let mut entry = rig
+        .open_session(second, "e", std::slice::from_ref(&grant))
+        .await;
+    rig.list_replicas(&["r-0", "r-1"]);
+    // Two adapters compete for the other slot, so one of them needs the held one.
     entry.acquire(2, "b", "").await;
     entry.acquire(3, "c", "").await;
     let mut held = vec![grant.grant];
@@ -102,9 +107,9 @@
             assert_eq!(next.replica, other);
             held.push(next.grant);
         }
-        assert_eq!(rig.orders(place, "unload").await, []);
+        assert_eq!(rig.orders(held_at, "unload").await, []);
     }
-    // One had the other slot; the last one gets this one now.
+    // One got the other slot; the last one gets the released one.
     assert_eq!(held.len(), 2);
     entry.release(&grant, 0, "").await;
     assert_eq!(entry.granted().await.replica, grant.replica);
@@ -114,13 +119,13 @@
 async fn hello_after_the_response_head() {
     let rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    rig.enter(first, "e", &[]).await;
+    rig.open_session(first, "e", &[]).await;
     let target = format!("http://{}", rig.control(first).shared.address);
     let mut client = GrantsClient::connect(target).await.unwrap();
-    let (out, said) = tokio::sync::mpsc::channel(1);
-    let opening = client.session(ReceiverStream::new(said));
+    let (out, sent) = tokio::sync::mpsc::channel(1);
+    let opening = client.session(ReceiverStream::new(sent));
     let opened = tokio::time::timeout(Duration::from_secs(20), opening).await;
-    let mut answers = opened.unwrap().unwrap().into_inner();
+    let mut messages = opened.unwrap().unwrap().into_inner();
     let hello = wire::Hello {
         pool: "p".to_owned(),
         entry: "late".to_owned(),
@@ -128,7 +133,7 @@
     };
     let body = Some(wire::entry_message::Body::Hello(hello));
     out.send(wire::EntryMessage { body }).await.unwrap();
-    let welcome = answers.message().await.unwrap().unwrap().body;
+    let welcome = messages.message().await.unwrap().unwrap().body;
     assert!(matches!(
         welcome,
         Some(wire::owner_message::Body::Welcome(w)) if w.token == 1
@@ -139,7 +144,7 @@
 async fn planned_stop_hands_over() {
     let rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.acquire(1, "a", "").await;
     let grant = entry.granted().await;
     rig.control(first).stop().await;
@@ -147,7 +152,9 @@
     let second = rig.owner(2).await;
     assert_ne!(first, second);
     assert!(released["token"] == 1 || released["token"] == 2);
-    let mut entry = rig.enter(second, "e", std::slice::from_ref(&grant)).await;
+    let mut entry = rig
+        .open_session(second, "e", std::slice::from_ref(&grant))
+        .await;
     entry.release(&grant, 0, "").await;
     entry.acquire(2, "b", "").await;
     assert_eq!(entry.granted().await.token, 2);
@@ -157,9 +164,10 @@
 async fn outage_grants_go_on_past_the_lease() {
     let rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     rig.faults(json!({"down": true})).await;
-    // Three leases long; each round loads another adapter into the only slot.
+    // The rounds last three lease TTLs; each loads another adapter into the only
+    // slot.
     for round in 0..12 {
         let adapter = ["a", "b", "c"][round % 3];
         entry.acquire(round as u64, adapter, "").await;
@@ -176,12 +184,12 @@
 #[tokio::test]
 async fn outage_placement_freezes_where_tokens_are_ignored() {
     let rig = Rig::start(Plan {
-        honours: false,
+        honours_token: false,
         ..THREE
     })
     .await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.acquire(1, "a", "").await;
     let grant = entry.granted().await;
     entry.release(&grant, 0, "").await;
@@ -204,14 +212,14 @@
 async fn cut_off_owner_is_deposed() {
     let rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     entry.acquire(1, "a", "").await;
     entry.granted().await;
-    rig.wires[first].cut();
+    rig.links[first].cut();
     let second = rig.owner(2).await;
     assert_ne!(first, second);
     let address = rig.control(first).shared.address;
-    // It learns from its peers or the engine and sends its entries away.
+    // It learns of its successor from a peer or the engine, and redirects entries.
     until(async || {
         Entry::open(address, "late", &[])
             .await
@@ -229,7 +237,7 @@
 async fn lost_answers_keep_one_owner() {
     let rig = Rig::start(THREE).await;
     let first = rig.owner(1).await;
-    let entry = rig.enter(first, "e", &[]).await;
+    let entry = rig.open_session(first, "e", &[]).await;
     for _ in 0..5 {
         rig.faults(json!({"lose_after_write": 1})).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -256,8 +264,8 @@
         (0..3).all(knows).then_some(())
     })
     .await;
-    // Its owner refuses it.
-    let mut entry = rig.enter(first, "e", &[]).await;
+    // The pool's owner refuses the request.
+    let mut entry = rig.open_session(first, "e", &[]).await;
     until(async || {
         let pools = shared.board.pools.borrow();
         pools.contains_key(&pool()).then_some(())
@@ -276,7 +284,7 @@
     })
     .await;
     let first = rig.owner(1).await;
-    let mut entry = rig.enter(first, "e", &[]).await;
+    let mut entry = rig.open_session(first, "e", &[]).await;
     let leaving = rig.engines[0].address;
     rig.engines[0].begin_stop();
     let board = &rig.control(first).shared.board;
@@ -284,7 +292,7 @@
         let pools = board.pools.borrow();
         let replicas = pools.get(&pool())?.replicas.clone();
         let seen = replicas.iter().find(|r| r.address == leaving.to_string())?;
-        // Its report, or its closed door, tells.
+        // Shown by its load report, or by its refused connections.
         (seen.state == "leaving" || seen.state == "suspect").then_some(())
     })
     .await;
