--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -3,11 +3,11 @@
 pub mod access;
 pub(super) mod books;
 pub(super) mod budget;
-pub mod decide;
 pub(super) mod fleet;
 pub(super) mod pace;
 pub mod quota;
 pub(super) mod reserved;
+pub mod retry;
 pub(super) mod strain;
 pub(super) mod strikes;
 pub(super) mod turns;
--- a/lib/src/serving/decisions/decide.rs
+++ b/lib/src/serving/decisions/retry.rs
@@ -91,7 +91,7 @@
     /// already. The retry budget has its own word.
     ///
     /// ```
-    /// use banyangauge::serving::decide::{AttemptFailure, Attempts};
+    /// use banyangauge::serving::retry::{AttemptFailure, Attempts};
     /// let mut t = Attempts { most_runs: 2, ..Attempts::default() };
     /// t.record(AttemptFailure::NotSent);
     /// assert!(t.may_retry(AttemptFailure::NotSent));
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -3,7 +3,7 @@
 //! | folder | contents |
 //! |---|---|
 //! | `path` | the path of a request, starting at `path/serve.rs` |
-//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed attempt), [`RetryBudget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`CrashTracker`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
+//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`retry`] (what follows a failed attempt), [`RetryBudget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`CrashTracker`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
 //! | `cluster` | what the VM knows: [`Feed`] (of the stored objects), [`Members`] (of the VMs), [`Ownership`] (of who may give orders to which replica) |
 //! | `peers` | messages between VMs |
 //! | `store` | the interface of the store, and the tasks that follow it |
@@ -46,11 +46,11 @@
 pub use decisions::books::ReplicaReport;
 pub use decisions::budget::RetryBudget;
 pub use decisions::budget::RetryLimits;
-pub use decisions::decide;
 pub use decisions::fleet::*;
 pub use decisions::pace::FetchLimiter;
 pub use decisions::quota;
 pub use decisions::reserved::Reservations;
+pub use decisions::retry;
 pub use decisions::strain::StallDetector;
 pub use decisions::strikes::CrashTracker;
 pub use decisions::turns::MAX_TURN_WAIT;
--- a/lib/tests/test_serving_budget.rs
+++ b/lib/tests/test_serving_budget.rs
@@ -8,9 +8,9 @@
 use banyangauge::serving::Instance;
 use banyangauge::serving::RetryBudget;
 use banyangauge::serving::RetryLimits;
-use banyangauge::serving::decide::AttemptFailure;
-use banyangauge::serving::decide::Attempts;
-use banyangauge::serving::decide::Refusal;
+use banyangauge::serving::retry::AttemptFailure;
+use banyangauge::serving::retry::Attempts;
+use banyangauge::serving::retry::Refusal;
 use rstest::rstest;
 
 const LIMITS: RetryLimits = RetryLimits {
