--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod access;
 pub(super) mod books;
-pub(super) mod budget;
 pub(super) mod fleet;
 pub(super) mod pace;
 pub mod quota;
 pub(super) mod reserved;
 pub mod retry;
+pub(super) mod retry_budget;
 pub(super) mod strain;
 pub(super) mod strikes;
 pub(super) mod turns;
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -7,8 +7,8 @@
 
 use crate::ids::VmName;
 use crate::ids::ZoneName;
-use crate::serving::decisions::budget::RetryLimits;
 use crate::serving::decisions::quota::Overshoot;
+use crate::serving::decisions::retry_budget::RetryLimits;
 use crate::serving::program::experiment::Experiment;
 
 /// The settings of the serving process.
