--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod access;
 pub(super) mod books;
+pub(super) mod fetch_limiter;
 pub(super) mod fleet;
-pub(super) mod pace;
 pub mod quota;
 pub(super) mod reserved;
 pub mod retry;
