--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -28,7 +28,7 @@
 use crate::serving::decisions::fleet::Load;
 use crate::serving::decisions::quota::Borrower;
 use crate::serving::decisions::quota::Lender;
-use crate::serving::decisions::reserved::Reservations;
+use crate::serving::decisions::reservations::Reservations;
 use crate::serving::decisions::retry_budget::RetryBudget;
 use crate::serving::decisions::strain::StallDetector;
 use crate::serving::decisions::strikes::CrashTracker;
--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -5,7 +5,7 @@
 pub(super) mod fetch_limiter;
 pub(super) mod fleet;
 pub mod quota;
-pub(super) mod reserved;
+pub(super) mod reservations;
 pub mod retry;
 pub(super) mod retry_budget;
 pub(super) mod strain;
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -47,7 +47,7 @@
 pub use decisions::fetch_limiter::FetchLimiter;
 pub use decisions::fleet::*;
 pub use decisions::quota;
-pub use decisions::reserved::Reservations;
+pub use decisions::reservations::Reservations;
 pub use decisions::retry;
 pub use decisions::retry_budget::RetryBudget;
 pub use decisions::retry_budget::RetryLimits;
