--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -30,7 +30,7 @@
 use crate::serving::decisions::quota::Lender;
 use crate::serving::decisions::reservations::Reservations;
 use crate::serving::decisions::retry_budget::RetryBudget;
-use crate::serving::decisions::strain::StallDetector;
+use crate::serving::decisions::stall_detector::StallDetector;
 use crate::serving::decisions::strikes::CrashTracker;
 use crate::serving::decisions::turns::PrefillTurns;
 use crate::serving::path::routes::Routes;
--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -8,6 +8,6 @@
 pub(super) mod reservations;
 pub mod retry;
 pub(super) mod retry_budget;
-pub(super) mod strain;
+pub(super) mod stall_detector;
 pub(super) mod strikes;
 pub(super) mod turns;
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -51,7 +51,7 @@
 pub use decisions::retry;
 pub use decisions::retry_budget::RetryBudget;
 pub use decisions::retry_budget::RetryLimits;
-pub use decisions::strain::StallDetector;
+pub use decisions::stall_detector::StallDetector;
 pub use decisions::strikes::CrashTracker;
 pub use decisions::turns::MAX_TURN_WAIT;
 pub use decisions::turns::PrefillTurns;
