--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod access;
 pub(super) mod books;
+pub(super) mod crash_tracker;
 pub(super) mod fetch_limiter;
 pub(super) mod fleet;
 pub mod quota;
@@ -9,5 +10,4 @@
 pub mod retry;
 pub(super) mod retry_budget;
 pub(super) mod stall_detector;
-pub(super) mod strikes;
 pub(super) mod turns;
