--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -23,7 +23,7 @@
 use crate::serving::decisions::access::ApiKeys;
 use crate::serving::decisions::access::ConfigAge;
 use crate::serving::decisions::access::KeyBounds;
-use crate::serving::decisions::books::AdapterPlanner;
+use crate::serving::decisions::adapter_planner::AdapterPlanner;
 use crate::serving::decisions::crash_tracker::CrashTracker;
 use crate::serving::decisions::fleet::Fleet;
 use crate::serving::decisions::fleet::Load;
--- a/lib/src/serving/decisions/fetch_limiter.rs
+++ b/lib/src/serving/decisions/fetch_limiter.rs
@@ -1,7 +1,7 @@
 //! How many adapters are fetched from the weight store at a time.
 
 use crate::pool::Span;
-use crate::serving::decisions::books::LoadDuration;
+use crate::serving::decisions::adapter_planner::LoadDuration;
 use crate::serving::program::experiment::Experiment;
 use crate::serving::program::experiment::Mechanism;
 
--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -1,7 +1,7 @@
 //! What is decided, on plain state with time as an argument: no I/O, no clock.
 
 pub mod access;
-pub(super) mod books;
+pub(super) mod adapter_planner;
 pub(super) mod crash_tracker;
 pub(super) mod fetch_limiter;
 pub(super) mod fleet;
