--- a/lib/src/serving/decisions/adapter_planner/mod.rs
+++ b/lib/src/serving/decisions/adapter_planner/mod.rs
@@ -1,6 +1,6 @@
 //! What an owner knows of its replicas' adapters, and the next order to each.
 
-mod book;
+mod replica_plan;
 mod step;
 
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 pub use step::ReplicaAction;
 pub use step::ReplicaReport;
 
-use self::book::Book;
+use self::replica_plan::Book;
 
 /// The books of the replicas that this VM owns.
 #[derive(Debug, Default)]
