--- a/lib/src/serving/decisions/adapter_planner/mod.rs
+++ b/lib/src/serving/decisions/adapter_planner/mod.rs
@@ -1,7 +1,7 @@
 //! What an owner knows of its replicas' adapters, and the next order to each.
 
+mod order;
 mod replica_plan;
-mod step;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,10 +18,10 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
 
-pub use step::LoadDuration;
-pub use step::OrderOutcome;
-pub use step::ReplicaAction;
-pub use step::ReplicaReport;
+pub use order::LoadDuration;
+pub use order::OrderOutcome;
+pub use order::ReplicaAction;
+pub use order::ReplicaReport;
 
 use self::replica_plan::Book;
 
