--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -1,4 +1,4 @@
-//! The answer on its way to the caller.
+//! Streams a response to the caller and resumes it on another replica if it breaks off.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -35,56 +35,57 @@
 use crate::serving::program::node::to_instant;
 use crate::upstream::Scanner;
 
-/// After a silence of so many pauses that the route allows, a stream that may
-/// be resumed is looked after: callers leave after eight.
+/// A resumable stream is checked after a silence of this many times the route's maximum gap;
+/// callers disconnect after eight times.
 const GAPS_BEFORE_CHECK: u32 = 4;
 
-/// Why an answer breaks off; the caller's connection ends with it.
+/// Error that aborts a response and closes the caller's connection; holds the reason.
 #[derive(Debug)]
 pub(in crate::serving) struct ResponseAborted(&'static str);
 
 impl fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the answer broke off: {}", self.0)
+        write!(f, "response aborted: {}", self.0)
     }
 }
 
 impl std::error::Error for ResponseAborted {}
 
-/// The body of an answer.
-pub(in crate::serving) type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = ResponseAborted>>>;
+/// Body of a response to a caller.
+pub(in crate::serving) type ResponseBody =
+    Pin<Box<dyn Body<Data = Bytes, Error = ResponseAborted>>>;
 
-/// A body that is here.
-pub(in crate::serving) fn full_body(bytes: Bytes) -> AnswerBody {
+/// Returns a body that is complete.
+pub(in crate::serving) fn full_body(bytes: Bytes) -> ResponseBody {
     Box::pin(Full::new(bytes).map_err(|e: Infallible| match e {}))
 }
 
-/// A body that still comes.
-pub(in crate::serving) fn stream_body(passing: ResponseStream) -> AnswerBody {
-    let pieces = unfold(passing, |mut p| async move {
-        let piece = p.next().await?;
-        Some((piece.map(Frame::data), p))
+/// Returns a body that forwards a response as it arrives.
+pub(in crate::serving) fn stream_body(stream: ResponseStream) -> ResponseBody {
+    let chunks = unfold(stream, |mut s| async move {
+        let chunk = s.next().await?;
+        Some((chunk.map(Frame::data), s))
     });
-    Box::pin(StreamBody::new(pieces))
+    Box::pin(StreamBody::new(chunks))
 }
 
-/// An answer that is passed on piece by piece.
+/// A response that is forwarded chunk by chunk.
 pub(in crate::serving) struct ResponseStream {
     pub(in crate::serving) node: Rc<Node>,
     pub(in crate::serving) routed: Rc<RoutedRequest>,
     pub(in crate::serving) request: BufferedRequest,
     pub(in crate::serving) response: Option<StartedResponse>,
-    /// Pieces that were read already.
+    /// Chunks that were read ahead.
     pub(in crate::serving) buffered: VecDeque<Bytes>,
     pub(in crate::serving) tries: Attempts,
     pub(in crate::serving) avoid: BTreeSet<ReplicaName>,
-    /// Cuts a stream into whole events; `None` for other bodies.
+    /// Splits a stream into complete events; `None` for other bodies.
     pub(in crate::serving) events: Option<EventTracker>,
     pub(in crate::serving) timing: Timing,
     pub(in crate::serving) _open: InFlight,
 }
 
-/// When the parts of an answer came.
+/// Arrival times of a response's data.
 pub(in crate::serving) struct Timing {
     pub(in crate::serving) arrived: Moment,
     last_data: Option<Moment>,
@@ -111,33 +112,33 @@
     }
 }
 
-/// Where a stream is.
+/// Position in an event stream.
 #[derive(Default)]
 pub(in crate::serving) struct EventTracker {
     scanner: Scanner,
-    /// The last event that was passed on.
+    /// ID of the last event that was forwarded.
     last_id: Option<u64>,
 }
 
 impl ResponseStream {
-    /// The next piece; `None` at the proper end. After an error the caller's
-    /// connection is closed, so it cannot take the answer for complete.
+    /// Returns the next chunk, or `None` at the regular end. An error closes the caller's
+    /// connection, so that the caller cannot mistake the response for a complete one.
     async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
-        if let Some(piece) = self.buffered.pop_front() {
-            return Some(Ok(piece));
+        if let Some(chunk) = self.buffered.pop_front() {
+            return Some(Ok(chunk));
         }
         loop {
             let started = self.response.as_mut()?;
-            let piece = match self.events {
+            let chunk = match self.events {
                 Some(_) if self.tries.idempotent => {
-                    let pause = self
+                    let gap = self
                         .routed
                         .route
                         .max_gap
                         .unwrap_or(self.routed.route.objective);
-                    let soon = tokio::time::Instant::now() + pause * GAPS_BEFORE_CHECK;
-                    let by = to_instant(self.request.deadline).min(soon);
-                    tokio::time::timeout_at(by, started.answer.data()).await
+                    let check_at = tokio::time::Instant::now() + gap * GAPS_BEFORE_CHECK;
+                    let wake_at = to_instant(self.request.deadline).min(check_at);
+                    tokio::time::timeout_at(wake_at, started.answer.data()).await
                 }
                 _ => {
                     tokio::time::timeout_at(
@@ -147,12 +148,12 @@
                     .await
                 }
             };
-            let ended = match piece {
+            let ended = match chunk {
                 Err(_) if now() >= self.request.deadline => {
                     self.log_broken("overdue");
                     count_outcome("broken_off");
                     self.response = None;
-                    return Some(Err(ResponseAborted("the time is over")));
+                    return Some(Err(ResponseAborted("deadline exceeded")));
                 }
                 Err(_) if !self.should_move() => continue,
                 Err(_) => {
@@ -162,12 +163,12 @@
                 Ok(Some(Ok(bytes))) => match self.accept_data(bytes) {
                     Ok(bytes) if bytes.is_empty() => continue,
                     Ok(bytes) => return Some(Ok(bytes)),
-                    Err(what) => AttemptFailure::InvalidReply(what),
+                    Err(reason) => AttemptFailure::InvalidReply(reason),
                 },
                 Ok(Some(Err(_))) => AttemptFailure::Broken,
                 Ok(None) => match self.finish() {
                     Ok(rest) => return rest.map(Ok),
-                    Err(what) => AttemptFailure::InvalidReply(what),
+                    Err(reason) => AttemptFailure::InvalidReply(reason),
                 },
             };
             if let Err(e) = self.resume(ended).await {
@@ -176,9 +177,9 @@
         }
     }
 
-    /// Whether a silent stream should go on elsewhere: only where its replica
-    /// is silent to all, and another one can go on at once. A replica that is
-    /// only busy ends the run sooner than one that begins anew.
+    /// Returns whether a silent stream should move to another replica: only if its replica is
+    /// silent in all its runs and another one can take over at once. A replica that is merely
+    /// busy finishes sooner than one that starts the run again.
     fn should_move(&self) -> bool {
         let Some(started) = &self.response else {
             return false;
@@ -193,6 +194,8 @@
             && has_other_replica(&self.node, &self.routed, &self.request, &avoid)
     }
 
+    /// Records data of the response; returns the complete events in it, or all of it if the
+    /// response is no event stream.
     fn accept_data(&mut self, bytes: Bytes) -> Result<Bytes, &'static str> {
         if let Some(started) = &mut self.response {
             started.run.on_data();
@@ -201,26 +204,28 @@
         let Some(events) = &mut self.events else {
             return Ok(bytes);
         };
-        let whole = events
+        let complete = events
             .scanner
             .push(bytes)
-            .map_err(|_| "an event is too long")?;
-        events.check_ids(&whole)?;
-        Ok(whole)
+            .map_err(|_| "event exceeds the maximum size")?;
+        events.check_ids(&complete)?;
+        Ok(complete)
     }
 
-    /// All of the answer was read ahead. The connection to the caller asks for
-    /// no end of a body whose length it was told, so it is noted here.
+    /// Records the end of a response that was read ahead completely. hyper does not poll for
+    /// the end of a body whose length it knows, so `next` may not see it.
     pub(in crate::serving) fn finish_buffered(&mut self) {
         if self.events.is_none() && self.finish().is_err() {
-            slog::error!(self.node.log, "an answer without events was cut"; "id" => &self.request.id);
+            slog::error!(self.node.log, "response that was read ahead could not be finished"; "id" => &self.request.id);
         }
     }
 
-    /// The answer came to its proper end.
+    /// Records the regular end of the response; fails if the end cuts off an event.
     fn finish(&mut self) -> Result<Option<Bytes>, &'static str> {
         let rest = match &mut self.events {
-            Some(events) if !events.scanner.is_empty() => return Err("an event is cut off"),
+            Some(events) if !events.scanner.is_empty() => {
+                return Err("stream ended inside an event");
+            }
             _ => None,
         };
         self.log_slow();
@@ -237,26 +242,28 @@
                 false => RunOutcome::Answered,
             };
             started.run.record_end(end);
-            let mut b = self.node.state();
-            b.strikes.clear(self.request.fingerprint);
+            let mut state = self.node.state();
+            state.strikes.clear(self.request.fingerprint);
         }
         Ok(rest)
     }
 
-    /// Goes on at another replica after a break, where the route allows it.
+    /// Resumes the response on another replica if it is an event stream and may be retried.
     async fn resume(&mut self, ended: AttemptFailure) -> Result<(), ResponseAborted> {
         let Some(started) = self.response.take() else {
-            return Err(ResponseAborted("no answer"));
+            return Err(ResponseAborted("no response in progress"));
         };
         started.run.record_end(RunOutcome::Broken);
         record_strike(&self.node, &self.request, &started.run.instance());
         self.avoid.insert(started.run.replica.clone());
-        // Its connection is closed now, so the replica ends the run.
+        // This closes the connection, which makes the replica cancel the run.
         drop(started);
         self.log_broken(ended.as_str());
         let Some(events) = &mut self.events else {
             count_outcome("broken_off");
-            return Err(ResponseAborted("the upstream broke off"));
+            return Err(ResponseAborted(
+                "upstream broke off and the response could not be resumed",
+            ));
         };
         events.scanner.reset();
         self.tries.record(ended);
@@ -277,51 +284,55 @@
             }
             Err(_) => {
                 count_outcome("broken_off");
-                Err(ResponseAborted("the upstream broke off"))
+                Err(ResponseAborted(
+                    "upstream broke off and the response could not be resumed",
+                ))
             }
         }
     }
 
-    /// A stream that was whole but slow keeps a line of its own.
+    /// Logs a complete stream that missed an objective, and records stalls so that long
+    /// prompts take turns.
     fn log_slow(&self) {
         let route = &self.routed.route;
-        let late = |span: Span, most: Duration| u128::from(span.0) > most.as_micros();
-        let pause = route
+        let exceeds = |span: Span, max: Duration| u128::from(span.0) > max.as_micros();
+        let stalled = route
             .max_gap
-            .is_some_and(|p| late(self.timing.longest_gap, p));
+            .is_some_and(|p| exceeds(self.timing.longest_gap, p));
         if self.events.is_some() {
-            let mut b = self.node.state();
-            let steps = b.fleet.steps_per_event(&self.routed.service);
-            let reason = b.strain.record_stream(now(), steps, pause);
-            drop(b);
-            if reason {
-                slog::info!(self.node.log, "prompts take turns"; "id" => &self.request.id,
+            let mut state = self.node.state();
+            let steps = state.fleet.steps_per_event(&self.routed.service);
+            let turns_begin = state.strain.record_stream(now(), steps, stalled);
+            drop(state);
+            if turns_begin {
+                slog::info!(self.node.log, "stream stalled; long prompts take turns"; "id" => &self.request.id,
                     "pause_ms" => self.timing.longest_gap.as_millis());
             }
         }
-        if self.events.is_some() && (pause || late(self.timing.first_byte, route.objective)) {
-            let replica = self.response.as_ref().map(|b| b.run.replica.as_str());
-            slog::info!(self.node.log, "late"; "id" => &self.request.id, "replica" => replica,
+        if self.events.is_some() && (stalled || exceeds(self.timing.first_byte, route.objective)) {
+            let replica = self.response.as_ref().map(|r| r.run.replica.as_str());
+            slog::info!(self.node.log, "stream missed its latency objective"; "id" => &self.request.id, "replica" => replica,
                 "route" => &route.name, "first_ms" => self.timing.first_byte.as_millis(),
                 "pause_ms" => self.timing.longest_gap.as_millis(),
                 "prompt" => self.request.cost.tokens);
         }
     }
 
-    fn log_broken(&self, what: &'static str) {
+    /// Logs a response that broke off or was overdue.
+    fn log_broken(&self, reason: &'static str) {
         let last = self.events.as_ref().and_then(|e| e.last_id);
-        let replica = self.response.as_ref().map(|b| b.run.replica.to_string());
-        slog::info!(self.node.log, "stream broken"; "id" => &self.request.id, "why" => what,
+        let replica = self.response.as_ref().map(|r| r.run.replica.to_string());
+        slog::info!(self.node.log, "response broke off"; "id" => &self.request.id, "why" => reason,
             "last" => last, "replica" => replica, "route" => &self.routed.route.name);
     }
 }
 
 impl Drop for ResponseStream {
     fn drop(&mut self) {
-        // An answer that ended, or broke off, has its own line.
+        // A response that ended or broke off has been logged already.
         if let Some(started) = &self.response {
             let last = self.events.as_ref().and_then(|e| e.last_id);
-            slog::info!(self.node.log, "caller left"; "id" => &self.request.id,
+            slog::info!(self.node.log, "caller disconnected during the response"; "id" => &self.request.id,
                 "replica" => started.run.replica.as_str(), "last" => last,
                 "route" => &self.routed.route.name, "first_ms" => self.timing.first_byte.as_millis(),
                 "held_ms" => now().since(self.timing.arrived).as_millis());
@@ -331,18 +342,18 @@
 }
 
 impl EventTracker {
-    /// Checks that a run of whole events goes on where the last one ended.
-    fn check_ids(&mut self, whole: &[u8]) -> Result<(), &'static str> {
-        for line in whole.split(|b| *b == b'\n') {
+    /// Checks that the IDs of complete events continue from the last event without a gap.
+    fn check_ids(&mut self, events: &[u8]) -> Result<(), &'static str> {
+        for line in events.split(|b| *b == b'\n') {
             let Some(id) = line.strip_prefix(b"id:") else {
                 continue;
             };
             let id = std::str::from_utf8(id)
                 .ok()
                 .and_then(|t| t.trim().parse().ok());
-            let id: u64 = id.ok_or("an event has no number")?;
+            let id: u64 = id.ok_or("event without a numeric ID")?;
             if self.last_id.is_some_and(|last| id != last + 1) {
-                return Err("an event is missing");
+                return Err("event IDs are not consecutive");
             }
             self.last_id = Some(id);
         }
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the head of its answer.
+//! Handles a caller's request until the headers of the response are sent.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -43,8 +43,8 @@
 use crate::serving::path::forward::strip_hop_headers;
 use crate::serving::path::forward::strip_request_headers;
 use crate::serving::path::placement::wait_for_replica;
-use crate::serving::path::response::AnswerBody;
 use crate::serving::path::response::EventTracker;
+use crate::serving::path::response::ResponseBody;
 use crate::serving::path::response::ResponseStream;
 use crate::serving::path::response::Timing;
 use crate::serving::path::response::full_body;
@@ -62,53 +62,53 @@
 use crate::serving::program::node::to_instant;
 use crate::serving::program::node::to_span;
 
-/// The longest time that a caller waits who names none.
+/// Timeout of a request whose caller states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of an answer that are read before its head is passed on: a short one
-/// is then whole, and can be routed for again where it breaks off.
+/// Bytes of a response that are read before its headers are forwarded, so that a short
+/// response is complete by then and can still be retried if it breaks off.
 const READ_AHEAD_BYTES: usize = 64 << 10;
 
-/// When a request that crashes its upstreams may come back.
+/// `Retry-After` for a request that is blocked because it crashes its upstreams.
 const BLOCKED_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// The part of the most tokens that an answer takes on average.
+/// Mean ratio of generated tokens to the maximum that the request allows.
 const MEAN_OUTPUT_RATIO: f64 = 0.6;
 
-/// A request with its route.
+/// The route and the service that were selected for a request.
 pub(in crate::serving) struct RoutedRequest {
     pub(in crate::serving) route: Rc<Route>,
     pub(in crate::serving) service: ServiceName,
 }
 
-/// Answers one request; refusals become answers too.
+/// Handles one request; a refusal is turned into a response as well.
 pub(in crate::serving) async fn serve(
     node: Rc<Node>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    let open = node.track_request();
+) -> Response<ResponseBody> {
+    let in_flight = node.track_request();
     let arrived = now();
-    let ask = (node.codec.parse_request)(request.headers());
-    let mut waiting = DisconnectLog {
+    let info = (node.codec.parse_request)(request.headers());
+    let mut disconnect_log = DisconnectLog {
         node: node.clone(),
-        id: ask.id.clone(),
+        id: info.id.clone(),
         arrived,
         answered: false,
     };
-    let mut answer = match handle(&node, request, ask, arrived, open).await {
-        Ok(answer) => answer,
-        Err(refusal) => refusal_response(&node, &waiting.id, arrived, &refusal),
+    let mut response = match handle(&node, request, info, arrived, in_flight).await {
+        Ok(response) => response,
+        Err(refusal) => refusal_response(&node, &disconnect_log.id, arrived, &refusal),
     };
-    waiting.answered = true;
+    disconnect_log.answered = true;
     if node.phase() != Phase::Serving {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
-/// A request without an answer yet; when it is dropped before it has one, its
-/// caller has left.
+/// Logs the disconnect of a caller: hyper drops the handler, and this guard with it, if the
+/// connection closes before there is a response.
 struct DisconnectLog {
     node: Rc<Node>,
     id: String,
@@ -119,62 +119,64 @@
 impl Drop for DisconnectLog {
     fn drop(&mut self) {
         if !self.answered {
-            slog::info!(self.node.log, "caller left"; "id" => &self.id,
+            slog::info!(self.node.log, "caller disconnected before the response"; "id" => &self.id,
                 "held_ms" => now().since(self.arrived).as_millis());
             count_outcome("caller_left");
         }
     }
 }
 
+/// Logs a refusal and builds the response for it.
 fn refusal_response(
     node: &Node,
     id: &str,
     arrived: Moment,
     refusal: &Refusal,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let config = node.state().active.as_ref().map(|a| a.config.version);
     let after = refusal.retry_after.map(|after| after.as_millis());
     slog::info!(node.log, "refused"; "id" => id, "why" => refusal.reason,
         "status" => refusal.status.as_u16(), "retry_after_ms" => after,
         "held_ms" => now().since(arrived).as_millis(), "config" => config);
     count_outcome(refusal.reason);
-    let mut answer = Response::new(full_body(Bytes::new()));
-    *answer.status_mut() = refusal.status;
+    let mut response = Response::new(full_body(Bytes::new()));
+    *response.status_mut() = refusal.status;
     if let Some(after) = refusal.retry_after {
         let text = format!("{:.2}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&text) {
-            answer.headers_mut().insert(RETRY_AFTER, value);
+            response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
+/// Admits a request, reads its body and runs it.
 async fn handle(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    ask: RequestInfo,
+    info: RequestInfo,
     arrived: Moment,
-    open: InFlight,
-) -> Result<Response<AnswerBody>, Refusal> {
+    in_flight: InFlight,
+) -> Result<Response<ResponseBody>, Refusal> {
     if node.phase() == Phase::Draining {
         return Err(Refusal::not_run("stopping", Duration::ZERO));
     }
     let active = {
-        let b = node.state();
-        b.active.clone().filter(|_| b.replicas_listed)
+        let state = node.state();
+        state.active.clone().filter(|_| state.replicas_listed)
     };
     let active = active.ok_or(Refusal::not_run("no_configuration", RETRY_DELAY))?;
     let (head, body) = request.into_parts();
-    let routed = find_route(&active, &head.uri, &head.headers, &ask)?;
-    let organisation = authorize(node, &active, &routed, &ask)?;
-    let patience = ask.timeout.unwrap_or(DEFAULT_TIMEOUT);
-    let time = patience.min(routed.route.timeout);
-    let limit = arrived.after(to_span(time));
+    let routed = find_route(&active, &head.uri, &head.headers, &info)?;
+    let organisation = authorize(node, &active, &routed, &info)?;
+    let wait = info.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = wait.min(routed.route.timeout);
+    let deadline = arrived.after(to_span(timeout));
     let charge = match &organisation {
-        Some(organisation) => charge::acquire(node, organisation, &ask).await?,
+        Some(organisation) => charge::acquire(node, organisation, &info).await?,
         None => None,
     };
-    let body = read_body(body, active.config.limits.body_bytes, limit).await?;
+    let body = read_body(body, active.config.limits.body_bytes, deadline).await?;
     let mut headers = head.headers;
     strip_request_headers(&mut headers);
     let req = BufferedRequest {
@@ -182,86 +184,92 @@
         fingerprint: fingerprint(&head.uri, &body),
         path: origin_form(&head.uri),
         headers,
-        cost: estimate_load(&active, &routed.service, &ask),
-        shared: ask.shared,
+        cost: estimate_load(&active, &routed.service, &info),
+        shared: info.shared,
         caller: Caller {
-            key: ask
+            key: info
                 .key
                 .filter(|_| !routed.route.public && organisation.is_some()),
             organisation: organisation.map(|o| o.name.clone()),
             charge,
         },
         body,
-        id: ask.id,
-        target: ask.target,
-        deadline: limit,
+        id: info.id,
+        target: info.target,
+        deadline,
     };
     check_blocked(node, &req)?;
-    run_request(node, Rc::new(routed), req, arrived, open).await
+    run_request(node, Rc::new(routed), req, arrived, in_flight).await
 }
 
-/// The route of a request and the service that it goes to.
+/// Finds the route of a request and picks one of its services.
 fn find_route(
     active: &ActiveConfig,
     uri: &Uri,
     headers: &HeaderMap,
-    ask: &RequestInfo,
+    info: &RequestInfo,
 ) -> Result<RoutedRequest, Refusal> {
     let host = headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(uri.host()).unwrap_or_default();
     let route = active.routes.find(host, uri.path());
     let unknown = Refusal::denied(StatusCode::NOT_FOUND, "no_route");
     let route = route.ok_or(unknown)?;
-    let service = pick_service(route, &ask.id).ok_or(unknown)?;
+    let service = pick_service(route, &info.id).ok_or(unknown)?;
     Ok(RoutedRequest {
         route: route.clone(),
         service: service.clone(),
     })
 }
 
-/// The organisation on whose behalf a request runs.
+/// Returns the organisation whose API key the request has, or `None` if no key is needed.
 fn authorize(
     node: &Node,
     active: &ActiveConfig,
     routed: &RoutedRequest,
-    ask: &RequestInfo,
+    info: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
     let (freshness, bounds) = {
-        let mut b = node.state();
-        (b.key_freshness(now()), b.key_bounds)
+        let mut state = node.state();
+        (state.key_freshness(now()), state.key_bounds)
     };
     let (keys, public) = (active.keys.as_ref(), routed.route.public);
-    let found = bounds.admit(keys, public, ask.key.as_ref(), &freshness);
+    let found = bounds.admit(keys, public, info.key.as_ref(), &freshness);
     found.map_err(|denial| {
-        slog::info!(node.log, "key refused"; "id" => &ask.id, "why" => denial.as_str(),
-            "borne" => ask.key.is_some(), "config" => active.config.version,
+        slog::info!(node.log, "API key refused"; "id" => &info.id, "why" => denial.as_str(),
+            "borne" => info.key.is_some(), "config" => active.config.version,
             "proven_ms" => freshness.confirmed.map(Span::as_millis),
             "believed_ms" => freshness.estimated.map(Span::as_millis));
         Refusal::of_denial(denial)
     })
 }
 
-async fn read_body(body: Incoming, most: usize, limit: Moment) -> Result<Vec<Bytes>, Refusal> {
+/// Reads the complete body of a request, up to a size and a deadline.
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    deadline: Moment,
+) -> Result<Vec<Bytes>, Refusal> {
     let too_large = Refusal::denied(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large");
-    // A length that is told is judged before a byte is read.
-    if body.size_hint().lower() > most as u64 {
+    // A stated length is checked before any byte is read.
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large);
     }
-    let mut body = Limited::new(body, most);
+    let mut body = Limited::new(body, max_bytes);
     let mut pieces = Vec::new();
     loop {
-        let frame = tokio::time::timeout_at(to_instant(limit), body.frame()).await;
+        let frame = tokio::time::timeout_at(to_instant(deadline), body.frame()).await;
         match frame {
             Err(_) => return Err(Refusal::denied(StatusCode::REQUEST_TIMEOUT, "slow_body")),
             Ok(None) => return Ok(pieces),
             Ok(Some(Err(e))) if e.is::<LengthLimitError>() => return Err(too_large),
             Ok(Some(Err(_))) => return Err(Refusal::denied(StatusCode::BAD_REQUEST, "bad_body")),
-            // Trailers concern the connection only.
+            // Trailers are hop-by-hop here and are dropped.
             Ok(Some(Ok(frame))) => pieces.extend(frame.into_data()),
         }
     }
 }
 
+/// Hashes the path, query and body, to recognise a request that is sent again.
 fn fingerprint(uri: &Uri, body: &[Bytes]) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(uri.path().as_bytes());
@@ -270,17 +278,18 @@
     Fingerprint(hash.digest())
 }
 
+/// Reduces a URI to its path and query.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map(Uri::from).unwrap_or_default()
 }
 
-/// What a request is expected to hold of an engine's memory.
-fn estimate_load(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
+/// Estimates the load of a request, with its tokens in the engine's KV cache.
+fn estimate_load(active: &ActiveConfig, service: &ServiceName, info: &RequestInfo) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
         Some(_) => {
-            u64::from(ask.prompt_tokens) + (f64::from(ask.max_tokens) * MEAN_OUTPUT_RATIO) as u64
+            u64::from(info.prompt_tokens) + (f64::from(info.max_tokens) * MEAN_OUTPUT_RATIO) as u64
         }
         None => 0,
     };
@@ -288,30 +297,33 @@
         requests: 1,
         tokens,
         prefill: if tokens > 0 {
-            u64::from(ask.prompt_tokens)
+            u64::from(info.prompt_tokens)
         } else {
             0
         },
     }
 }
 
+/// Refuses a request that has been blocked because it crashed several upstreams.
 fn check_blocked(node: &Node, req: &BufferedRequest) -> Result<(), Refusal> {
-    let b = node.state();
+    let state = node.state();
     let now = now();
-    let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.status(now, &r.name) != "live";
-    match b.strikes.is_poison(now, req.fingerprint, down) {
+    let down =
+        |r: &Instance| !state.fleet.is_current(r) || state.fleet.status(now, &r.name) != "live";
+    match state.strikes.is_poison(now, req.fingerprint, down) {
         true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
     }
 }
 
+/// Runs a request, with retries, and builds the response to the caller.
 async fn run_request(
     node: &Rc<Node>,
     routed: Rc<RoutedRequest>,
     req: BufferedRequest,
     arrived: Moment,
-    open: InFlight,
-) -> Result<Response<AnswerBody>, Refusal> {
+    in_flight: InFlight,
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut tries = Attempts {
         max_runs: routed.route.max_attempts,
         idempotent: routed.route.idempotent(),
@@ -322,16 +334,16 @@
         .budget
         .record_first_send(now(), &routed.service);
     let mut started = first_attempt(node, &routed, &req, &mut tries, &mut avoid).await?;
-    let mut ahead = VecDeque::new();
-    let mut whole = false;
+    let mut buffered = VecDeque::new();
+    let mut complete = false;
     let stream = routed.route.kind == RouteKind::Stream;
     while !stream || started.failed {
-        match read_ahead(&mut started, &req, &mut ahead).await {
+        match read_ahead(&mut started, &req, &mut buffered).await {
             Ok(read) if started.failed && tries.idempotent => {
-                whole = read;
+                complete = read;
                 started.run.record_end(RunOutcome::Failed);
                 tries.record(AttemptFailure::Failed);
-                let pieces = std::mem::take(&mut ahead);
+                let pieces = std::mem::take(&mut buffered);
                 avoid.insert(started.run.replica.clone());
                 let next = retry(
                     node,
@@ -343,10 +355,10 @@
                     None,
                 );
                 match next.await {
-                    Ok(next) => (started, whole) = (next, false),
-                    // The replica's own failure is the answer.
+                    Ok(next) => (started, complete) = (next, false),
+                    // No retry succeeded: the replica's error response is forwarded.
                     Err(_) => {
-                        ahead = pieces;
+                        buffered = pieces;
                         break;
                     }
                 }
@@ -355,7 +367,7 @@
                 }
             }
             Ok(read) => {
-                whole = read;
+                complete = read;
                 break;
             }
             Err(ended) => {
@@ -364,7 +376,7 @@
                 tries.record(ended);
                 avoid.insert(started.run.replica.clone());
                 drop(started);
-                ahead.clear();
+                buffered.clear();
                 started = retry(node, &routed, &req, &mut tries, &mut avoid, ended, None).await?;
             }
         }
@@ -376,35 +388,36 @@
     *response.headers_mut() = headers;
     let events = (stream && is_event_stream(response.headers())).then(EventTracker::default);
     tries.answered = true;
-    let mut passed = ResponseStream {
+    let mut body = ResponseStream {
         node: node.clone(),
         routed,
         request: req,
         response: Some(started),
-        buffered: ahead,
+        buffered,
         tries,
         avoid,
         events,
         timing: Timing::new(arrived),
-        _open: open,
+        _open: in_flight,
     };
-    if whole {
-        passed.finish_buffered();
+    if complete {
+        body.finish_buffered();
     }
-    Ok(response.map(|()| stream_body(passed)))
+    Ok(response.map(|()| stream_body(body)))
 }
 
+/// Returns whether the response is a stream of server-sent events.
 fn is_event_stream(headers: &HeaderMap) -> bool {
     let kind = headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
     kind.is_some_and(|k| k.starts_with("text/event-stream"))
 }
 
-/// Reads a short answer whole; of a longer one, the beginning. Gives whether
-/// it came to its end.
+/// Buffers the first `READ_AHEAD_BYTES` of a response. Returns whether the response is
+/// complete.
 async fn read_ahead(
     started: &mut StartedResponse,
     req: &BufferedRequest,
-    ahead: &mut VecDeque<Bytes>,
+    buffered: &mut VecDeque<Bytes>,
 ) -> Result<bool, AttemptFailure> {
     let mut read = 0;
     while read < READ_AHEAD_BYTES {
@@ -414,14 +427,14 @@
             Ok(Some(Err(_))) => return Err(AttemptFailure::Broken),
             Ok(Some(Ok(piece))) => {
                 read += piece.len();
-                ahead.push_back(piece);
+                buffered.push_back(piece);
             }
         }
     }
     Ok(false)
 }
 
-/// The first try, and those that follow it until an answer begins.
+/// Makes the first attempt, and retries until a response starts.
 async fn first_attempt(
     node: &Rc<Node>,
     routed: &RoutedRequest,
@@ -441,7 +454,8 @@
     }
 }
 
-/// Tries other replicas after a try that ended so, and is noted already.
+/// Retries on other replicas after an attempt that ended with `ended` and is already
+/// recorded in `tries`.
 pub(in crate::serving) async fn retry(
     node: &Rc<Node>,
     routed: &RoutedRequest,
@@ -457,7 +471,7 @@
             return Err(Refusal::after(tries, ended));
         }
         if ended == AttemptFailure::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
-            // Only a replica's word on an adapter was wrong, not the replica.
+            // The view of the loaded adapters was wrong; the replicas themselves work.
             avoid.clear();
         }
         let at = match wait_for_replica(node, routed, req, avoid).await {
@@ -469,7 +483,7 @@
             return Err(Refusal::after(tries, ended));
         }
         ended = match forward(node, req, &at, resume_after).await {
-            // A failure cannot go on an answer that has started.
+            // An error response cannot continue a response that has started.
             Ok(started) if tries.answered && !started.answer.head.status.is_success() => {
                 started.run.record_end(RunOutcome::Failed);
                 AttemptFailure::Failed
@@ -483,12 +497,14 @@
     }
 }
 
+/// Takes one retry from the service's retry budget; returns whether there was one.
 fn spend_retry(node: &Node, routed: &RoutedRequest) -> bool {
-    let mut b = node.state();
-    let vms = b.members.count();
-    b.budget.try_retry(now(), &routed.service, vms)
+    let mut state = node.state();
+    let vm_count = state.members.count();
+    state.budget.try_retry(now(), &routed.service, vm_count)
 }
 
+/// Logs and counts an attempt that gave no response to forward.
 fn log_attempt(
     node: &Node,
     req: &BufferedRequest,
@@ -503,7 +519,7 @@
     metrics::counter!("serve_tries_total", "end" => ended.as_str()).increment(1);
 }
 
-/// Counts the end of a request.
+/// Counts a finished request by its outcome.
 pub(in crate::serving) fn count_outcome(outcome: &'static str) {
     metrics::counter!("serve_requests_total", "outcome" => outcome).increment(1);
 }
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, and the balancer's question whether we are ready.
+//! Servers for callers' connections and for the load balancer's readiness check.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,27 +22,27 @@
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::now;
 
-/// Connections that wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// The pause after a failed accept; the usual cause is a lack of descriptors,
-/// which the end of other connections mends.
+/// Pause after a failed accept. The usual cause is a lack of file descriptors, which lasts
+/// until other connections close.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Time for a head to come while no configuration says otherwise.
+/// Maximum time to receive the headers while there is no configuration.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes of a head while no configuration says otherwise.
+/// Maximum size of the headers in bytes while there is no configuration.
 const DEFAULT_HEADER_BYTES: usize = 64 << 10;
 
-/// The least buffer of a connection that the HTTP library takes.
+/// Minimum buffer size in bytes that hyper accepts for a connection.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Listens on an address.
+/// Listens on a TCP address.
 ///
 /// # Errors
 ///
-/// When it cannot be listened on.
+/// If the address cannot be bound.
 pub(in crate::serving) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -61,23 +61,24 @@
                 tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(e) => {
-                slog::warn!(node.log, "accept failed"; "error" => %e);
+                slog::warn!(node.log, "could not accept a connection"; "error" => %e);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
+/// Serves one caller's connection, and shuts it down gracefully when the process drains.
 async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
-        slog::debug!(node.log, "no nodelay"; "error" => %e);
+        slog::debug!(node.log, "could not disable Nagle's algorithm for a connection"; "error" => %e);
     }
     let limits = node.state().active.as_ref().map(|a| a.config.limits);
-    // One timer serves for the head and for the idle time before it.
-    let head_time = limits.map_or(DEFAULT_HEADER_TIMEOUT, |l| {
+    // hyper has one timer for the idle time and the headers that follow it.
+    let header_timeout = limits.map_or(DEFAULT_HEADER_TIMEOUT, |l| {
         l.header_timeout.max(l.idle_timeout)
     });
-    let head_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |l| l.header_bytes * 2);
+    let buffer_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |l| l.header_bytes * 2);
     let shared = node.clone();
     let service = service_fn(move |request| {
         let node = shared.clone();
@@ -86,14 +87,14 @@
     let mut server = http1::Builder::new();
     server
         .timer(TokioTimer::new())
-        .header_read_timeout(head_time)
-        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES));
+        .header_read_timeout(header_timeout)
+        .max_buf_size(buffer_bytes.max(MIN_BUFFER_BYTES));
     let served = server.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(served);
     let mut phase = node.phase.subscribe();
     let closing = phase.wait_for(|p| *p == Phase::Draining);
     tokio::select! {
-        // Callers break off as they like; their requests end with them.
+        // Errors are disconnects, which end the caller's requests as well.
         _ = &mut served => return,
         _ = closing => {}
     }
@@ -101,14 +102,14 @@
     served.await.ok();
 }
 
-/// Whether callers are served; those with keys are refused where it is not
-/// known that their keys still hold, so they should come to another VM.
+/// Returns whether callers should be routed to this VM. While it cannot tell whether API keys
+/// are still valid it refuses callers with keys, so they should go to another VM.
 fn is_ready(node: &Node) -> bool {
-    let mut b = node.state();
-    b.is_ready() && b.keys_valid(now())
+    let mut state = node.state();
+    state.is_ready() && state.keys_valid(now())
 }
 
-/// Answers the balancer until the process ends.
+/// Answers the load balancer's readiness checks until the process ends.
 pub(in crate::serving) async fn serve_readiness(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -119,16 +120,16 @@
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
                 let ready = node.phase() == Phase::Serving && is_ready(&node);
-                let asked = request.uri().path() == node.codec.ready_path;
-                let mut answer = Response::new(full_body(Bytes::new()));
-                *answer.status_mut() = match (asked, ready) {
+                let is_check = request.uri().path() == node.codec.ready_path;
+                let mut response = Response::new(full_body(Bytes::new()));
+                *response.status_mut() = match (is_check, ready) {
                     (true, true) => StatusCode::OK,
                     (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                     (false, _) => StatusCode::NOT_FOUND,
                 };
-                async move { Ok::<_, Infallible>(answer) }
+                async move { Ok::<_, Infallible>(response) }
             });
-            // The balancer asks again on another connection.
+            // After an error the balancer checks again on another connection.
             let server = http1::Builder::new();
             server
                 .serve_connection(TokioIo::new(stream), service)
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the serving process share.
+//! State that the tasks of the serving process share.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,7 +24,7 @@
 use crate::serving::store::port::Store;
 use crate::upstream::Upstreams;
 
-/// Questions to other VMs that wait for an answer, by number.
+/// Calls to other VMs that wait for an answer, by ID.
 #[derive(Debug)]
 pub(in crate::serving) struct PendingCalls<T>(RefCell<BTreeMap<u64, oneshot::Sender<T>>>);
 
@@ -35,58 +35,59 @@
 }
 
 impl<T> PendingCalls<T> {
-    /// An answer to this number is waited for, until what is returned is dropped.
-    pub(in crate::serving) fn register(&self, number: u64) -> PendingCall<'_, T> {
+    /// Registers a call under an ID, until the returned guard is dropped.
+    pub(in crate::serving) fn register(&self, id: u64) -> PendingCall<'_, T> {
         let (sender, receiver) = oneshot::channel();
-        self.0.borrow_mut().insert(number, sender);
+        self.0.borrow_mut().insert(id, sender);
         PendingCall {
-            questions: self,
-            number,
+            calls: self,
+            id,
             receiver,
         }
     }
 
-    /// An answer came; one that nobody waits for any more is dropped.
-    pub(in crate::serving) fn complete(&self, number: u64, answer: T) {
-        if let Some(sender) = self.0.borrow_mut().remove(&number) {
+    /// Delivers an answer; it is discarded if no call waits for it any more.
+    pub(in crate::serving) fn complete(&self, id: u64, answer: T) {
+        if let Some(sender) = self.0.borrow_mut().remove(&id) {
             sender.send(answer).ok();
         }
     }
 }
 
-/// A question that waits for its answer; its caller may leave meanwhile.
+/// A call that waits for its answer; dropping it, also when its caller disconnects, removes
+/// the registration.
 pub(in crate::serving) struct PendingCall<'a, T> {
-    questions: &'a PendingCalls<T>,
-    number: u64,
+    calls: &'a PendingCalls<T>,
+    id: u64,
     receiver: oneshot::Receiver<T>,
 }
 
 impl<T> PendingCall<'_, T> {
-    /// The answer, if it comes in time.
-    pub(in crate::serving) async fn wait(mut self, time: Duration) -> Option<T> {
-        let answer = tokio::time::timeout(time, &mut self.receiver).await;
+    /// Waits for the answer; returns `None` after the timeout.
+    pub(in crate::serving) async fn wait(mut self, timeout: Duration) -> Option<T> {
+        let answer = tokio::time::timeout(timeout, &mut self.receiver).await;
         answer.ok()?.ok()
     }
 }
 
 impl<T> Drop for PendingCall<'_, T> {
     fn drop(&mut self) {
-        self.questions.0.borrow_mut().remove(&self.number);
+        self.calls.0.borrow_mut().remove(&self.id);
     }
 }
 
-/// How far the process is in stopping.
+/// Phases of the process until it has stopped.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(in crate::serving) enum Phase {
-    /// It serves.
+    /// Serves requests.
     Serving,
-    /// It says that it is not ready, and serves what still comes.
+    /// Reports that it is not ready, but still serves new requests.
     Unready,
-    /// It refuses what still comes and sees the rest through.
+    /// Refuses new requests and finishes those in flight.
     Draining,
 }
 
-/// One VM of the serving path.
+/// The shared state of one VM's serving process.
 pub(in crate::serving) struct Node {
     pub(in crate::serving) settings: ServeSettings,
     pub(in crate::serving) codec: Codec,
@@ -94,31 +95,31 @@
     pub(in crate::serving) upstreams: Upstreams,
     pub(in crate::serving) log: slog::Logger,
     pub(in crate::serving) incarnation: Incarnation,
-    /// Wakes requests that wait for a place.
+    /// Wakes requests that wait for a replica.
     pub(in crate::serving) placement_wake: Notify,
-    /// Wakes the task that gives orders.
+    /// Wakes the task that issues orders.
     pub(in crate::serving) orders_wake: Notify,
-    /// Wakes the followers of the store that miss changes.
+    /// Wakes the tasks that follow the store and have missed changes.
     pub(in crate::serving) catch_up_wake: Notify,
-    /// Wakes the task that reads the owner table anew.
+    /// Wakes the task that reloads the owner table.
     pub(in crate::serving) owners_wake: Notify,
-    /// Datagrams to and from the other VMs.
+    /// UDP socket for datagrams to and from the other VMs.
     pub(in crate::serving) socket: UdpSocket,
-    /// Wakes the task that tells the peers.
+    /// Wakes the task that sends beacons.
     pub(in crate::serving) beacon_wake: Notify,
     pub(in crate::serving) phase: watch::Sender<Phase>,
     state: RefCell<NodeState>,
     last_id: Cell<u64>,
     in_flight: Cell<usize>,
-    /// Runs that wait for their turn.
+    /// Runs that wait for a prefill turn.
     pub(in crate::serving) turn_calls: PendingCalls<()>,
-    /// Questions to owners of replicas.
+    /// Pending calls to owners of replicas.
     pub(in crate::serving) place_calls: PendingCalls<wire::PlaceAnswer>,
-    /// Questions to the VMs that lend for organisations.
+    /// Pending calls to the lenders of organisations' limits.
     pub(in crate::serving) lease_calls: PendingCalls<wire::LeaseAnswer>,
-    /// What stands for this VM in what others tell it.
+    /// ID of this process in the store updates that other VMs send it.
     pub(in crate::serving) reader_id: u64,
-    /// Wakes the task that gives turns.
+    /// Wakes the task that grants prefill turns.
     pub(in crate::serving) turns_wake: Notify,
 }
 
@@ -132,8 +133,8 @@
     ) -> Self {
         let now = now();
         let state = NodeState::new(&settings, now);
-        // A restarted process must be told from the one before it; the clock
-        // since the VM's start differs at each.
+        // The time since the VM booted differs between restarts of the process, so it
+        // identifies the incarnation.
         let incarnation = Incarnation(now.0);
         let reader = reader_id(&settings.vm, incarnation);
         Self {
@@ -166,7 +167,7 @@
         self.state.borrow_mut()
     }
 
-    /// A number that is used once.
+    /// Returns an ID that this process has not used before.
     pub(in crate::serving) fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
@@ -176,19 +177,19 @@
         *self.phase.borrow()
     }
 
-    /// Counts a request that is under way, until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub(in crate::serving) fn track_request(self: &std::rc::Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight(self.clone())
     }
 
-    /// Requests under way.
+    /// Returns the id of requests in flight.
     pub(in crate::serving) fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 }
 
-/// A request that is under way.
+/// Guard for a request in flight.
 pub(in crate::serving) struct InFlight(std::rc::Rc<Node>);
 
 impl Drop for InFlight {
@@ -199,29 +200,29 @@
     }
 }
 
-/// The longest wait for a connection to a replica: they are about a
-/// millisecond away, and one that is dark must not use up a caller's time.
+/// Connect timeout for replicas: they are about a millisecond away, and an unreachable one
+/// must not use up a caller's time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A connection unused for longer is closed, where the replica names no time.
+/// Idle timeout for connections to replicas that state none.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Now, on the clock that counts suspension.
+/// Returns the current time of a clock that also runs while the VM is suspended.
 pub(in crate::serving) fn now() -> Moment {
     control::now()
 }
 
-/// A duration as a span of that clock.
+/// Converts a duration to a `Span`.
 pub(in crate::serving) fn to_span(d: Duration) -> Span {
     Span(u64::try_from(d.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// The timer's instant for a moment.
+/// Converts a `Moment` to an instant for tokio's timers.
 pub(in crate::serving) fn to_instant(at: Moment) -> Instant {
     Instant::now() + Duration::from_micros(at.since(now()).0)
 }
 
-/// How long until a moment.
+/// Returns the time until a moment; zero if it is past.
 pub(in crate::serving) fn time_until(at: Moment) -> Duration {
     Duration::from_micros(at.since(now()).0)
 }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out what the books say: reports are read, orders are given.
+//! Executes the steps that the books decide: fetches status reports and sends orders.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,40 +24,40 @@
 use crate::upstream::Parts;
 use crate::upstream::collect;
 
-/// The longest wait for the answer to an order or for a report.
+/// Maximum timeout for the response to an order, and the timeout for a report.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The wait for the answer to an order; replicas take one at once, a few
-/// milliseconds away. It doubles with each order in a row that was not
-/// answered. Measured on twelve replicas that left a third of their orders
-/// unanswered, in three spans of two seconds: 12, 13 and 19 loads with a wait of
-/// 0.8 s and a look, 70, 67 and 89 with this one.
+/// Initial timeout for the response to an order: replicas accept one at once and are a few
+/// milliseconds away. It doubles with each consecutive order without a response. With twelve
+/// replicas that left a third of their orders unanswered, three periods of two seconds gave
+/// 12, 13 and 19 loads with a timeout of 0.8 s and a report fetched after it, and 70, 67 and
+/// 89 loads with this timeout.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The longest report that is read.
+/// Maximum size of a report in bytes.
 const MAX_REPORT_BYTES: usize = 256 << 10;
 
-/// Loads of weights a second where the configuration names no rate.
+/// Minimum rate of loads per second, also used if the configuration states none.
 const MIN_LOAD_RATE: f64 = 0.1;
 
-/// How much longer a VM pauses between loads from the weight store than its
-/// part of the rate: all VMs may begin at the same moment.
+/// Factor by which the pause between a VM's loads from the weight store exceeds its share of
+/// the rate, because all VMs may start a load at the same time.
 const LOAD_PAUSE_FACTOR: f64 = 2.0;
 
-/// The least such pause: the window over which the weight store counts.
+/// Minimum pause between loads: the window over which the weight store applies its rate.
 const MIN_LOAD_PAUSE: Span = Span::from_millis(5_000);
 
-/// Doublings after which the wait is the longest anyway.
+/// Number of doublings after which `MAX_ANSWER_TIMEOUT` applies anyway.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// How often ownerships are looked through without any news.
+/// Interval at which owned replicas are checked without a wake-up.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A loop that comes back later than this was suspended: what it owned may
-/// have been given to others meanwhile.
+/// Time between two iterations from which the VM counts as suspended: its replicas may have
+/// been assigned to other owners meanwhile.
 const SUSPEND_THRESHOLD: Span = Span::from_millis(1_200);
 
-/// Gives orders until the process ends.
+/// Issues orders for the replicas that this VM owns, until the process ends.
 pub(in crate::serving) async fn issue_orders(node: Rc<Node>) {
     let mut last = now();
     loop {
@@ -73,7 +73,7 @@
         }
         let wake = node.state().books.next_wake(at);
         let wait = wake.map_or(CHECK_INTERVAL, |w| time_until(w).min(CHECK_INTERVAL));
-        // Woken by news or by time, the books are asked anew.
+        // A wake-up and a time-out both lead to another pass.
         let wait = wait.max(Duration::from_millis(5));
         tokio::time::timeout(wait, node.orders_wake.notified())
             .await
@@ -81,60 +81,66 @@
     }
 }
 
-/// What is due at each of our replicas.
+/// Returns the next step for each owned replica that has one.
 fn due_steps(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, ReplicaAction)> {
     if node.phase() == Phase::Draining {
         return Vec::new();
     }
-    let mut b = node.state();
-    b.sync_books(at);
-    let b = &mut *b;
-    let loads = b.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
-    let pause = Span((b.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
-    b.books.set_load_interval(pause.max(MIN_LOAD_PAUSE));
-    let engines = b.fleet.engines().count();
-    b.books.set_fetches(b.fleet.loading_adapters(at), engines);
-    b.books.set_report_delay(b.members.report_delay());
-    let active = b.ownership.usable(at);
+    let mut state = node.state();
+    state.sync_books(at);
+    let state = &mut *state;
+    let loads = state.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
+    let pause = Span((state.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
+    state.books.set_load_interval(pause.max(MIN_LOAD_PAUSE));
+    let engines = state.fleet.engines().count();
+    state
+        .books
+        .set_fetches(state.fleet.loading_adapters(at), engines);
+    state.books.set_report_delay(state.members.report_delay());
+    let active = state.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
-    let mut due = Vec::new();
+    let mut steps = Vec::new();
     for (name, token) in active {
-        let empty = b.books.needs_model(&name);
-        let listing = b.fleet.listing(&name).filter(|_| empty);
-        let model = listing.and_then(|l| b.fleet.least_replicated_model(l));
-        if let Some(step) = b.books.next_action(at, &name, &b.fleet.versions, model) {
-            due.push((name, token, step));
+        let empty = state.books.needs_model(&name);
+        let listing = state.fleet.listing(&name).filter(|_| empty);
+        let model = listing.and_then(|l| state.fleet.least_replicated_model(l));
+        if let Some(step) = state
+            .books
+            .next_action(at, &name, &state.fleet.versions, model)
+        {
+            steps.push((name, token, step));
         }
     }
-    due
+    steps
 }
 
+/// Executes a step and records its outcome in the books.
 async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, step: ReplicaAction) {
     match &step {
         ReplicaAction::Inspect => {
             let report = fetch_report(&node, &name).await;
-            let mut b = node.state();
-            b.books.finish_inspection(now(), &name, report);
+            let mut state = node.state();
+            state.books.finish_inspection(now(), &name, report);
         }
         _ => {
             let end = send_order(&node, &name, token, &step).await;
-            let mut b = node.state();
-            let took = b.books.finish_order(now(), &name, &step, end);
+            let mut state = node.state();
+            let took = state.books.finish_order(now(), &name, &step, end);
             if matches!(end, OrderOutcome::Fenced) {
-                b.ownership.record_refusal(&name, token);
+                state.ownership.record_refusal(&name, token);
             }
-            drop(b);
+            drop(state);
             log_order(&node, &name, token, &step, end, took);
         }
     }
     node.beacon_wake.notify_one();
     node.orders_wake.notify_one();
-    // Our own requests that wait for it learn of it with the news.
-    let mut b = node.state();
-    if let Some(held) = b.books.residency(&name) {
-        b.fleet.apply_residency(now(), &name, held);
+    // Requests on this VM that wait for the replica see the new state at once.
+    let mut state = node.state();
+    if let Some(held) = state.books.residency(&name) {
+        state.fleet.apply_residency(now(), &name, held);
     }
-    drop(b);
+    drop(state);
     node.placement_wake.notify_waiters();
 }
 
@@ -162,6 +168,7 @@
         "took_ms" => took.map(|t| t.max.as_millis()));
 }
 
+/// Fetches a replica's status report.
 async fn fetch_report(node: &Node, name: &ReplicaName) -> Option<ReplicaReport> {
     let request = (node.codec.encode_report_request)().ok()?;
     let (status, body) = call(node, name, request, MAX_ANSWER_TIMEOUT).await?;
@@ -170,18 +177,19 @@
     }
     match (node.codec.parse_report)(&body) {
         Ok(report) => {
-            slog::info!(node.log, "report"; "replica" => name.as_str(),
+            slog::info!(node.log, "status report received"; "replica" => name.as_str(),
                 "accepted" => report.accepted, "here" => report.loaded.len(),
                 "coming" => report.loading.len());
             Some(report)
         }
         Err(e) => {
-            slog::warn!(node.log, "bad report"; "replica" => name.as_str(), "error" => %e);
+            slog::warn!(node.log, "could not parse a replica's report"; "replica" => name.as_str(), "error" => %e);
             None
         }
     }
 }
 
+/// Sends an order to a replica, unless the ownership has lapsed.
 async fn send_order(
     node: &Node,
     name: &ReplicaName,
@@ -209,32 +217,34 @@
     let Ok(request) = (node.codec.encode_order)(&order) else {
         return OrderOutcome::Refused;
     };
-    // The lease is looked at right before the order goes out.
+    // The ownership is checked right before the order is sent.
     if node.state().ownership.token(now(), name) != Some(token) {
         return OrderOutcome::Refused;
     }
     let unanswered = node.state().books.unanswered(name).min(MAX_DOUBLINGS);
-    let wait = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
+    let timeout = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
         true => (FIRST_ANSWER_TIMEOUT * (1 << unanswered)).min(MAX_ANSWER_TIMEOUT),
         false => MAX_ANSWER_TIMEOUT,
     };
-    match call(node, name, request, wait).await {
+    match call(node, name, request, timeout).await {
         Some((status, _)) => (node.codec.parse_order_end)(status),
         None => OrderOutcome::Unknown,
     }
 }
 
+/// Sends a request to a replica and reads the response; returns `None` on errors and after
+/// the timeout.
 async fn call(
     node: &Node,
     name: &ReplicaName,
     request: Request<Parts>,
-    wait: Duration,
+    timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     let address = node.state().fleet.listing(name)?.address;
-    let work = async {
-        let mut answer = node.upstreams.send(address, request).await.ok()?;
-        let body = collect(&mut answer, MAX_REPORT_BYTES).await.ok()?;
-        Some((answer.head.status, body))
+    let exchange = async {
+        let mut response = node.upstreams.send(address, request).await.ok()?;
+        let body = collect(&mut response, MAX_REPORT_BYTES).await.ok()?;
+        Some((response.head.status, body))
     };
-    tokio::time::timeout(wait, work).await.ok().flatten()
+    tokio::time::timeout(timeout, exchange).await.ok().flatten()
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -36,32 +36,32 @@
 use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Store;
 
-/// How often the owner table is looked through.
+/// Interval of the maintenance task, and pause before a failed write or read is retried.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long after its start a VM proposes owners: all VMs of a first start
-/// know each other by then.
+/// Time after its start from which a VM proposes owners: VMs that start together know each
+/// other by then.
 const PROPOSE_DELAY: Span = Span::from_millis(2_000);
 
-/// How long a VM is silent until its entry is removed.
+/// Time without a beacon after which a VM's entry is removed.
 const VM_EXPIRY: Span = Span::from_millis(30_000);
 
-/// How long a stopping process takes new connections: the balancer asks once a
-/// second and believes the second refusal.
+/// Time for which a stopping process still accepts connections: the load balancer checks
+/// once a second and removes a VM after two failed checks.
 const UNREADY_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// The part of the grace that is kept for the end of the process.
+/// Part of the grace period that is reserved for the exit of the process.
 const EXIT_RESERVE: Duration = Duration::from_millis(500);
 
-/// How often a stopping process looks whether all requests have ended.
+/// Interval at which a stopping process checks whether all requests have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// Why the process could not run.
+/// Error that prevents the process from running.
 #[derive(Debug)]
 pub enum ServeError {
-    /// An address cannot be listened on.
+    /// An address could not be bound.
     Listen(SocketAddr, std::io::Error),
-    /// Signals cannot be set up.
+    /// Signal handlers could not be installed.
     Signals(std::io::Error),
 }
 
@@ -69,24 +69,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
-            Self::Signals(e) => write!(f, "cannot take signals: {e}"),
+            Self::Signals(e) => write!(f, "cannot install signal handlers: {e}"),
         }
     }
 }
 
 impl std::error::Error for ServeError {}
 
-/// A serving process inside this one.
+/// A running server, all of whose tasks are on the current thread.
 pub struct Server {
     node: Rc<Node>,
 }
 
 impl Server {
-    /// Listens and serves; must be called within a `LocalSet`.
+    /// Binds the addresses and spawns all tasks; must be called within a `LocalSet`.
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on.
+    /// If an address cannot be bound.
     pub async fn start(
         settings: ServeSettings,
         border: Codec,
@@ -121,8 +121,8 @@
         Ok(Self { node })
     }
 
-    /// Says that it is not ready, sees requests through, and ends within the
-    /// grace of the settings.
+    /// Reports that it is not ready, drains the requests in flight, and returns within the
+    /// grace period of the settings.
     pub async fn stop(&self) {
         let node = &self.node;
         slog::info!(node.log, "stopping"; "open" => node.in_flight());
@@ -132,7 +132,7 @@
         node.beacon_wake.notify_one();
         tokio::time::sleep(UNREADY_PERIOD).await;
         node.phase.send_replace(Phase::Draining);
-        // Connections that are idle are closed first.
+        // Gives idle connections time to close.
         tokio::time::sleep(DRAIN_POLL).await;
         while node.in_flight() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(DRAIN_POLL).await;
@@ -143,18 +143,18 @@
             (node.store.delete)(node.codec.kinds.internal, &name),
         );
         if let Err(e) = removed.await {
-            slog::info!(node.log, "entry not removed"; "error" => %e);
+            slog::info!(node.log, "could not remove this VM's entry"; "error" => %e);
         }
         slog::info!(node.log, "stopped"; "open" => node.in_flight());
     }
 }
 
-/// Runs a serving process until SIGTERM or SIGINT; a second one ends it at
-/// once. `reload` is called at SIGHUP.
+/// Runs the server until SIGTERM or SIGINT; a SIGINT during the shutdown ends it at once.
+/// SIGHUP calls `reload`.
 ///
 /// # Errors
 ///
-/// When it cannot start.
+/// If an address cannot be bound or a signal handler cannot be installed.
 pub async fn run(
     settings: ServeSettings,
     border: Codec,
@@ -162,36 +162,36 @@
     log: slog::Logger,
     reload: impl Fn() -> Result<ServeSettings, String>,
 ) -> Result<(), ServeError> {
-    let take = |kind| signal(kind).map_err(ServeError::Signals);
-    let mut term = take(SignalKind::terminate())?;
-    let mut interrupt = take(SignalKind::interrupt())?;
-    let mut hangup = take(SignalKind::hangup())?;
+    let install = |kind| signal(kind).map_err(ServeError::Signals);
+    let mut terminate = install(SignalKind::terminate())?;
+    let mut interrupt = install(SignalKind::interrupt())?;
+    let mut hangup = install(SignalKind::hangup())?;
     let old = settings.clone();
     let log = log.new(slog::o!("vm" => settings.vm.to_string()));
     let program = Server::start(settings, border, store, log.clone()).await?;
     loop {
         tokio::select! {
-            _ = term.recv() => break,
+            _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => log_reload(&log, &old, reload()),
         }
     }
     tokio::select! {
         () = program.stop() => {}
-        _ = interrupt.recv() => slog::warn!(log, "stopped at once"),
+        _ = interrupt.recv() => slog::warn!(log, "stopped by a second interrupt without draining"),
     }
     Ok(())
 }
 
-/// Addresses and names hold until the process is started again; what else
-/// changed is said.
+/// Logs the result of reading the settings again. Addresses and names only change with a
+/// restart, so the log says whether the caller address and the VM are the same.
 fn log_reload(log: &slog::Logger, old: &ServeSettings, new: Result<ServeSettings, String>) {
     match new {
         Ok(new) => {
             let same = new.caller_address == old.caller_address && new.vm == old.vm;
             slog::info!(log, "settings read again"; "addresses_kept" => same);
         }
-        Err(e) => slog::warn!(log, "settings refused"; "error" => e),
+        Err(e) => slog::warn!(log, "could not read the settings again"; "error" => e),
     }
 }
 
@@ -205,7 +205,7 @@
     format!("{VM_PREFIX}{}", node.settings.vm)
 }
 
-/// Writes this VM's entry, as often as it takes.
+/// Writes this VM's entry to the store, and retries until it is there.
 async fn register(node: Rc<Node>) {
     let entry = VmEntry {
         vm: node.settings.vm.clone(),
@@ -219,15 +219,15 @@
     loop {
         let call = (node.store.create)(node.codec.kinds.internal, &name, &spec);
         match with_timeout(follow::CALL_TIMEOUT, call).await {
-            // An earlier start wrote the same.
+            // A conflict means that an earlier start of this VM wrote the entry.
             Ok(_) | Err(PlatformError::Conflict) => return,
-            Err(e) => slog::warn!(node.log, "entry not written"; "error" => %e),
+            Err(e) => slog::warn!(node.log, "could not write this VM's entry"; "error" => %e),
         }
         tokio::time::sleep(MAINTENANCE_INTERVAL).await;
     }
 }
 
-/// Reads the owner table anew after a suspension.
+/// Reloads the owner table when it is woken, such as after a suspension.
 async fn reload_owners(node: Rc<Node>) {
     loop {
         node.owners_wake.notified().await;
@@ -239,14 +239,14 @@
                     node.state().ownership.confirm(asked);
                     break;
                 }
-                Err(e) => slog::warn!(node.log, "owners not read"; "error" => %e),
+                Err(e) => slog::warn!(node.log, "could not read the owner table"; "error" => %e),
             }
             tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         }
     }
 }
 
-/// Repairs the owner table and forgets what is over.
+/// Maintains the owner table and drops what has expired, until the process ends.
 async fn maintain(node: Rc<Node>) {
     let began = now();
     loop {
@@ -259,25 +259,27 @@
     }
 }
 
+/// Writes a new owner table if this VM should propose one now, and then removes the entries
+/// of expired VMs.
 async fn repair_owners(node: &Node) {
     let at = now();
     let (table, revision, live) = {
-        let mut b = node.state();
-        let b = &mut *b;
-        if !b.is_ready() || !b.members.can_detect_failures(at) {
+        let mut state = node.state();
+        let state = &mut *state;
+        if !state.is_ready() || !state.members.can_detect_failures(at) {
             return;
         }
-        let live = b.members.live_vms(at);
-        let usable = b
+        let live = state.members.live_vms(at);
+        let usable = state
             .fleet
             .listings()
-            .filter(|l| !l.draining && b.fleet.is_configured(l));
+            .filter(|l| !l.draining && state.fleet.is_configured(l));
         let replicas = usable.map(|l| l.name.clone()).collect();
-        let Some(table) = b.ownership.proposal(at, &live, &replicas) else {
+        let Some(table) = state.ownership.proposal(at, &live, &replicas) else {
             return;
         };
-        b.ownership.record_proposal(at);
-        (table, b.ownership.revision, live.len())
+        state.ownership.record_proposal(at);
+        (table, state.ownership.revision, live.len())
     };
     let Ok(spec) = to_raw_value(&table) else {
         return;
@@ -291,31 +293,31 @@
     match with_timeout(follow::CALL_TIMEOUT, call).await {
         Ok(revision) => {
             let term = table.term.0;
-            let mut b = node.state();
-            let moved = table.count_moved(&b.ownership.table);
-            b.apply_owner_table(now(), table, revision);
-            b.ownership.confirm(asked);
-            drop(b);
-            slog::info!(node.log, "owners changed"; "term" => term, "revision" => revision,
+            let mut state = node.state();
+            let moved = table.count_moved(&state.ownership.table);
+            state.apply_owner_table(now(), table, revision);
+            state.ownership.confirm(asked);
+            drop(state);
+            slog::info!(node.log, "owner table changed"; "term" => term, "revision" => revision,
                 "moved" => moved, "live" => live);
             node.orders_wake.notify_one();
         }
-        // Another VM was first; the watch brings its table.
+        // Another VM wrote first; the watch delivers its table.
         Err(PlatformError::Conflict) => {}
-        Err(e) => slog::warn!(node.log, "owners not changed"; "error" => %e),
+        Err(e) => slog::warn!(node.log, "could not write the owner table"; "error" => %e),
     }
     let gone = {
-        let b = node.state();
-        let first = b.members.live_vms(at).first() == Some(&node.settings.vm);
+        let state = node.state();
+        let first = state.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
-            true => b.members.silent_for(at, VM_EXPIRY),
+            true => state.members.silent_for(at, VM_EXPIRY),
             false => Vec::new(),
         }
     };
     for vm in gone {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
         if let Err(e) = with_timeout(follow::CALL_TIMEOUT, call).await {
-            slog::info!(node.log, "entry not removed"; "vm" => vm.as_str(), "error" => %e);
+            slog::info!(node.log, "could not remove the entry of an expired VM"; "vm" => vm.as_str(), "error" => %e);
         }
     }
 }
