--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -13,7 +13,7 @@
 use crate::pool::Span;
 use crate::serving::cluster::state::lender_seed;
 use crate::serving::decisions::quota::LendReply;
-use crate::serving::decisions::quota::LendRequest as LeaseAsk;
+use crate::serving::decisions::quota::LendRequest;
 use crate::serving::decisions::quota::Spend;
 use crate::serving::decisions::retry::RETRY_DELAY;
 use crate::serving::decisions::retry::Refusal;
@@ -79,12 +79,15 @@
         };
         count_usage(&self.organisation, outcome, self.weight);
         if !self.may_have_run.get() {
-            let mut b = self.node.state();
-            b.borrower.refund(now(), &self.organisation, self.weight);
+            let mut state = self.node.state();
+            state
+                .borrower
+                .refund(now(), &self.organisation, self.weight);
         }
     }
 }
 
+/// Counts a request's charge by its outcome.
 fn count_usage(organisation: &OrganisationName, outcome: &'static str, weight: f64) {
     let organisation = organisation.to_string();
     metrics::counter!("serve_organisation_use_total",
@@ -112,20 +115,21 @@
     };
     let over = |after: Span, source: &'static str| {
         count_usage(name, "over_limit", weight);
-        slog::info!(node.log, "organisation is over its rate limit"; "id" => &request.id, "organisation" => name.as_str(),
-            "weight" => weight, "rate" => limit.rate, "burst" => limit.burst,
+        slog::info!(node.log, "organisation is over its rate limit"; "id" => &request.id,
+            "organisation" => name.as_str(), "weight" => weight,
+            "rate" => limit.rate, "burst" => limit.burst,
             "after_ms" => after.as_millis(), "by" => source);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
     let lending = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
     for rank in LENDER_RANKS.into_iter().filter(|_| lending) {
         let spend = node.state().borrower.spend(now(), name, weight);
-        let question = match spend {
+        let lend_request = match spend {
             Spend::Spent => return Ok(Some(charge())),
             Spend::Exhausted(after) => return Err(over(after, "told")),
-            Spend::Ask(question) => question,
+            Spend::Ask(lend_request) => lend_request,
         };
-        let answer = match ask_lender(node, name, limit, rank, question).await {
+        let answer = match ask_lender(node, name, limit, rank, lend_request).await {
             LenderReply::Answer(answer) => answer,
             LenderReply::Unanswered => continue,
             LenderReply::NoLender => {
@@ -133,25 +137,28 @@
                 continue;
             }
         };
-        let mut b = node.state();
-        if b.borrower.apply_reply(now(), name, weight, answer) {
+        let mut state = node.state();
+        if state.borrower.apply_reply(now(), name, weight, answer) {
             return Ok(Some(charge()));
         }
-        drop(b);
+        drop(state);
         if let LendReply::Exhausted(after) = answer {
             return Err(over(after, "asked"));
         }
     }
     let covered = {
-        let mut b = node.state();
-        let vm_count = b.members.count();
-        b.borrower.spend_local(now(), name, limit, vm_count, weight)
+        let mut state = node.state();
+        let vm_count = state.members.count();
+        state
+            .borrower
+            .spend_local(now(), name, limit, vm_count, weight)
     };
     if covered {
         return Ok(Some(charge()));
     }
-    slog::info!(node.log, "no lender answered and the local share is used up"; "id" => &request.id, "organisation" => name.as_str(),
-        "weight" => weight, "heard_part" => node.state().members.reachable_fraction(now()));
+    slog::info!(node.log, "no lender answered and the local share is used up";
+        "id" => &request.id, "organisation" => name.as_str(), "weight" => weight,
+        "heard_part" => node.state().members.reachable_fraction(now()));
     Err(Refusal::not_run("no_lender", RETRY_DELAY))
 }
 
@@ -170,27 +177,27 @@
     name: &OrganisationName,
     limit: &RateLimit,
     rank: usize,
-    mut question: LeaseAsk,
+    mut lend_request: LendRequest,
 ) -> LenderReply {
     if !node.settings.experiment.is_enabled(Mechanism::LimitsAhead) {
-        question.ahead = 0.0;
+        lend_request.ahead = 0.0;
     }
     let address = {
-        let mut b = node.state();
-        let b = &mut *b;
-        let lenders = b.members.lenders(now(), lender_seed(name));
+        let mut state = node.state();
+        let state = &mut *state;
+        let lenders = state.members.lenders(now(), lender_seed(name));
         let Some(lender) = lenders.get(rank).or(lenders.first()).copied() else {
             return LenderReply::NoLender;
         };
         if *lender == node.settings.vm {
-            let reachable = b.members.reachable_fraction(now());
+            let reachable = state.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
-            let answer = b
+            let answer = state
                 .lender
-                .lend(now(), name, limit, reachable, first, question);
+                .lend(now(), name, limit, reachable, first, lend_request);
             return LenderReply::Answer(answer);
         }
-        b.members.address(lender)
+        state.members.address(lender)
     };
     let Some(address) = address else {
         return LenderReply::Unanswered;
@@ -201,11 +208,11 @@
         vm: node.settings.vm.to_string(),
         number: id,
         organisation: name.to_string(),
-        need: question.need,
-        ahead: question.ahead,
+        need: lend_request.need,
+        ahead: lend_request.ahead,
     };
     send_message(node, Body::LeaseAsk(ask), address).await;
-    let (outcome, asked) = match call.wait(ANSWER_TIMEOUT).await {
+    let (outcome, reply) = match call.wait(ANSWER_TIMEOUT).await {
         Some(answer) if answer.declined => ("declined", LenderReply::Unanswered),
         Some(answer) if answer.lent > 0.0 => {
             ("lent", LenderReply::Answer(LendReply::Lent(answer.lent)))
@@ -217,9 +224,10 @@
         None => ("unanswered", LenderReply::Unanswered),
     };
     metrics::counter!("serve_lease_asks_total", "outcome" => outcome).increment(1);
-    asked
+    reply
 }
 
+/// Sends a message to another VM.
 async fn send_message(node: &Node, body: Body, address: std::net::SocketAddr) {
     let datagram = wire::Datagram { body: Some(body) };
     send(node, &datagram.encode_to_vec(), address).await;
@@ -237,7 +245,7 @@
     let Some(address) = address else {
         return;
     };
-    let question = LeaseAsk {
+    let lend_request = LendRequest {
         need: ask.need.max(0.0),
         ahead: ask.ahead.max(0.0),
     };
@@ -245,7 +253,7 @@
         number: ask.number,
         ..wire::LeaseAnswer::default()
     };
-    match lend(node, &name, question) {
+    match lend(node, &name, lend_request) {
         Some(LendReply::Lent(lent)) => answer.lent = lent,
         Some(LendReply::Exhausted(after)) => answer.after_us = after.0,
         None => answer.declined = true,
@@ -255,16 +263,17 @@
 
 /// Lends a part of an organisation's limit; returns `None` if this VM is not among the
 /// organisation's lenders.
-fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<LendReply> {
-    let mut b = node.state();
-    let b = &mut *b;
+fn lend(node: &Node, name: &OrganisationName, lend_request: LendRequest) -> Option<LendReply> {
+    let mut state = node.state();
+    let state = &mut *state;
     let at = now();
-    let limit = *b.active.as_ref()?.use_limits.get(name)?;
-    let lenders = b.members.lenders(at, lender_seed(name));
+    let limit = *state.active.as_ref()?.use_limits.get(name)?;
+    let lenders = state.members.lenders(at, lender_seed(name));
     let rank = lenders.iter().position(|vm| **vm == node.settings.vm)?;
-    let reachable = b.members.reachable_fraction(at);
+    let reachable = state.members.reachable_fraction(at);
     Some(
-        b.lender
-            .lend(at, name, &limit, reachable, rank == 0, question),
+        state
+            .lender
+            .lend(at, name, &limit, reachable, rank == 0, lend_request),
     )
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -84,9 +84,9 @@
 impl Run {
     fn begin(node: &Rc<Node>, req: &BufferedRequest, replica: &ReplicaName) -> Self {
         let id = node.next_id();
-        let mut b = node.state();
-        b.begin_run(replica, req.target.as_ref(), req.cost);
-        let started_ms = b.fleet.started_ms(replica).unwrap_or_default();
+        let mut state = node.state();
+        state.begin_run(replica, req.target.as_ref(), req.cost);
+        let started_ms = state.fleet.started_ms(replica).unwrap_or_default();
         Self {
             node: node.clone(),
             replica: replica.clone(),
@@ -107,27 +107,29 @@
             let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.prefill, deadline);
             self.prefill_turn = turn.await;
         }
-        let mut b = self.node.state();
-        b.fleet.await_first_byte(now(), &self.replica, self.id);
+        let mut state = self.node.state();
+        state.fleet.await_first_byte(now(), &self.replica, self.id);
     }
 
     /// Records that data of the response arrived, which also means that the prompt was read.
     pub(in crate::serving) fn on_data(&mut self) {
         self.responded = true;
         self.prefill_turn = None;
-        let mut b = self.node.state();
-        if b.fleet.is_current(&self.instance()) {
-            b.fleet.finish_prefill(&self.replica, self.cost.prefill);
-            b.fleet.record_progress(now(), &self.replica, self.id, true);
+        let mut state = self.node.state();
+        if state.fleet.is_current(&self.instance()) {
+            state.fleet.finish_prefill(&self.replica, self.cost.prefill);
+            state
+                .fleet
+                .record_progress(now(), &self.replica, self.id, true);
         }
         self.cost.prefill = 0;
     }
 
     /// Records how the run ended in the replica's health.
     pub(in crate::serving) fn record_end(&self, end: RunOutcome) {
-        let mut b = self.node.state();
-        if b.fleet.is_current(&self.instance()) {
-            b.fleet.record_outcome(now(), &self.replica, end);
+        let mut state = self.node.state();
+        if state.fleet.is_current(&self.instance()) {
+            state.fleet.record_outcome(now(), &self.replica, end);
         }
     }
 
@@ -142,13 +144,14 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let mut b = self.node.state();
-        b.end_run(&self.instance(), self.target.as_ref(), self.cost);
+        let mut state = self.node.state();
+        state.end_run(&self.instance(), self.target.as_ref(), self.cost);
         if !self.responded {
-            b.fleet
+            state
+                .fleet
                 .record_progress(now(), &self.replica, self.id, false);
         }
-        drop(b);
+        drop(state);
         self.node.placement_wake.notify_waiters();
     }
 }
@@ -172,8 +175,11 @@
     resume_after: Option<u64>,
 ) -> Result<StartedResponse, AttemptFailure> {
     let address = {
-        let b = node.state();
-        let listing = b.fleet.listing(replica).ok_or(AttemptFailure::NotSent)?;
+        let state = node.state();
+        let listing = state
+            .fleet
+            .listing(replica)
+            .ok_or(AttemptFailure::NotSent)?;
         listing.address
     };
     let mut run = Run::begin(node, req, replica);
@@ -230,10 +236,10 @@
     let Some(key) = &req.caller.key else {
         return Ok(());
     };
-    let mut b = node.state();
-    let freshness = b.key_freshness(now());
-    let keys = b.active.as_ref().and_then(|a| a.keys.as_ref());
-    let admitted = b.key_bounds.admit(keys, false, Some(key), &freshness);
+    let mut state = node.state();
+    let freshness = state.key_freshness(now());
+    let keys = state.active.as_ref().and_then(|a| a.keys.as_ref());
+    let admitted = state.key_bounds.admit(keys, false, Some(key), &freshness);
     admitted.map(|_| ()).map_err(AttemptFailure::Denied)
 }
 
@@ -249,8 +255,8 @@
         NotRun::Full => run.record_end(RunOutcome::Full),
         NotRun::NotLoaded => {
             if let Some(target) = &req.target {
-                let mut b = node.state();
-                b.fleet.mark_missing(now(), &run.replica, target);
+                let mut state = node.state();
+                state.fleet.mark_missing(now(), &run.replica, target);
             }
         }
     }
@@ -276,9 +282,9 @@
     *request.uri_mut() = req.path.clone();
     let now = now();
     let version = {
-        let b = node.state();
+        let state = node.state();
         let target = req.target.as_ref();
-        target.and_then(|t| b.fleet.expected_version(now, replica, t))
+        target.and_then(|t| state.fleet.expected_version(now, replica, t))
     };
     let headers = request.headers_mut();
     *headers = req.headers.clone();
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -44,16 +44,16 @@
     };
     let id = node.next_id();
     let (address, ask) = {
-        let b = node.state();
+        let state = node.state();
         let at = now();
-        let owner = b.ownership.owner(replica);
-        let owner = owner.filter(|vm| **vm != node.settings.vm && b.members.is_live(at, vm));
-        let address = owner.and_then(|vm| b.members.address(vm));
+        let owner = state.ownership.owner(replica);
+        let owner = owner.filter(|vm| **vm != node.settings.vm && state.members.is_live(at, vm));
+        let address = owner.and_then(|vm| state.members.address(vm));
         let enabled = node.settings.experiment.is_enabled(Mechanism::PlaceAsks);
         let Some(address) = address.filter(|_| enabled) else {
             return Admission::Admitted;
         };
-        let assumed = b.fleet.total_load(at, replica).unwrap_or_default();
+        let assumed = state.fleet.total_load(at, replica).unwrap_or_default();
         let ask = wire::PlaceAsk {
             vm: node.settings.vm.to_string(),
             number: id,
@@ -81,12 +81,12 @@
     let Some(answer) = answer else {
         return Admission::Admitted;
     };
-    let mut b = node.state();
+    let mut state = node.state();
     if answer.lacks {
-        b.fleet.mark_missing(now(), replica, target);
+        state.fleet.mark_missing(now(), replica, target);
     }
     if let Some(load) = &answer.load {
-        load_reports::apply_total(&mut b, now(), load);
+        load_reports::apply_total(&mut state, now(), load);
     }
     match answer.granted {
         true => Admission::Admitted,
@@ -100,34 +100,36 @@
         return;
     };
     let (answer, address) = {
-        let mut b = node.state();
-        let b = &mut *b;
+        let mut state = node.state();
+        let state = &mut *state;
         let at = now();
-        let Some(address) = b.members.address(&vm) else {
+        let Some(address) = state.members.address(&vm) else {
             return;
         };
         // A former owner knows no more about the replica than the VM that asks.
-        if b.ownership.owner(&name) != Some(&node.settings.vm) {
+        if state.ownership.owner(&name) != Some(&node.settings.vm) {
             return;
         }
-        let reported = b.fleet.total_load(at, &name).unwrap_or_default();
-        let req = b.books.residency(&name);
-        let lacks = req.is_some_and(|h| !h.loaded.keys().any(|t| t.to_string() == ask.target));
+        let reported = state.fleet.total_load(at, &name).unwrap_or_default();
+        let residency = state.books.residency(&name);
+        let lacks =
+            residency.is_some_and(|r| !r.loaded.keys().any(|t| t.to_string() == ask.target));
         let cost = Load {
             requests: 1,
             tokens: ask.tokens,
             prefill: ask.unread,
         };
         let assumed_ms = ask.believed_ms as f64;
-        let total = reported.plus(b.reserved.load(at, &name));
+        let total = reported.plus(state.reserved.load(at, &name));
         let granted = !lacks
-            && b.reserved
+            && state
+                .reserved
                 .try_reserve(at, &name, reported, assumed_ms, cost);
         let answer = wire::PlaceAnswer {
             number: ask.number,
             granted,
             lacks,
-            load: load_reports::encode_load(b, &name, total),
+            load: load_reports::encode_load(state, &name, total),
         };
         (answer, address)
     };
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -141,14 +141,16 @@
     waited: Span,
 ) {
     let at = now();
-    let b = node.state();
-    let survey = b.fleet.summarize(at, &routed.service, req.target.as_ref());
+    let state = node.state();
+    let survey = state
+        .fleet
+        .summarize(at, &routed.service, req.target.as_ref());
     slog::info!(node.log, "no replica can take the request"; "id" => &req.id, "why" => reason,
         "target" => req.target.as_ref().map(ToString::to_string),
         "service" => routed.service.as_str(), "waited_ms" => waited.as_millis(),
         "replicas" => survey.listed, "live" => survey.live, "holders" => survey.holders,
         "words" => survey.fresh_reports, "requests" => survey.requests,
-        "owners_term" => b.ownership.table.term.0);
+        "owners_term" => state.ownership.table.term.0);
 }
 
 /// Chooses where a request would run now.
@@ -161,7 +163,7 @@
     at: Moment,
 ) -> Placement {
     let bytes: usize = req.body.iter().map(Bytes::len).sum();
-    let b = node.state();
+    let state = node.state();
     let want = PlacementRequest {
         service: &routed.service,
         target: req.target.as_ref(),
@@ -173,8 +175,9 @@
         avoid,
     };
     let own_vm = &node.settings.vm;
-    b.fleet
-        .place(at, &want, |name| b.can_load(at, own_vm, name))
+    state
+        .fleet
+        .place(at, &want, |name| state.can_load(at, own_vm, name))
 }
 
 /// Returns whether a replica outside `avoid` could take over a request at once.
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -32,7 +32,7 @@
 /// Requests a turn from the replica's owner and waits for it.
 ///
 /// Returns `None` if prompts need no turns at present or the replica has no live owner.
-/// After `LONGEST_WAIT` the prompt is sent without a grant.
+/// After `MAX_TURN_WAIT` the prompt is sent without a grant.
 pub(in crate::serving) async fn wait_for_turn(
     node: &Rc<Node>,
     replica: &ReplicaName,
@@ -42,10 +42,10 @@
 ) -> Option<PrefillTurn> {
     let at = now();
     let owner = {
-        let b = node.state();
+        let state = node.state();
         let enabled = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
-        let owner = b.ownership.owner(replica).cloned().filter(|_| enabled);
-        owner.filter(|vm| b.strain.is_active(at) && b.members.is_live(at, vm))?
+        let owner = state.ownership.owner(replica).cloned().filter(|_| enabled);
+        owner.filter(|vm| state.strain.is_active(at) && state.members.is_live(at, vm))?
     };
     let call = node.turn_calls.register(number);
     let turn = PrefillTurn {
@@ -68,7 +68,8 @@
     }
     let end = at.after(MAX_TURN_WAIT).min(deadline);
     if call.wait(time_until(end)).await.is_none() {
-        slog::debug!(node.log, "no prefill turn granted in time; sending the prompt"; "replica" => replica.as_str());
+        slog::debug!(node.log, "no prefill turn granted in time; sending the prompt";
+            "replica" => replica.as_str());
     }
     Some(turn)
 }
@@ -83,9 +84,9 @@
         let number = self.number;
         if owner == vm {
             let id = TurnId { vm, number };
-            let mut b = self.node.state();
-            b.turns.finish(now(), &self.replica, &id);
-            drop(b);
+            let mut state = self.node.state();
+            state.turns.finish(now(), &self.replica, &id);
+            drop(state);
             self.node.turns_wake.notify_one();
             return;
         }
@@ -101,6 +102,7 @@
     }
 }
 
+/// Sends a message to another VM, if its address is known.
 async fn send_message(node: &Node, vm: &VmName, body: Body) {
     let Some(address) = node.state().members.address(vm) else {
         return;
@@ -113,8 +115,8 @@
 pub(in crate::serving) async fn grant_turns(node: Rc<Node>) {
     loop {
         let (grants, wake) = {
-            let mut b = node.state();
-            (b.turns.take_grants(now()), b.turns.next_wake())
+            let mut state = node.state();
+            (state.turns.take_grants(now()), state.turns.next_wake())
         };
         for (_, id) in grants {
             if id.vm == node.settings.vm {
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -216,7 +216,8 @@
     /// the end of a body whose length it knows, so `next` may not see it.
     pub(in crate::serving) fn finish_buffered(&mut self) {
         if self.events.is_none() && self.finish().is_err() {
-            slog::error!(self.node.log, "response that was read ahead could not be finished"; "id" => &self.request.id);
+            slog::error!(self.node.log, "response that was read ahead could not be finished";
+                "id" => &self.request.id);
         }
     }
 
@@ -305,13 +306,14 @@
             let turns_begin = state.strain.record_stream(now(), steps, stalled);
             drop(state);
             if turns_begin {
-                slog::info!(self.node.log, "stream stalled; long prompts take turns"; "id" => &self.request.id,
-                    "pause_ms" => self.timing.longest_gap.as_millis());
+                slog::info!(self.node.log, "stream stalled; long prompts take turns";
+                    "id" => &self.request.id, "pause_ms" => self.timing.longest_gap.as_millis());
             }
         }
         if self.events.is_some() && (stalled || exceeds(self.timing.first_byte, route.objective)) {
             let replica = self.response.as_ref().map(|r| r.run.replica.as_str());
-            slog::info!(self.node.log, "stream missed its latency objective"; "id" => &self.request.id, "replica" => replica,
+            slog::info!(self.node.log, "stream missed its latency objective";
+                "id" => &self.request.id, "replica" => replica,
                 "route" => &route.name, "first_ms" => self.timing.first_byte.as_millis(),
                 "pause_ms" => self.timing.longest_gap.as_millis(),
                 "prompt" => self.request.cost.tokens);
@@ -332,8 +334,8 @@
         // A response that ended or broke off has been logged already.
         if let Some(started) = &self.response {
             let last = self.events.as_ref().and_then(|e| e.last_id);
-            slog::info!(self.node.log, "caller disconnected during the response"; "id" => &self.request.id,
-                "replica" => started.run.replica.as_str(), "last" => last,
+            slog::info!(self.node.log, "caller disconnected during the response";
+                "id" => &self.request.id, "replica" => started.run.replica.as_str(), "last" => last,
                 "route" => &self.routed.route.name, "first_ms" => self.timing.first_byte.as_millis(),
                 "held_ms" => now().since(self.timing.arrived).as_millis());
             count_outcome("caller_left");
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -1,4 +1,4 @@
-//! Executes the steps that the books decide: fetches status reports and sends orders.
+//! Executes what the adapter planner decides: fetches status reports and sends orders.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -68,8 +68,8 @@
             node.owners_wake.notify_one();
         }
         last = at;
-        for (name, token, step) in due_steps(&node, at) {
-            tokio::task::spawn_local(execute(node.clone(), name, token, step));
+        for (name, token, action) in due_actions(&node, at) {
+            tokio::task::spawn_local(execute(node.clone(), name, token, action));
         }
         let wake = node.state().books.next_wake(at);
         let wait = wake.map_or(CHECK_INTERVAL, |w| time_until(w).min(CHECK_INTERVAL));
@@ -81,8 +81,8 @@
     }
 }
 
-/// Returns the next step for each owned replica that has one.
-fn due_steps(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, ReplicaAction)> {
+/// Returns the next action for each owned replica that has one.
+fn due_actions(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, ReplicaAction)> {
     if node.phase() == Phase::Draining {
         return Vec::new();
     }
@@ -99,46 +99,46 @@
     state.books.set_report_delay(state.members.report_delay());
     let active = state.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
-    let mut steps = Vec::new();
+    let mut actions = Vec::new();
     for (name, token) in active {
-        let empty = state.books.needs_model(&name);
-        let listing = state.fleet.listing(&name).filter(|_| empty);
+        let needs_model = state.books.needs_model(&name);
+        let listing = state.fleet.listing(&name).filter(|_| needs_model);
         let model = listing.and_then(|l| state.fleet.least_replicated_model(l));
-        if let Some(step) = state
+        if let Some(action) = state
             .books
             .next_action(at, &name, &state.fleet.versions, model)
         {
-            steps.push((name, token, step));
+            actions.push((name, token, action));
         }
     }
-    steps
+    actions
 }
 
-/// Executes a step and records its outcome in the books.
-async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, step: ReplicaAction) {
-    match &step {
+/// Executes an action and records its outcome in the adapter planner.
+async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, action: ReplicaAction) {
+    match &action {
         ReplicaAction::Inspect => {
             let report = fetch_report(&node, &name).await;
             let mut state = node.state();
             state.books.finish_inspection(now(), &name, report);
         }
         _ => {
-            let end = send_order(&node, &name, token, &step).await;
+            let end = send_order(&node, &name, token, &action).await;
             let mut state = node.state();
-            let took = state.books.finish_order(now(), &name, &step, end);
+            let took = state.books.finish_order(now(), &name, &action, end);
             if matches!(end, OrderOutcome::Fenced) {
                 state.ownership.record_refusal(&name, token);
             }
             drop(state);
-            log_order(&node, &name, token, &step, end, took);
+            log_order(&node, &name, token, &action, end, took);
         }
     }
     node.beacon_wake.notify_one();
     node.orders_wake.notify_one();
     // Requests on this VM that wait for the replica see the new state at once.
     let mut state = node.state();
-    if let Some(held) = state.books.residency(&name) {
-        state.fleet.apply_residency(now(), &name, held);
+    if let Some(residency) = state.books.residency(&name) {
+        state.fleet.apply_residency(now(), &name, residency);
     }
     drop(state);
     node.placement_wake.notify_waiters();
@@ -148,11 +148,11 @@
     node: &Node,
     name: &ReplicaName,
     token: Token,
-    step: &ReplicaAction,
+    action: &ReplicaAction,
     end: OrderOutcome,
     took: Option<LoadDuration>,
 ) {
-    let (what, target, expected) = match step {
+    let (what, target, expected) = match action {
         ReplicaAction::Load {
             target, expected, ..
         } => ("load", target.to_string(), *expected),
@@ -183,7 +183,8 @@
             Some(report)
         }
         Err(e) => {
-            slog::warn!(node.log, "could not parse a replica's report"; "replica" => name.as_str(), "error" => %e);
+            slog::warn!(node.log, "could not parse a replica's report";
+                "replica" => name.as_str(), "error" => %e);
             None
         }
     }
@@ -194,9 +195,9 @@
     node: &Node,
     name: &ReplicaName,
     token: Token,
-    step: &ReplicaAction,
+    action: &ReplicaAction,
 ) -> OrderOutcome {
-    let (load, target, version, expected) = match step {
+    let (load, target, version, expected) = match action {
         ReplicaAction::Load {
             target,
             version,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -100,7 +100,8 @@
             server::listen(settings.readiness_address).map_err(at(settings.readiness_address))?;
         let socket = UdpSocket::bind(settings.peer_address).await;
         let socket = socket.map_err(at(settings.peer_address))?;
-        slog::info!(log, "started"; "zone" => settings.zone.as_str(), "callers" => %settings.caller_address,
+        slog::info!(log, "started"; "zone" => settings.zone.as_str(),
+            "callers" => %settings.caller_address,
             "version" => env!("CARGO_PKG_VERSION"));
         if settings.experiment != Experiment::default() {
             slog::warn!(log, "experiment"; "off" => ?settings.experiment.off);
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that are switched off to measure them.
+//! Switching off mechanisms for measurements.
 
 use banyangauge::pool::Span;
 use banyangauge::serving::Experiment;
@@ -7,7 +7,7 @@
 use banyangauge::serving::Mechanism;
 use rstest::rstest;
 
-/// Nothing is off unless it is named, and only that.
+/// A mechanism runs unless it is named, and naming it switches off no other.
 #[rstest]
 #[case(Mechanism::CopyWaits, "copy_waits")]
 #[case(Mechanism::SecondCopies, "second_copies")]
@@ -53,7 +53,7 @@
         min: Span::from_millis(ms),
         max: Span::from_millis(ms),
     };
-    // A store that serves one at a time: eight share its speed.
+    // The weight store serves one load at a time, so eight loads share its speed.
     pace.observe(took(2_000), 8);
     assert_eq!(pace.capacity(), capacity);
 }
--- a/lib/tests/test_serving_port.rs
+++ b/lib/tests/test_serving_port.rs
@@ -1,4 +1,4 @@
-//! Lists of the store that come in parts.
+//! Store lists that arrive in several pages.
 
 use banyangauge::serving::Item;
 use banyangauge::serving::Page;
@@ -13,8 +13,8 @@
     }
 }
 
-/// Each part of a list that may be old is as old as the VM of the store that
-/// gave it: what changed since the oldest part is still to be read.
+/// Guards against missed changes after a list with stale pages: each page is as old as the store
+/// VM that served it, so the list must carry the oldest page's revision to read changes from.
 #[rstest]
 #[case::newer_part_last(5, 9, 5)]
 #[case::older_part_last(9, 5, 5)]
--- a/lib/tests/test_serving_routes.rs
+++ b/lib/tests/test_serving_routes.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request takes.
+//! Selection of a request's route and service.
 
 use std::time::Duration;
 
