--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -97,26 +97,26 @@
         let Some(address) = address.filter(|_| allowed) else {
             return self.refuse_granted(now, ticket, Reason::Draining.as_str());
         };
-        let Some(item) = self.requests.get(ticket) else {
+        let Some(tracked) = self.requests.get(ticket) else {
             return self.refuse_granted(now, ticket, Reason::Draining.as_str());
         };
         let grant = wire::Grant {
-            request: item.request,
+            request: tracked.request,
             grant: ticket.0,
             replica: replica.to_string(),
             address: address.to_string(),
             incarnation: incarnation.0,
-            adapter: item.acquire.adapter.clone(),
-            version: item.acquire.version,
+            adapter: tracked.acquire.adapter.clone(),
+            version: tracked.acquire.version,
             token: self.token().0,
             ttl_ms: self.grant_ttl().as_millis(),
             priority,
-            team: item.acquire.team.clone(),
-            class: item.acquire.class,
-            fingerprint: item.acquire.fingerprint,
-            max_tokens: item.acquire.max_tokens,
+            team: tracked.acquire.team.clone(),
+            class: tracked.acquire.class,
+            fingerprint: tracked.acquire.fingerprint,
+            max_tokens: tracked.acquire.max_tokens,
         };
-        let Some(key) = item.claim.clone() else {
+        let Some(key) = tracked.claim.clone() else {
             return self.send_grant(now, ticket, grant);
         };
         // The claim must be durable before the entry can act on the grant.
@@ -134,7 +134,7 @@
         let session = self
             .requests
             .get(ticket)
-            .and_then(|i| self.requests.session_of(&i.entry));
+            .and_then(|r| self.requests.session_of(&r.entry));
         // A commit takes time, so the owner checks again whether it may grant.
         let replica = ReplicaName::new(&grant.replica).ok();
         let allowed = !self.deposed
--- a/lib/src/control/owner/sessions.rs
+++ b/lib/src/control/owner/sessions.rs
@@ -50,11 +50,11 @@
         let entry = format!("{}/{}", hello.entry, hello.incarnation);
         let held: BTreeSet<u64> = hello.held.iter().map(|g| g.grant).collect();
         self.outboxes.insert(session, out);
-        let opened = self.requests.open(session, &entry, &held);
-        for ticket in opened.unused {
+        let superseded = self.requests.open(session, &entry, &held);
+        for ticket in superseded.unused {
             self.end_dispatch(now, ticket, Outcome::NotRun);
         }
-        for ticket in opened.waiting {
+        for ticket in superseded.waiting {
             self.cancel_waiting(now, ticket);
         }
         for grant in hello.held.iter().take(MAX_REPORTED_GRANTS) {
@@ -79,7 +79,7 @@
             return;
         };
         match body {
-            // Ignored: a hello is only the first message of a stream.
+            // A hello has a meaning only as the first message of a stream.
             EntryBody::Hello(_) | EntryBody::Revoked(_) => {}
             EntryBody::Acquire(acquire) => self.acquire(now, session, &entry, acquire),
             EntryBody::Abandon(abandon) => {
@@ -103,7 +103,7 @@
         if grant.token > self.token().0 || !self.requests.adopt(entry, grant, expires) {
             return;
         }
-        let held = InheritedDispatch {
+        let inherited = InheritedDispatch {
             ticket: Ticket(grant.grant),
             replica,
             incarnation: Incarnation(grant.incarnation),
@@ -113,21 +113,21 @@
             max_tokens: grant.max_tokens,
             fingerprint: Fingerprint(grant.fingerprint),
         };
-        match self.replicas.contains_key(&held.replica) {
-            true => self.pool.adopt(now, held),
-            false => self.orphans.push(held),
+        match self.replicas.contains_key(&inherited.replica) {
+            true => self.pool.adopt(now, inherited),
+            false => self.orphans.push(inherited),
         }
     }
 
-    /// Passes inherited grants to the pool whose replicas the catalog lists now.
+    /// Passes orphaned grants to the pool once the catalog lists their replicas.
     pub(super) fn adopt_orphans(&mut self, now: Moment) {
-        for held in std::mem::take(&mut self.orphans) {
-            if self.requests.get(held.ticket).is_none() {
+        for orphan in std::mem::take(&mut self.orphans) {
+            if self.requests.get(orphan.ticket).is_none() {
                 continue;
             }
-            match self.replicas.contains_key(&held.replica) {
-                true => self.pool.adopt(now, held),
-                false => self.orphans.push(held),
+            match self.replicas.contains_key(&orphan.replica) {
+                true => self.pool.adopt(now, orphan),
+                false => self.orphans.push(orphan),
             }
         }
     }
@@ -202,13 +202,13 @@
 
     fn release(&mut self, now: Moment, entry: &str, release: &wire::Release) {
         let ticket = Ticket(release.grant);
-        let Some(item) = self.requests.get(ticket).filter(|i| i.entry == entry) else {
+        let Some(tracked) = self.requests.get(ticket).filter(|r| r.entry == entry) else {
             return;
         };
         let outcome = outcome_of(release.outcome);
         // Only the entry knows the key of an adopted grant.
         let reported = Some(&release.claim).filter(|c| !c.is_empty());
-        let claim = item.claim.clone();
+        let claim = tracked.claim.clone();
         let claim = claim.or_else(|| reported.map(|c| ClaimKey::new(c)));
         if let Some(key) = claim {
             self.settle_claim(now, &key, outcome, &release.claim_outcome);
@@ -245,7 +245,7 @@
             let replica = self
                 .requests
                 .get(Ticket(*number))
-                .and_then(|i| i.grant.as_ref())
+                .and_then(|r| r.grant.as_ref())
                 .and_then(|g| ReplicaName::new(&g.replica).ok());
             let Some(replica) = replica else {
                 renewed.unknown.push(*number);
@@ -266,7 +266,7 @@
     // Removes a waiting request that its entry no longer wants.
     fn cancel_waiting(&mut self, now: Moment, ticket: Ticket) {
         self.pool.abandon(now, ticket);
-        if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
+        if let Some(key) = self.requests.remove(ticket).and_then(|r| r.claim) {
             self.cancel_commit(now, ticket, &key);
             self.journal.free(now, &key);
         }
@@ -294,7 +294,7 @@
 
     /// Ends a dispatch that its entry did not release.
     pub(super) fn end_dispatch(&mut self, now: Moment, ticket: Ticket, outcome: Outcome) {
-        if let Some(key) = self.requests.remove(ticket).and_then(|i| i.claim) {
+        if let Some(key) = self.requests.remove(ticket).and_then(|r| r.claim) {
             self.settle_claim(now, &key, outcome, "");
         }
         let end = DispatchEnd {
@@ -311,19 +311,19 @@
     }
 
     /// Refuses a request and frees its key.
-    pub(super) fn refuse(&mut self, now: Moment, ticket: Ticket, reason: &str, retry: Span) {
-        let Some(item) = self.requests.remove(ticket) else {
+    pub(super) fn refuse(&mut self, now: Moment, ticket: Ticket, reason: &str, retry_after: Span) {
+        let Some(tracked) = self.requests.remove(ticket) else {
             return;
         };
-        if let Some(key) = &item.claim {
+        if let Some(key) = &tracked.claim {
             self.journal.free(now, key);
         }
         metrics::counter!("refused_total", "reason" => reason.to_owned()).increment(1);
-        if let Some(session) = self.requests.session_of(&item.entry) {
+        if let Some(session) = self.requests.session_of(&tracked.entry) {
             let refusal = wire::Refusal {
-                request: item.request,
+                request: tracked.request,
                 reason: reason.to_owned(),
-                retry_after_ms: retry.as_millis(),
+                retry_after_ms: retry_after.as_millis(),
                 claim_state: String::new(),
             };
             self.send(session, OwnerBody::Refused(refusal));
