--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -295,11 +295,12 @@
         self.pool.tick(now);
     }
 
-    // Tells every entry that this process is not the owner any more.
+    // Tells every entry that this process is not the owner any more, and stops
+    // polling replicas.
     fn redirect_entries(&mut self) {
         for (_, out) in std::mem::take(&mut self.outboxes) {
-            let answer = wire::owner_message::Body::NotOwner(wire::NotOwner::default());
-            let _ = out.try_send(Ok(message(answer)));
+            let body = wire::owner_message::Body::NotOwner(wire::NotOwner::default());
+            let _ = out.try_send(Ok(message(body)));
         }
         self.replicas.clear();
     }
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -76,8 +76,8 @@
                 evict,
             } => self.start_load(now, order, &replica, incarnation, adapter, evict),
             Command::Block { fingerprint, hold } => {
-                slog::warn!(self.shared.log, "blocked a request that crashes its upstream"; "pool" => %self.name,
-                    "fingerprint" => fingerprint.0);
+                slog::warn!(self.shared.log, "blocked a request that crashes its upstream";
+                    "pool" => %self.name, "fingerprint" => fingerprint.0);
                 self.record_event(Kind::Convicted, None, "", &fingerprint.0.to_string());
                 Peers::convict(&self.shared, &self.local, fingerprint, hold);
             }
@@ -216,7 +216,8 @@
     pub(super) fn handle_order_end(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
         self.record_event(Kind::LoadEnded, None, "", &format!("{end:?}"));
         if end == OrderEnd::Fenced {
-            slog::warn!(self.shared.log, "engine refused an order: it has seen a higher fencing token"; "pool" => %self.name);
+            slog::warn!(self.shared.log, "engine refused an order: it has seen a higher fencing token";
+                "pool" => %self.name);
             self.depose();
         }
         self.pool.order_end(now, order, end);
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -58,7 +58,8 @@
         self.local.deposed.send_modify(|d| {
             d.insert(self.name.clone(), token);
         });
-        slog::warn!(self.shared.log, "lost ownership of the pool"; "pool" => %self.name, "token" => self.token().0);
+        slog::warn!(self.shared.log, "lost ownership of the pool"; "pool" => %self.name,
+            "token" => self.token().0);
         self.pool.drain(clock::now());
     }
 
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -197,8 +197,8 @@
         }
         replica.health = health;
         self.pool.set_health(now, name, health);
-        slog::info!(self.shared.log, "replica health changed"; "pool" => %self.name, "replica" => %name,
-            "health" => ?health);
+        slog::info!(self.shared.log, "replica health changed"; "pool" => %self.name,
+            "replica" => %name, "health" => ?health);
         self.record_event(Kind::Health, None, name.as_str(), &format!("{health:?}"));
     }
 
