--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -216,7 +216,8 @@
     pub(super) fn handle_order_end(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
         self.record_event(Kind::LoadEnded, None, "", &format!("{end:?}"));
         if end == OrderEnd::Fenced {
-            slog::warn!(self.shared.log, "engine refused an order: it has seen a higher fencing token";
+            slog::warn!(self.shared.log,
+                "engine refused an order: it has seen a higher fencing token";
                 "pool" => %self.name);
             self.depose();
         }
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -89,7 +89,8 @@
     Read,
     /// Create the object, then call [`write_done`](crate::lease::Elector::write_done).
     Create(Record),
-    /// Replace the object if it has this version, then call [`write_done`](crate::lease::Elector::write_done).
+    /// Replace the object if it has this version, then call
+    /// [`write_done`](crate::lease::Elector::write_done).
     Replace(String, Record),
 }
 
