--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -11,7 +11,7 @@
 use crate::ids::Token;
 use crate::ids::VmName;
 
-/// How many removed replicas have their last owner remembered. If the entry of
+/// How many removed replicas keep their last owner in the table. If the entry of
 /// a replica comes back, or it restarts under its name, it may still get orders
 /// from that owner. No more than this many replicas leave within a lease.
 const MAX_GONE: usize = 64;
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -208,8 +208,8 @@
             let lenders = self.members.lenders(now, lender_seed(name));
             lenders.first() == Some(&own)
         };
-        let kept = active.use_limits.iter().filter(|(name, _)| first(name));
-        self.lender.renew(now, part, kept);
+        let limits = active.use_limits.iter().filter(|(name, _)| first(name));
+        self.lender.renew(now, part, limits);
     }
 
     /// Whether requests can be served.
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -336,21 +336,18 @@
 }
 
 /// Parses an instance of a replica; `None` if the name is invalid.
-pub(in crate::serving) fn parse_instance(name: &str, born: u64) -> Option<Instance> {
+pub(in crate::serving) fn parse_instance(name: &str, started_ms: u64) -> Option<Instance> {
     let name = name.parse().ok()?;
-    Some(Instance {
-        name,
-        started_ms: born,
-    })
+    Some(Instance { name, started_ms })
 }
 
-/// Returns the name of a replica unless it has restarted since `born`.
+/// Returns the name of a replica unless it has restarted since `started_ms`.
 pub(in crate::serving) fn current_replica(
     state: &NodeState,
     name: &str,
-    born: u64,
+    started_ms: u64,
 ) -> Option<ReplicaName> {
-    let replica = parse_instance(name, born)?;
+    let replica = parse_instance(name, started_ms)?;
     state.fleet.is_current(&replica).then_some(replica.name)
 }
 
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -116,11 +116,11 @@
     if node.settings.fencing {
         return None;
     }
-    let (incarnation, sent, heard) = state.members.last_beacon(vm)?;
+    let (incarnation, sent, received_at) = state.members.last_beacon(vm)?;
     Some(wire::Echo {
         incarnation: incarnation.0,
         sent_us: sent.0,
-        confirmed_us: state.ownership.confirmation_offset(heard),
+        confirmed_us: state.ownership.confirmation_offset(received_at),
     })
 }
 
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -119,12 +119,12 @@
 
 fn apply_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
-    let born = listing.started_ms;
+    let started_ms = listing.started_ms;
     let significant = node.state().fleet.is_update(&listing);
     let changed = node.state().apply_listing(listing);
     if changed {
         slog::info!(node.log, "replica changed"; "replica" => name.as_str(),
-                        "draining" => draining, "born" => born, "revision" => item.revision);
+                        "draining" => draining, "born" => started_ms, "revision" => item.revision);
     }
     significant
 }
@@ -148,13 +148,10 @@
     let mut state = node.state();
     let draining = state.fleet.listing(&name).is_some_and(|l| l.draining);
     let leaving = change.removed || draining;
-    let Some(born) = state.fleet.started_ms(&name).filter(|_| leaving) else {
+    let Some(started_ms) = state.fleet.started_ms(&name).filter(|_| leaving) else {
         return;
     };
-    state.leaving.insert(Instance {
-        name,
-        started_ms: born,
-    });
+    state.leaving.insert(Instance { name, started_ms });
     drop(state);
     node.beacon_wake.notify_one();
 }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -391,10 +391,10 @@
 
 /// Returns the witnesses to send to other VMs.
 fn witnesses(state: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
-    let heard = state.members.recent_beacons(at, WITNESS_WINDOW);
+    let beacons = state.members.recent_beacons(at, WITNESS_WINDOW);
     let chosen = state
         .witnesses
-        .next_batch(&state.recency, heard)
+        .next_batch(&state.recency, beacons)
         .into_iter();
     chosen
         .map(|w| wire::Witness {
@@ -475,11 +475,13 @@
 
 /// Limits the duration of a call. After a timeout its effect is unknown.
 pub(in crate::serving) async fn with_timeout<T>(
-    time: Duration,
+    timeout: Duration,
     call: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
-    let lost = || PlatformError::Lost(format!("no answer within {} ms", time.as_millis()));
-    tokio::time::timeout(time, call).await.map_err(|_| lost())?
+    let timed_out = || PlatformError::Lost(format!("no answer within {} ms", timeout.as_millis()));
+    tokio::time::timeout(timeout, call)
+        .await
+        .map_err(|_| timed_out())?
 }
 
 /// The timeout of a call that does not wait for changes.
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -98,14 +98,14 @@
     /// VMs share updates.
     fn run(&mut self, from: u64, to: u64, shared: bool) {
         for ms in (from..to).step_by(10) {
-            self.ask(ms, shared);
+            self.poll(ms, shared);
             if shared && ms % BEACON_INTERVAL_MS == 0 {
-                self.tell(ms);
+                self.send_updates(ms);
             }
         }
     }
 
-    fn ask(&mut self, ms: u64, shared: bool) {
+    fn poll(&mut self, ms: u64, shared: bool) {
         let live: Vec<_> = (0..self.vms.len())
             .filter(|n| !self.vms[*n].frozen)
             .collect();
@@ -150,7 +150,7 @@
         }
     }
 
-    fn tell(&mut self, ms: u64) {
+    fn send_updates(&mut self, ms: u64) {
         let update: Vec<TopicUpdate> = self
             .vms
             .iter_mut()
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -193,7 +193,7 @@
         }
     }
 
-    fn hear(&mut self, now: Moment, update: TopicUpdate, skipped: Option<SkippedRange>) {
+    fn receive(&mut self, now: Moment, update: TopicUpdate, skipped: Option<SkippedRange>) {
         let changes = match skipped {
             None => self.feed.apply_update(now, update),
             Some(skipped) => self.feed.apply_update_over(now, update, skipped),
@@ -236,17 +236,17 @@
         let n = self.rng.next(VMS as u64) as usize;
         match self.rng.next(10) {
             0 | 1 => self.store.change(&mut self.rng),
-            2 | 3 => self.ask(n),
+            2 | 3 => self.poll(n),
             4 => self.compute_answer(n),
             5 | 6 => self.deliver(n),
-            7 => self.tell(n),
+            7 => self.send_update(n),
             8 => self.deliver_update(),
             _ if self.rng.chance(5) => self.store.history_start = self.store.revision,
             _ => {}
         }
     }
 
-    fn ask(&mut self, n: usize) {
+    fn poll(&mut self, n: usize) {
         let vm = &mut self.vms[n];
         if vm.request.is_some() {
             return;
@@ -295,7 +295,7 @@
         }
     }
 
-    fn tell(&mut self, n: usize) {
+    fn send_update(&mut self, n: usize) {
         if let Some(update) = self.vms[n].feed.outgoing_update(self.now, Some(0)) {
             let skipped = self.vms[n].feed.skipped();
             let others = (0..VMS).filter(|other| *other != n);
@@ -312,7 +312,7 @@
         let index = self.rng.next(self.update.len() as u64) as usize;
         let (n, update, skipped) = self.update.swap_remove(index);
         if !self.rng.chance(20) {
-            self.vms[n].hear(self.now, update, skipped);
+            self.vms[n].receive(self.now, update, skipped);
         }
     }
 
@@ -336,7 +336,7 @@
         self.update.clear();
         for n in 0..VMS {
             for _ in 0..4 {
-                self.ask(n);
+                self.poll(n);
                 self.compute_answer(n);
                 self.deliver(n);
             }
--- a/lib/tests/test_serving_ownership.rs
+++ b/lib/tests/test_serving_ownership.rs
@@ -140,7 +140,7 @@
             if ms.is_multiple_of(400) {
                 self.beacon(i, ms);
             }
-            self.ask(i, ms);
+            self.poll(i, ms);
             if ms.is_multiple_of(300) && ms >= 2_000 {
                 self.repair(i, ms);
             }
@@ -181,8 +181,8 @@
             if !self.reaches(i, j) {
                 continue;
             }
-            let heard = self.vms[i].members.last_beacon(&self.vms[j].name);
-            let after = heard.and_then(|(_, _, h)| self.vms[i].own.confirmation_offset(h));
+            let beacon = self.vms[i].members.last_beacon(&self.vms[j].name);
+            let after = beacon.and_then(|(_, _, h)| self.vms[i].own.confirmation_offset(h));
             let to = &mut self.vms[j];
             let stamp = BeaconStamp {
                 incarnation: Incarnation(1),
@@ -191,7 +191,7 @@
             };
             to.members.record_beacon(at(ms), &name, stamp, false);
             to.own.record_peer_revision(at(ms), &name, revision);
-            if let Some((_, sent, _)) = heard {
+            if let Some((_, sent, _)) = beacon {
                 to.members.record_echo(&name, sent);
                 if let Some(after) = after {
                     to.own.confirm_from_peer(revision, sent, after);
@@ -201,17 +201,17 @@
     }
 
     /// Polls for changes and confirmations of the table.
-    fn ask(&mut self, i: usize, ms: u64) {
+    fn poll(&mut self, i: usize, ms: u64) {
         let rank = {
             let vm = &self.vms[i];
             let live = vm.members.live_vms(at(ms));
             live.iter().position(|n| *n == vm.name).unwrap()
         };
         let first = ms == 0;
-        let asks = self.vms[i].own.should_confirm(at(ms), rank);
-        let news = ms.is_multiple_of(500) && self.vms[i].own.revision < self.revision;
+        let due = self.vms[i].own.should_confirm(at(ms), rank);
+        let outdated = ms.is_multiple_of(500) && self.vms[i].own.revision < self.revision;
         let waits = !self.vms[i].answers.is_empty();
-        if !(first || asks || news) || waits || !self.reaches_store(i) {
+        if !(first || due || outdated) || waits || !self.reaches_store(i) {
             return;
         }
         let late = if self.vms[i].fault == Fault::LateStore {
--- a/lib/tests/test_serving_recency.rs
+++ b/lib/tests/test_serving_recency.rs
@@ -94,7 +94,7 @@
     revision: u64,
     recency: Recency,
     witnesses: WitnessQueue,
-    heard: BTreeMap<usize, (Incarnation, Moment, Moment)>,
+    beacons: BTreeMap<usize, (Incarnation, Moment, Moment)>,
 }
 
 struct Search {
@@ -121,7 +121,7 @@
             revision: 0,
             recency: Recency::default(),
             witnesses: WitnessQueue::default(),
-            heard: BTreeMap::new(),
+            beacons: BTreeMap::new(),
         };
         let vms = (0..VMS).map(vm).collect();
         let lag_from = rng.random_range(0..DURATION);
@@ -220,7 +220,7 @@
                     vm.uncounted = 0;
                     vm.revision = 0;
                     vm.recency = Recency::default();
-                    vm.heard.clear();
+                    vm.beacons.clear();
                 }
                 _ => {}
             }
@@ -245,14 +245,14 @@
         if self.rng.random_range(0..400) == 0 {
             let now = self.clock(vm, at);
             let me = &mut self.vms[vm];
-            let heard: Vec<_> = me.heard.clone().into_iter().collect();
+            let beacons: Vec<_> = me.beacons.clone().into_iter().collect();
             let names: Vec<VmName> = (0..VMS)
                 .map(|i| format!("vm-{i}").parse().unwrap())
                 .collect();
-            let heard = heard
+            let beacons = beacons
                 .iter()
                 .map(|(i, (incarnation, sent, at))| (&names[*i], *incarnation, *sent, *at));
-            let witnesses = me.witnesses.next_batch(&me.recency, heard);
+            let witnesses = me.witnesses.next_batch(&me.recency, beacons);
             let beacon = Message::Beacon {
                 from: vm,
                 incarnation: me.incarnation,
@@ -303,10 +303,10 @@
                 let now = self.clock(to, at);
                 let guard = self.guard;
                 let me = &mut self.vms[to];
-                let old = me.heard.get(&from);
+                let old = me.beacons.get(&from);
                 if old.is_none_or(|(i, s, _)| (i.0, s.0) < (incarnation, sent.0)) {
-                    let heard = (Incarnation(incarnation), sent, now);
-                    me.heard.insert(from, heard);
+                    let beacon = (Incarnation(incarnation), sent, now);
+                    me.beacons.insert(from, beacon);
                 }
                 if me.revision == 0 {
                     return;
@@ -345,10 +345,10 @@
         }
         // Missed changes are reported after the end of this time by the answer
         // that the history has expired, which a list follows.
-        let hears =
+        let is_visible =
             |(i, c): (usize, &u64)| i as u64 + 1 >= known && (!self.is_lagging(*c) || at > dropped);
-        let heard = self.changes.iter().enumerate().any(hears);
-        let (waited, revision) = match heard {
+        let has_new = self.changes.iter().enumerate().any(is_visible);
+        let (waited, revision) = match has_new {
             true => (0, newest),
             false if at >= until => (wait, known),
             false => {
