--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -131,7 +131,7 @@
     /// Encodes an order as a request to its replica.
     pub encode_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
     /// Maps the status of the response to an order to its outcome.
-    pub parse_order_end: fn(StatusCode) -> OrderOutcome,
+    pub parse_order_outcome: fn(StatusCode) -> OrderOutcome,
     /// Encodes a request for a replica's status report.
     pub encode_report_request: fn() -> Result<Request<Parts>, BadRecord>,
     /// Parses a replica's status report.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -228,7 +228,7 @@
         false => MAX_ANSWER_TIMEOUT,
     };
     match call(node, name, request, timeout).await {
-        Some((status, _)) => (node.codec.parse_order_end)(status),
+        Some((status, _)) => (node.codec.parse_order_outcome)(status),
         None => OrderOutcome::Unknown,
     }
 }
