--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -50,7 +50,7 @@
     pub(in crate::serving) target: Option<Target>,
     /// The load that it is expected to cause on a replica.
     pub(in crate::serving) cost: Load,
-    pub(in crate::serving) shared: Option<SharedPrefix>,
+    pub(in crate::serving) shared_prefix: Option<SharedPrefix>,
     pub(in crate::serving) fingerprint: Fingerprint,
     /// The organisation and API key that it is admitted under.
     pub(in crate::serving) caller: Caller,
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -168,7 +168,7 @@
         service: &routed.service,
         target: req.target.as_ref(),
         cost: req.cost,
-        shared_prefix: req.shared,
+        shared_prefix: req.shared_prefix,
         body_kb: bytes as f64 / 1024.0,
         objective_ms: routed.route.objective.as_secs_f64() * 1e3,
         waited,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -185,7 +185,7 @@
         path: origin_form(&head.uri),
         headers,
         cost: estimate_load(&active, &routed.service, &info),
-        shared: info.shared,
+        shared_prefix: info.shared_prefix,
         caller: Caller {
             key: info
                 .key
--- a/lib/src/serving/path/types.rs
+++ b/lib/src/serving/path/types.rs
@@ -84,7 +84,7 @@
     /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// The prompt prefix that it has in common with other requests.
-    pub shared: Option<SharedPrefix>,
+    pub shared_prefix: Option<SharedPrefix>,
     /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
     /// ID of the last event that the caller has received, when it resumes a stream.
