--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -26,7 +26,7 @@
 
 /// Interval at which a request to load an adapter is repeated, because datagrams can be
 /// lost.
-const WISH_INTERVAL: Duration = Duration::from_millis(150);
+const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Divisor of the time until the deadline that gives the maximum wait for a load. A
 /// request refused after that leaves its caller time to try elsewhere.
@@ -97,7 +97,8 @@
                 return Ok(at);
             }
             Placement::Load { at: replica } | Placement::Loading { at: replica } => {
-                let is_due = requested_at.is_none_or(|w| at.since(w) >= to_span(WISH_INTERVAL));
+                let is_due =
+                    requested_at.is_none_or(|w| at.since(w) >= to_span(LOAD_REQUEST_INTERVAL));
                 if let (true, Some(target)) = (is_due, &req.target) {
                     requested_at = Some(at);
                     beacons::request_load(node, &replica, target).await;
@@ -126,7 +127,7 @@
             return Err(refusal);
         }
         reason = refusal.reason;
-        let wait = Duration::from_micros(deadline.since(at).0).min(WISH_INTERVAL);
+        let wait = Duration::from_micros(deadline.since(at).0).min(LOAD_REQUEST_INTERVAL);
         // A wake-up and a time-out both lead to another attempt.
         tokio::time::timeout(wait, wake).await.ok();
         tokio::time::sleep_until(to_instant(at.after(MIN_RECHECK))).await;
