--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -76,8 +76,8 @@
         let at = now();
         let wake = node.placement_wake.notified();
         let waited = (at < load_deadline).then(|| at.since(start));
-        let place = choose_replica(node, routed, req, avoid, waited, at);
-        let (deadline, refusal) = match place {
+        let placement = choose_replica(node, routed, req, avoid, waited, at);
+        let (deadline, refusal) = match placement {
             Placement::Send { at, copy } => {
                 if let (Some(copy), Some(target)) = (copy, &req.target) {
                     beacons::request_load(node, &copy, target).await;
@@ -134,6 +134,7 @@
     }
 }
 
+/// Logs a request that found no replica, with the state of the replicas that could run it.
 fn log_no_replica(
     node: &Node,
     routed: &RoutedRequest,
@@ -143,14 +144,14 @@
 ) {
     let at = now();
     let state = node.state();
-    let survey = state
+    let summary = state
         .fleet
         .summarize(at, &routed.service, req.target.as_ref());
     slog::info!(node.log, "no replica can take the request"; "id" => &req.id, "why" => reason,
         "target" => req.target.as_ref().map(ToString::to_string),
         "service" => routed.service.as_str(), "waited_ms" => waited.as_millis(),
-        "replicas" => survey.listed, "live" => survey.live, "holders" => survey.holders,
-        "words" => survey.fresh_reports, "requests" => survey.requests,
+        "replicas" => summary.listed, "live" => summary.live, "holders" => summary.holders,
+        "words" => summary.fresh_reports, "requests" => summary.requests,
         "owners_term" => state.ownership.table.term.0);
 }
 
@@ -165,7 +166,7 @@
 ) -> Placement {
     let bytes: usize = req.body.iter().map(Bytes::len).sum();
     let state = node.state();
-    let want = PlacementRequest {
+    let request = PlacementRequest {
         service: &routed.service,
         target: req.target.as_ref(),
         cost: req.cost,
@@ -178,7 +179,7 @@
     let own_vm = &node.settings.vm;
     state
         .fleet
-        .place(at, &want, |name| state.can_load(at, own_vm, name))
+        .place(at, &request, |name| state.can_load(at, own_vm, name))
 }
 
 /// Returns whether a replica outside `avoid` could take over a request at once.
@@ -188,6 +189,6 @@
     req: &BufferedRequest,
     avoid: &BTreeSet<ReplicaName>,
 ) -> bool {
-    let place = choose_replica(node, routed, req, avoid, None, now());
-    matches!(place, Placement::Send { .. })
+    let placement = choose_replica(node, routed, req, avoid, None, now());
+    matches!(placement, Placement::Send { .. })
 }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -336,7 +336,8 @@
             let last = self.events.as_ref().and_then(|e| e.last_id);
             slog::info!(self.node.log, "caller disconnected during the response";
                 "id" => &self.request.id, "replica" => started.run.replica.as_str(), "last" => last,
-                "route" => &self.routed.route.name, "first_ms" => self.timing.first_byte.as_millis(),
+                "route" => &self.routed.route.name,
+                "first_ms" => self.timing.first_byte.as_millis(),
                 "held_ms" => now().since(self.timing.arrived).as_millis());
             count_outcome("caller_left");
         }
--- a/lib/src/serving/path/server.rs
+++ b/lib/src/serving/path/server.rs
@@ -71,7 +71,7 @@
 /// Serves one caller's connection, and shuts it down gracefully when the process drains.
 async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
-        slog::debug!(node.log, "could not disable Nagle's algorithm for a connection"; "error" => %e);
+        slog::debug!(node.log, "could not set TCP_NODELAY on a connection"; "error" => %e);
     }
     let limits = node.state().active.as_ref().map(|a| a.config.limits);
     // hyper has one timer for the idle time and the headers that follow it.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -144,6 +144,7 @@
     node.placement_wake.notify_waiters();
 }
 
+/// Logs and counts an order with its outcome.
 fn log_order(
     node: &Node,
     name: &ReplicaName,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -127,8 +127,8 @@
     pub async fn stop(&self) {
         let node = &self.node;
         slog::info!(node.log, "stopping"; "open" => node.in_flight());
-        let began = tokio::time::Instant::now();
-        let end = began + node.settings.grace.saturating_sub(EXIT_RESERVE);
+        let start = tokio::time::Instant::now();
+        let end = start + node.settings.grace.saturating_sub(EXIT_RESERVE);
         node.phase.send_replace(Phase::Unready);
         node.beacon_wake.notify_one();
         tokio::time::sleep(UNREADY_PERIOD).await;
@@ -196,12 +196,14 @@
     }
 }
 
+/// Spawns a task for each topic that follows the store.
 fn spawn_followers(node: &Rc<Node>) {
     for topic in Topic::ALL {
         tokio::task::spawn_local(follow(node.clone(), topic));
     }
 }
 
+/// Returns the name of this VM's entry in the store.
 fn vm_entry_name(node: &Node) -> String {
     format!("{VM_PREFIX}{}", node.settings.vm)
 }
@@ -249,12 +251,12 @@
 
 /// Maintains the owner table and drops what has expired, until the process ends.
 async fn maintain(node: Rc<Node>) {
-    let began = now();
+    let start = now();
     loop {
         tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         follow::drop_lapsed(&node);
         node.state().update_lender(now());
-        if now().since(began) >= PROPOSE_DELAY && node.phase() == Phase::Serving {
+        if now().since(start) >= PROPOSE_DELAY && node.phase() == Phase::Serving {
             repair_owners(&node).await;
         }
     }
@@ -318,7 +320,8 @@
     for vm in gone {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
         if let Err(e) = with_timeout(follow::CALL_TIMEOUT, call).await {
-            slog::info!(node.log, "could not remove the entry of an expired VM"; "vm" => vm.as_str(), "error" => %e);
+            slog::info!(node.log, "could not remove the entry of an expired VM";
+                "vm" => vm.as_str(), "error" => %e);
         }
     }
 }
