--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -7,7 +7,7 @@
 mod dispatch;
 mod journal;
 mod maintenance;
-mod probes;
+mod polling;
 mod replicas;
 mod requests;
 mod safety;
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -10,7 +10,7 @@
 use crate::control::owner::OwnerActor;
 use crate::control::owner::actor::ReplicaMonitor;
 use crate::control::owner::actor::shares;
-use crate::control::owner::probes;
+use crate::control::owner::polling;
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
 use crate::pool::Health;
@@ -75,7 +75,7 @@
                     leaving: false,
                     fence_pending: false,
                     health: Health::Suspect,
-                    poll_task: tokio::spawn(probes::poll(owner, client, name, address, interval)),
+                    poll_task: tokio::spawn(polling::poll(owner, client, name, address, interval)),
                 });
         }
     }
@@ -107,7 +107,7 @@
             return;
         };
         let (client, token) = (self.report_client.clone(), self.token());
-        tokio::spawn(probes::fence(
+        tokio::spawn(polling::fence(
             owner,
             client,
             name.clone(),
