--- a/cli/src/bin/banyan-serve.rs
+++ b/cli/src/bin/banyan-serve.rs
@@ -56,7 +56,7 @@
     }
     let log = stdout_logger("banyan-serve");
     let store = banyangauge_platform::store(settings.store_address);
-    let border = banyangauge_platform::border();
+    let codec = banyangauge_platform::border();
     let reload = || load_settings(&path).map_err(|e| e.to_string());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -66,7 +66,7 @@
         if let Some(address) = options.metrics {
             start_metrics(address, &log)?;
         }
-        let served = serving::run(settings, border, store, log.clone(), reload);
+        let served = serving::run(settings, codec, store, log.clone(), reload);
         served.await.map_err(|e| e.to_string())
     };
     tasks.block_on(&runtime, served)?;
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Waits for a long prompt's turn, then expects the first byte: the caller sends the
-    /// request next.
+    /// Waits for the turn of a long prompt, and starts to expect the first byte of the response.
+    /// The request must be sent right after it.
     async fn wait_for_turn(&mut self, deadline: Moment) {
         if self.cost.prefill >= LONG_PROMPT_TOKENS {
             let node = self.node.clone();
@@ -125,7 +125,7 @@
         self.cost.prefill = 0;
     }
 
-    /// Records how the run ended in the replica's health.
+    /// Records how the run ended, which counts towards the replica's health.
     pub(in crate::serving) fn record_end(&self, end: RunOutcome) {
         let mut state = self.node.state();
         if state.fleet.is_current(&self.instance()) {
@@ -243,6 +243,7 @@
     admitted.map(|_| ()).map_err(AttemptFailure::Denied)
 }
 
+/// Records that a replica did not run the request, and why.
 fn record_refusal(
     node: &Node,
     req: &BufferedRequest,
@@ -262,8 +263,8 @@
     }
 }
 
-/// Records that an upstream failed while it ran this request, and lets the next beacon go
-/// out at once if that is news for the other VMs.
+/// Records that an upstream failed while it ran this request. If the other VMs do not know
+/// that yet, the next beacon is sent at once.
 pub(in crate::serving) fn record_strike(node: &Node, req: &BufferedRequest, replica: &Instance) {
     let is_new = node.state().strikes.record(now(), req.fingerprint, replica);
     if is_new {
@@ -271,6 +272,7 @@
     }
 }
 
+/// Builds the request to a replica from the caller's request.
 fn build_request(
     node: &Node,
     req: &BufferedRequest,
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -126,7 +126,7 @@
 impl Node {
     pub(in crate::serving) fn new(
         settings: ServeSettings,
-        border: Codec,
+        codec: Codec,
         store: Store,
         log: slog::Logger,
         socket: UdpSocket,
@@ -139,7 +139,7 @@
         let reader = reader_id(&settings.vm, incarnation);
         Self {
             settings,
-            codec: border,
+            codec,
             store,
             upstreams: Upstreams::with(CONNECT_TIMEOUT, IDLE_TIMEOUT),
             log,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -89,7 +89,7 @@
     /// If an address cannot be bound.
     pub async fn start(
         settings: ServeSettings,
-        border: Codec,
+        codec: Codec,
         store: Store,
         log: slog::Logger,
     ) -> Result<Self, ServeError> {
@@ -106,7 +106,7 @@
         if settings.experiment != Experiment::default() {
             slog::warn!(log, "experiment"; "off" => ?settings.experiment.off);
         }
-        let node = Rc::new(Node::new(settings, border, store, log, socket));
+        let node = Rc::new(Node::new(settings, codec, store, log, socket));
         spawn_followers(&node);
         tokio::task::spawn_local(server::serve_callers(node.clone(), callers));
         tokio::task::spawn_local(server::serve_readiness(node.clone(), readiness));
@@ -158,7 +158,7 @@
 /// If an address cannot be bound or a signal handler cannot be installed.
 pub async fn run(
     settings: ServeSettings,
-    border: Codec,
+    codec: Codec,
     store: Store,
     log: slog::Logger,
     reload: impl Fn() -> Result<ServeSettings, String>,
@@ -169,7 +169,7 @@
     let mut hangup = install(SignalKind::hangup())?;
     let old = settings.clone();
     let log = log.new(slog::o!("vm" => settings.vm.to_string()));
-    let program = Server::start(settings, border, store, log.clone()).await?;
+    let program = Server::start(settings, codec, store, log.clone()).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
