--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -101,7 +101,8 @@
         if std::mem::replace(&mut self.0, valid) != valid {
             let age = state.ownership.confirmed().map(|c| at.since(c).as_millis());
             let acknowledged = acknowledged.map(|until| until.since(at).as_millis());
-            slog::info!(node.log, "ownership validity changed"; "holds" => valid, "confirmed_ms" => age,
+            slog::info!(node.log, "ownership validity changed";
+                "holds" => valid, "confirmed_ms" => age,
                 "vouched_ms" => acknowledged, "revision" => state.ownership.revision);
         }
     }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -82,7 +82,8 @@
     let parse = |item: &Item| {
         let listing = (node.codec.parse_replica)(item);
         listing.map_err(|e| {
-            slog::error!(node.log, "replica entry not decoded"; "name" => &item.name, "error" => %e);
+            slog::error!(node.log, "replica entry not decoded";
+                "name" => &item.name, "error" => %e);
         })
     };
     match update {
@@ -97,7 +98,8 @@
         StoreUpdate::Change(change) if change.lapsed => {
             if let Ok(name) = change.item.name.parse::<ReplicaName>() {
                 node.state().fleet.mark_expired(at, &name);
-                slog::info!(node.log, "replica entry missing after a store outage"; "replica" => name.as_str(),
+                slog::info!(node.log, "replica entry missing after a store outage";
+                    "replica" => name.as_str(),
                     "revision" => change.item.revision);
             }
             true
@@ -167,7 +169,8 @@
                 }
             }
             Err(e) => {
-                slog::error!(node.log, "announced version not decoded"; "name" => &item.name, "error" => %e)
+                slog::error!(node.log, "announced version not decoded";
+                    "name" => &item.name, "error" => %e)
             }
         }
     }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -151,7 +151,8 @@
     let feed = state.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
         feed.mark_expired();
-        slog::info!(node.log, "store history expired, listing again"; "kind" => store_kind(node, topic),
+        slog::info!(node.log, "store history expired, listing again";
+            "kind" => store_kind(node, topic),
             "revision" => feed.revision());
         return;
     }
@@ -196,7 +197,8 @@
         (was_failing, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
-    slog::info!(node.log, "store objects listed"; "kind" => store_kind(node, topic), "count" => items.len(),
+    slog::info!(node.log, "store objects listed";
+        "kind" => store_kind(node, topic), "count" => items.len(),
         "revision" => revision, "newest" => newest, "first" => first);
     log_recovery(node, topic, was_failing, revision);
     if first {
@@ -226,7 +228,8 @@
         let mut state = node.state();
         let feed = state.feeds.get(topic);
         if rank.is_some_and(|rank| rank > 0) {
-            slog::info!(node.log, "store updates overdue, polling the store"; "kind" => kind, "revision" => feed.revision(),
+            slog::info!(node.log, "store updates overdue, polling the store";
+                "kind" => kind, "revision" => feed.revision(),
                 "age_ms" => feed.age(asked).map(Span::as_millis), "missed" => feed.has_gap(),
                 "rank" => rank);
         }
@@ -318,7 +321,8 @@
             };
             if feed.has_gap() && !before {
                 slog::info!(node.log, "store updates missed"; "kind" => store_kind(node, topic),
-                    "revision" => feed.revision(), "since" => message.since, "told_by" => vm.as_str());
+                    "revision" => feed.revision(), "since" => message.since,
+                    "told_by" => vm.as_str());
                 node.catch_up_wake.notify_waiters();
             }
             changes
