--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -1,9 +1,9 @@
-//! Whose request it is, and whether it may run.
+//! Authentication of callers by API key, and the maximum age of the key list.
 //!
-//! Load: keys that are taken away while some VMs are cut off from the store,
-//! and floods of keys that nobody holds. Harm prevented: a request that runs on
-//! a key which its holder has given up. Nothing is kept of a key that is not
-//! known, and no call is made for it.
+//! Keys may be revoked while some VMs are partitioned from the store, and
+//! unknown keys may arrive in floods. A request must not run on a key that was
+//! revoked longer ago than the configured bound. An unknown key allocates no
+//! state and causes no remote call.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use crate::serving::path::types::KeyDigest;
 use crate::serving::path::types::Organisation;
 
-/// The part of the time that a revoked key may still be used in which a VM goes
-/// by what it knows; the rest is for clocks that do not run alike.
-const HELD_PART: f64 = 0.96;
+/// Fraction of the revocation bound during which a VM trusts its key list; the
+/// rest allows for clock drift between VMs.
+const TRUSTED_FRACTION: f64 = 0.96;
 
-/// The organisations of a configuration, by their keys.
+/// Maps API keys to the organisations of a configuration.
 #[derive(Debug)]
 pub struct ApiKeys {
     by_key: BTreeMap<KeyDigest, Rc<Organisation>>,
@@ -35,42 +35,42 @@
         Self { by_key }
     }
 
-    /// Who holds a key.
+    /// Returns the organisation that holds a key.
     pub fn holder(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
         self.by_key.get(key)
     }
 }
 
-/// How old what a VM knows of the keys is.
+/// Age of the configuration from which a VM knows the keys.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigAge {
-    /// Since the configuration was surely the newest.
+    /// Time since the configuration was confirmed to be the newest.
     pub confirmed: Option<Span>,
-    /// Since it was the newest as far as is known.
+    /// Time since it was the newest as far as this VM can tell.
     pub estimated: Option<Span>,
 }
 
-/// Within how long changes of the keys must be heeded.
+/// Time limits within which key changes must take effect.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyBounds {
-    /// For a key that was taken away, by every VM; `None` where only those that
-    /// reach the store must heed it.
+    /// For a revoked key, on every VM; `None` if only VMs that can reach the
+    /// store have to enforce it.
     pub revoke: Option<Span>,
-    /// For a new key.
+    /// For a new key to be accepted.
     pub apply: Span,
 }
 
-/// Why a request may not run.
+/// Reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// Nobody holds its key.
+    /// No organisation holds its key.
     UnknownKey,
-    /// The configuration may be too old to tell.
+    /// The configuration may be too old to decide.
     StaleConfig,
 }
 
 impl Denial {
-    /// A word for logs and metrics.
+    /// Name used in logs, metrics and error replies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownKey => "unknown_key",
@@ -80,7 +80,7 @@
 }
 
 impl KeyBounds {
-    /// Whether this VM may still go by the keys that it knows.
+    /// Returns whether this VM may still rely on its key list.
     ///
     /// ```
     /// use banyangauge::pool::Span;
@@ -93,16 +93,17 @@
     /// assert!(!bounds.may_use_keys(&ConfigAge::default()));
     /// ```
     pub fn may_use_keys(&self, freshness: &ConfigAge) -> bool {
-        let held = |revoke: Span| Span((revoke.0 as f64 * HELD_PART) as u64);
+        let trusted = |revoke: Span| Span((revoke.0 as f64 * TRUSTED_FRACTION) as u64);
         self.revoke
-            .is_none_or(|revoke| freshness.confirmed.is_some_and(|age| age < held(revoke)))
+            .is_none_or(|revoke| freshness.confirmed.is_some_and(|age| age < trusted(revoke)))
     }
 
-    /// Whose request this is; `Ok(None)` where nobody's name goes with it.
+    /// Returns the organisation that a request belongs to, or `Ok(None)` if it
+    /// runs without one: keys are not in use, or the route is public.
     ///
     /// # Errors
     ///
-    /// When it may not run.
+    /// Returns a [`Denial`] if the request may not run.
     pub fn admit(
         &self,
         keys: Option<&ApiKeys>,
@@ -124,7 +125,7 @@
         let recent = freshness.estimated.is_some_and(|age| age <= self.apply);
         match holder {
             Some(holder) => Ok(Some(holder)),
-            // It may be a new one that this VM has not heard of.
+            // It may be a new key that has not reached this VM yet.
             None if !recent => Err(Denial::StaleConfig),
             None => Err(Denial::UnknownKey),
         }
--- a/lib/src/serving/decisions/adapter_planner/mod.rs
+++ b/lib/src/serving/decisions/adapter_planner/mod.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of its replicas' adapters, and the next order to each.
+//! Plans which adapters the replicas owned by this VM load and unload.
 
 mod order;
 mod replica_plan;
@@ -23,77 +23,81 @@
 pub use order::ReplicaAction;
 pub use order::ReplicaReport;
 
-use self::replica_plan::Book;
+use self::replica_plan::ReplicaPlan;
 
-/// The books of the replicas that this VM owns.
+/// Plans the orders to the replicas that this VM owns.
 #[derive(Debug, Default)]
 pub struct AdapterPlanner {
-    books: BTreeMap<ReplicaName, Book>,
-    pace: FetchLimiter,
-    ceiling: Ceiling,
-    /// Fetches under way at all replicas, as far as known.
-    under_way: usize,
+    plans: BTreeMap<ReplicaName, ReplicaPlan>,
+    fetch_limiter: FetchLimiter,
+    model_rate: LoadRateLimit,
+    /// Fetches in flight at all replicas, as far as known.
+    in_flight: usize,
 }
 
-/// How often weights are loaded from the weight store, which all VMs share.
+/// Limits how often this VM has model weights loaded from the weight store, which
+/// all VMs share.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ceiling {
-    pause: Span,
+struct LoadRateLimit {
+    interval: Span,
     last: Option<Moment>,
 }
 
-impl Ceiling {
+impl LoadRateLimit {
     fn allows(&self, now: Moment) -> bool {
-        self.last.is_none_or(|at| now.since(at) >= self.pause)
+        self.last.is_none_or(|at| now.since(at) >= self.interval)
     }
 }
 
 impl AdapterPlanner {
-    /// Sets what is switched off.
+    /// Applies the mechanisms that are switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
-        self.pace.set_experiment(experiment);
-    }
-
-    /// Opens a book for a replica that we came to own; what its entry in the
-    /// store says is a start, its report decides.
-    pub fn track(&mut self, now: Moment, listing: &ReplicaInfo, most: u32) {
-        let book = self.books.entry(listing.name.clone());
-        let book = book.or_insert_with(|| Book::new(now, listing));
-        if book.listed != listing.started_ms {
-            book.listed = listing.started_ms;
-            if book.born != listing.started_ms {
-                *book = Book::new(now, listing);
+        self.fetch_limiter.set_experiment(experiment);
+    }
+
+    /// Starts or updates the plan of a replica that this VM owns and that may hold
+    /// `max_adapters` adapters. Its entry in the store gives the initial state,
+    /// its report is authoritative.
+    pub fn track(&mut self, now: Moment, listing: &ReplicaInfo, max_adapters: u32) {
+        let plan = self.plans.entry(listing.name.clone());
+        let plan = plan.or_insert_with(|| ReplicaPlan::new(now, listing));
+        if plan.listed != listing.started_ms {
+            plan.listed = listing.started_ms;
+            if plan.started_ms != listing.started_ms {
+                *plan = ReplicaPlan::new(now, listing);
             }
         }
-        // The configuration may come after the replica.
-        book.most = most as usize;
+        // The configuration may arrive after the replica is listed.
+        plan.max_adapters = max_adapters as usize;
     }
 
-    /// Closes the books of replicas that are not ours any more.
-    pub fn retain(&mut self, ours: &BTreeSet<ReplicaName>) {
-        self.books.retain(|name, _| ours.contains(name));
+    /// Drops the plans of all replicas but those in `owned`.
+    pub fn retain(&mut self, owned: &BTreeSet<ReplicaName>) {
+        self.plans.retain(|name, _| owned.contains(name));
     }
 
-    /// The start of a replica whose book this is.
+    /// Returns the start time of an owned replica.
     pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
-        self.books.get(name).map(|b| b.born)
+        self.plans.get(name).map(|b| b.started_ms)
     }
 
-    /// The replicas with a book.
+    /// Iterates over the owned replicas.
     pub fn replicas(&self) -> impl Iterator<Item = &ReplicaName> {
-        self.books.keys()
+        self.plans.keys()
     }
 
-    /// Somebody wants an adapter loaded there; the wish lapses unless renewed.
+    /// Requests that a replica loads an adapter; the request expires unless it is
+    /// renewed. Returns whether this VM owns the replica.
     pub fn request_load(&mut self, now: Moment, name: &ReplicaName, target: &Target) -> bool {
-        let Some(book) = self.books.get_mut(name) else {
+        let Some(plan) = self.plans.get_mut(name) else {
             return false;
         };
-        book.wish(now, target);
+        plan.request_load(now, target);
         true
     }
 
-    /// A VM has begun `begun` runs of an adapter and has `running` under way.
+    /// Records that a VM began `begun` runs of an adapter and has `running` in
+    /// progress.
     pub fn record_use(
         &mut self,
         now: Moment,
@@ -103,25 +107,25 @@
         running: u32,
         begun: u32,
     ) {
-        let Some(book) = self.books.get_mut(name) else {
+        let Some(plan) = self.plans.get_mut(name) else {
             return;
         };
-        book.used(now, vm, target, running, begun);
+        plan.record_use(now, vm, target, running, begun);
     }
 
-    /// Whether a replica holds no model, and none is on its way.
+    /// Returns whether a replica holds no model and is loading none.
     pub fn needs_model(&self, name: &ReplicaName) -> bool {
-        self.books.get(name).is_some_and(Book::empty)
+        self.plans.get(name).is_some_and(ReplicaPlan::needs_model)
     }
 
-    /// What a replica holds, for the other VMs.
+    /// Returns what a replica holds, to be reported to the other VMs.
     pub fn residency(&self, name: &ReplicaName) -> Option<Residency> {
-        self.books.get(name).map(Book::held)
+        self.plans.get(name).map(ReplicaPlan::held)
     }
 
-    /// The replicas whose books changed since the last call.
+    /// Returns the replicas whose contents changed since the last call.
     pub fn take_changed(&mut self) -> Vec<ReplicaName> {
-        let changed = self.books.iter_mut().filter(|(_, b)| b.changed);
+        let changed = self.plans.iter_mut().filter(|(_, b)| b.changed);
         let changed = changed.map(|(name, b)| {
             b.changed = false;
             name.clone()
@@ -129,20 +133,21 @@
         changed.collect()
     }
 
-    /// Adapters on their way to our replicas.
+    /// Returns how many adapters the owned replicas are loading.
     pub fn loading_adapters(&self) -> usize {
-        self.books.values().map(Book::coming).sum()
+        self.plans.values().map(ReplicaPlan::coming).sum()
     }
 
-    /// The next thing to do at a replica, if any; its end is told by
-    /// [`AdapterPlanner::finish_order`] or [`AdapterPlanner::finish_inspection`] before the next is asked for.
+    /// Returns the next action at a replica, if any. The caller passes its outcome
+    /// to [`AdapterPlanner::finish_order`] or
+    /// [`AdapterPlanner::finish_inspection`] before it asks for the next.
     ///
-    /// Made for many requests for adapters that are nowhere, at full slots.
-    /// Wishes are served in the order in which they came, so none starves;
-    /// what gives way is the adapter with the least demand that nothing uses,
-    /// and an adapter that is wished for never gives way to another wish.
+    /// Many requests may need adapters that no replica holds while all slots are
+    /// full. Load requests are served first come, first served, so none starves.
+    /// The idle adapter with the least demand is evicted, but never one with a
+    /// pending load request.
     ///
-    /// A replica that restarted holds nothing: `model` is what it loads then.
+    /// A restarted replica is empty and loads `model` first.
     pub fn next_action(
         &mut self,
         now: Moment,
@@ -150,93 +155,97 @@
         versions: &Versions,
         model: Option<&ModelName>,
     ) -> Option<ReplicaAction> {
-        let ceiling = self.ceiling;
-        let fetch = self.under_way < self.pace.capacity();
-        let book = self.books.get_mut(name)?;
-        if book.busy {
+        let model_rate = self.model_rate;
+        let fetch = self.in_flight < self.fetch_limiter.capacity();
+        let plan = self.plans.get_mut(name)?;
+        if plan.busy {
             return None;
         }
-        let step = book.next(now, versions, fetch);
-        if let Some(ReplicaAction::Load { target, .. }) = &step
-            && book.is_fetch(target)
+        let action = plan.next(now, versions, fetch);
+        if let Some(ReplicaAction::Load { target, .. }) = &action
+            && plan.is_fetch(target)
         {
-            self.under_way += 1;
+            self.in_flight += 1;
         }
-        let step = match (step, model, book.empty()) {
-            (Some(step), ..) => Some(step),
-            (None, Some(model), true) if book.weights_near || ceiling.allows(now) => {
-                if !book.weights_near {
-                    self.ceiling.last = Some(now);
+        let action = match (action, model, plan.needs_model()) {
+            (Some(action), ..) => Some(action),
+            (None, Some(model), true) if plan.weights_near || model_rate.allows(now) => {
+                if !plan.weights_near {
+                    self.model_rate.last = Some(now);
                 }
-                book.load_model(model)
+                plan.load_model(model)
             }
             _ => None,
         };
-        book.busy = step.is_some();
-        step
+        plan.busy = action.is_some();
+        action
     }
 
-    /// Sets how many fetches are under way at all replicas, and how many
-    /// engines the weight store serves.
-    pub fn set_fetches(&mut self, under_way: usize, engines: usize) {
-        self.under_way = under_way;
-        self.pace.set_engine_count(engines);
+    /// Sets how many fetches are in flight at all replicas, and how many engines
+    /// the weight store serves.
+    pub fn set_fetches(&mut self, in_flight: usize, engines: usize) {
+        self.in_flight = in_flight;
+        self.fetch_limiter.set_engine_count(engines);
     }
 
-    /// Sets how often this VM may have weights loaded from the weight store.
-    pub fn set_load_interval(&mut self, pause: Span) {
-        self.ceiling.pause = pause;
+    /// Sets the minimum interval between model loads from the weight store.
+    pub fn set_load_interval(&mut self, interval: Span) {
+        self.model_rate.interval = interval;
     }
 
-    /// Sets within how long uses by other VMs are known here. An adapter that
-    /// was used within that time is not unloaded: a request on its way to it
-    /// would be refused, and an unload that waits for a run holds up every
-    /// other order there.
-    pub fn set_report_delay(&mut self, news: Span) {
-        self.books.values_mut().for_each(|b| b.news = news);
+    /// Sets the maximum delay after which this VM knows of uses by other VMs. An
+    /// adapter that was used within that time is not unloaded: a request already
+    /// sent to it would be refused, and an unload that waits for a run blocks all
+    /// other orders to the replica.
+    pub fn set_report_delay(&mut self, report_delay: Span) {
+        self.plans
+            .values_mut()
+            .for_each(|b| b.report_delay = report_delay);
     }
 
-    /// Orders in a row that a replica left unanswered.
+    /// Returns how many consecutive orders a replica left unanswered.
     pub fn unanswered(&self, name: &ReplicaName) -> u32 {
-        self.books.get(name).map_or(0, |b| b.unanswered)
+        self.plans.get(name).map_or(0, |b| b.unanswered)
     }
 
-    /// When [`AdapterPlanner::next_action`] is worth asking again, at the latest.
+    /// Returns the latest time at which [`AdapterPlanner::next_action`] should be
+    /// called again.
     pub fn next_wake(&self, now: Moment) -> Option<Moment> {
-        let books = self.books.values().filter(|b| !b.busy);
-        books.filter_map(|b| b.next_wake(now)).min()
+        let plans = self.plans.values().filter(|b| !b.busy);
+        plans.filter_map(|b| b.next_wake(now)).min()
     }
 
-    /// A report was read, or could not be.
+    /// Applies a replica's report; `None` if it could not be read.
     pub fn finish_inspection(
         &mut self,
         now: Moment,
         name: &ReplicaName,
         report: Option<ReplicaReport>,
     ) {
-        let Some(book) = self.books.get_mut(name) else {
+        let Some(plan) = self.plans.get_mut(name) else {
             return;
         };
-        book.busy = false;
-        book.looked(now, report);
+        plan.busy = false;
+        plan.apply_inspection(now, report);
     }
 
-    /// An order ended; gives how long an adapter took to load, if one came.
+    /// Applies the outcome of an order. Returns the duration of the load, if it
+    /// completed one.
     pub fn finish_order(
         &mut self,
         now: Moment,
         name: &ReplicaName,
-        step: &ReplicaAction,
-        end: OrderOutcome,
+        action: &ReplicaAction,
+        outcome: OrderOutcome,
     ) -> Option<LoadDuration> {
-        let time = self.pace.first_check_delay();
-        let book = self.books.get_mut(name)?;
-        book.busy = false;
-        let fetched = matches!(step, ReplicaAction::Load { target, .. } if book.is_near(target) == Some(false));
-        let took = book.ended(now, step, end, time);
-        if let Some(took) = took.filter(|_| fetched) {
-            self.pace.observe(took, self.under_way);
+        let time = self.fetch_limiter.first_check_delay();
+        let plan = self.plans.get_mut(name)?;
+        plan.busy = false;
+        let fetched = matches!(action, ReplicaAction::Load { target, .. } if plan.is_cached(target) == Some(false));
+        let duration = plan.apply_outcome(now, action, outcome, time);
+        if let Some(duration) = duration.filter(|_| fetched) {
+            self.fetch_limiter.observe(duration, self.in_flight);
         }
-        took
+        duration
     }
 }
--- a/lib/src/serving/decisions/adapter_planner/order.rs
+++ b/lib/src/serving/decisions/adapter_planner/order.rs
@@ -1,4 +1,4 @@
-//! Orders to a replica, their ends, and its reports.
+//! Orders to a replica, their outcomes, and the replica's reports.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,50 +6,50 @@
 use crate::pool::Span;
 use crate::serving::path::types::Target;
 
-/// What to do at a replica.
+/// The next action at a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicaAction {
-    /// Read its report.
+    /// Read the replica's report.
     Inspect,
-    /// Load an adapter, or replace it by a newer version.
+    /// Load an adapter or model, or replace it with a newer version.
     Load {
-        /// Which.
+        /// What to load.
         target: Target,
-        /// The version; the newest where none was announced.
+        /// The version; `None` for the newest if none was announced.
         version: Option<u32>,
-        /// Orders that the replica is expected to have accepted.
+        /// Number of orders that the replica is expected to have accepted.
         expected: u64,
     },
-    /// Unload an adapter that nothing uses.
+    /// Unload an idle adapter.
     Unload {
-        /// Which.
+        /// What to unload.
         target: Target,
-        /// Orders that the replica is expected to have accepted.
+        /// Number of orders that the replica is expected to have accepted.
         expected: u64,
     },
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
-    /// What it asks for holds already.
+    /// The requested state is already in effect.
     InEffect,
-    /// Another order is under way, or others came in between.
+    /// Another order is in progress, or the order count does not match.
     Conflict,
     /// The replica has seen a higher fencing token.
     Fenced,
     /// Another replica has the address.
     Gone,
-    /// It was not taken.
+    /// The order was not accepted.
     Refused,
-    /// No answer: it may be carried out later.
+    /// No response: the order may still be carried out later.
     Unknown,
 }
 
 impl OrderOutcome {
-    /// A word for logs and metrics.
+    /// Name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -63,26 +63,26 @@
     }
 }
 
-/// A replica's report of itself; it lags some hundred ms.
+/// A replica's report of its state; it lags by some hundred milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ReplicaReport {
-    /// When the replica started, in Unix milliseconds; 0 where it does not say.
+    /// When the replica started, in Unix milliseconds; 0 if it does not say.
     pub started_ms: u64,
-    /// Orders that it has accepted.
+    /// Number of orders that it has accepted.
     pub accepted: u64,
-    /// Adapters that it holds.
+    /// Models and adapters that it holds, with their versions.
     pub loaded: BTreeMap<Target, u32>,
-    /// Adapters on their way to it.
+    /// Models and adapters that it is loading.
     pub loading: BTreeSet<Target>,
-    /// Whether it has weights in its own memory or on its disk.
+    /// Whether it has the model weights in its own memory or on its disk.
     pub weights_cached: bool,
 }
 
-/// How long a load took: its end is seen when it is asked about.
+/// Bounds of the duration of a load, whose end is detected by polling.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadDuration {
-    /// After so long it was not there yet.
+    /// After this time it was not loaded yet.
     pub min: Span,
-    /// After so long it was.
+    /// After this time it was loaded.
     pub max: Span,
 }
--- a/lib/src/serving/decisions/fetch_limiter.rs
+++ b/lib/src/serving/decisions/fetch_limiter.rs
@@ -1,103 +1,104 @@
-//! How many adapters are fetched from the weight store at a time.
+//! Limits how many adapters are fetched from the weight store concurrently.
 
 use crate::pool::Span;
 use crate::serving::decisions::adapter_planner::LoadDuration;
 use crate::serving::program::experiment::Experiment;
 use crate::serving::program::experiment::Mechanism;
 
-/// The first guess of how long a fetch takes alone.
-const FETCH_GUESS: f64 = 250e3;
+/// Initial estimate of the duration of a fetch without contention, in
+/// microseconds.
+const INITIAL_FETCH_US: f64 = 250e3;
 
-/// Fetches at a time before anything was learned: what a small store serves.
-const FIRST_CAPACITY: f64 = 8.0;
+/// Initial number of concurrent fetches: what a small store serves.
+const INITIAL_CAPACITY: f64 = 8.0;
 
-/// The same for each engine that the store serves: stores at hand serve from
-/// half a fetch to two for each engine at a time, and one that is narrower shows
-/// it with the first loads. Measured on a small deployment (8 days, no
-/// processor time counted), with 1.0 in place of 0.5: what callers got less what it cost, of what was owed: 0.684 -> 0.698.
-const CAPACITY_AN_ENGINE: f64 = 1.0;
+/// Initial number of concurrent fetches per engine. Known stores serve from 0.5
+/// to two per engine, and a slower one shows it with the first loads. With 1.0
+/// instead of 0.5 the net value served rose from 0.684 to 0.698 of the value due
+/// (small deployment, 8 days, processor time not counted).
+const CAPACITY_PER_ENGINE: f64 = 1.0;
 
-/// The bounds of what is learned; the lower one keeps every owner able to
-/// fetch, the upper one is that of a large weight store.
+/// Bounds of the learned capacity: the lower one lets every owner fetch, the
+/// upper one is that of a large weight store.
 const CAPACITY_BOUNDS: (f64, f64) = (4.0, 256.0);
 
-/// A fetch that takes this much longer than one alone shared the store with
-/// more than it serves at full speed.
-const SLOWED: f64 = 1.3;
+/// Ratio to the uncontended duration from which on a fetch counts as slowed
+/// down: the store had more fetches than it serves at full speed.
+const SLOW_RATIO: f64 = 1.3;
 
-/// Weight of one observation.
+/// Weight of one observation in the moving average.
 const WEIGHT: f64 = 0.15;
 
-/// How much the time of a fetch alone may creep up with each observation, so
-/// that one lucky measurement does not hold for ever.
-const CREEP: f64 = 1.02;
+/// Growth of the uncontended duration with each observation, so that one low
+/// outlier does not persist.
+const UNCONTENDED_GROWTH: f64 = 1.02;
 
-/// How far before the expected end a fetch is first asked about.
-const EARLY: f64 = 0.95;
+/// Fraction of the expected duration after which a fetch is first polled.
+const FIRST_POLL: f64 = 0.95;
 
-/// What was learned of the weight store.
+/// Learns the concurrency that the weight store serves at full speed.
 ///
-/// Made for many rare adapters asked for at once. Beyond some number of
-/// fetches the store shares its speed between all that are under way, so more
-/// of them at a time end later and none sooner: held to what it serves at full
-/// speed, the first ones are usable while the others still wait. Measured on a
-/// day of high load: the median load fell from 1,100 to 260 ms. A store that is
-/// thought smaller than it is costs more: with 140 engines that start empty and
-/// eight fetches at a time, 30 loads a second came where 60 were asked for.
+/// When many rare adapters are requested at once, the store divides its
+/// bandwidth among all fetches in flight, so more of them end later and none
+/// sooner. With the concurrency limited, the first adapters are usable while the
+/// others still wait: the median load fell from 1,100 to 260 ms on a day of high
+/// load. Underestimating the store costs more: with 140 engines that start empty
+/// and eight concurrent fetches, 30 loads a second completed where 60 were
+/// requested.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchLimiter {
-    alone: f64,
+    uncontended_us: f64,
     capacity: f64,
     learned: bool,
-    /// Whether a fetch was ever slowed down by others.
+    /// Whether a fetch was ever slowed down by concurrent ones.
     slowed: bool,
-    /// Whether what the store serves is learned, and fetches are held to it.
+    /// Whether the capacity is learned, and whether it is enforced.
     learns: bool,
-    holds: bool,
+    enforced: bool,
 }
 
 impl Default for FetchLimiter {
     fn default() -> Self {
         Self {
-            alone: FETCH_GUESS,
-            capacity: FIRST_CAPACITY,
+            uncontended_us: INITIAL_FETCH_US,
+            capacity: INITIAL_CAPACITY,
             learned: false,
             slowed: false,
             learns: true,
-            holds: true,
+            enforced: true,
         }
     }
 }
 
 impl FetchLimiter {
-    /// Sets what is switched off.
+    /// Applies the mechanisms that are switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
         self.learns = experiment.is_enabled(Mechanism::FetchWidth);
-        self.holds = experiment.is_enabled(Mechanism::FetchPace);
+        self.enforced = experiment.is_enabled(Mechanism::FetchPace);
     }
 
-    /// Expects a weight store that fits so many engines, until a fetch has
-    /// shown what it serves.
+    /// Estimates the capacity from the number of engines that the store serves,
+    /// until the first fetch is observed.
     pub fn set_engine_count(&mut self, engines: usize) {
         if !self.learned {
-            self.capacity = FIRST_CAPACITY.max(engines as f64 * CAPACITY_AN_ENGINE);
+            self.capacity = INITIAL_CAPACITY.max(engines as f64 * CAPACITY_PER_ENGINE);
         }
     }
 
-    /// A fetch took so long while `under_way` were on their way with it. One
-    /// whose end was seen late, as the replica left orders unanswered, may have
-    /// been slow or not, and tells nothing.
-    pub fn observe(&mut self, took: LoadDuration, under_way: usize) {
+    /// Records the duration of a fetch with `in_flight` fetches in flight. One
+    /// whose end was seen late, because the replica left orders unanswered, may
+    /// or may not have been slow and is ignored.
+    pub fn observe(&mut self, duration: LoadDuration, in_flight: usize) {
         if !self.learns {
             return;
         }
-        let (least, most) = (took.min.0 as f64, (took.max.0 as f64).max(1.0));
-        self.alone = (self.alone * CREEP).min(most);
-        let slowed = self.alone * SLOWED;
-        let n = under_way.max(1) as f64;
+        let (least, most) = (duration.min.0 as f64, (duration.max.0 as f64).max(1.0));
+        self.uncontended_us = (self.uncontended_us * UNCONTENDED_GROWTH).min(most);
+        let slowed = self.uncontended_us * SLOW_RATIO;
+        let n = in_flight.max(1) as f64;
         let seen = match () {
-            () if least > slowed => n * self.alone / least,
-            // All went at full speed: a few more may, too.
+            () if least > slowed => n * self.uncontended_us / least,
+            // All ran at full speed: a few more may do so, too.
             () if most <= slowed => self.full_speed(n),
             () => return,
         };
@@ -111,9 +112,9 @@
         self.capacity += WEIGHT * (seen.clamp(least, most) - self.capacity);
     }
 
-    /// What the store is thought to serve after a fetch at full speed beside
-    /// `n - 1` others. Until one was slow it grows by one with each, as long as
-    /// about half of it is used, and so doubles within a few loads.
+    /// Estimates the capacity after a fetch at full speed beside `n - 1` others.
+    /// Until the first slow fetch it grows by one with each as long as about half
+    /// of it is used, and so doubles within a few loads.
     fn full_speed(&mut self, n: f64) -> f64 {
         if !self.slowed && n * 2.0 >= self.capacity {
             self.capacity += 1.0;
@@ -121,16 +122,16 @@
         self.capacity.max(n + 1.0)
     }
 
-    /// How many fetches may be under way over all replicas.
+    /// Returns how many fetches may be in flight over all replicas.
     pub fn capacity(&self) -> usize {
-        match self.holds {
+        match self.enforced {
             true => self.capacity.round() as usize,
             false => usize::MAX,
         }
     }
 
-    /// When a fetch is first asked about.
+    /// Returns the time after which a fetch is first polled.
     pub fn first_check_delay(&self) -> Span {
-        Span((self.alone * EARLY) as u64)
+        Span((self.uncontended_us * FIRST_POLL) as u64)
     }
 }
--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -1,4 +1,4 @@
-//! What ends and silences of runs say of a replica.
+//! Health of replicas, inferred from the outcomes of runs.
 
 use std::collections::BTreeMap;
 
@@ -7,57 +7,57 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// The pause after a replica's first failure; it doubles with each further one.
-const FIRST_PAUSE: Span = Span::from_millis(200);
+/// Back-off after a replica's first failure; it doubles with each further one.
+const MIN_BACKOFF: Span = Span::from_millis(200);
 
-/// The longest pause: a restarted replica is used again within about that.
-const LONGEST_PAUSE: Span = Span::from_millis(3_200);
+/// Maximum back-off: a restarted replica is used again within about this time.
+const MAX_BACKOFF: Span = Span::from_millis(3_200);
 
-/// The pause after a replica said that it is full: about the time in which
+/// Back-off after a replica reported that it is full: about the time in which
 /// one of its requests ends.
-const FULL_PAUSE: Span = Span::from_millis(80);
+const FULL_BACKOFF: Span = Span::from_millis(80);
 
-/// A replica that sent nothing for so long, while a run there waits for its
-/// first byte as long, is dark: the longest prompt is read within it.
-const SILENCE: Span = Span::from_millis(1_500);
+/// A replica is unresponsive if it sent nothing for this time while a run waits
+/// as long for its first byte. The longest prompt is prefilled within it.
+const UNRESPONSIVE_AFTER: Span = Span::from_millis(1_500);
 
-/// Weight of the newest outcome in the part that failed.
-const FAILED_WEIGHT: f64 = 0.15;
+/// Weight of the newest outcome in the failure rate.
+const OUTCOME_WEIGHT: f64 = 0.15;
 
-/// How a run ended, as far as it tells of the replica.
+/// Outcome of a run, as far as it concerns the replica's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunOutcome {
-    /// It answered.
+    /// The replica responded.
     Answered,
-    /// It answered with a failure of its own.
+    /// The replica responded with an error of its own.
     Failed,
-    /// It refused because it is full.
+    /// The replica refused the request because it is full.
     Full,
-    /// It could not be reached.
+    /// The replica could not be reached.
     Unreached,
-    /// The connection broke, or the answer was another's or spoilt.
+    /// The connection broke, or the response was malformed or another request's.
     Broken,
-    /// It is not this replica any more, or it is leaving.
+    /// Another replica has the address, or the replica is draining.
     Gone,
 }
 
-/// What outcomes say of one replica.
+/// Health of one replica: back-off state and failure rate.
 #[derive(Debug, Default)]
 pub(super) struct Health {
     strikes: u32,
-    until: Moment,
-    heard: Moment,
-    /// The part of its runs that failed lately.
+    backoff_until: Moment,
+    last_received: Moment,
+    /// Moving average of the fraction of runs that failed.
     pub(super) failed: f64,
-    /// Runs that wait for their first byte, by number.
+    /// Start times of the runs that wait for their first byte, by run number.
     waiting: BTreeMap<u64, Moment>,
 }
 
 impl Health {
-    /// Whether it may get a request. After a failure one at a time is let
-    /// through until one is answered.
+    /// Returns whether the replica may get a request. After a failure one request
+    /// at a time is let through until one gets a response.
     pub(super) fn open(&self, now: Moment, outstanding: u32) -> bool {
-        if now < self.until || self.dark(now) {
+        if now < self.backoff_until || self.dark(now) {
             return false;
         }
         self.strikes == 0 || outstanding == 0
@@ -67,51 +67,54 @@
         let Some(oldest) = self.waiting.values().min() else {
             return false;
         };
-        now.since(*oldest) > SILENCE && now.since(self.heard) > SILENCE
+        now.since(*oldest) > UNRESPONSIVE_AFTER
+            && now.since(self.last_received) > UNRESPONSIVE_AFTER
     }
 
-    fn pause(&mut self, now: Moment) {
-        let span = FIRST_PAUSE.0 << self.strikes.min(8);
-        self.until = now.after(Span(span.min(LONGEST_PAUSE.0)));
+    fn back_off(&mut self, now: Moment) {
+        let span = MIN_BACKOFF.0 << self.strikes.min(8);
+        self.backoff_until = now.after(Span(span.min(MAX_BACKOFF.0)));
         self.strikes += 1;
     }
 
     fn count(&mut self, failed: bool) {
         let seen = if failed { 1.0 } else { 0.0 };
-        self.failed += FAILED_WEIGHT * (seen - self.failed);
+        self.failed += OUTCOME_WEIGHT * (seen - self.failed);
     }
 }
 
 impl Fleet {
-    /// A run was sent and waits for its first byte.
+    /// Records that a run was sent and waits for its first byte.
     pub fn await_first_byte(&mut self, now: Moment, name: &ReplicaName, run: u64) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.health.waiting.insert(run, now);
         }
     }
 
-    /// Bytes of a run came, or it ended.
+    /// Records that a run no longer waits for its first byte; `bytes` says
+    /// whether data came, as opposed to the run's end.
     pub fn record_progress(&mut self, now: Moment, name: &ReplicaName, run: u64, bytes: bool) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.health.waiting.remove(&run);
             if bytes {
-                r.health.heard = now;
+                r.health.last_received = now;
             }
         }
     }
 
-    /// Whether a replica has sent nothing to anybody here for a while.
+    /// Returns whether this VM received nothing from a replica for
+    /// [`UNRESPONSIVE_AFTER`].
     pub fn is_silent(&self, now: Moment, name: &ReplicaName) -> bool {
         let r = self.replicas.get(name);
-        r.is_none_or(|r| now.since(r.health.heard) > SILENCE)
+        r.is_none_or(|r| now.since(r.health.last_received) > UNRESPONSIVE_AFTER)
     }
 
-    /// Learns from the end of a run.
+    /// Updates a replica's health with the outcome of a run.
     ///
-    /// Made for replicas that crash, go dark, or fail a part of their requests
-    /// while their health probe is good: what callers got decides, not the
-    /// probe. A replica that refuses at once would otherwise end its runs
-    /// sooner than any other, seem the least loaded and draw all requests in.
+    /// Replicas may crash, become unresponsive, or fail some of their requests
+    /// while their health probe passes, so the responses to callers count, not
+    /// the probe. Otherwise a replica that refuses at once would end its runs
+    /// sooner than any other, appear least loaded and attract all requests.
     pub fn record_outcome(&mut self, now: Moment, name: &ReplicaName, end: RunOutcome) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
@@ -126,16 +129,16 @@
                 h.strikes = 0;
                 h.count(true);
             }
-            RunOutcome::Full => h.until = h.until.max(now.after(FULL_PAUSE)),
-            RunOutcome::Unreached | RunOutcome::Gone => h.pause(now),
+            RunOutcome::Full => h.backoff_until = h.backoff_until.max(now.after(FULL_BACKOFF)),
+            RunOutcome::Unreached | RunOutcome::Gone => h.back_off(now),
             RunOutcome::Broken => {
                 h.count(true);
-                h.pause(now);
+                h.back_off(now);
             }
         }
     }
 
-    /// How a replica is seen, in a word for the log.
+    /// Returns the state of a replica for the log.
     pub fn status(&self, now: Moment, name: &ReplicaName) -> &'static str {
         let Some(r) = self.replicas.get(name) else {
             return "unlisted";
@@ -143,7 +146,7 @@
         match () {
             () if r.listing.draining => "draining",
             () if r.health.dark(now) => "dark",
-            () if now < r.health.until => "paused",
+            () if now < r.health.backoff_until => "paused",
             () if r.health.strikes > 0 => "on trial",
             () => "live",
         }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! What a VM believes of the replicas, and the decisions made of it.
+//! A VM's view of the replicas, and the placement of requests on them.
 //!
-//! [`Fleet`] has no I/O and no clock: news comes in by plain calls with time
-//! as an argument.
+//! [`Fleet`] has no I/O and no clock: updates are plain calls with the time as
+//! an argument.
 //!
 //! | module | decides |
 //! |---|---|
 //! | `place` | where a request runs, or where its adapter is loaded |
-//! | `health` | what ends and silences of runs mean |
+//! | `health` | which replicas are healthy, from the outcomes of runs |
 //! | `versions` | which version of an adapter a run may begin on |
 
 mod health;
@@ -36,27 +36,26 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Experiment;
 
-/// How long a peer's word stands without being renewed, before it is set for
-/// the size of the fleet. Older counts would keep a dead VM's requests on a
-/// replica, and an older word on what a replica holds is worse than its entry
-/// in the store.
-const WORD_KEPT: Span = Span::from_millis(2_000);
+/// Default lifetime of a peer's report, until it is set for the number of VMs.
+/// Older counts would keep a dead VM's requests on a replica, and an older
+/// report of a replica's adapters is worse than its entry in the store.
+const DEFAULT_REPORT_TTL: Span = Span::from_millis(2_000);
 
-/// How long a replica that refused an adapter is not asked for it again,
-/// unless its owner says that it came: about a load and a beacon.
-const MISSING_KEPT: Span = Span::from_millis(600);
+/// How long a replica that refused an adapter as not loaded is not used for it,
+/// unless its owner reports it as loaded: about a load plus a beacon interval.
+const MISSING_TTL: Span = Span::from_millis(600);
 
-/// How long an entry that lapsed while the store was away may come back.
-const LAPSED_KEPT: Span = Span::from_millis(2_000);
+/// How long an entry that expired during a store outage may reappear.
+const EXPIRED_GRACE: Span = Span::from_millis(2_000);
 
-/// Requests under way and the tokens that they hold.
+/// Requests in flight and the tokens that they hold.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Tokens of prompt and expected answer.
+    /// Tokens of the prompts and the expected responses.
     pub tokens: u64,
-    /// Prompt tokens that are still to be read by the engine.
+    /// Prompt tokens that the engine has not prefilled yet.
     pub prefill: u64,
 }
 
@@ -67,7 +66,7 @@
         self.prefill += other.prefill;
     }
 
-    /// Both together.
+    /// Returns the sum of two loads.
     pub fn plus(mut self, other: Self) -> Self {
         self.add(other);
         self
@@ -80,76 +79,77 @@
     }
 }
 
-/// What a VM sees of a service, for the log.
+/// A VM's view of a service, for the log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ServiceSummary {
-    /// Replicas that are listed and not leaving.
+    /// Replicas that are listed and not draining.
     pub listed: usize,
-    /// Those that take requests.
+    /// Those that accept requests.
     pub live: usize,
     /// Those that hold the adapter.
     pub holders: usize,
-    /// Those whose owner has told lately what they hold.
+    /// Those with a fresh report of what they hold.
     pub fresh_reports: usize,
-    /// Requests of all VMs there.
+    /// Requests of all VMs at these replicas.
     pub requests: u32,
 }
 
-/// What a replica holds, by the word of its owner.
+/// What a replica holds, as reported by its owner.
 #[derive(Clone, Debug, Default)]
 pub struct Residency {
-    /// Adapters that it holds, with their versions.
+    /// Models and adapters that it holds, with their versions.
     pub loaded: BTreeMap<Target, u32>,
-    /// Adapters on their way to it.
+    /// Models and adapters that it is loading.
     pub loading: BTreeSet<Target>,
 }
 
-/// One replica, as this VM believes it to be.
+/// This VM's view of one replica.
 #[derive(Debug)]
 struct Replica {
     listing: ReplicaInfo,
-    /// The hash of its address, by which homes of adapters are ranked.
+    /// Hash of its address, by which the homes of adapters are ranked.
     seed: u64,
     own: Load,
-    /// The sum of the peers' counts, where this VM owns the replica.
-    told: Load,
-    /// What the others have under way by its owner's word, and until when that
-    /// holds; none where this VM owns it.
-    word: Option<(Moment, Load)>,
-    /// What its owner was told of this VM's requests.
+    /// Sum of the peers' loads, if this VM owns the replica.
+    peer_load: Load,
+    /// Load of the other VMs as reported by the owner, and when that report
+    /// expires; `None` if this VM owns the replica.
+    owner_load: Option<(Moment, Load)>,
+    /// This VM's load as last reported to the owner.
     reported: Load,
-    /// Until when its owner's word holds.
-    book: Option<(Moment, Residency)>,
+    /// The owner's last report of what it holds, and when that expires.
+    residency: Option<(Moment, Residency)>,
+    /// Targets that it refused as not loaded, and until when that counts.
     missing: BTreeMap<Target, Moment>,
     health: Health,
     /// Since when it is missing from the store's list.
-    lapsed: Option<Moment>,
+    expired_at: Option<Moment>,
 }
 
 impl Replica {
-    fn new(listing: ReplicaInfo, told: Load) -> Self {
+    fn new(listing: ReplicaInfo, peer_load: Load) -> Self {
         Self {
             seed: place::address_seed(&listing),
             listing,
             own: Load::default(),
-            told,
-            word: None,
+            peer_load,
+            owner_load: None,
             reported: Load::default(),
-            book: None,
+            residency: None,
             missing: BTreeMap::new(),
             health: Health::default(),
-            lapsed: None,
+            expired_at: None,
         }
     }
 
-    /// The version in which it holds a target; 0 where versions do not matter.
+    /// Returns the version in which it holds a target; 0 for base models.
     fn holds(&self, now: Moment, target: &Target) -> Option<u32> {
         if self.missing.get(target).is_some_and(|until| *until > now) {
             return None;
         }
-        match (&self.book, target.adapter.is_some()) {
-            // An owner that is lost orders nothing there any more: its last
-            // word holds on.
+        match (&self.residency, target.adapter.is_some()) {
+            // A lost owner orders no more changes there, so its last report
+            // stays valid.
             (Some((_, held)), true) => held.loaded.get(target).copied(),
             (Some((until, held)), false) if *until > now => held.loaded.get(target).copied(),
             (None, true) => self.listing.adapters.get(target).copied(),
@@ -157,15 +157,15 @@
         }
     }
 
-    fn awaits(&self, now: Moment, target: &Target) -> bool {
-        let book = self.book.as_ref().filter(|(until, _)| *until > now);
-        book.is_some_and(|(_, held)| held.loading.contains(target))
+    fn is_loading(&self, now: Moment, target: &Target) -> bool {
+        let residency = self.residency.as_ref().filter(|(until, _)| *until > now);
+        residency.is_some_and(|(_, held)| held.loading.contains(target))
     }
 
-    /// Adapters on their way to it, as far as its owner told lately.
-    fn coming(&self, now: Moment) -> usize {
-        let book = self.book.as_ref().filter(|(until, _)| *until > now);
-        book.map_or(0, |(_, held)| held.loading.len())
+    /// Returns how many targets it is loading by a fresh report of its owner.
+    fn loading_count(&self, now: Moment) -> usize {
+        let residency = self.residency.as_ref().filter(|(until, _)| *until > now);
+        residency.map_or(0, |(_, held)| held.loading.len())
     }
 
     fn usable(&self) -> bool {
@@ -173,60 +173,60 @@
     }
 }
 
-/// All replicas, and what is known of their services and adapters.
+/// All replicas, their services and the announced adapter versions.
 #[derive(Debug)]
 pub struct Fleet {
     zone: ZoneName,
     services: BTreeMap<ServiceName, Service>,
     replicas: BTreeMap<ReplicaName, Replica>,
-    /// What each peer has under way where, and until when that holds.
+    /// Load of each peer by replica, and when that report expires.
     peers: BTreeMap<VmName, (Moment, BTreeMap<ReplicaName, Load>)>,
-    /// When the first of these lapses.
-    lapse_at: Moment,
-    word_kept: Span,
-    /// What was announced of adapters.
+    /// When the first of these reports expires.
+    next_expiry: Moment,
+    report_ttl: Span,
+    /// Announced versions of the adapters.
     pub versions: Versions,
     experiment: Experiment,
 }
 
 impl Fleet {
-    /// No replicas yet, seen from an availability zone.
+    /// Creates an empty view from an availability zone.
     pub fn new(zone: ZoneName) -> Self {
         Self {
             zone,
             services: BTreeMap::new(),
             replicas: BTreeMap::new(),
             peers: BTreeMap::new(),
-            lapse_at: Moment(u64::MAX),
-            word_kept: WORD_KEPT,
+            next_expiry: Moment(u64::MAX),
+            report_ttl: DEFAULT_REPORT_TTL,
             versions: Versions::default(),
             experiment: Experiment::default(),
         }
     }
 
-    /// Sets what is switched off.
+    /// Applies the mechanisms that are switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
         self.experiment = experiment.clone();
     }
 
-    /// Takes the services of a configuration.
+    /// Applies the services of a configuration.
     pub fn configure(&mut self, config: &Config) {
         self.services = config.services.clone();
     }
 
-    /// Sets how long a peer's word stands without being renewed.
+    /// Sets how long a peer's report stays valid without being renewed.
     pub fn set_report_ttl(&mut self, span: Span) {
-        self.word_kept = span;
+        self.report_ttl = span;
     }
 
-    /// Takes a replica's entry in the store; gives whether it changed what
-    /// requests may use.
+    /// Applies a replica's entry in the store. Returns whether it changed which
+    /// replicas requests may use.
     pub fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
         match self.replicas.get_mut(&listing.name) {
             Some(r) if r.listing.started_ms == listing.started_ms => {
-                r.lapsed = None;
+                r.expired_at = None;
                 let mut listing = listing;
-                // One that leaves does not stay after all.
+                // Draining is final for an incarnation.
                 listing.draining |= r.listing.draining;
                 let changed = r.listing.draining != listing.draining;
                 r.listing = listing;
@@ -234,7 +234,7 @@
                 changed
             }
             Some(r) => {
-                // Nothing that was said of its last start holds for this one.
+                // Reports about the previous incarnation do not apply.
                 let counts = self.peers.values_mut();
                 for (_, counts) in counts {
                     counts.remove(&listing.name);
@@ -244,25 +244,25 @@
             }
             None => {
                 let name = listing.name.clone();
-                let told = self.peers.values().filter_map(|(_, c)| c.get(&name));
-                let told = told.fold(Load::default(), |sum, load| sum.plus(*load));
-                self.replicas.insert(name, Replica::new(listing, told));
+                let peer_load = self.peers.values().filter_map(|(_, c)| c.get(&name));
+                let peer_load = peer_load.fold(Load::default(), |sum, load| sum.plus(*load));
+                self.replicas.insert(name, Replica::new(listing, peer_load));
                 true
             }
         }
     }
 
-    /// Whether an entry says more than is known, beside which adapters the
-    /// replica holds: of those its owner tells. One that says that its replica
-    /// is leaving always does: this VM may have heard that from another already,
-    /// which not all have. So does one that had lapsed: who heard of that would
-    /// drop the replica.
+    /// Returns whether an entry holds information that the other VMs need. The
+    /// adapters are ignored, as the replica's owner reports those. An entry of a
+    /// draining replica always counts: this VM may know it from another VM, but
+    /// not all VMs do. So does one that had expired, as VMs that know of the
+    /// expiry would drop the replica.
     pub fn is_update(&self, listing: &ReplicaInfo) -> bool {
         if listing.draining {
             return true;
         }
         let there = self.replicas.get(&listing.name);
-        let Some(there) = there.filter(|r| r.lapsed.is_none()) else {
+        let Some(there) = there.filter(|r| r.expired_at.is_none()) else {
             return true;
         };
         let old = &there.listing;
@@ -273,28 +273,30 @@
         *old != same
     }
 
-    /// A replica's entry lapsed while the store was away: it may come back.
+    /// Records that a replica's entry expired during a store outage; it may
+    /// reappear.
     pub fn mark_expired(&mut self, now: Moment, name: &ReplicaName) {
         if let Some(r) = self.replicas.get_mut(name) {
-            r.lapsed.get_or_insert(now);
+            r.expired_at.get_or_insert(now);
         }
     }
 
-    /// Another VM has read that a replica is leaving; gives whether it is news.
+    /// Records that another VM saw a replica draining. Returns whether that was
+    /// not known yet.
     pub fn mark_draining(&mut self, replica: &Instance) -> bool {
         let r = self.replicas.get_mut(&replica.name);
         let r = r.filter(|r| r.listing.started_ms == replica.started_ms);
         r.is_some_and(|r| !std::mem::replace(&mut r.listing.draining, true))
     }
 
-    /// A replica's entry was removed: it gets nothing new.
+    /// Removes a replica whose entry was removed: it gets no more requests.
     pub fn remove_listing(&mut self, name: &ReplicaName) -> bool {
         self.replicas.remove(name).is_some()
     }
 
-    /// Takes the whole list of the store. After an outage, entries that lapsed
-    /// meanwhile may come back within two seconds, so what is missing then is
-    /// kept as long; otherwise it is gone.
+    /// Applies the complete list of the store. After an outage, entries that
+    /// expired meanwhile may reappear within [`EXPIRED_GRACE`], so missing
+    /// replicas are kept that long; otherwise they are removed.
     pub fn replace_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>, outage: bool) {
         let names: BTreeSet<_> = all.iter().map(|l| l.name.clone()).collect();
         for listing in all {
@@ -304,14 +306,17 @@
             if names.contains(name) {
                 return true;
             }
-            r.lapsed.get_or_insert(now);
+            r.expired_at.get_or_insert(now);
             outage
         });
     }
 
-    /// Drops replicas whose entries did not come back; gives their names.
+    /// Removes replicas whose entries did not reappear, and returns their names.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<ReplicaName> {
-        let over = |r: &Replica| r.lapsed.is_some_and(|at| now.since(at) >= LAPSED_KEPT);
+        let over = |r: &Replica| {
+            r.expired_at
+                .is_some_and(|at| now.since(at) >= EXPIRED_GRACE)
+        };
         let gone = self.replicas.iter().filter(|(_, r)| over(r));
         let gone: Vec<_> = gone.map(|(name, _)| name.clone()).collect();
         for name in &gone {
@@ -320,44 +325,44 @@
         gone
     }
 
-    /// A replica's entry in the store, if it is listed.
+    /// Returns a replica's entry in the store, if it is listed.
     pub fn listing(&self, name: &ReplicaName) -> Option<&ReplicaInfo> {
         self.replicas.get(name).map(|r| &r.listing)
     }
 
-    /// The start of a replica that is listed.
+    /// Returns the start time of a listed replica.
     pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
         self.listing(name).map(|l| l.started_ms)
     }
 
-    /// Whether a replica has not started anew since.
+    /// Returns whether this is the current incarnation of a replica.
     pub fn is_current(&self, replica: &Instance) -> bool {
         self.started_ms(&replica.name) == Some(replica.started_ms)
     }
 
-    /// The replicas as the store lists them.
+    /// Iterates over the replicas' entries in the store.
     pub fn listings(&self) -> impl Iterator<Item = &ReplicaInfo> {
         self.replicas.values().map(|r| &r.listing)
     }
 
-    /// Whether a replica is of a service that is configured.
+    /// Returns whether a replica's service is configured.
     pub fn is_configured(&self, listing: &ReplicaInfo) -> bool {
         self.services.contains_key(&listing.service)
     }
 
-    /// The replicas that can hold adapters.
+    /// Iterates over the replicas that can hold adapters.
     pub fn engines(&self) -> impl Iterator<Item = &ReplicaInfo> {
         self.listings().filter(|l| self.engine_slots(l) > 0)
     }
 
-    /// How many adapters a replica may hold.
+    /// Returns how many adapters a replica may hold.
     pub fn engine_slots(&self, listing: &ReplicaInfo) -> u32 {
         let service = self.services.get(&listing.service);
         let engine = service.and_then(|s| s.engine.as_ref());
         engine.map_or(0, |e| e.adapter_slots)
     }
 
-    /// What is believed of a service's replicas.
+    /// Summarises this VM's view of a service's replicas.
     pub fn summarize(
         &self,
         now: Moment,
@@ -379,8 +384,8 @@
         seen
     }
 
-    /// What a replica that holds nothing should load: the model of its service
-    /// that the fewest replicas hold.
+    /// Returns the model that an empty replica should load: the one of its
+    /// service that the fewest replicas hold.
     pub fn least_replicated_model(&self, listing: &ReplicaInfo) -> Option<&ModelName> {
         let service = self.services.get(&listing.service)?;
         let models = service.engine.as_ref()?.models.keys();
@@ -391,88 +396,88 @@
         models.min_by_key(|m| holders(m))
     }
 
-    /// Steps of a service's engines in one event of a stream.
+    /// Returns how many engine steps of a service make up one stream event.
     pub fn steps_per_event(&self, service: &ServiceName) -> u32 {
         let service = self.services.get(service);
         let engine = service.and_then(|s| s.engine.as_ref());
         engine.map_or(0, |e| e.event_tokens)
     }
 
-    /// Adapters on their way to all replicas, as far as known.
+    /// Returns how many adapters all replicas are loading, by fresh reports.
     pub fn loading_adapters(&self, now: Moment) -> usize {
-        let books = self.replicas.values().filter_map(|r| r.book.as_ref());
+        let books = self.replicas.values().filter_map(|r| r.residency.as_ref());
         let fresh = books.filter(|(until, _)| *until > now);
         let adapters =
             |held: &Residency| held.loading.iter().filter(|t| t.adapter.is_some()).count();
         fresh.map(|(_, held)| adapters(held)).sum()
     }
 
-    /// Loads of weights a second that the weight store allows.
+    /// Returns the loads per second that the weight store allows.
     pub fn weight_loads_per_s(&self) -> f64 {
         let engines = self.services.values().filter_map(|s| s.engine.as_ref());
         engines.map(|e| e.load_rate).fold(0.0, f64::max)
     }
 
-    /// Whether any replica is known.
+    /// Returns whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// A peer's counts for all replicas it uses.
+    /// Replaces a peer's load at all replicas.
     pub fn apply_peer_loads(
         &mut self,
         now: Moment,
         vm: &VmName,
         counts: &BTreeMap<ReplicaName, Load>,
     ) {
-        let lapsed = self.peers.iter().filter(|(_, (until, _))| *until <= now);
-        let lapsed: Vec<_> = lapsed.map(|(vm, _)| vm.clone()).collect();
-        lapsed.iter().for_each(|vm| self.forget_counts(vm));
-        self.forget_counts(vm);
+        let expired_at = self.peers.iter().filter(|(_, (until, _))| *until <= now);
+        let expired_at: Vec<_> = expired_at.map(|(vm, _)| vm.clone()).collect();
+        expired_at.iter().for_each(|vm| self.remove_peer(vm));
+        self.remove_peer(vm);
         for (name, load) in counts {
             if let Some(r) = self.replicas.get_mut(name) {
-                r.told.add(*load);
+                r.peer_load.add(*load);
             }
         }
-        let until = now.after(self.word_kept);
+        let until = now.after(self.report_ttl);
         self.peers.insert(vm.clone(), (until, counts.clone()));
         let first = self.peers.values().map(|(until, _)| *until).min();
-        self.lapse_at = first.unwrap_or(Moment(u64::MAX));
+        self.next_expiry = first.unwrap_or(Moment(u64::MAX));
     }
 
-    /// A peer's count for one replica.
+    /// Updates a peer's load at one replica.
     pub fn apply_peer_load(&mut self, now: Moment, vm: &VmName, name: &ReplicaName, load: Load) {
-        let until = now.after(self.word_kept);
+        let until = now.after(self.report_ttl);
         let (_, counts) = self
             .peers
             .entry(vm.clone())
             .or_insert((until, BTreeMap::new()));
         let old = counts.insert(name.clone(), load).unwrap_or_default();
         if let Some(r) = self.replicas.get_mut(name) {
-            r.told.remove(old);
-            r.told.add(load);
+            r.peer_load.remove(old);
+            r.peer_load.add(load);
         }
-        self.lapse_at = self.lapse_at.min(until);
+        self.next_expiry = self.next_expiry.min(until);
     }
 
-    /// What all VMs have under way at a replica that this VM owns.
+    /// Returns the load of all VMs at a replica.
     pub fn total_load(&self, now: Moment, name: &ReplicaName) -> Option<Load> {
         let r = self.replicas.get(name)?;
         Some(self.load(now, name, r))
     }
 
-    /// An owner's count of all requests at its replica. What it was told of
-    /// this VM's is in it, and known better here.
+    /// Applies the owner's total load of a replica. It includes this VM's load as
+    /// last reported, which is subtracted because the current one is known here.
     pub fn apply_owner_load(&mut self, now: Moment, name: &ReplicaName, total: Load) {
-        let until = now.after(self.word_kept);
+        let until = now.after(self.report_ttl);
         if let Some(r) = self.replicas.get_mut(name) {
             let mut others = total;
             others.remove(r.reported);
-            r.word = Some((until, others));
+            r.owner_load = Some((until, others));
         }
     }
 
-    /// The owner of a replica is told of this VM's requests there.
+    /// Returns this VM's load at a replica and marks it as reported to the owner.
     pub fn take_report(&mut self, name: &ReplicaName) -> Load {
         let Some(r) = self.replicas.get_mut(name) else {
             return Load::default();
@@ -481,100 +486,101 @@
         r.own
     }
 
-    fn forget_counts(&mut self, vm: &VmName) {
+    fn remove_peer(&mut self, vm: &VmName) {
         let Some((_, counts)) = self.peers.remove(vm) else {
             return;
         };
         for (name, load) in counts {
             if let Some(r) = self.replicas.get_mut(&name) {
-                r.told.remove(load);
+                r.peer_load.remove(load);
             }
         }
     }
 
-    /// Requests of all VMs at a replica. The peers' counts are summed as they
-    /// come, as each request looks at all replicas; only while some of them
-    /// have lapsed are they summed anew.
+    /// Returns the load of all VMs at a replica. The peers' loads are summed when
+    /// they arrive, because each request reads them for all replicas; they are
+    /// summed again here only if some have expired.
     fn load(&self, now: Moment, name: &ReplicaName, r: &Replica) -> Load {
-        if let Some((until, others)) = r.word {
+        if let Some((until, others)) = r.owner_load {
             return match until > now {
                 true => r.own.plus(others),
                 false => r.own,
             };
         }
-        if now < self.lapse_at {
-            return r.own.plus(r.told);
+        if now < self.next_expiry {
+            return r.own.plus(r.peer_load);
         }
         let fresh = self.peers.values().filter(|(until, _)| *until > now);
         let counts = fresh.filter_map(|(_, counts)| counts.get(name));
         counts.fold(r.own, |sum, load| sum.plus(*load))
     }
 
-    /// An owner's word on what its replica holds.
+    /// Applies the owner's report of what a replica holds.
     pub fn apply_residency(&mut self, now: Moment, name: &ReplicaName, held: Residency) {
-        let until = now.after(self.word_kept);
+        let until = now.after(self.report_ttl);
         if let Some(r) = self.replicas.get_mut(name) {
             r.missing.retain(|t, _| !held.loaded.contains_key(t));
-            r.book = Some((until, held));
+            r.residency = Some((until, held));
         }
     }
 
-    /// Whether a replica's owner has told lately what it holds.
+    /// Returns whether the owner's report of what a replica holds is fresh.
     pub fn has_fresh_residency(&self, now: Moment, name: &ReplicaName) -> bool {
         let r = self.replicas.get(name);
-        let book = r.and_then(|r| r.book.as_ref());
-        book.is_some_and(|(until, _)| *until > now)
+        let residency = r.and_then(|r| r.residency.as_ref());
+        residency.is_some_and(|(until, _)| *until > now)
     }
 
-    /// A replica has another owner: what it holds is as the one before said,
-    /// but nobody can load there until the new one tells.
+    /// Expires the reports of a replica's previous owner. Its last report of what
+    /// the replica holds still applies, but nothing can be loaded until the new
+    /// owner reports.
     pub fn expire_owner_reports(&mut self, name: &ReplicaName) {
         if let Some(r) = self.replicas.get_mut(name) {
-            if let Some((until, _)) = &mut r.book {
+            if let Some((until, _)) = &mut r.residency {
                 *until = Moment(0);
             }
-            r.word = None;
+            r.owner_load = None;
             r.reported = Load::default();
         }
     }
 
-    /// A request is sent to a replica.
+    /// Counts a request that is sent to a replica.
     pub fn begin_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.own.add(cost);
         }
     }
 
-    /// The prompt of a run there was read.
+    /// Records that the prompt of a run was prefilled.
     pub fn finish_prefill(&mut self, name: &ReplicaName, unread: u64) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.own.prefill = r.own.prefill.saturating_sub(unread);
         }
     }
 
-    /// A run there ended, however it did.
+    /// Removes a run that ended, with any outcome.
     pub fn end_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.own.remove(cost);
         }
     }
 
-    /// A replica said that it does not hold a target.
+    /// Records that a replica refused a target as not loaded.
     pub fn mark_missing(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
         if let Some(r) = self.replicas.get_mut(name) {
-            r.missing.insert(target.clone(), now.after(MISSING_KEPT));
+            r.missing.insert(target.clone(), now.after(MISSING_TTL));
         }
     }
 
-    /// The replicas at which this VM's requests changed since their owner was
-    /// told.
+    /// Iterates over the replicas whose load by this VM changed since it was
+    /// last reported.
     pub fn unreported(&self) -> impl Iterator<Item = &ReplicaName> {
         let changed = self.replicas.iter().filter(|(_, r)| r.own != r.reported);
         changed.map(|(name, _)| name)
     }
 
-    /// The replicas of which an owner is to be told: those that run requests
-    /// of this VM, and those of which it was told so before.
+    /// Iterates over the replicas to report to their owners: those that run
+    /// requests of this VM, and those last reported as running some.
     pub fn reportable(&self) -> impl Iterator<Item = &ReplicaName> {
         let counts = |r: &Replica| r.own.requests + r.reported.requests > 0;
         let used = self.replicas.iter().filter(move |(_, r)| counts(r));
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -1,4 +1,4 @@
-//! Where a request runs, or where its adapter is loaded first.
+//! Placement: chooses the replica that runs a request or loads its adapter.
 
 use std::collections::BTreeSet;
 
@@ -16,131 +16,132 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Mechanism;
 
-/// Prompt tokens that an engine reads in a millisecond, about: what waits to
-/// be read is what holds up those who come next and those who run.
-const READ_A_MS: f64 = 40.0;
+/// Prompt tokens that an engine prefills per millisecond, approximately. Pending
+/// prefill delays both queued and running requests.
+const PREFILL_TOKENS_PER_MS: f64 = 40.0;
 
-/// Milliseconds for each request more: it takes a part of every step.
+/// Cost of each additional request in milliseconds: it takes a share of every
+/// engine step.
 const REQUEST_MS: f64 = 4.0;
 
-/// Milliseconds for each thousand tokens held: they push kept parts out.
+/// Cost of each thousand tokens held in milliseconds: they evict cached
+/// prefixes.
 const HELD_MS: f64 = 0.4;
 
-/// The part of an engine's KV memory that is filled: estimates are wrong, and
-/// an engine without room preempts the newest of its runs.
-const MEMORY_PART: f64 = 0.9;
+/// Fraction of an engine's KV cache that is filled: token estimates are inexact,
+/// and an engine that runs out of memory preempts its newest runs.
+const MEMORY_FRACTION: f64 = 0.9;
 
-/// Requests that a plain replica may hold beyond its slots, in slots: a short
-/// queue there keeps it busy, a longer one could not be taken back.
-const QUEUE_PART: f64 = 1.0;
+/// Queue length allowed at a plain replica as a multiple of its slots: a short
+/// queue keeps it busy, requests in a longer one could not be withdrawn.
+const QUEUE_FACTOR: f64 = 1.0;
 
-/// How much longer a replica in another zone seems to take, in milliseconds:
-/// bytes between zones are dear, but dearer is a queue.
-const FAR_MS: f64 = 4.0;
+/// Penalty for a replica in another zone in milliseconds: traffic between zones
+/// is expensive, but queueing is worse.
+const CROSS_ZONE_MS: f64 = 4.0;
 
-/// The same for each kilobyte of body.
-const FAR_MS_A_KB: f64 = 1.5;
+/// Additional penalty per kilobyte of body.
+const CROSS_ZONE_MS_PER_KB: f64 = 1.5;
 
-/// How much longer a replica seems to take if all its runs failed lately: so
-/// long that it is left out unless the others are full.
+/// Penalty for a replica whose recent runs all failed, in milliseconds: high
+/// enough to avoid it unless the others are full.
 const FAILING_MS: f64 = 400.0;
 
-/// The part of a request's objective by which its adapter's holder may seem
-/// busier than the least busy replica before it asks for a second copy there:
-/// with less its requests are in time all the same, and a copy takes the place
-/// of another adapter and a fetch. Measured on three small deployments and a
-/// fifth of a large one, at high load and with trouble, ten runs each: what
-/// callers got less what it cost, of what was owed: 0.559 -> 0.593 with 0.6 s
-/// in place of 0.25 s and a longer slack of owners, 0.587 with 0.9 s.
-const COPY_PART: f64 = 0.75;
+/// Fraction of a request's latency objective by which the holder of its adapter
+/// may be busier than the least busy replica before a second copy is requested
+/// there. Below it the requests still meet their objective, while a copy costs a
+/// fetch and evicts another adapter. With 0.6 s instead of 0.25 s, and more
+/// slack at the owners, the net value served rose from 0.559 to 0.593 of the
+/// value due; with 0.9 s it was 0.587 (three small deployments and a fifth of a
+/// large one, at high load and with faults, ten runs each).
+const COPY_FRACTION: f64 = 0.75;
 
-/// How much busier than the least busy replica an adapter's home may seem, in
-/// milliseconds: about what a load takes. Farther on in its order there may be
-/// one that is idle.
-const HOME_ABOVE_MS: f64 = 250.0;
+/// How much busier than the least busy replica an adapter's home may be, in
+/// milliseconds: about the duration of a load. Otherwise a later replica in the
+/// hash order may be idle.
+const HOME_SLACK_MS: f64 = 250.0;
 
-/// How long a request waits for a copy while another replica could run it,
-/// later: about a load and the news of it.
+/// How long a request waits for a second copy although another replica could run
+/// it later: about a load plus the delay of its report.
 const COPY_WAIT: Span = Span::from_millis(450);
 
-/// The part of what a copy is expected to spare a request that it waits for it
-/// at the most: behind a queue of seconds it waits longer than behind a short
-/// one, and keeps out of the queue of an engine, where nothing can take it back.
-const SPARED_PART: f64 = 0.5;
+/// Maximum wait for a second copy as a fraction of the time that it is expected
+/// to save. Behind a queue of seconds a request waits longer than behind a short
+/// one, and stays out of the engine's queue, from which it cannot be withdrawn.
+const SAVED_FRACTION: f64 = 0.5;
 
-/// Whether a copy that spares a request so many milliseconds is worth waiting
-/// for still.
-fn is_worth_a_wait(spared: f64, waited: Span) -> bool {
-    let longest = Span::from_millis((spared.max(0.0) * SPARED_PART) as u64);
+/// Returns whether a copy that saves `saved_ms` milliseconds is still worth
+/// waiting for.
+fn is_worth_waiting(saved_ms: f64, waited: Span) -> bool {
+    let longest = Span::from_millis((saved_ms.max(0.0) * SAVED_FRACTION) as u64);
     waited < COPY_WAIT || waited < longest
 }
 
-/// What a request needs.
+/// A request to be placed, with its needs.
 #[derive(Debug)]
 pub struct PlacementRequest<'a> {
     /// Its service.
     pub service: &'a ServiceName,
     /// Its model or adapter.
     pub target: Option<&'a Target>,
-    /// What it will hold there.
+    /// Load that it will add to the replica.
     pub cost: Load,
-    /// What its prompt shares with others.
+    /// Prompt prefix that it shares with other requests.
     pub shared_prefix: Option<SharedPrefix>,
-    /// Kilobytes of body.
+    /// Size of its body in kilobytes.
     pub body_kb: f64,
-    /// Within how long its answer should begin, in milliseconds.
+    /// Objective for the time to its first byte, in milliseconds.
     pub objective_ms: f64,
-    /// How long it has waited for a load; none where it has no time to.
+    /// How long it has waited for a load; `None` if it has no time to wait.
     pub waited: Option<Span>,
-    /// Replicas that failed it.
+    /// Replicas that failed to run it.
     pub avoid: &'a BTreeSet<ReplicaName>,
 }
 
-/// The decision.
+/// Result of a placement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// Send it there.
+    /// Send the request to a replica.
     Send {
-        /// Where.
+        /// The replica.
         at: ReplicaName,
-        /// Where a second copy of its adapter is wanted.
+        /// The replica that should load a second copy of the adapter.
         copy: Option<ReplicaName>,
     },
-    /// Have its adapter loaded there, and wait.
+    /// Have the adapter loaded at a replica, and wait.
     Load {
-        /// Where.
+        /// The replica.
         at: ReplicaName,
     },
-    /// Its adapter is on its way to this replica.
+    /// The adapter is already being loaded at a replica.
     Loading {
-        /// Where.
+        /// The replica.
         at: ReplicaName,
     },
-    /// Those that could run it are full.
+    /// The replicas that could run it are full.
     Full,
-    /// No replica could run it now.
+    /// No replica can run it now.
     Unavailable,
 }
 
 impl Load {
-    /// How busy it makes an engine, in milliseconds.
+    /// Returns the estimated engine time that this load takes, in milliseconds.
     pub fn busy_ms(&self) -> f64 {
         f64::from(self.requests) * REQUEST_MS
-            + self.prefill as f64 / READ_A_MS
+            + self.prefill as f64 / PREFILL_TOKENS_PER_MS
             + self.tokens as f64 / 1e3 * HELD_MS
     }
 }
 
 impl Fleet {
-    /// Where a request runs.
+    /// Chooses where a request runs.
     ///
-    /// Made for thousands of adapters on a few dozen slots with skewed demand.
-    /// Requests of one adapter go where it is, as long as that replica is not
-    /// much busier than the others: there the shared parts of its prompts are
-    /// kept as well. An adapter that is nowhere is loaded at its home, the
-    /// first in the order of a hash over adapter and replica, so that all VMs
-    /// ask for it at the same place without a word between them. `loadable`
-    /// says whether somebody can load there now.
+    /// Thousands of adapters with skewed demand share a few dozen slots. Requests
+    /// for an adapter go to a replica that holds it, unless that replica is much
+    /// busier than the others; shared prompt prefixes are cached there as well.
+    /// An adapter that no replica holds is loaded at its home, the first replica
+    /// in a rendezvous hash order, so that all VMs choose the same one without
+    /// coordination. `loadable` says whether an owner can load at a replica now.
     pub fn place(
         &self,
         now: Moment,
@@ -177,7 +178,7 @@
             let first = holders
                 .iter()
                 .max_by_key(|(_, r)| prefix_rank(shared, r.seed));
-            first.map(|(name, _)| (*name, f64::from(shared.tokens) / READ_A_MS))
+            first.map(|(name, _)| (*name, f64::from(shared.tokens) / PREFILL_TOKENS_PER_MS))
         });
         let saved = |n: &ReplicaName| match kept {
             Some((name, saved)) if name == n => saved,
@@ -205,28 +206,29 @@
             });
             roomy.map(|(n, r)| (*n, *r, score(n, r))).collect()
         };
-        let copy_above = want.objective_ms * COPY_PART;
+        let copy_slack = want.objective_ms * COPY_FRACTION;
         if let Some((held, at)) = fit {
-            // No replica seems less busy than not at all.
-            if held <= copy_above || !self.experiment.is_enabled(Mechanism::SecondCopies) {
+            // No replica is less busy than an idle one, so the score alone shows
+            // that no copy is needed.
+            if held <= copy_slack || !self.experiment.is_enabled(Mechanism::SecondCopies) {
                 return Placement::Send { at, copy: None };
             }
             let roomy = roomy();
             let least = roomy.iter().map(|(_, _, score)| *score);
             let least = least.min_by(f64::total_cmp);
-            let copy = least.filter(|least| held > least + copy_above);
+            let copy = least.filter(|least| held > least + copy_slack);
             let copy = copy.and_then(|_| self.home(now, want, target, &roomy));
             let waited = want
                 .waited
                 .filter(|_| self.experiment.is_enabled(Mechanism::CopyWaits));
             let wait = waited.zip(least);
-            let wait = wait.is_some_and(|(waited, least)| is_worth_a_wait(held - least, waited));
+            let wait = wait.is_some_and(|(waited, least)| is_worth_waiting(held - least, waited));
             return match copy {
                 Some(at) if wait => Placement::Load { at },
                 copy => Placement::Send { at, copy },
             };
         }
-        let coming = open.iter().find(|(_, r)| r.awaits(now, target));
+        let coming = open.iter().find(|(_, r)| r.is_loading(now, target));
         if let Some((at, _)) = coming {
             let at = (*at).clone();
             return Placement::Loading { at };
@@ -238,9 +240,9 @@
         }
     }
 
-    /// Whether a run for this target may begin there, once those before it have
-    /// been read: one that waits in the queue of a crowded engine begins on the
-    /// version that is there then.
+    /// Returns whether a run for this target may begin at a replica after the
+    /// prefills queued before it: a run that waits in the queue of a busy engine
+    /// begins on the version that is loaded by then.
     fn serves(&self, now: Moment, target: &Target, name: &ReplicaName, r: &Replica) -> bool {
         let Some(version) = r.holds(now, target) else {
             return false;
@@ -250,7 +252,8 @@
         required.is_none_or(|v| target.adapter.is_none() || version >= v)
     }
 
-    /// How busy a replica seems for a request, in milliseconds of its engine.
+    /// Returns the cost of placing a request at a replica, in milliseconds of
+    /// engine time; lower is better.
     fn score(
         &self,
         now: Moment,
@@ -259,27 +262,28 @@
         r: &Replica,
     ) -> f64 {
         let load = self.load(now, name, r);
-        let near = r.listing.zone == self.zone || !self.experiment.is_enabled(Mechanism::NearZone);
-        let far = match near {
+        let same_zone =
+            r.listing.zone == self.zone || !self.experiment.is_enabled(Mechanism::NearZone);
+        let cross_zone = match same_zone {
             true => 0.0,
-            false => FAR_MS + FAR_MS_A_KB * want.body_kb,
+            false => CROSS_ZONE_MS + CROSS_ZONE_MS_PER_KB * want.body_kb,
         };
         let busy = load.busy_ms();
         let failing = match self.experiment.is_enabled(Mechanism::FailureWeight) {
             true => FAILING_MS * r.health.failed,
             false => 0.0,
         };
-        busy + far + failing
+        busy + cross_zone + failing
     }
 
-    /// Whether a replica has room for an adapter, or holds one that no request
-    /// uses.
+    /// Returns whether a replica has a free adapter slot, or one whose adapter no
+    /// request uses.
     fn is_vacant(&self, now: Moment, name: &ReplicaName, r: &Replica) -> bool {
-        let used = self.load(now, name, r).requests as usize + r.coming(now);
+        let used = self.load(now, name, r).requests as usize + r.loading_count(now);
         used < self.engine_slots(&r.listing) as usize
     }
 
-    /// Whether a replica can begin a request soon.
+    /// Returns whether a replica can begin a request soon.
     fn has_room(
         &self,
         now: Moment,
@@ -294,22 +298,22 @@
             Some(engine) => {
                 let tokens = (load.tokens + want.cost.tokens) as f64;
                 let first = load.requests == 0;
-                let memory = first || tokens <= engine.kv_tokens as f64 * MEMORY_PART;
+                let memory = first || tokens <= engine.kv_tokens as f64 * MEMORY_FRACTION;
                 memory && f64::from(load.requests) < slots
             }
-            None => f64::from(load.requests) < slots * (1.0 + QUEUE_PART),
+            None => f64::from(load.requests) < slots * (1.0 + QUEUE_FACTOR),
         }
     }
 
-    /// The first replica for an adapter in the order of the hash, of those that
-    /// are not much busier than the least loaded one; each with how busy it seems.
+    /// Returns the first replica for an adapter in hash order among those not
+    /// much busier than the least busy one. `all` holds the candidates with their
+    /// scores.
     ///
-    /// A request that has waited in vain for longer than a load takes looks for
-    /// one that has an adapter to give away.
-    ///
-    /// Made for many requests for rare adapters, when each replica runs more of
-    /// them than it holds adapters: where all of them are in use, a load waits
-    /// until one is not, while other replicas have one to give away.
+    /// Under many requests for rare adapters a replica may run more requests than
+    /// it holds adapters. If all its adapters are in use, a load waits until one
+    /// is idle, while other replicas may have an idle one. A request that has
+    /// waited for longer than a load takes is therefore placed only where an
+    /// adapter can be evicted, if there is such a replica.
     fn home(
         &self,
         now: Moment,
@@ -329,7 +333,7 @@
         let least = list.iter().map(|(_, _, score)| *score);
         let least = least.min_by(f64::total_cmp)?;
         let above = match self.experiment.is_enabled(Mechanism::Homes) {
-            true => HOME_ABOVE_MS,
+            true => HOME_SLACK_MS,
             false => 0.0,
         };
         let fit = list.iter().filter(|(_, _, score)| *score <= least + above);
@@ -338,19 +342,19 @@
     }
 }
 
-/// The hash of a replica's address, which stands for the replica: after a
-/// restart there it still has the adapter's weights on its disk.
+/// Returns the hash of a replica's address, by which the replica is ranked: after
+/// a restart at the same address it still has the adapter's weights on its disk.
 pub(super) fn address_seed(listing: &ReplicaInfo) -> u64 {
     xxh3_64_with_seed(listing.address.to_string().as_bytes(), 0)
 }
 
-/// The rank of a replica for a shared beginning: requests that share it meet
-/// where it is kept, as far as several replicas hold their adapter.
+/// Returns the rank of a replica for a shared prompt prefix: if several replicas
+/// hold the adapter, requests with the same prefix go where it is cached.
 fn prefix_rank(shared: SharedPrefix, seed: u64) -> u64 {
     xxh3_64_with_seed(&seed.to_le_bytes(), shared.key)
 }
 
-/// The rank of a replica for an adapter.
+/// Returns the rank of a replica for an adapter.
 fn rank(target: &Target, seed: u64) -> u64 {
     let adapter = target.adapter.as_ref().map_or("", |a| a.as_str());
     xxh3_64_with_seed(adapter.as_bytes(), seed)
--- a/lib/src/serving/decisions/fleet/versions.rs
+++ b/lib/src/serving/decisions/fleet/versions.rs
@@ -9,27 +9,28 @@
 use crate::serving::path::types::AnnouncedVersion;
 use crate::serving::path::types::Target;
 
-/// How long after the news of a version its forerunner still serves. Owners
-/// load the new one in about a third of a second meanwhile; the promise is
-/// seconds longer, and a request may still wait in the replica's queue.
-const FORERUNNER_SERVES: Span = Span::from_millis(1_800);
+/// How long the previous version still serves after a new one is announced.
+/// Owners load the new one within about a third of a second. The guaranteed
+/// bound is seconds longer, as a request may still wait in the replica's queue.
+const PREVIOUS_SERVES: Span = Span::from_millis(1_800);
 
-/// The announced versions of each adapter, with the time of the news.
+/// The announced versions of each adapter, with the time of each announcement.
 ///
-/// Made for versions that are announced while an adapter is in use, and again
-/// before the last one is everywhere: requests go on where the old version is
-/// until the new one can have come, and never begin on it later. Each version
-/// counts from its own news: counted from the newest one's, an adapter that is
-/// announced every two seconds would serve its first version for ever.
+/// Versions may be announced while an adapter is in use, and again before the
+/// last one has been loaded everywhere. Requests continue on the old version
+/// until the new one can have been loaded, and never begin on it later. The
+/// period starts with each version's own announcement: if it restarted with the
+/// newest one, an adapter that is announced every two seconds would serve its
+/// first version for ever.
 #[derive(Debug, Default)]
 pub struct Versions {
-    /// Rising; the last of those that may not be ignored any more, and those
+    /// In ascending order: the newest version that is already required, and all
     /// after it.
     announced: BTreeMap<Target, BTreeMap<u32, Moment>>,
 }
 
 impl Versions {
-    /// Takes an announcement; gives whether it is news.
+    /// Records an announcement. Returns whether it is newer than those known.
     pub fn announce(&mut self, now: Moment, a: &AnnouncedVersion) -> bool {
         if self.newest(&a.target).is_some_and(|v| v >= a.version) {
             return false;
@@ -41,26 +42,26 @@
         true
     }
 
-    /// The newest version, if one was announced.
+    /// Returns the newest announced version, if any.
     pub fn newest(&self, target: &Target) -> Option<u32> {
         let versions = self.announced.get(target)?;
         versions.last_key_value().map(|(version, _)| *version)
     }
 
-    /// The version of an adapter that a run must begin on now, or a newer one;
-    /// `None` while any may serve. New weights of a base model are taken as
-    /// replicas load them.
+    /// Returns the minimum version of an adapter that a run may begin on now;
+    /// `None` while any version may serve. Base models have no required version:
+    /// replicas serve the weights that they have loaded.
     pub fn required(&self, now: Moment, target: &Target) -> Option<u32> {
         target.adapter.as_ref()?;
         let mut versions = self.announced.get(target)?.iter().rev();
-        let over = versions.find(|(_, at)| now.since(**at) >= FORERUNNER_SERVES);
+        let over = versions.find(|(_, at)| now.since(**at) >= PREVIOUS_SERVES);
         over.map(|(version, _)| *version)
     }
 }
 
 impl Fleet {
-    /// The version that a run there is to begin on: the required one, or the
-    /// newer one that the replica holds.
+    /// Returns the version that a run at a replica should begin on: the required
+    /// one, or the newer one that the replica holds.
     pub fn expected_version(
         &self,
         now: Moment,
--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -1,4 +1,4 @@
-//! What is decided, on plain state with time as an argument: no I/O, no clock.
+//! Decision logic on plain state: no I/O, and time is passed in as an argument.
 
 pub mod access;
 pub(super) mod adapter_planner;
--- a/lib/src/serving/decisions/prefill_turns.rs
+++ b/lib/src/serving/decisions/prefill_turns.rs
@@ -1,4 +1,4 @@
-//! Whose long prompt a replica reads next.
+//! Serialises the prefill of long prompts at a replica.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,34 +8,34 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// A prompt from this length on waits for its turn: an engine reads shorter
-/// ones within a few steps.
+/// Minimum tokens of a prompt that waits for its turn: an engine prefills
+/// shorter ones within a few steps.
 pub(in crate::serving) const LONG_PROMPT_TOKENS: u64 = 3_000;
 
-/// Tokens that are read at a time, at the most, unless one prompt is longer.
-const READ_AT_ONCE: u64 = 6_000;
+/// Maximum tokens that are prefilled at a time, unless one prompt is longer.
+const MAX_CONCURRENT_TOKENS: u64 = 6_000;
 
-/// The pause after a prompt was read, in which the streams of the replica get
-/// their next events: some eight steps of an engine.
-const PAUSE: Span = Span::from_millis(30);
+/// Gap after a prefill, in which the streams of the replica get their next
+/// events: some eight engine steps.
+const GAP: Span = Span::from_millis(30);
 
-/// How long a prompt waits for its turn at the most: later it would miss its
-/// objective, and is sent all the same.
+/// Maximum time that a prompt waits for its turn. After it the prompt is sent
+/// without one, as it would miss its objective.
 pub const MAX_TURN_WAIT: Span = Span::from_millis(600);
 
-/// Microseconds for a token after which a turn is over whose end was lost:
-/// twice what an engine takes.
-const LOST_A_TOKEN: u64 = 50;
+/// Per-token part of the time after which a turn whose end message was lost is
+/// over, in microseconds: twice what an engine takes.
+const TIMEOUT_PER_TOKEN_US: u64 = 50;
 
-/// The same, before the first token.
-const LOST_AFTER: u64 = 150_000;
+/// Constant part of that time, in microseconds.
+const TIMEOUT_BASE_US: u64 = 150_000;
 
-/// One request for a turn.
+/// Identifies a request for a turn.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TurnId {
-    /// Who asks.
+    /// The VM that asks.
     pub vm: VmName,
-    /// Its number for the run.
+    /// The VM's number for the run.
     pub number: u64,
 }
 
@@ -43,91 +43,92 @@
 struct Turn {
     id: TurnId,
     tokens: u64,
-    /// While it waits: when it is given up; while it reads: when it is lost.
+    /// While it waits: when it is dropped; during prefill: when it times out.
     until: Moment,
 }
 
 #[derive(Debug, Default)]
-struct Desk {
-    reading: Vec<Turn>,
+struct ReplicaQueue {
+    active: Vec<Turn>,
     waiting: VecDeque<Turn>,
     free_from: Moment,
 }
 
-/// The turns at the replicas that this VM owns.
+/// Prefill turns at the replicas that this VM owns.
 ///
-/// Made for streams that share an engine with long prompts. One prompt pauses
-/// them for less than their callers allow, two behind each other do not; a
-/// short pause between two prompts gives every stream its next event. Turns
-/// are given by the replica's owner, as the VMs' pictures of a replica are
-/// older than a prompt takes; without an owner prompts are sent as they come.
+/// Streams share an engine with long prompts. One prefill stalls them for less
+/// than their callers allow, two in a row for longer; a short gap between two
+/// prompts gives every stream its next event. Turns are granted by the replica's
+/// owner, as load reports are older than a prefill takes; without an owner
+/// prompts are sent as they come.
 #[derive(Debug, Default)]
 pub struct PrefillTurns {
-    desks: BTreeMap<ReplicaName, Desk>,
+    queues: BTreeMap<ReplicaName, ReplicaQueue>,
 }
 
 impl PrefillTurns {
-    /// A prompt of `tokens` is to be read.
+    /// Queues a prompt of `tokens` tokens.
     pub fn request(&mut self, now: Moment, replica: &ReplicaName, id: TurnId, tokens: u64) {
-        let desk = self.desks.entry(replica.clone()).or_default();
-        desk.waiting.push_back(Turn {
+        let queue = self.queues.entry(replica.clone()).or_default();
+        queue.waiting.push_back(Turn {
             id,
             tokens,
             until: now.after(MAX_TURN_WAIT),
         });
     }
 
-    /// It was read, or is wanted no more.
+    /// Ends a turn or a wait: the prompt was prefilled, or the request is gone.
     pub fn finish(&mut self, now: Moment, replica: &ReplicaName, id: &TurnId) {
-        let Some(desk) = self.desks.get_mut(replica) else {
+        let Some(queue) = self.queues.get_mut(replica) else {
             return;
         };
-        desk.waiting.retain(|t| t.id != *id);
-        let before = desk.reading.len();
-        desk.reading.retain(|t| t.id != *id);
-        if desk.reading.len() < before {
-            desk.free_from = now.after(PAUSE);
+        queue.waiting.retain(|t| t.id != *id);
+        let before = queue.active.len();
+        queue.active.retain(|t| t.id != *id);
+        if queue.active.len() < before {
+            queue.free_from = now.after(GAP);
         }
     }
 
-    /// Whose turn it is now; each is told once.
+    /// Returns the turns that begin now; each is returned once.
     pub fn take_grants(&mut self, now: Moment) -> Vec<(ReplicaName, TurnId)> {
         let mut grants = Vec::new();
-        for (name, desk) in &mut self.desks {
-            desk.reading.retain(|t| t.until > now);
-            desk.waiting.retain(|t| t.until > now);
-            while let Some(turn) = desk.next(now) {
+        for (name, queue) in &mut self.queues {
+            queue.active.retain(|t| t.until > now);
+            queue.waiting.retain(|t| t.until > now);
+            while let Some(turn) = queue.next(now) {
                 grants.push((name.clone(), turn));
             }
         }
-        self.desks
-            .retain(|_, d| !d.reading.is_empty() || !d.waiting.is_empty() || d.free_from > now);
+        self.queues
+            .retain(|_, d| !d.active.is_empty() || !d.waiting.is_empty() || d.free_from > now);
         grants
     }
 
-    /// When [`PrefillTurns::take_grants`] is worth asking again without news.
+    /// Returns when [`PrefillTurns::take_grants`] should be called again if
+    /// nothing else happens.
     pub fn next_wake(&self) -> Option<Moment> {
-        let desks = self.desks.values().filter(|d| !d.waiting.is_empty());
-        let lost = |d: &Desk| d.reading.iter().map(|t| t.until).min();
-        desks.map(|d| lost(d).unwrap_or(d.free_from)).min()
+        let queues = self.queues.values().filter(|d| !d.waiting.is_empty());
+        let timeout = |d: &ReplicaQueue| d.active.iter().map(|t| t.until).min();
+        queues.map(|d| timeout(d).unwrap_or(d.free_from)).min()
     }
 }
 
-impl Desk {
+impl ReplicaQueue {
     fn next(&mut self, now: Moment) -> Option<TurnId> {
         let first = self.waiting.front()?;
-        let reading: u64 = self.reading.iter().map(|t| t.tokens).sum();
-        let room = match self.reading.is_empty() {
+        let active: u64 = self.active.iter().map(|t| t.tokens).sum();
+        let room = match self.active.is_empty() {
             true => self.free_from <= now,
-            false => reading + first.tokens <= READ_AT_ONCE,
+            false => active + first.tokens <= MAX_CONCURRENT_TOKENS,
         };
         if !room {
             return None;
         }
         let mut turn = self.waiting.pop_front()?;
-        turn.until = now.after(Span(LOST_AFTER + turn.tokens * LOST_A_TOKEN));
+        turn.until = now.after(Span(TIMEOUT_BASE_US + turn.tokens * TIMEOUT_PER_TOKEN_US));
         let id = turn.id.clone();
-        self.reading.push(turn);
+        self.active.push(turn);
         Some(id)
     }
 }
--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -1,4 +1,4 @@
-//! What a VM may use of organisations' limits.
+//! The borrowing side of organisations' quotas.
 
 use std::collections::BTreeMap;
 
@@ -10,52 +10,54 @@
 use crate::serving::decisions::quota::lender::LendRequest;
 use crate::serving::path::types::RateLimit;
 
-/// How long what was lent may be used; the lender counts it as used at once.
-const LEASE: Span = Span::from_millis(1_000);
+/// How long lent tokens may be used; the lender counts them as used at once.
+const LOAN_TTL: Span = Span::from_millis(1_000);
 
-/// The time over which the use of an organisation is averaged.
-const AVERAGED: Span = Span::from_millis(1_000);
+/// Time constant of the moving average of an organisation's use.
+const RATE_WINDOW: Span = Span::from_millis(1_000);
 
-/// How much is asked for ahead: the use of so long.
+/// Period for which tokens are borrowed ahead.
 const AHEAD: Span = Span::from_millis(400);
 
-/// Requests within that time from which more is asked for than the one at hand
-/// needs: where they come seldom, what is lent ahead ends unused.
-const LEAST_AHEAD: f64 = 2.0;
+/// Minimum number of requests expected in that period for borrowing ahead: if
+/// requests are rare, tokens lent ahead expire unused.
+const MIN_AHEAD: f64 = 2.0;
 
-/// How long a VM goes by a lender's word that the limit is used up: without it
-/// each request of an organisation that sends too many would be a question.
-const SHORT_KEPT: Span = Span::from_millis(100);
+/// How long a VM caches a lender's reply that the limit is exhausted. Otherwise
+/// each request of an organisation over its limit would cause a remote call.
+const EXHAUSTED_TTL: Span = Span::from_millis(100);
 
-/// The parts of the rate and of the burst that all VMs together may use when no
-/// lender answers. A lender that does not hear them lends that much less, but
-/// only once it misses them.
-const OWN_RATE: f64 = 0.5;
-const OWN_BURST: f64 = 0.25;
+/// Fractions of the rate and of the burst that all VMs together may use if no
+/// lender answers. A lender that cannot reach them lends that much less, but
+/// only once it has detected that.
+const LOCAL_RATE: f64 = 0.5;
+const LOCAL_BURST: f64 = 0.25;
 
-/// What becomes of a request by what this VM knows.
+/// Whether a request is covered by borrowed tokens.
 #[derive(Clone, Copy, Debug)]
 pub enum Spend {
-    /// It was lent enough: the request may run.
+    /// Enough was borrowed: the request may run.
     Spent,
-    /// The lender is to be asked.
+    /// The lender must be asked.
     Ask(LendRequest),
-    /// The lender said a moment ago that the limit is used up.
+    /// The lender replied a moment ago that the limit is exhausted; the caller
+    /// may retry after this time.
     Exhausted(Span),
 }
 
 #[derive(Debug)]
 struct Account {
-    /// What was lent and is not used, until it ends.
+    /// Tokens that were lent and are not used, and when they expire.
     lent: f64,
     until: Moment,
-    /// Use a second, averaged, as of a moment.
+    /// Moving average of the use per second, as of `used_at`.
     rate: f64,
     used_at: Moment,
-    /// The limit is used up for requests of this weight or more, until then.
-    short: Option<(f64, Moment, Span)>,
-    /// This VM's own part of the limit, for when no lender answers.
-    own: Option<Bucket>,
+    /// The limit is exhausted for requests of at least this weight until this
+    /// time; the span is the retry delay.
+    exhausted: Option<(f64, Moment, Span)>,
+    /// This VM's local share of the limit, for when no lender answers.
+    local: Option<Bucket>,
 }
 
 impl Account {
@@ -65,28 +67,28 @@
             until: now,
             rate: 0.0,
             used_at: now,
-            short: None,
-            own: None,
+            exhausted: None,
+            local: None,
         }
     }
 
-    fn note_use(&mut self, now: Moment, weight: f64) {
+    fn record_use(&mut self, now: Moment, weight: f64) {
         let span = now.since(self.used_at).0 as f64;
-        let kept = (-span / AVERAGED.0 as f64).exp();
-        self.rate = self.rate * kept + weight * 1e6 / AVERAGED.0 as f64;
+        let kept = (-span / RATE_WINDOW.0 as f64).exp();
+        self.rate = self.rate * kept + weight * 1e6 / RATE_WINDOW.0 as f64;
         self.used_at = now;
     }
 
     fn ahead(&self, weight: f64) -> f64 {
         let ahead = self.rate * AHEAD.0 as f64 / 1e6;
-        match ahead >= weight * LEAST_AHEAD {
+        match ahead >= weight * MIN_AHEAD {
             true => ahead,
             false => 0.0,
         }
     }
 }
 
-/// What this VM was lent of each organisation's limit.
+/// Tracks the tokens that this VM was lent of each organisation's limit.
 #[derive(Debug, Default)]
 pub struct Borrower {
     accounts: BTreeMap<OrganisationName, Account>,
@@ -98,7 +100,7 @@
         account.or_insert_with(|| Account::new(now))
     }
 
-    /// A request of this weight wants to run.
+    /// Takes the tokens for a request of this weight, if enough were borrowed.
     pub fn spend(&mut self, now: Moment, name: &OrganisationName, weight: f64) -> Spend {
         let account = self.account(now, name);
         if account.until <= now {
@@ -106,10 +108,10 @@
         }
         if account.lent >= weight {
             account.lent -= weight;
-            account.note_use(now, weight);
+            account.record_use(now, weight);
             return Spend::Spent;
         }
-        if let Some((least, until, after)) = account.short
+        if let Some((least, until, after)) = account.exhausted
             && weight >= least
             && now < until
         {
@@ -121,8 +123,8 @@
         })
     }
 
-    /// The lender answered what was asked for a request of this weight; gives
-    /// whether it may run.
+    /// Applies the lender's reply for a request of this weight. Returns whether
+    /// the request may run.
     pub fn apply_reply(
         &mut self,
         now: Moment,
@@ -136,38 +138,38 @@
                 if account.until <= now {
                     account.lent = 0.0;
                 }
-                account.short = None;
+                account.exhausted = None;
                 account.lent += tokens;
-                account.until = now.after(LEASE);
-                // Another request may have used what was here before.
+                account.until = now.after(LOAN_TTL);
+                // A concurrent request may have used the remaining tokens.
                 if account.lent < weight {
                     return false;
                 }
                 account.lent -= weight;
-                account.note_use(now, weight);
+                account.record_use(now, weight);
                 true
             }
             LendReply::Exhausted(after) => {
-                let until = now.after(after.min(SHORT_KEPT));
-                account.short = Some((weight, until, after));
+                let until = now.after(after.min(EXHAUSTED_TTL));
+                account.exhausted = Some((weight, until, after));
                 false
             }
         }
     }
 
-    /// A request did not run: what it took may be used by another one.
+    /// Returns the tokens of a request that did not run.
     pub fn refund(&mut self, now: Moment, name: &OrganisationName, weight: f64) {
         let account = self.account(now, name);
         if account.until <= now {
             account.lent = 0.0;
         }
         account.lent += weight;
-        account.until = account.until.max(now.after(LEASE));
+        account.until = account.until.max(now.after(LOAN_TTL));
     }
 
-    /// No lender answers: whether a request fits this VM's own part among
-    /// `vms`, which is all that it may use then. The lender, if there is one
-    /// that does not hear us, lends that much less.
+    /// Takes the tokens for a request from this VM's local share among `vms` VMs,
+    /// for when no lender answers. Returns whether the request may run. A lender
+    /// that cannot reach this VM lends that much less.
     pub fn spend_local(
         &mut self,
         now: Moment,
@@ -177,25 +179,25 @@
         weight: f64,
     ) -> bool {
         let account = self.account(now, name);
-        let part = 1.0 / vms.max(1) as f64;
+        let share = 1.0 / vms.max(1) as f64;
         let limit = RateLimit {
-            rate: limit.rate * OWN_RATE,
-            burst: limit.burst * OWN_BURST,
+            rate: limit.rate * LOCAL_RATE,
+            burst: limit.burst * LOCAL_BURST,
             ..*limit
         };
-        let own = account.own.get_or_insert(Bucket {
-            level: limit.burst * part,
+        let local = account.local.get_or_insert(Bucket {
+            level: limit.burst * share,
             at: now,
         });
-        own.fill(now, &limit, part);
-        if own.level < weight {
+        local.fill(now, &limit, share);
+        if local.level < weight {
             return false;
         }
-        own.level -= weight;
+        local.level -= weight;
         true
     }
 
-    /// Forgets organisations that are no more.
+    /// Removes the organisations for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&OrganisationName) -> bool) {
         self.accounts.retain(|name, _| keep(name));
     }
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -1,4 +1,4 @@
-//! The VM that lends parts of an organisation's limit.
+//! The lending side of an organisation's quota.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,64 +7,63 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::decisions::quota::Bucket;
-use crate::serving::decisions::quota::LONGEST_WAIT;
+use crate::serving::decisions::quota::MAX_RETRY_DELAY;
 use crate::serving::path::types::RateLimit;
 
-/// What may be used beyond the limits, over all VMs in any window.
+/// Permitted use beyond the limits, over all VMs in any window.
 #[derive(Clone, Copy, Debug)]
 pub struct Overshoot {
-    /// The window, in seconds.
+    /// Window length in seconds.
     pub window: f64,
-    /// The part of the limit beyond it.
+    /// Permitted overshoot as a fraction of the limit.
     pub over: f64,
-    /// What may be used beyond that.
+    /// Permitted overshoot in addition, as a constant amount.
     pub slack: f64,
 }
 
-/// The part of the allowance that a VM which begins to lend gives out at once,
-/// as it does not know what its predecessor lent: so many such changes may fall
-/// into one window.
-const START_PART: f64 = 0.1;
+/// Fraction of the permitted overshoot that a new lender gives out at once, as
+/// it does not know what its predecessor lent: up to ten changes of the lender
+/// may fall into one window.
+const START_FRACTION: f64 = 0.1;
 
-/// The part of the bucket that stays for requests at hand when a borrower asks
-/// for what its next ones will need.
+/// Fraction of the bucket that is reserved for current requests when a borrower
+/// asks for tokens ahead of its next ones.
 const AHEAD_RESERVE: f64 = 0.5;
 
-/// The longest queue that is told to those who are to come back, in seconds of
-/// the limit's rate: later ones would have left.
-const LONGEST_QUEUE: f64 = 3.0;
+/// Maximum queue from which retry delays are computed, in seconds of the limit's
+/// rate: later callers would have left.
+const MAX_QUEUE_S: f64 = 3.0;
 
-/// What a borrower asks for.
+/// A borrower's request for tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct LendRequest {
-    /// For a request at hand.
+    /// Tokens for the current request.
     pub need: f64,
-    /// For its next ones.
+    /// Tokens ahead of the next requests.
     pub ahead: f64,
 }
 
-/// What it is told.
+/// The lender's reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LendReply {
-    /// So much is lent.
+    /// This many tokens are lent.
     Lent(f64),
-    /// The limit is used up; the caller may come back after this time.
+    /// The limit is exhausted; the caller may retry after this time.
     Exhausted(Span),
 }
 
-/// How long a VM that was not seen to be the first in the order still counts as
-/// that; after longer another one may have lent in its place.
-const PLACE_KEPT: Span = Span::from_millis(2_000);
+/// How long a lender keeps its term without confirming that it is first in the
+/// order of lenders; after that another VM may have lent in its place.
+const TERM_TTL: Span = Span::from_millis(2_000);
 
-/// The time in which a VM that has become the first in the order, and the one
-/// before it, may both take themselves for that: each hears most of the VMs as of
-/// a moment ago.
-const SETTLED: Span = Span::from_millis(1_600);
+/// How long a new lender and its predecessor may both consider themselves first:
+/// each goes by a slightly outdated view of the live VMs.
+const OVERLAP: Span = Span::from_millis(1_600);
 
-/// The part of the rate that is lent until then.
-const UNSETTLED_PART: f64 = 0.5;
+/// Fraction of the rate that is lent during that overlap.
+const OVERLAP_FRACTION: f64 = 0.5;
 
-/// A span in which this VM is the first in the order.
+/// A period in which this VM is first in the order of lenders.
 #[derive(Clone, Copy, Debug)]
 struct Term {
     since: Moment,
@@ -74,7 +73,7 @@
 #[derive(Debug)]
 struct Account {
     bucket: Bucket,
-    /// What those who were told to come back will need.
+    /// Tokens that callers with a retry delay will need.
     queued: f64,
     term: Option<Term>,
 }
@@ -91,50 +90,58 @@
         }
     }
 
-    /// Time passes; gives the part of the rate that flows in.
-    fn pass(&mut self, now: Moment, limit: &RateLimit, start: f64, heard: f64, first: bool) -> f64 {
-        let term = self.term.filter(|t| now.since(t.last) < PLACE_KEPT);
+    /// Advances the bucket to `now`. Returns the fraction of the rate at which it
+    /// is refilled.
+    fn advance(
+        &mut self,
+        now: Moment,
+        limit: &RateLimit,
+        start: f64,
+        reachable: f64,
+        first: bool,
+    ) -> f64 {
+        let term = self.term.filter(|t| now.since(t.last) < TERM_TTL);
         let term = term.filter(|_| first);
         let since = term.map_or(now, |t| t.since);
         self.term = first.then_some(Term { since, last: now });
-        let part = match now.since(since) < SETTLED {
-            true => heard * UNSETTLED_PART,
-            false => heard,
+        let fraction = match now.since(since) < OVERLAP {
+            true => reachable * OVERLAP_FRACTION,
+            false => reachable,
         };
         if term.is_some() {
             let seconds = now.since(self.bucket.at).0 as f64 / 1e6;
-            self.queued = (self.queued - seconds * limit.rate * part).max(0.0);
-            self.bucket.fill(now, limit, part);
+            self.queued = (self.queued - seconds * limit.rate * fraction).max(0.0);
+            self.bucket.fill(now, limit, fraction);
         } else {
-            // Whoever lent meanwhile had what flowed in.
+            // The refill since then belonged to the VM that lent meanwhile.
             self.bucket.level = self.bucket.level.min(start);
             self.bucket.at = now;
         }
-        part
+        fraction
     }
 }
 
-/// The buckets of the organisations that this VM lends for.
+/// Holds the buckets of the organisations that this VM lends for.
 #[derive(Debug)]
 pub struct Lender {
-    allowance: Overshoot,
+    overshoot: Overshoot,
     accounts: BTreeMap<OrganisationName, Account>,
 }
 
 impl Lender {
-    /// Nothing is lent yet.
-    pub fn new(allowance: Overshoot) -> Self {
+    /// Creates a lender that has lent nothing.
+    pub fn new(overshoot: Overshoot) -> Self {
         Self {
-            allowance,
+            overshoot,
             accounts: BTreeMap::new(),
         }
     }
 
-    /// What is given out before anything has flowed in.
+    /// Returns the initial level of a new lender's bucket.
     fn start(&self, limit: &RateLimit) -> f64 {
-        let a = &self.allowance;
+        let a = &self.overshoot;
         let beyond = a.over * (limit.rate * a.window + limit.burst) + a.slack;
-        limit.burst.min(beyond * START_PART)
+        limit.burst.min(beyond * START_FRACTION)
     }
 
     fn account(&mut self, now: Moment, name: &OrganisationName, start: f64) -> &mut Account {
@@ -142,24 +149,24 @@
         account.or_insert_with(|| Account::new(now, start))
     }
 
-    /// A VM asks for a part of the limit.
+    /// Lends tokens of the limit to a VM.
     ///
-    /// `heard` is the part of the VMs that this one hears: the others may be cut
-    /// off and use their own parts. `first` says whether it is the VM that lends
-    /// for this organisation; a VM that is asked in place of one that does not
-    /// answer lends what it may give out at once, and no more.
+    /// `reachable` is the fraction of the VMs that this one can reach: the others may
+    /// be partitioned and use their local shares. `first` says whether this VM is
+    /// the lender of the organisation. A VM that stands in for an unresponsive
+    /// lender lends its initial level and no more.
     pub fn lend(
         &mut self,
         now: Moment,
         name: &OrganisationName,
         limit: &RateLimit,
-        heard: f64,
+        reachable: f64,
         first: bool,
         ask: LendRequest,
     ) -> LendReply {
         let start = self.start(limit);
         let account = self.account(now, name, start);
-        let part = account.pass(now, limit, start, heard, first);
+        let fraction = account.advance(now, limit, start, reachable, first);
         let bucket = &mut account.bucket;
         if bucket.holds(limit, ask.need) {
             bucket.level -= ask.need;
@@ -169,25 +176,25 @@
             return LendReply::Lent(ask.need + ahead);
         }
         let queue = Span((account.queued / limit.rate.max(f64::MIN_POSITIVE) * 1e6) as u64);
-        let wait = Span(bucket.wait(limit, part, ask.need).0 + queue.0);
-        let longest = limit.rate * LONGEST_QUEUE;
+        let wait = Span(bucket.wait(limit, fraction, ask.need).0 + queue.0);
+        let longest = limit.rate * MAX_QUEUE_S;
         account.queued = (account.queued + ask.need).min(longest);
-        LendReply::Exhausted(wait.min(LONGEST_WAIT))
+        LendReply::Exhausted(wait.min(MAX_RETRY_DELAY))
     }
 
-    /// Time passes while this VM lends for these organisations and for no others:
-    /// they were not taken over by another one, even if nobody asked.
+    /// Renews the terms of the organisations in `kept` and ends all others. A
+    /// term thereby continues even if no VM borrows.
     pub fn renew<'a>(
         &mut self,
         now: Moment,
-        heard: f64,
+        reachable: f64,
         kept: impl Iterator<Item = (&'a OrganisationName, &'a RateLimit)>,
     ) {
         let mut firsts = BTreeSet::new();
         for (name, limit) in kept {
             let start = self.start(limit);
             let account = self.account(now, name, start);
-            account.pass(now, limit, start, heard, true);
+            account.advance(now, limit, start, reachable, true);
             firsts.insert(name);
         }
         let others = self.accounts.iter_mut();
--- a/lib/src/serving/decisions/quota/mod.rs
+++ b/lib/src/serving/decisions/quota/mod.rs
@@ -1,15 +1,14 @@
-//! Limits of organisations over all VMs: token buckets whose parts are lent.
+//! Quotas of organisations over all VMs: token buckets lent out in leases.
 //!
-//! One VM lends for each organisation: the [`Lender`] holds the bucket. The
-//! others' [`Borrower`]s ask it for what a request needs, and for a little more
-//! where requests come often, so that most need no question. What is lent ends
-//! by itself. The sum over all VMs stays within the limit by construction:
-//! nothing is used that was not taken out of the bucket before.
+//! One VM lends for each organisation: its [`Lender`] holds the bucket. The
+//! [`Borrower`]s of the other VMs request what a request needs, and some more if
+//! requests are frequent, so that most need no remote call. A loan expires by
+//! itself. The sum over all VMs stays within the limit by construction: nothing
+//! is used that was not taken out of the bucket before.
 //!
-//! Load: an organisation that sends several times what it may, while VMs are
-//! cut off, frozen or restarted. Harm prevented: the others' places at the
-//! engines are taken by what nobody is owed, and an organisation is refused
-//! below its limit.
+//! An organisation may send several times its limit while VMs are partitioned,
+//! suspended or restarted. It must not take engine capacity from the others, and
+//! no organisation may be refused below its limit.
 
 pub(super) mod borrower;
 pub(super) mod lender;
@@ -25,7 +24,7 @@
 pub use lender::Lender;
 pub use lender::Overshoot;
 
-/// A token bucket that is filled as time passes.
+/// A token bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     level: f64,
@@ -33,29 +32,31 @@
 }
 
 impl Bucket {
-    /// Lets `part` of the limit's rate flow in.
-    fn fill(&mut self, now: Moment, limit: &RateLimit, part: f64) {
+    /// Refills the bucket at a fraction of the limit's rate.
+    fn fill(&mut self, now: Moment, limit: &RateLimit, fraction: f64) {
         let seconds = now.since(self.at).0 as f64 / 1e6;
-        // A limit that was lowered takes effect on what is there as well.
+        // A lowered limit also applies to the tokens already in the bucket.
         self.level = self.level.min(limit.burst);
-        let most = self.level.max(limit.burst * part);
-        self.level = (self.level + limit.rate * part * seconds).min(most);
+        let most = self.level.max(limit.burst * fraction);
+        self.level = (self.level + limit.rate * fraction * seconds).min(most);
         self.at = self.at.max(now);
     }
 
-    /// Whether it holds enough for a request of this weight. One that is larger
-    /// than the whole bucket may take it below zero, as it would never run.
+    /// Returns whether a request of this weight may run. One larger than the
+    /// whole bucket may take the level below zero, as it could never run
+    /// otherwise.
     fn holds(&self, limit: &RateLimit, weight: f64) -> bool {
         self.level >= weight.min(limit.burst)
     }
 
-    /// How long until it holds that, with `part` of the rate flowing in.
-    fn wait(&self, limit: &RateLimit, part: f64, weight: f64) -> Span {
-        let lacks = (weight.min(limit.burst) - self.level).max(0.0);
-        let seconds = lacks / (limit.rate * part).max(f64::MIN_POSITIVE);
-        Span((seconds * 1e6).min(LONGEST_WAIT.0 as f64) as u64)
+    /// Returns the time until [`Bucket::holds`], refilled at a
+    /// fraction of the rate.
+    fn wait(&self, limit: &RateLimit, fraction: f64, weight: f64) -> Span {
+        let missing = (weight.min(limit.burst) - self.level).max(0.0);
+        let seconds = missing / (limit.rate * fraction).max(f64::MIN_POSITIVE);
+        Span((seconds * 1e6).min(MAX_RETRY_DELAY.0 as f64) as u64)
     }
 }
 
-/// The longest time to come back that is told: a limit may be raised meanwhile.
-const LONGEST_WAIT: Span = Span::from_millis(10_000);
+/// Maximum retry delay that is returned: a limit may be raised meanwhile.
+const MAX_RETRY_DELAY: Span = Span::from_millis(10_000);
--- a/lib/src/serving/decisions/reservations.rs
+++ b/lib/src/serving/decisions/reservations.rs
@@ -1,4 +1,4 @@
-//! Places at replicas that were granted a moment ago.
+//! Short-lived reservations of replica capacity.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,62 +8,63 @@
 use crate::pool::Span;
 use crate::serving::decisions::fleet::Load;
 
-/// How long a granted place counts: by then its VM has sent the request and
-/// reported it.
-const KEPT: Span = Span::from_millis(150);
+/// Lifetime of a reservation: by then its VM has sent the request and reported
+/// it.
+const RESERVATION_TTL: Span = Span::from_millis(150);
 
-/// How much busier than its sender believes a replica may be for a request all
-/// the same, in milliseconds: about what a long prompt takes there. The sender
-/// would look for a better place for more. Measured on a fifth of a large
-/// deployment, four runs each: what callers got less what it cost 0.554 -> 0.567
-/// of what was owed, with 200 in place of 100 ms.
+/// How much busier than the sender assumes a replica may be and still accept a
+/// request, in milliseconds: about the prefill time of a long prompt. Beyond it
+/// the sender should look for a better replica. With 200 instead of 100 ms the
+/// net value served rose from 0.554 to 0.567 of the value due (a fifth of a
+/// large deployment, four runs each).
 const SLACK_MS: f64 = 200.0;
 
-/// The places that this VM granted at the replicas that it owns.
+/// Reservations that this VM granted at the replicas it owns.
 ///
-/// Made for fleets in which hundreds of VMs place requests by pictures that are
-/// some hundred milliseconds old: all that look between two beacons choose the
-/// same replica, the least busy one. Its owner hears of each request before it
-/// is sent and knows better. Asking costs two datagrams and some milliseconds,
-/// where objectives are hundreds.
+/// With hundreds of VMs placing requests by load reports that are some hundred
+/// milliseconds old, all of them choose the same least busy replica between two
+/// beacons (a thundering herd). The owner sees each request before it is sent
+/// and has the current load. Asking it costs two datagrams and a few
+/// milliseconds, against latency objectives of hundreds.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    places: BTreeMap<ReplicaName, VecDeque<(Moment, Load)>>,
+    reserved: BTreeMap<ReplicaName, VecDeque<(Moment, Load)>>,
 }
 
 impl Reservations {
-    /// What was granted at a replica and is not reported yet.
+    /// Returns the load that was reserved at a replica and is not reported yet.
     pub fn load(&mut self, now: Moment, replica: &ReplicaName) -> Load {
-        let Some(places) = self.places.get_mut(replica) else {
+        let Some(reserved) = self.reserved.get_mut(replica) else {
             return Load::default();
         };
-        while places.front().is_some_and(|(until, _)| *until <= now) {
-            places.pop_front();
+        while reserved.front().is_some_and(|(until, _)| *until <= now) {
+            reserved.pop_front();
         }
-        let sum = places.iter().map(|(_, load)| *load);
+        let sum = reserved.iter().map(|(_, load)| *load);
         let sum = sum.fold(Load::default(), Load::plus);
-        if places.is_empty() {
-            self.places.remove(replica);
+        if reserved.is_empty() {
+            self.reserved.remove(replica);
         }
         sum
     }
 
-    /// Whether a request may be sent to a replica with `reported` under way,
-    /// whose sender believes it to be this busy; if so, its place is taken.
+    /// Reserves capacity for a request of `cost` at a replica with `reported`
+    /// load, and returns whether it may be sent there. `assumed_ms` is how busy
+    /// the sender assumes the replica to be.
     pub fn try_reserve(
         &mut self,
         now: Moment,
         replica: &ReplicaName,
         reported: Load,
-        believed_ms: f64,
+        assumed_ms: f64,
         cost: Load,
     ) -> bool {
         let load = reported.plus(self.load(now, replica));
-        if load.busy_ms() > believed_ms + SLACK_MS {
+        if load.busy_ms() > assumed_ms + SLACK_MS {
             return false;
         }
-        let places = self.places.entry(replica.clone()).or_default();
-        places.push_back((now.after(KEPT), cost));
+        let reserved = self.reserved.entry(replica.clone()).or_default();
+        reserved.push_back((now.after(RESERVATION_TTL), cost));
         true
     }
 }
--- a/lib/src/serving/decisions/retry.rs
+++ b/lib/src/serving/decisions/retry.rs
@@ -1,8 +1,8 @@
-//! What follows a failed try: another one, or the final answer.
+//! Decides what follows a failed attempt: a retry, or the final response.
 //!
-//! Load: replicas that crash, refuse or fail under many requests at once. Harm
-//! prevented: a second run of what may run once, and a "not run" that is not
-//! true.
+//! Replicas may crash, refuse or fail under many requests at once. A request
+//! that is not idempotent must not run twice, and a response must not claim that
+//! a request did not run if it may have.
 
 use std::time::Duration;
 
@@ -11,45 +11,46 @@
 use crate::serving::decisions::access::Denial;
 use crate::serving::path::codec::NotRun;
 
-/// Sends of one request that were refused or did not arrive, at the most: the
-/// picture of the replicas is wrong in at most a few places at a time.
-const MOST_SENDS: u32 = 4;
+/// Maximum sends of one request: the view of the replicas is wrong about at
+/// most a few of them at a time.
+const MAX_SENDS: u32 = 4;
 
-/// When to come back while there is no configuration or no replica: about the
-/// time in which a watch is renewed or a replica is listed.
+/// `Retry-After` while there is no configuration or no replica: about the time
+/// it takes to renew a watch or to list a replica.
 pub const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How a try ended without an answer to pass on.
+/// Reason why an attempt gave no response to pass on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptFailure {
-    /// Not a byte was sent.
+    /// No byte was sent.
     NotSent,
-    /// The replica refused it.
+    /// The replica refused the request.
     NotRun(NotRun),
-    /// The connection broke before an answer.
+    /// The connection broke before a response.
     Broken,
-    /// What came is not this request's answer.
+    /// The response is malformed or belongs to another request.
     InvalidReply(&'static str),
-    /// The replica answered with a failure of its own.
+    /// The replica responded with an error of its own.
     Failed,
-    /// No answer came in time.
+    /// No response came in time.
     TimedOut,
-    /// It was not sent: its key was taken away, or may have been.
+    /// Not sent: the API key was revoked, or may have been.
     Denied(Denial),
 }
 
 impl AttemptFailure {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::NotSent | Self::NotRun(_) | Self::Denied(_))
     }
 
-    /// Whether the replica got it, so that another send is a repeat.
+    /// Returns whether the replica received the request, so that another send
+    /// counts as a retry.
     pub fn reached_replica(self) -> bool {
         !matches!(self, Self::NotSent | Self::Denied(_))
     }
 
-    /// A word for logs and metrics.
+    /// Name used in logs, metrics and error replies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -65,30 +66,30 @@
     }
 }
 
-/// What has been tried of one request.
+/// The attempts made for one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Attempts {
-    /// Sends so far.
+    /// Number of sends so far.
     pub sends: u32,
-    /// Those in which it may have run.
+    /// Number of sends in which it may have run.
     pub runs: u32,
-    /// Replicas that may run it.
+    /// Maximum number of replicas that may run it.
     pub max_runs: u32,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Whether the caller has the head of an answer already.
+    /// Whether the response head was already sent to the caller.
     pub answered: bool,
 }
 
 impl Attempts {
-    /// Notes how a send ended.
-    pub fn record(&mut self, ended: AttemptFailure) {
+    /// Records the end of a send.
+    pub fn record(&mut self, failure: AttemptFailure) {
         self.sends += 1;
-        self.runs += u32::from(ended.may_have_run());
+        self.runs += u32::from(failure.may_have_run());
     }
 
-    /// Whether another replica may be tried after this end, which is noted
-    /// already. The retry budget has its own word.
+    /// Returns whether another replica may be tried after this failure, which
+    /// must already be recorded. The retry budget is checked separately.
     ///
     /// ```
     /// use banyangauge::serving::retry::{AttemptFailure, Attempts};
@@ -96,31 +97,31 @@
     /// t.record(AttemptFailure::NotSent);
     /// assert!(t.may_retry(AttemptFailure::NotSent));
     /// t.record(AttemptFailure::Broken);
-    /// assert!(!t.may_retry(AttemptFailure::Broken)); // it may have run, and runs once
+    /// assert!(!t.may_retry(AttemptFailure::Broken)); // may have run, and is not idempotent
     /// ```
-    pub fn may_retry(&self, ended: AttemptFailure) -> bool {
+    pub fn may_retry(&self, failure: AttemptFailure) -> bool {
         let allowed = self.idempotent || self.runs == 0;
         allowed
-            && ended != AttemptFailure::TimedOut
-            && !matches!(ended, AttemptFailure::Denied(_))
-            && self.sends < MOST_SENDS
+            && failure != AttemptFailure::TimedOut
+            && !matches!(failure, AttemptFailure::Denied(_))
+            && self.sends < MAX_SENDS
             && self.runs < self.max_runs.max(1)
     }
 }
 
-/// The final answer to a request that was not served.
+/// The final response to a request that was not served.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Its status; 429 and 503 promise that it did not run.
+    /// HTTP status; 429 and 503 guarantee that the request did not run.
     pub status: StatusCode,
-    /// When to come back.
+    /// Delay before the caller should retry.
     pub retry_after: Option<Duration>,
-    /// Why, in a word.
+    /// Reason code.
     pub reason: &'static str,
 }
 
 impl Refusal {
-    /// It did not run; come back after `after`.
+    /// The request did not run and may be retried after `after`.
     pub fn not_run(reason: &'static str, after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// What the caller sent is not allowed.
+    /// The request is not allowed.
     pub fn denied(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// A key is not known, or may not hold any more.
+    /// The API key is unknown, or may have been revoked.
     pub fn of_denial(denial: Denial) -> Self {
         match denial {
             Denial::UnknownKey => Self::denied(StatusCode::UNAUTHORIZED, denial.as_str()),
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The organisation's limit is used up until then.
+    /// The organisation's limit is exhausted for `after`.
     pub fn over_limit(after: Duration) -> Self {
         Self {
             status: StatusCode::TOO_MANY_REQUESTS,
@@ -155,16 +156,16 @@
         }
     }
 
-    /// The final answer after tries of which the last ended so.
-    pub fn after(tries: &Attempts, ended: AttemptFailure) -> Self {
-        let reason = ended.as_str();
-        if let (0, AttemptFailure::Denied(denial)) = (tries.runs, ended) {
+    /// The final response after `attempts`, the last of which ended with `failure`.
+    pub fn after(attempts: &Attempts, failure: AttemptFailure) -> Self {
+        let reason = failure.as_str();
+        if let (0, AttemptFailure::Denied(denial)) = (attempts.runs, failure) {
             return Self::of_denial(denial);
         }
-        if tries.runs == 0 && !ended.may_have_run() {
+        if attempts.runs == 0 && !failure.may_have_run() {
             return Self::not_run(reason, RETRY_DELAY);
         }
-        let status = match ended {
+        let status = match failure {
             AttemptFailure::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             _ => StatusCode::BAD_GATEWAY,
         };
--- a/lib/src/serving/decisions/retry_budget.rs
+++ b/lib/src/serving/decisions/retry_budget.rs
@@ -1,41 +1,41 @@
-//! How many requests may be sent again.
+//! Retry budget: bounds how many requests may be sent again.
 
 use std::collections::BTreeMap;
 
 use crate::ids::ServiceName;
 use crate::pool::Moment;
 
-/// Slices of a window; the oldest leaves as a whole.
+/// Slices of the sliding window; the oldest is dropped as a whole.
 const SLICES: usize = 10;
 
-/// The part of the allowance that is used: peers count in windows that lie
-/// otherwise, and VMs join and leave within one.
-const USED_PART: f64 = 0.8;
+/// Fraction of the allowance that is spent: the windows of VMs are not aligned,
+/// and VMs join and leave within a window.
+const USABLE_FRACTION: f64 = 0.8;
 
-/// The limits of the retry budget that all VMs share.
+/// Limits of the retry budget over all VMs.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// Repeats for each first send.
+    /// Retries per first send.
     pub ratio: f64,
-    /// The window, in microseconds.
+    /// Window length in microseconds.
     pub window_us: u64,
-    /// Repeats in a window above the ratio, over all VMs.
+    /// Retries in a window beyond the ratio, over all VMs.
     pub slack: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
-    firsts: u32,
-    repeats: u32,
+    first_sends: u32,
+    retries: u32,
 }
 
-/// The retry budget of one VM: its own first sends times the ratio, and its
-/// part of the slack.
+/// The retry budget of one VM: its own first sends times the ratio, plus its
+/// share of the slack.
 ///
-/// Made for replicas that fail or refuse many requests at full load: without
-/// it the repeats would multiply the overload. A VM needs no word with the
-/// others to keep the sum of all within the limit.
+/// If replicas fail or refuse many requests at full load, unbounded retries
+/// would multiply the overload. The sum over all VMs stays within the limit
+/// without coordination between them.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
@@ -43,7 +43,7 @@
 }
 
 impl RetryBudget {
-    /// An unspent budget.
+    /// Creates an unspent budget.
     pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
@@ -51,24 +51,25 @@
         }
     }
 
-    /// Notes a request that is sent for the first time.
+    /// Counts a request that is sent for the first time.
     pub fn record_first_send(&mut self, now: Moment, service: &ServiceName) {
-        self.slice(now, service).firsts += 1;
+        self.slice(now, service).first_sends += 1;
     }
 
-    /// Takes one repeat, if the part of this VM among `vms` allows it.
+    /// Consumes one retry if this VM's share among `vms` VMs allows it.
     pub fn try_retry(&mut self, now: Moment, service: &ServiceName, vms: usize) -> bool {
-        let part = self.limits.slack / vms.max(1) as f64;
+        let share = self.limits.slack / vms.max(1) as f64;
         let ratio = self.limits.ratio;
         let oldest = self.number(now).saturating_sub(SLICES as u64 - 1);
         let slices = self.slices.entry(service.clone()).or_default();
         let live = slices.iter().filter(|s| s.number >= oldest);
-        let (firsts, repeats) = live.fold((0, 0), |(f, r), s| (f + s.firsts, r + s.repeats));
-        let allowed = (ratio * f64::from(firsts) + part) * USED_PART;
-        if f64::from(repeats) + 1.0 > allowed {
+        let (first_sends, retries) =
+            live.fold((0, 0), |(f, r), s| (f + s.first_sends, r + s.retries));
+        let allowed = (ratio * f64::from(first_sends) + share) * USABLE_FRACTION;
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.slice(now, service).repeats += 1;
+        self.slice(now, service).retries += 1;
         true
     }
 
--- a/lib/src/serving/decisions/stall_detector.rs
+++ b/lib/src/serving/decisions/stall_detector.rs
@@ -1,66 +1,65 @@
-//! Whether long prompts hold up the streams of their replicas.
+//! Detects when long prompts stall the token streams of their replicas.
 
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// The part of streams that paused too long from which prompts take turns.
-const LATE_PART: f64 = 0.05;
+/// Fraction of stalled streams from which on long prompts take turns.
+const STALLED_FRACTION: f64 = 0.05;
 
-/// Engine steps in one event of a stream from which turns help: with fewer,
-/// steps that are all filled by prompts take less together than callers allow a
-/// pause, and what pauses streams is something else.
-const LEAST_STEPS: u32 = 5;
+/// Minimum engine steps per stream event for which turns help: with fewer, steps
+/// filled entirely by prefill together take less than the gap that callers
+/// allow, and the stall has another cause.
+const MIN_STEPS: u32 = 5;
 
-/// Weight of one stream in that part.
-const LATE_WEIGHT: f64 = 0.04;
+/// Weight of one stream in the moving average of stalled streams.
+const STREAM_WEIGHT: f64 = 0.04;
 
-/// How long prompts take turns after a VM last saw a reason. While they do,
-/// the reason cannot be seen, so it is looked for again only after a while.
-const KEPT: Span = Span::from_millis(120_000);
+/// How long prompts take turns after stalls were last detected. Turns hide the
+/// stalls, so whether they are still needed is tested only after this time.
+const ACTIVE_FOR: Span = Span::from_millis(120_000);
 
-/// What the pauses of streams say.
+/// Decides from the gaps in streams whether long prompts take turns.
 ///
-/// Made for engines that read prompts in pieces between the steps of others:
-/// whether two prompts behind each other pause a stream for longer than its
-/// callers allow depends on the engine and on the route, and shows only in the
-/// streams themselves.
+/// Engines prefill prompts in chunks between the decode steps of other requests.
+/// Whether two consecutive prompts stall a stream for longer than its callers
+/// allow depends on the engine and on the route, and shows only in the streams
+/// themselves.
 #[derive(Debug, Default)]
 pub struct StallDetector {
-    late: f64,
+    stalled: f64,
     until: Option<Moment>,
 }
 
 impl StallDetector {
-    /// A stream with events of `steps` engine steps ended; `late` says whether
-    /// it paused too long. Gives whether this is the reason to let prompts take
-    /// turns from now on.
-    pub fn record_stream(&mut self, now: Moment, steps: u32, late: bool) -> bool {
-        if steps < LEAST_STEPS {
+    /// Records the end of a stream with `steps` engine steps per event; `stalled`
+    /// says whether it stalled. Returns whether this activates turns.
+    pub fn record_stream(&mut self, now: Moment, steps: u32, stalled: bool) -> bool {
+        if steps < MIN_STEPS {
             return false;
         }
-        let seen = if late { 1.0 } else { 0.0 };
-        self.late += LATE_WEIGHT * (seen - self.late);
-        if self.late < LATE_PART {
+        let seen = if stalled { 1.0 } else { 0.0 };
+        self.stalled += STREAM_WEIGHT * (seen - self.stalled);
+        if self.stalled < STALLED_FRACTION {
             return false;
         }
         let before = self.is_active(now);
-        self.late = 0.0;
-        self.until = Some(now.after(KEPT));
+        self.stalled = 0.0;
+        self.until = Some(now.after(ACTIVE_FOR));
         !before
     }
 
-    /// Another VM has seen a reason.
+    /// Applies the remaining time of another VM, which detected stalls.
     pub fn extend(&mut self, now: Moment, left: Span) {
         let until = now.after(left);
         self.until = Some(self.until.map_or(until, |u| u.max(until)));
     }
 
-    /// How long prompts still take turns.
+    /// Returns how long prompts still take turns.
     pub fn remaining(&self, now: Moment) -> Span {
         self.until.map_or(Span(0), |until| until.since(now))
     }
 
-    /// Whether prompts take turns now.
+    /// Returns whether prompts take turns now.
     pub fn is_active(&self, now: Moment) -> bool {
         self.remaining(now) > Span(0)
     }
