--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -85,7 +85,7 @@
     pub(in crate::serving) budget: RetryBudget,
     pub(in crate::serving) members: Members,
     pub(in crate::serving) ownership: Ownership,
-    pub(in crate::serving) books: AdapterPlanner,
+    pub(in crate::serving) planner: AdapterPlanner,
     pub(in crate::serving) strikes: CrashTracker,
     pub(in crate::serving) strain: StallDetector,
     pub(in crate::serving) turns: PrefillTurns,
@@ -129,7 +129,7 @@
             budget: RetryBudget::new(settings.budget),
             members: Members::new(settings.vm.clone(), now),
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
-            books: AdapterPlanner::default(),
+            planner: AdapterPlanner::default(),
             strikes: CrashTracker::default(),
             strain: StallDetector::default(),
             turns: PrefillTurns::default(),
@@ -155,7 +155,7 @@
             state.members.enable_relays(settings.zone.clone());
         }
         state.fleet.set_experiment(&settings.experiment);
-        state.books.set_experiment(&settings.experiment);
+        state.planner.set_experiment(&settings.experiment);
         state
     }
 
@@ -359,10 +359,10 @@
                 // Replicas without adapter slots need no book: they are owned
                 // to sum their requests.
                 if most > 0 {
-                    self.books.track(now, listing, most);
+                    self.planner.track(now, listing, most);
                 }
             }
         }
-        self.books.retain(&ours);
+        self.planner.retain(&ours);
     }
 }
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -111,7 +111,7 @@
             return;
         }
         let reported = state.fleet.total_load(at, &name).unwrap_or_default();
-        let residency = state.books.residency(&name);
+        let residency = state.planner.residency(&name);
         let lacks =
             residency.is_some_and(|r| !r.loaded.keys().any(|t| t.to_string() == ask.target));
         let cost = Load {
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -76,10 +76,10 @@
         let mut state = node.state();
         let state = &mut *state;
         let now = now();
-        for name in state.books.take_changed() {
+        for name in state.planner.take_changed() {
             state.subscriptions.record_change(now, &name);
             // Also apply it here.
-            if let Some(held) = state.books.residency(&name) {
+            if let Some(held) = state.planner.residency(&name) {
                 state.fleet.apply_residency(now, &name, held);
             }
         }
@@ -138,8 +138,8 @@
 
 /// Builds the part of a beacon that is the same for all VMs.
 fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
-    let names: Vec<_> = state.books.replicas().cloned().collect();
-    state.books.take_changed();
+    let names: Vec<_> = state.planner.replicas().cloned().collect();
+    state.planner.take_changed();
     let mut beacon = new_beacon(node, state, number);
     beacon.owners = state.ownership.revision;
     beacon.turns_ms = state.strain.remaining(now).as_millis();
@@ -148,7 +148,7 @@
         .filter_map(|n| encode_book(state, now, n))
         .collect();
     for name in &names {
-        if let Some(held) = state.books.residency(name) {
+        if let Some(held) = state.planner.residency(name) {
             state.fleet.apply_residency(now, name, held);
         }
     }
@@ -210,7 +210,7 @@
 
 /// Encodes the contents of a replica owned by this VM.
 fn encode_book(state: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
-    let held = state.books.residency(name)?;
+    let held = state.planner.residency(name)?;
     let token = state.ownership.token(now, name)?;
     let here = held.loaded.iter().map(|(t, v)| (t, *v, false));
     let coming = held.loading.iter().map(|t| (t, 0, true));
@@ -225,7 +225,7 @@
         replica: name.to_string(),
         token: token.0,
         slots: slots.collect(),
-        born: state.books.started_ms(name)?,
+        born: state.planner.started_ms(name)?,
     })
 }
 
@@ -389,7 +389,7 @@
             return;
         };
         if owner == node.settings.vm {
-            state.books.request_load(now(), replica, target);
+            state.planner.request_load(now(), replica, target);
             node.orders_wake.notify_one();
             return;
         }
@@ -421,10 +421,10 @@
     };
     let now = now();
     let mut state = node.state();
-    if !state.books.request_load(now, &name, &target) {
+    if !state.planner.request_load(now, &name, &target) {
         return;
     }
-    let held = state.books.residency(&name).unwrap_or_default();
+    let held = state.planner.residency(&name).unwrap_or_default();
     let known = held.loaded.contains_key(&target) || held.loading.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
         state.subscriptions.subscribe(now, &vm, &name, known);
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -105,7 +105,7 @@
         if owner == *own {
             for (target, u) in uses {
                 state
-                    .books
+                    .planner
                     .record_use(now, &name, own, &target, u.running, u.started);
             }
             continue;
@@ -233,7 +233,7 @@
         for u in &flight.uses {
             if let Some(target) = Target::parse(&u.target) {
                 state
-                    .books
+                    .planner
                     .record_use(now, &name, vm, &target, u.running, u.begun);
             }
         }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -71,7 +71,7 @@
         for (name, token, action) in due_actions(&node, at) {
             tokio::task::spawn_local(execute(node.clone(), name, token, action));
         }
-        let wake = node.state().books.next_wake(at);
+        let wake = node.state().planner.next_wake(at);
         let wait = wake.map_or(CHECK_INTERVAL, |w| time_until(w).min(CHECK_INTERVAL));
         // A wake-up and a time-out both lead to another pass.
         let wait = wait.max(Duration::from_millis(5));
@@ -91,21 +91,21 @@
     let state = &mut *state;
     let loads = state.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
     let pause = Span((state.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
-    state.books.set_load_interval(pause.max(MIN_LOAD_PAUSE));
+    state.planner.set_load_interval(pause.max(MIN_LOAD_PAUSE));
     let engines = state.fleet.engines().count();
     state
-        .books
+        .planner
         .set_fetches(state.fleet.loading_adapters(at), engines);
-    state.books.set_report_delay(state.members.report_delay());
+    state.planner.set_report_delay(state.members.report_delay());
     let active = state.ownership.usable(at);
     let active: Vec<_> = active.map(|(name, token)| (name.clone(), token)).collect();
     let mut actions = Vec::new();
     for (name, token) in active {
-        let needs_model = state.books.needs_model(&name);
+        let needs_model = state.planner.needs_model(&name);
         let listing = state.fleet.listing(&name).filter(|_| needs_model);
         let model = listing.and_then(|l| state.fleet.least_replicated_model(l));
         if let Some(action) = state
-            .books
+            .planner
             .next_action(at, &name, &state.fleet.versions, model)
         {
             actions.push((name, token, action));
@@ -120,12 +120,12 @@
         ReplicaAction::Inspect => {
             let report = fetch_report(&node, &name).await;
             let mut state = node.state();
-            state.books.finish_inspection(now(), &name, report);
+            state.planner.finish_inspection(now(), &name, report);
         }
         _ => {
             let end = send_order(&node, &name, token, &action).await;
             let mut state = node.state();
-            let took = state.books.finish_order(now(), &name, &action, end);
+            let took = state.planner.finish_order(now(), &name, &action, end);
             if matches!(end, OrderOutcome::Fenced) {
                 state.ownership.record_refusal(&name, token);
             }
@@ -137,7 +137,7 @@
     node.orders_wake.notify_one();
     // Requests on this VM that wait for the replica see the new state at once.
     let mut state = node.state();
-    if let Some(residency) = state.books.residency(&name) {
+    if let Some(residency) = state.planner.residency(&name) {
         state.fleet.apply_residency(now(), &name, residency);
     }
     drop(state);
@@ -223,7 +223,7 @@
     if node.state().ownership.token(now(), name) != Some(token) {
         return OrderOutcome::Refused;
     }
-    let unanswered = node.state().books.unanswered(name).min(MAX_DOUBLINGS);
+    let unanswered = node.state().planner.unanswered(name).min(MAX_DOUBLINGS);
     let timeout = match node.settings.experiment.is_enabled(Mechanism::OrderRepeats) {
         true => (FIRST_ANSWER_TIMEOUT * (1 << unanswered)).min(MAX_ANSWER_TIMEOUT),
         false => MAX_ANSWER_TIMEOUT,
