--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -350,7 +350,7 @@
     }
 
     /// Opens books for the replicas that this VM owns and closes the others.
-    pub(in crate::serving) fn sync_books(&mut self, now: Moment) {
+    pub(in crate::serving) fn sync_planner(&mut self, now: Moment) {
         let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -87,7 +87,7 @@
         return Vec::new();
     }
     let mut state = node.state();
-    state.sync_books(at);
+    state.sync_planner(at);
     let state = &mut *state;
     let loads = state.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
     let pause = Span((state.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
