--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -89,7 +89,7 @@
                 let mut beacon = new_beacon(node, state, *number);
                 beacon.books = names
                     .iter()
-                    .filter_map(|n| encode_book(state, now, n))
+                    .filter_map(|n| encode_residency(state, now, n))
                     .collect();
                 datagrams.push((beacon, vec![address]));
             }
@@ -145,7 +145,7 @@
     beacon.turns_ms = state.strain.remaining(now).as_millis();
     beacon.books = names
         .iter()
-        .filter_map(|n| encode_book(state, now, n))
+        .filter_map(|n| encode_residency(state, now, n))
         .collect();
     for name in &names {
         if let Some(held) = state.planner.residency(name) {
@@ -209,7 +209,11 @@
 }
 
 /// Encodes the contents of a replica owned by this VM.
-fn encode_book(state: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
+fn encode_residency(
+    state: &NodeState,
+    now: Moment,
+    name: &ReplicaName,
+) -> Option<wire::ReplicaBook> {
     let held = state.planner.residency(name)?;
     let token = state.ownership.token(now, name)?;
     let here = held.loaded.iter().map(|(t, v)| (t, *v, false));
@@ -292,7 +296,7 @@
     state.members.set_lends(&vm, beacon.lends);
     renewal::handle_beacon(node, &mut state, now, &vm, &beacon);
     for book in &beacon.books {
-        apply_book(&mut state, now, &vm, book);
+        apply_residency(&mut state, now, &vm, book);
     }
     for l in &beacon.leaving {
         if let Some(replica) = parse_instance(&l.replica, l.born)
@@ -351,7 +355,7 @@
     state.fleet.is_current(&replica).then_some(replica.name)
 }
 
-fn apply_book(state: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
+fn apply_residency(state: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
     let Some(name) = current_replica(state, &book.replica, book.born) else {
         return;
     };
