--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -349,15 +349,16 @@
         reported
     }
 
-    /// Opens books for the replicas that this VM owns and closes the others.
+    /// Tracks the replicas that this VM owns in its adapter planner, and drops
+    /// the others.
     pub(in crate::serving) fn sync_planner(&mut self, now: Moment) {
         let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
             if let Some(listing) = self.fleet.listing(name) {
                 let most = self.fleet.engine_slots(listing);
-                // Replicas without adapter slots need no book: they are owned
-                // to sum their requests.
+                // Replicas without adapter slots need no planning: they are
+                // owned to sum their requests.
                 if most > 0 {
                     self.planner.track(now, listing, most);
                 }
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -217,8 +217,8 @@
     state.fleet.apply_peer_loads(now, vm, &counts);
 }
 
-/// Records the adapter uses in the books and returns the VM's load on each of
-/// our replicas.
+/// Records the adapter uses in the adapter planner and returns the VM's load on
+/// each of our replicas.
 fn apply_flights(
     state: &mut NodeState,
     now: Moment,
