--- a/lib/src/catalog/ledger.rs
+++ b/lib/src/catalog/ledger.rs
@@ -61,7 +61,7 @@
 
 /// The catalog as it lies in the platform.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct CatalogStore {
     platform: Platform,
 }
 
@@ -74,7 +74,7 @@
     Stale,
 }
 
-impl Ledger {
+impl CatalogStore {
     /// The ledger in a platform; nothing is sent yet.
     pub const fn new(platform: Platform) -> Self {
         Self { platform }
--- a/lib/src/catalog/mod.rs
+++ b/lib/src/catalog/mod.rs
@@ -1,7 +1,7 @@
 //! What operators configure: teams, adapters, versions, pools.
 //!
 //! [`Catalog`] is the aggregate; it changes only by [`Catalog::apply`], whole
-//! or not at all. [`Plan`] is what an operator confirms, [`Ledger`] keeps the
+//! or not at all. [`Plan`] is what an operator confirms, [`CatalogStore`] keeps the
 //! catalog in the platform.
 
 mod apply;
@@ -17,7 +17,7 @@
 pub use confirm::Confirmed;
 pub use confirm::Overtaken;
 pub use item::Item;
-pub use ledger::Ledger;
+pub use ledger::CatalogStore;
 pub use ledger::ROOT_KIND;
 pub use ledger::ROOT_NAME;
 pub use ledger::RootRead;
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::accept;
-use crate::catalog::Ledger;
+use crate::catalog::CatalogStore;
 use crate::catalog::ROOT_KIND;
 use crate::catalog::ROOT_NAME;
 use crate::catalog::Root;
@@ -87,7 +87,7 @@
 /// Reads the root once, then waits until the next read is due or this VM is to
 /// watch.
 async fn poll_root(shared: &Shared) -> Result<(), PlatformError> {
-    let read = Ledger::new(shared.platform.clone()).read_root().await?;
+    let read = CatalogStore::new(shared.platform.clone()).read_root().await?;
     set_platform(shared, Ok(()));
     take_root(shared, &read.root).await?;
     let end = Instant::now() + ROOT_POLL.mul_f64(rand::random_range(0.5..1.5));
@@ -146,7 +146,7 @@
         accept(shared, next, &sets.unwrap_or_default());
         return Ok(());
     }
-    let ledger = Ledger::new(shared.platform.clone());
+    let ledger = CatalogStore::new(shared.platform.clone());
     match ledger.read_catalog(root).await {
         Ok(next) => {
             accept(shared, next, &[]);
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -21,7 +21,7 @@
 use crate::catalog::Catalog;
 use crate::catalog::ConfirmError;
 use crate::catalog::Intent;
-use crate::catalog::Ledger;
+use crate::catalog::CatalogStore;
 use crate::catalog::MAX_SNAPSHOT;
 use crate::catalog::Plan;
 use crate::catalog::PlanError;
@@ -177,7 +177,7 @@
 impl OperatorService {
     async fn confirm_plan(&self, plan: &Plan, operator: &str) -> Result<u64, Status> {
         let known = self.shared.board.catalog.borrow().clone();
-        let ledger = Ledger::new(self.shared.platform.clone());
+        let ledger = CatalogStore::new(self.shared.platform.clone());
         let end = ledger.confirm(plan, operator, &known).await;
         let log = &self.shared.log;
         let confirmed = match end {
--- a/lib/tests/test_catalog_ledger.rs
+++ b/lib/tests/test_catalog_ledger.rs
@@ -7,7 +7,7 @@
 use banyangauge::catalog::Catalog;
 use banyangauge::catalog::ConfirmError;
 use banyangauge::catalog::LOG_ENTRIES;
-use banyangauge::catalog::Ledger;
+use banyangauge::catalog::CatalogStore;
 use banyangauge::catalog::Plan;
 use banyangauge::catalog::PlanError;
 use banyangauge::catalog::Shard;
@@ -26,14 +26,14 @@
 
 use crate::rig;
 
-async fn with_basics(platform: &Platform) -> (Ledger, Catalog) {
-    let ledger = Ledger::new(platform.clone());
+async fn with_basics(platform: &Platform) -> (CatalogStore, Catalog) {
+    let ledger = CatalogStore::new(platform.clone());
     let first = rig::plan(&Catalog::default(), rig::basics());
     let made = ledger.confirm(&first, "ana", &Catalog::default()).await;
     (ledger, made.unwrap().made.unwrap().1)
 }
 
-async fn read(ledger: &Ledger) -> Catalog {
+async fn read(ledger: &CatalogStore) -> Catalog {
     let root = ledger.read_root().await.unwrap().root;
     ledger.read_catalog(&root).await.unwrap()
 }
@@ -64,7 +64,7 @@
     let (running, platform) = rig::platform().await;
     let (ledger, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
-    let lossy = Ledger::new(Platform::new(losing_front(running.address).await));
+    let lossy = CatalogStore::new(Platform::new(losing_front(running.address).await));
     let end = lossy.confirm(&plan, "ana", &catalog).await;
     assert!(matches!(end, Err(ConfirmError::Unknown(_))), "{end:?}");
     let settled = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
@@ -152,7 +152,7 @@
     let (ledger, mut catalog) = with_basics(&platform).await;
     for version in 4..14 {
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
-        let other = Ledger::new(platform.clone());
+        let other = CatalogStore::new(platform.clone());
         let (one, two) = tokio::join!(
             ledger.confirm(&plan, "ana", &catalog),
             other.confirm(&plan, "ana", &catalog)
@@ -327,13 +327,13 @@
     let (running, platform) = rig::platform().await;
     let (_, catalog) = with_basics(&platform).await;
     let versions: Vec<_> = (4..40).map(|v| rig::add("rosters", v)).collect();
-    let ledger = Ledger::new(platform.clone());
+    let ledger = CatalogStore::new(platform.clone());
     let more = rig::plan(&catalog, versions);
     ledger.confirm(&more, "ana", &catalog).await.unwrap();
     let actions = Mutex::new(Vec::new());
     let note = |who: usize, action| actions.lock().unwrap().push((who, action));
     let operator = async |who: usize| {
-        let ledger = Ledger::new(platform.clone());
+        let ledger = CatalogStore::new(platform.clone());
         for turn in 0..5_u32 {
             note(who, Action::Call(Operation::Read(None)));
             let catalog = read(&ledger).await;
@@ -390,7 +390,7 @@
         rig::fault(&running, json!({"lose_after_write": 0, "down": false})).await;
     };
     let operator = async |who: u32| {
-        let ledger = Ledger::new(platform.clone());
+        let ledger = CatalogStore::new(platform.clone());
         let mut told = Vec::new();
         for turn in 0..8 {
             let known = match ledger.read_root().await {
@@ -442,7 +442,7 @@
         revisions.iter().copied().eq(1..=made.len() as u64),
         "{revisions:?}"
     );
-    let ledger = Ledger::new(platform.clone());
+    let ledger = CatalogStore::new(platform.clone());
     let root = ledger.read_root().await.unwrap().root;
     let mut replayed = Catalog::default();
     if let Some(next) = banyangauge::catalog::replay(&replayed, &root) {
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -1,7 +1,7 @@
 //! Configuration in force: quickly, never lower, also without the platform.
 
 use banyangauge::catalog::Catalog;
-use banyangauge::catalog::Ledger;
+use banyangauge::catalog::CatalogStore;
 use banyangauge::control::Shared;
 use banyangauge::control::config;
 use banyangauge::control::feed::FeedService;
@@ -20,7 +20,7 @@
     known: &Catalog,
     changes: Vec<banyangauge::catalog::Change>,
 ) -> Catalog {
-    let ledger = Ledger::new(platform.clone());
+    let ledger = CatalogStore::new(platform.clone());
     let plan = rig::plan(known, changes);
     let made = ledger.confirm(&plan, "ana", known).await.unwrap().made;
     made.unwrap().1
@@ -87,7 +87,7 @@
 async fn run_never_reverts() {
     let (_running, platform) = rig::platform().await;
     confirm(&platform, &Catalog::default(), rig::basics()).await;
-    let old = Ledger::new(platform.clone())
+    let old = CatalogStore::new(platform.clone())
         .read_root()
         .await
         .unwrap()
--- a/lib/tests/test_link_tls.rs
+++ b/lib/tests/test_link_tls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use banyangauge::catalog::Catalog;
-use banyangauge::catalog::Ledger;
+use banyangauge::catalog::CatalogStore;
 use banyangauge::control::Control;
 use banyangauge::control::ControlSettings;
 use banyangauge::entry::Entry;
@@ -217,7 +217,7 @@
         .await
         .unwrap();
     let plan = rig::plan(&Catalog::default(), rig::basics());
-    let ledger = Ledger::new(platform.clone());
+    let ledger = CatalogStore::new(platform.clone());
     ledger
         .confirm(&plan, "ana", &Catalog::default())
         .await
