--- a/lib/src/catalog/confirm.rs
+++ b/lib/src/catalog/confirm.rs
@@ -14,7 +14,7 @@
 
 /// What a plan read and another operator changed.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Overtaken {
+pub struct ReadConflict {
     /// What changed.
     pub item: Item,
     /// The revision, the operator and the operation id; `None` when the root
@@ -22,7 +22,7 @@
     pub by: Option<(Revision, String, String)>,
 }
 
-impl fmt::Display for Overtaken {
+impl fmt::Display for ReadConflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.by {
             Some((revision, operator, operation)) => write!(
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ConfirmError {
     /// Something that the plan read has changed; nothing took effect.
-    Overtaken(Vec<Overtaken>),
+    Overtaken(Vec<ReadConflict>),
     /// The plan is older than the root's log; nothing took effect.
     TooOld {
         /// The revision the plan was made on.
@@ -62,7 +62,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Overtaken(items) => {
-                let items: Vec<_> = items.iter().map(Overtaken::to_string).collect();
+                let items: Vec<_> = items.iter().map(ReadConflict::to_string).collect();
                 write!(f, "nothing changed: {}; plan again", items.join("; "))
             }
             Self::TooOld { base, current } => write!(
@@ -134,7 +134,7 @@
             changes.into_iter().any(|c| c.item() == *item)
         })
     };
-    let tell = |item: Item| Overtaken {
+    let tell = |item: Item| ReadConflict {
         by: who(&item).map(|e| (e.revision, e.operator.clone(), e.operation.clone())),
         item,
     };
--- a/lib/src/catalog/mod.rs
+++ b/lib/src/catalog/mod.rs
@@ -15,7 +15,7 @@
 
 pub use confirm::ConfirmError;
 pub use confirm::Confirmed;
-pub use confirm::Overtaken;
+pub use confirm::ReadConflict;
 pub use item::Item;
 pub use ledger::CatalogStore;
 pub use ledger::ROOT_KIND;
