--- a/lib/src/catalog/confirm.rs
+++ b/lib/src/catalog/confirm.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ConfirmError {
     /// Something that the plan read has changed; nothing took effect.
-    Overtaken(Vec<ReadConflict>),
+    ReadConflict(Vec<ReadConflict>),
     /// The plan is older than the root's log; nothing took effect.
     TooOld {
         /// The revision the plan was made on.
@@ -61,7 +61,7 @@
 impl fmt::Display for ConfirmError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Overtaken(items) => {
+            Self::ReadConflict(items) => {
                 let items: Vec<_> = items.iter().map(ReadConflict::to_string).collect();
                 write!(f, "nothing changed: {}; plan again", items.join("; "))
             }
@@ -138,7 +138,7 @@
         by: who(&item).map(|e| (e.revision, e.operator.clone(), e.operation.clone())),
         item,
     };
-    Err(ConfirmError::Overtaken(
+    Err(ConfirmError::ReadConflict(
         changed.into_iter().map(tell).collect(),
     ))
 }
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -230,7 +230,7 @@
     match error {
         ConfirmError::Plan(PlanError::Rules(_)) => Status::failed_precondition(text),
         ConfirmError::Plan(_) => Status::invalid_argument(text),
-        ConfirmError::Overtaken(_) | ConfirmError::TooOld { .. } | ConfirmError::Busy => {
+        ConfirmError::ReadConflict(_) | ConfirmError::TooOld { .. } | ConfirmError::Busy => {
             Status::aborted(text)
         }
         ConfirmError::Platform(_) => Status::unavailable(text),
--- a/lib/tests/test_catalog_ledger.rs
+++ b/lib/tests/test_catalog_ledger.rs
@@ -347,7 +347,7 @@
             note(who, Action::Call(Operation::Swap(from, to, None)));
             let took = match ledger.confirm(&plan, &format!("o{who}"), &catalog).await {
                 Ok(_) => true,
-                Err(ConfirmError::Overtaken(_)) => false,
+                Err(ConfirmError::ReadConflict(_)) => false,
                 Err(e) => panic!("{e:?}"),
             };
             note(who, Action::Response(Operation::Swap(from, to, Some(took))));
