--- a/lib/src/catalog/confirm.rs
+++ b/lib/src/catalog/confirm.rs
@@ -4,7 +4,7 @@
 
 use super::Catalog;
 use super::ChangeSet;
-use super::Entry;
+use super::LogEntry;
 use super::Item;
 use super::Plan;
 use super::PlanError;
@@ -102,7 +102,7 @@
 }
 
 /// The earlier confirmation of the plan's operation, as the root tells it.
-pub(super) fn repeated(plan: &Plan, entry: &Entry) -> Result<Confirmed, ConfirmError> {
+pub(super) fn repeated(plan: &Plan, entry: &LogEntry) -> Result<Confirmed, ConfirmError> {
     match &entry.changes {
         Some(changes) if *changes != plan.changes => Err(ConfirmError::Plan(PlanError::Malformed(
             "operation: was confirmed with other changes",
--- a/lib/src/catalog/ledger.rs
+++ b/lib/src/catalog/ledger.rs
@@ -12,7 +12,7 @@
 use super::ChangeSet;
 use super::ConfirmError;
 use super::Confirmed;
-use super::Entry;
+use super::LogEntry;
 use super::Plan;
 use super::PlanError;
 use super::Root;
@@ -194,7 +194,7 @@
             .await
             .map_err(ConfirmError::Platform)?;
         let deleted = self.delete_all(root.garbage()).await;
-        let entry = Entry {
+        let entry = LogEntry {
             revision: next.revision,
             operation: plan.operation.clone(),
             operator: operator.to_owned(),
--- a/lib/src/catalog/mod.rs
+++ b/lib/src/catalog/mod.rs
@@ -30,7 +30,7 @@
 pub use plan::Plan;
 pub use plan::PlanError;
 pub use plan::Read;
-pub use root::Entry;
+pub use root::LogEntry;
 pub use root::LOG_BYTES;
 pub use root::LOG_ENTRIES;
 pub use root::Root;
--- a/lib/src/catalog/root.rs
+++ b/lib/src/catalog/root.rs
@@ -141,7 +141,7 @@
 
 /// A confirmation as the root remembers it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// The revision that it made.
     pub revision: Revision,
     /// Its operation id.
@@ -154,7 +154,7 @@
     pub changes: Option<Vec<Change>>,
 }
 
-impl Entry {
+impl LogEntry {
     /// The change set, when the root still holds it.
     pub fn change_set(&self) -> Option<ChangeSet> {
         Some(ChangeSet {
@@ -174,7 +174,7 @@
     /// The object that holds each shard; an empty shard has none.
     pub shards: BTreeMap<ShardName, String>,
     /// The last confirmations, oldest first.
-    pub log: Vec<Entry>,
+    pub log: Vec<LogEntry>,
     /// Shard objects that were replaced, by the first revision that does not
     /// name them; a later confirmation deletes them.
     pub retired: BTreeMap<String, Revision>,
@@ -182,7 +182,7 @@
 
 impl Root {
     /// The confirmation of an operation, when the log still holds it.
-    pub fn find(&self, operation: &str) -> Option<&Entry> {
+    pub fn find(&self, operation: &str) -> Option<&LogEntry> {
         self.log.iter().find(|e| e.operation == operation)
     }
 
@@ -200,7 +200,7 @@
             return None;
         }
         let after = self.log.iter().filter(|e| e.revision > base);
-        after.map(Entry::change_set).collect()
+        after.map(LogEntry::change_set).collect()
     }
 
     /// Shard objects that neither this root nor the one before names.
@@ -214,7 +214,7 @@
     /// shards they hold, `deleted` are forgotten.
     pub fn next(
         &self,
-        entry: Entry,
+        entry: LogEntry,
         objects: BTreeMap<ShardName, String>,
         deleted: &[String],
     ) -> Self {
@@ -235,7 +235,7 @@
 }
 
 /// Keeps the last entries, and of their changes the newest that fit.
-fn trim(log: &mut Vec<Entry>) {
+fn trim(log: &mut Vec<LogEntry>) {
     let surplus = log.len().saturating_sub(LOG_ENTRIES);
     log.drain(..surplus);
     let mut left = LOG_BYTES;
