--- a/bench/src/capacity/rows.rs
+++ b/bench/src/capacity/rows.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use banyangauge::catalog::MAX_CHANGES;
-use banyangauge::catalog::MAX_SNAPSHOT;
+use banyangauge::catalog::MAX_SNAPSHOT_BYTES;
 use banyangauge::control::ClaimSettings;
 use banyangauge::control::LeaseSettings;
 use banyangauge::control::MemberSettings;
@@ -222,7 +222,7 @@
             "the largest plan",
             "`operator/client.rs`, 50,000 changes at the most",
             "bytes",
-            MAX_SNAPSHOT as f64,
+            MAX_SNAPSHOT_BYTES as f64,
             &|_| MAX_CHANGES as f64 * last("delta"),
         ),
         row(
--- a/lib/src/catalog/mod.rs
+++ b/lib/src/catalog/mod.rs
@@ -39,4 +39,4 @@
 
 /// The largest snapshot that a client should accept, in bytes: 14,000 adapters
 /// take about 4 MB, four times that leaves room for long names.
-pub const MAX_SNAPSHOT: usize = 16 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 16 << 20;
--- a/lib/src/control/config/peers.rs
+++ b/lib/src/control/config/peers.rs
@@ -12,7 +12,7 @@
 use super::accept;
 use crate::catalog::Catalog;
 use crate::catalog::ChangeSet;
-use crate::catalog::MAX_SNAPSHOT;
+use crate::catalog::MAX_SNAPSHOT_BYTES;
 use crate::control::Shared;
 
 /// `Member.state` of a VM that is gone.
@@ -94,7 +94,7 @@
 async fn ask_peer(shared: &Shared, peer: SocketAddr) {
     let work = async {
         let channel = shared.board.link().connect(peer, PEER_TIMEOUT).await.ok()?;
-        let mut client = PeersClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT);
+        let mut client = PeersClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
         let revision = shared.board.catalog.borrow().revision.0;
         let request = wire::FetchRequest { revision };
         let changes = client.fetch_changes(request).await.ok()?.into_inner();
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -22,7 +22,7 @@
 use crate::catalog::ConfirmError;
 use crate::catalog::Intent;
 use crate::catalog::CatalogStore;
-use crate::catalog::MAX_SNAPSHOT;
+use crate::catalog::MAX_SNAPSHOT_BYTES;
 use crate::catalog::Plan;
 use crate::catalog::PlanError;
 use crate::ids::AdapterName;
@@ -46,7 +46,7 @@
 
     /// The service with room for a plan of [`MAX_CHANGES`](crate::catalog::MAX_CHANGES) changes.
     pub fn server(self) -> OperatorServer<Self> {
-        OperatorServer::new(self).max_decoding_message_size(MAX_SNAPSHOT)
+        OperatorServer::new(self).max_decoding_message_size(MAX_SNAPSHOT_BYTES)
     }
 
     /// The operator whose key the call carries.
--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -16,7 +16,7 @@
 use super::view::View;
 use crate::catalog::Catalog;
 use crate::catalog::ChangeSet;
-use crate::catalog::MAX_SNAPSHOT;
+use crate::catalog::MAX_SNAPSHOT_BYTES;
 use crate::control::Owner;
 use crate::ids::Fingerprint;
 use crate::ids::Token;
@@ -92,7 +92,7 @@
 
 async fn client(state: &State, address: SocketAddr) -> Result<FeedClient<Channel>, String> {
     let client = FeedClient::new(channel(&state.link, address).await?);
-    Ok(client.max_decoding_message_size(MAX_SNAPSHOT))
+    Ok(client.max_decoding_message_size(MAX_SNAPSHOT_BYTES))
 }
 
 /// Applies one message of the feed; a catalog only if its revision is higher.
--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -18,7 +18,7 @@
 use super::merge;
 use crate::catalog::Catalog;
 use crate::catalog::Intent;
-use crate::catalog::MAX_SNAPSHOT;
+use crate::catalog::MAX_SNAPSHOT_BYTES;
 use crate::catalog::Plan;
 use crate::link::Link;
 
@@ -307,7 +307,7 @@
         filter: &wire::TimelineRequest,
     ) -> Result<wire::TimelineReply, ClientError> {
         let channel = self.connect(process).await?;
-        let mut stub = TimelineClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT);
+        let mut stub = TimelineClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
         let request = self.request(filter);
         Ok(stub.read(request).await?.into_inner())
     }
@@ -333,7 +333,7 @@
         for address in &self.addresses {
             let result = match self.connect(*address).await {
                 Ok(channel) => {
-                    let stub = OperatorClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT);
+                    let stub = OperatorClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
                     let end = run(stub, self.request(message)).await;
                     end.map_err(ClientError::from)
                 }
--- a/lib/tests/test_catalog_apply.rs
+++ b/lib/tests/test_catalog_apply.rs
@@ -223,7 +223,7 @@
     assert!(largest < 500_000, "{largest} bytes");
     let whole = serde_json::to_vec(&catalog).unwrap().len();
     assert!(
-        whole < banyangauge::catalog::MAX_SNAPSHOT / 2,
+        whole < banyangauge::catalog::MAX_SNAPSHOT_BYTES / 2,
         "{whole} bytes"
     );
 }
