--- a/lib/src/catalog/root.rs
+++ b/lib/src/catalog/root.rs
@@ -37,7 +37,7 @@
 
 /// Bytes of changes that the root's log holds; each watcher gets the root at
 /// each confirmation, so it has to stay small.
-pub const LOG_BYTES: usize = 16 << 10;
+pub const MAX_LOG_BYTES: usize = 16 << 10;
 
 /// Name of a shard: `base` for teams, `p0` to `p7` for pools, `00` to `3f` for
 /// adapters.
@@ -238,7 +238,7 @@
 fn trim(log: &mut Vec<LogEntry>) {
     let surplus = log.len().saturating_sub(LOG_ENTRIES);
     log.drain(..surplus);
-    let mut left = LOG_BYTES;
+    let mut left = MAX_LOG_BYTES;
     for entry in log.iter_mut().rev() {
         let size = serde_json::to_vec(&entry.changes).map_or(usize::MAX, |b| b.len());
         match left.checked_sub(size) {
