--- a/lib/src/catalog/mod.rs
+++ b/lib/src/catalog/mod.rs
@@ -32,7 +32,7 @@
 pub use plan::Read;
 pub use root::LogEntry;
 pub use root::MAX_LOG_BYTES;
-pub use root::LOG_ENTRIES;
+pub use root::MAX_LOG_ENTRIES;
 pub use root::Root;
 pub use root::Shard;
 pub use root::ShardName;
--- a/lib/src/catalog/root.rs
+++ b/lib/src/catalog/root.rs
@@ -33,7 +33,7 @@
 
 /// Confirmations that the root remembers. A plan whose base is older is
 /// refused, because a repeat of it could no longer be told from a new one.
-pub const LOG_ENTRIES: usize = 64;
+pub const MAX_LOG_ENTRIES: usize = 64;
 
 /// Bytes of changes that the root's log holds; each watcher gets the root at
 /// each confirmation, so it has to stay small.
@@ -236,7 +236,7 @@
 
 /// Keeps the last entries, and of their changes the newest that fit.
 fn trim(log: &mut Vec<LogEntry>) {
-    let surplus = log.len().saturating_sub(LOG_ENTRIES);
+    let surplus = log.len().saturating_sub(MAX_LOG_ENTRIES);
     log.drain(..surplus);
     let mut left = MAX_LOG_BYTES;
     for entry in log.iter_mut().rev() {
--- a/lib/tests/test_catalog_ledger.rs
+++ b/lib/tests/test_catalog_ledger.rs
@@ -6,7 +6,7 @@
 
 use banyangauge::catalog::Catalog;
 use banyangauge::catalog::ConfirmError;
-use banyangauge::catalog::LOG_ENTRIES;
+use banyangauge::catalog::MAX_LOG_ENTRIES;
 use banyangauge::catalog::CatalogStore;
 use banyangauge::catalog::Plan;
 use banyangauge::catalog::PlanError;
@@ -209,7 +209,7 @@
         adapter: "rosters".parse().unwrap(),
     };
     let mut changes = vec![old.changes.clone(), vec![undo]];
-    changes.extend((1..=LOG_ENTRIES as u32).map(|n| vec![rig::add("dryers", n + 3)]));
+    changes.extend((1..=MAX_LOG_ENTRIES as u32).map(|n| vec![rig::add("dryers", n + 3)]));
     for (n, set) in changes.into_iter().enumerate() {
         let plan = if n == 0 {
             old.clone()
