--- a/lib/src/catalog/confirm.rs
+++ b/lib/src/catalog/confirm.rs
@@ -98,7 +98,7 @@
     /// The revision that it made.
     pub revision: Revision,
     /// The whole catalog at that revision, when this call made it.
-    pub made: Option<(ChangeSet, Catalog)>,
+    pub applied: Option<(ChangeSet, Catalog)>,
 }
 
 /// The earlier confirmation of the plan's operation, as the root tells it.
@@ -109,7 +109,7 @@
         ))),
         _ => Ok(Confirmed {
             revision: entry.revision,
-            made: None,
+            applied: None,
         }),
     }
 }
--- a/lib/src/catalog/ledger.rs
+++ b/lib/src/catalog/ledger.rs
@@ -213,7 +213,7 @@
             };
             return Ok(Round::Done(Confirmed {
                 revision: next.revision,
-                made: Some((set, next)),
+                applied: Some((set, next)),
             }));
         }
         self.settle_conflict(plan, &next, objects, sent).await
--- a/lib/tests/test_catalog_ledger.rs
+++ b/lib/tests/test_catalog_ledger.rs
@@ -30,7 +30,7 @@
     let ledger = CatalogStore::new(platform.clone());
     let first = rig::plan(&Catalog::default(), rig::basics());
     let made = ledger.confirm(&first, "ana", &Catalog::default()).await;
-    (ledger, made.unwrap().made.unwrap().1)
+    (ledger, made.unwrap().applied.unwrap().1)
 }
 
 async fn read(ledger: &CatalogStore) -> Catalog {
@@ -69,7 +69,7 @@
     assert!(matches!(end, Err(ConfirmError::Unknown(_))), "{end:?}");
     let settled = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
     assert_eq!(settled.revision, Revision(2));
-    assert!(settled.made.is_none(), "the first try had taken effect");
+    assert!(settled.applied.is_none(), "the first try had taken effect");
     assert_eq!(read(&ledger).await.revision, Revision(2));
 }
 
@@ -139,7 +139,7 @@
     let other = rig::plan(&next, back(1));
     ledger.confirm(&other, "ben", &next).await.unwrap();
     let again = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
-    assert_eq!((again.revision, again.made.is_none()), (Revision(2), true));
+    assert_eq!((again.revision, again.applied.is_none()), (Revision(2), true));
     let serving = &read(&ledger).await.adapters["rosters"].serving;
     assert_eq!(serving["laundry"], 1);
 }
@@ -159,7 +159,7 @@
         );
         let (one, two) = (one.unwrap(), two.unwrap());
         assert_eq!(one.revision, two.revision);
-        assert!(one.made.is_some() != two.made.is_some());
+        assert!(one.applied.is_some() != two.applied.is_some());
         catalog = read(&ledger).await;
         assert_eq!(catalog.revision, one.revision);
     }
@@ -182,7 +182,7 @@
     while catalog.revision.0 < 256 {
         let version = catalog.revision.0 as u32 + 3;
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().made;
+        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().applied;
         catalog = made.unwrap().1;
     }
     let list = platform.list::<Shard>("shards").await.unwrap();
@@ -216,7 +216,7 @@
         } else {
             rig::plan(&catalog, set)
         };
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().made;
+        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().applied;
         catalog = made.unwrap().1;
     }
     assert!(old.changed_reads(&catalog).is_empty());
@@ -274,7 +274,7 @@
     for version in 4..20 {
         let set = vec![rig::add("rosters", version), rig::add("dryers", version)];
         let plan = rig::plan(&catalog, set);
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().made;
+        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().applied;
         catalog = made.unwrap().1;
     }
     let root = ledger.read_root().await.unwrap().root;
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -22,7 +22,7 @@
 ) -> Catalog {
     let ledger = CatalogStore::new(platform.clone());
     let plan = rig::plan(known, changes);
-    let made = ledger.confirm(&plan, "ana", known).await.unwrap().made;
+    let made = ledger.confirm(&plan, "ana", known).await.unwrap().applied;
     made.unwrap().1
 }
 
