--- a/lib/src/catalog/confirm.rs
+++ b/lib/src/catalog/confirm.rs
@@ -4,8 +4,8 @@
 
 use super::Catalog;
 use super::ChangeSet;
-use super::LogEntry;
 use super::Item;
+use super::LogEntry;
 use super::Plan;
 use super::PlanError;
 use super::Root;
--- a/lib/src/catalog/mod.rs
+++ b/lib/src/catalog/mod.rs
@@ -7,22 +7,16 @@
 mod apply;
 mod confirm;
 mod item;
-mod ledger;
 mod model;
 mod plan;
 mod root;
 mod rules;
+mod store;
 
 pub use confirm::ConfirmError;
 pub use confirm::Confirmed;
 pub use confirm::ReadConflict;
 pub use item::Item;
-pub use ledger::CatalogStore;
-pub use ledger::ROOT_KIND;
-pub use ledger::ROOT_NAME;
-pub use ledger::RootRead;
-pub use ledger::SHARD_KIND;
-pub use ledger::replay;
 pub use model::*;
 pub use plan::Effect;
 pub use plan::Intent;
@@ -36,6 +30,12 @@
 pub use root::Root;
 pub use root::Shard;
 pub use root::ShardName;
+pub use store::CatalogStore;
+pub use store::ROOT_KIND;
+pub use store::ROOT_NAME;
+pub use store::RootRead;
+pub use store::SHARD_KIND;
+pub use store::replay;
 
 /// The largest snapshot that a client should accept, in bytes: 14,000 adapters
 /// take about 4 MB, four times that leaves room for long names.
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -87,7 +87,9 @@
 /// Reads the root once, then waits until the next read is due or this VM is to
 /// watch.
 async fn poll_root(shared: &Shared) -> Result<(), PlatformError> {
-    let read = CatalogStore::new(shared.platform.clone()).read_root().await?;
+    let read = CatalogStore::new(shared.platform.clone())
+        .read_root()
+        .await?;
     set_platform(shared, Ok(()));
     take_root(shared, &read.root).await?;
     let end = Instant::now() + ROOT_POLL.mul_f64(rand::random_range(0.5..1.5));
--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -333,7 +333,8 @@
         for address in &self.addresses {
             let result = match self.connect(*address).await {
                 Ok(channel) => {
-                    let stub = OperatorClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
+                    let stub =
+                        OperatorClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
                     let end = run(stub, self.request(message)).await;
                     end.map_err(ClientError::from)
                 }
--- a/lib/tests/test_catalog_ledger.rs
+++ b/lib/tests/test_catalog_ledger.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use banyangauge::catalog::Catalog;
+use banyangauge::catalog::CatalogStore;
 use banyangauge::catalog::ConfirmError;
 use banyangauge::catalog::MAX_LOG_ENTRIES;
-use banyangauge::catalog::CatalogStore;
 use banyangauge::catalog::Plan;
 use banyangauge::catalog::PlanError;
 use banyangauge::catalog::Shard;
@@ -139,7 +139,10 @@
     let other = rig::plan(&next, back(1));
     ledger.confirm(&other, "ben", &next).await.unwrap();
     let again = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
-    assert_eq!((again.revision, again.applied.is_none()), (Revision(2), true));
+    assert_eq!(
+        (again.revision, again.applied.is_none()),
+        (Revision(2), true)
+    );
     let serving = &read(&ledger).await.adapters["rosters"].serving;
     assert_eq!(serving["laundry"], 1);
 }
@@ -182,7 +185,11 @@
     while catalog.revision.0 < 256 {
         let version = catalog.revision.0 as u32 + 3;
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().applied;
+        let made = ledger
+            .confirm(&plan, "ana", &catalog)
+            .await
+            .unwrap()
+            .applied;
         catalog = made.unwrap().1;
     }
     let list = platform.list::<Shard>("shards").await.unwrap();
@@ -216,7 +223,11 @@
         } else {
             rig::plan(&catalog, set)
         };
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().applied;
+        let made = ledger
+            .confirm(&plan, "ana", &catalog)
+            .await
+            .unwrap()
+            .applied;
         catalog = made.unwrap().1;
     }
     assert!(old.changed_reads(&catalog).is_empty());
@@ -274,7 +285,11 @@
     for version in 4..20 {
         let set = vec![rig::add("rosters", version), rig::add("dryers", version)];
         let plan = rig::plan(&catalog, set);
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().applied;
+        let made = ledger
+            .confirm(&plan, "ana", &catalog)
+            .await
+            .unwrap()
+            .applied;
         catalog = made.unwrap().1;
     }
     let root = ledger.read_root().await.unwrap().root;
