--- a/cli/tests/test_banyan.rs
+++ b/cli/tests/test_banyan.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use banyangauge::catalog::Catalog;
-use banyangauge::control::Board;
+use banyangauge::control::ControlState;
 use banyangauge::control::Shared;
 use banyangauge::control::operator::OperatorService;
 use banyangauge::control::operator::hash_key;
@@ -59,7 +59,7 @@
         address,
         peers: Arc::new([]),
         platform: Platform::new(platform.address),
-        board: Arc::new(Board::new()),
+        board: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new("control vm-1", 100)),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control process: ownership of pools, configuration, membership, usage.
 //!
 //! Each duty has a thread of its own and tells the others what changes through
-//! the [`Board`]; start at [`run`] for the list of duties.
+//! the [`ControlState`]; start at [`run`] for the list of duties.
 
 mod clock;
 pub mod config;
@@ -41,7 +41,7 @@
 pub use settings::MemberSettings;
 pub use settings::UpstreamSettings;
 pub use settings::UsageSettings;
-pub use shared::Board;
+pub use shared::ControlState;
 pub use shared::Owner;
 pub use shared::Shared;
 pub use shared::uptime_ms;
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -18,7 +18,7 @@
 use wire::peers_server::PeersServer;
 use wire::timeline_server::TimelineServer;
 
-use crate::control::Board;
+use crate::control::ControlState;
 use crate::control::ControlSettings;
 use crate::control::Local;
 use crate::control::Peers;
@@ -278,7 +278,7 @@
         address: settings.listen,
         peers: settings.peers.clone().into(),
         platform: Platform::new(settings.platform),
-        board: Arc::new(Board::new()),
+        board: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new(&format!("control {}", settings.vm), TIMELINE)),
         log,
     }
--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -38,7 +38,7 @@
 /// writes it; `send_if_modified` and friends keep readers from waking for
 /// nothing.
 #[derive(Debug)]
-pub struct Board {
+pub struct ControlState {
     /// The catalog in force here; written by `config`, never to a lower revision.
     pub catalog: watch::Sender<Arc<Catalog>>,
     /// Owners of pools; written by `lease` and `peers`.
@@ -66,7 +66,7 @@
     pub link: OnceLock<Link>,
 }
 
-impl Board {
+impl ControlState {
     /// A board on which nothing is known yet.
     pub fn new() -> Self {
         Self {
@@ -90,7 +90,7 @@
     }
 }
 
-impl Default for Board {
+impl Default for ControlState {
     fn default() -> Self {
         Self::new()
     }
@@ -112,7 +112,7 @@
     /// The platform.
     pub platform: Platform,
     /// Shared values.
-    pub board: Arc<Board>,
+    pub board: Arc<ControlState>,
     /// The time line.
     pub recorder: Arc<Recorder>,
     /// The log.
@@ -122,7 +122,7 @@
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
 /// Milliseconds since this process first asked, the clock of
-/// [`Board::verdicts`].
+/// [`ControlState::verdicts`].
 ///
 /// ```
 /// use banyangauge::control::uptime_ms;
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -94,7 +94,7 @@
 type Accounts = BTreeMap<Source, Account>;
 
 /// The counters that this process holds, its own VM's and others'; clones
-/// share them. [`Board::usage`](crate::control::Board::usage) is the one of a process.
+/// share them. [`ControlState::usage`](crate::control::ControlState::usage) is the one of a process.
 #[derive(Clone, Debug)]
 pub struct Store {
     accounts: Arc<Mutex<Accounts>>,
--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -9,7 +9,7 @@
 use banyangauge::catalog::PoolKind;
 use banyangauge::catalog::PoolSpec;
 use banyangauge::catalog::Replica;
-use banyangauge::control::Board;
+use banyangauge::control::ControlState;
 use banyangauge::control::Shared;
 use banyangauge::control::config;
 use banyangauge::ids::Incarnation;
@@ -85,7 +85,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         peers: peers.into(),
         platform: platform.clone(),
-        board: Arc::new(Board::new()),
+        board: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new(vm, 1_000)),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     }
