--- a/cli/tests/test_banyan.rs
+++ b/cli/tests/test_banyan.rs
@@ -59,7 +59,7 @@
         address,
         peers: Arc::new([]),
         platform: Platform::new(platform.address),
-        board: Arc::new(ControlState::new()),
+        state: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new("control vm-1", 100)),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
@@ -156,7 +156,7 @@
     );
     let whole = answer(&rig.banyan(&["adapters", "--json"]).await);
     let catalog: Catalog = serde_json::from_value(whole).unwrap();
-    assert_eq!(catalog, **rig.shared.board.catalog.borrow());
+    assert_eq!(catalog, **rig.shared.state.catalog.borrow());
 }
 
 /// All adapters of the letter in one plan.
@@ -181,7 +181,7 @@
     let plan = rig.plan("plan", &intent).await;
     let end = rig.banyan(&["confirm", text(&plan), "--json"]).await;
     assert_eq!(answer(&end)["revision"], 1);
-    assert_eq!(rig.shared.board.catalog.borrow().adapters.len(), 14_000);
+    assert_eq!(rig.shared.state.catalog.borrow().adapters.len(), 14_000);
 }
 
 /// The first control process of the list is gone.
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -55,7 +55,7 @@
 fn watches(shared: &Shared) -> bool {
     let rank = |vm: &str| xxhash_rust::xxh3::xxh3_64(vm.as_bytes());
     let mine = rank(shared.vm.as_str());
-    let members = shared.board.members.borrow();
+    let members = shared.state.members.borrow();
     let before = members
         .values()
         .filter(|m| m.state == LIVE && m.zone == shared.zone.as_str())
@@ -139,7 +139,7 @@
 
 /// Brings a root's revision into force, from its log where that is enough.
 async fn take_root(shared: &Shared, root: &Root) -> Result<(), PlatformError> {
-    let current = shared.board.catalog.borrow().clone();
+    let current = shared.state.catalog.borrow().clone();
     if root.revision <= current.revision {
         return Ok(());
     }
@@ -163,7 +163,7 @@
 
 fn set_platform(shared: &Shared, result: Result<(), &PlatformError>) {
     let up = result.is_ok();
-    let changed = shared.board.platform_up.send_if_modified(|now| {
+    let changed = shared.state.platform_up.send_if_modified(|now| {
         let changed = *now != up;
         *now = up;
         changed
--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -54,8 +54,8 @@
 /// Brings `next` into force if it is higher than what is; gives whether it
 /// was. `sets` are the change sets that lead to it, as far as they are known.
 pub fn accept(shared: &Shared, next: Catalog, sets: &[ChangeSet]) -> bool {
-    let mut deltas = shared.board.history.lock();
-    let current = shared.board.catalog.borrow().revision;
+    let mut deltas = shared.state.history.lock();
+    let current = shared.state.catalog.borrow().revision;
     if next.revision <= current {
         return false;
     }
@@ -69,7 +69,7 @@
         trim(&mut deltas);
     }
     let revision = next.revision;
-    shared.board.catalog.send_replace(Arc::new(next));
+    shared.state.catalog.send_replace(Arc::new(next));
     drop(deltas);
     metrics::gauge!("banyan_catalog_revision").set(revision.0 as f64);
     shared.recorder.record(
--- a/lib/src/control/config/mod.rs
+++ b/lib/src/control/config/mod.rs
@@ -18,7 +18,7 @@
 
 /// Keeps the catalog in force until the process stops.
 pub async fn run(shared: Shared) {
-    let mut stopping = shared.board.stopping.subscribe();
+    let mut stopping = shared.state.stopping.subscribe();
     let stopped = async { stopping.wait_for(|s| *s).await.is_ok() };
     tokio::select! {
         _ = stopped => {}
@@ -30,14 +30,14 @@
 /// Tells that some VM has this revision in force; a higher one than here is
 /// fetched from peers.
 pub fn nudge(shared: &Shared, revision: Revision) {
-    if revision > shared.board.catalog.borrow().revision {
-        shared.board.history.wake.notify_one();
+    if revision > shared.state.catalog.borrow().revision {
+        shared.state.history.wake.notify_one();
     }
 }
 
 /// The catalog for a peer; without content when the peer has it already.
 pub fn fetch_catalog(shared: &Shared, request: &wire::FetchRequest) -> wire::Snapshot {
-    let catalog = shared.board.catalog.borrow().clone();
+    let catalog = shared.state.catalog.borrow().clone();
     match request.revision < catalog.revision.0 {
         true => snapshot(&catalog),
         false => wire::Snapshot {
@@ -50,7 +50,7 @@
 /// The changes after the peer's revision; none when the peer is up to date or
 /// too far behind.
 pub fn fetch_changes(shared: &Shared, request: &wire::FetchRequest) -> wire::Changes {
-    let deltas = shared.board.history.after(Revision(request.revision));
+    let deltas = shared.state.history.after(Revision(request.revision));
     wire::Changes {
         deltas: deltas.unwrap_or_default(),
     }
--- a/lib/src/control/config/peers.rs
+++ b/lib/src/control/config/peers.rs
@@ -28,7 +28,7 @@
 /// Fetches what a peer has and this VM has not: when a heartbeat tells of a
 /// higher revision, and each second while the platform is down.
 pub(super) async fn follow_peers(shared: &Shared) {
-    let mut members = shared.board.members.subscribe();
+    let mut members = shared.state.members.subscribe();
     // VMs that start together begin at different peers.
     let mut turn = rand::random_range(0..1_024);
     let mut tick = tokio::time::interval(PEER_TICK);
@@ -36,12 +36,12 @@
     loop {
         let ticked = tokio::select! {
             Ok(()) = members.changed() => false,
-            () = shared.board.history.wake.notified() => false,
+            () = shared.state.history.wake.notified() => false,
             _ = tick.tick() => true,
         };
         if let Some(peer) = ahead(shared) {
             ask_peer(shared, peer).await;
-        } else if ticked && !*shared.board.platform_up.borrow() {
+        } else if ticked && !*shared.state.platform_up.borrow() {
             ask_settings(shared, turn).await;
             turn += 1;
         }
@@ -53,7 +53,7 @@
 /// ahead is found after as many ticks as there are peers.
 async fn ask_settings(shared: &Shared, turn: usize) {
     let peers = &shared.peers;
-    let most = match shared.board.catalog.borrow().revision.0 {
+    let most = match shared.state.catalog.borrow().revision.0 {
         0 => peers.len(),
         _ => 1,
     };
@@ -70,8 +70,8 @@
 /// A member that has a higher revision than this VM, one of the same zone if
 /// there is one; a random one, so that not all ask the first that had it.
 fn ahead(shared: &Shared) -> Option<SocketAddr> {
-    let own = shared.board.catalog.borrow().revision.0;
-    let members = shared.board.members.borrow();
+    let own = shared.state.catalog.borrow().revision.0;
+    let members = shared.state.members.borrow();
     let ahead: Vec<_> = members
         .values()
         .filter(|m| m.revision > own && m.state != GONE && m.vm != shared.vm.as_str())
@@ -93,9 +93,9 @@
 /// that fails is passed over; the next tick asks another.
 async fn ask_peer(shared: &Shared, peer: SocketAddr) {
     let work = async {
-        let channel = shared.board.link().connect(peer, PEER_TIMEOUT).await.ok()?;
+        let channel = shared.state.link().connect(peer, PEER_TIMEOUT).await.ok()?;
         let mut client = PeersClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
-        let revision = shared.board.catalog.borrow().revision.0;
+        let revision = shared.state.catalog.borrow().revision.0;
         let request = wire::FetchRequest { revision };
         let changes = client.fetch_changes(request).await.ok()?.into_inner();
         if take_deltas(shared, &changes.deltas) {
@@ -114,7 +114,7 @@
     let Ok(sets) = deltas.iter().map(parse).collect::<Result<Vec<_>, _>>() else {
         return false;
     };
-    let mut next = Catalog::clone(&shared.board.catalog.borrow());
+    let mut next = Catalog::clone(&shared.state.catalog.borrow());
     for set in &sets {
         if set.revision.0 <= next.revision.0 {
             continue;
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -132,8 +132,8 @@
     fn advance(&mut self) {
         self.follow_catalog();
         let now = clock::now();
-        let stopping = *self.shared.board.stopping.borrow();
-        let live = members::candidates(&self.shared.board.members.borrow());
+        let stopping = *self.shared.state.stopping.borrow();
+        let live = members::candidates(&self.shared.state.members.borrow());
         let drained = self.local.drained.borrow().clone();
         let settled = self.local.settled.borrow().clone();
         let deposed = self.local.deposed.borrow().clone();
@@ -155,7 +155,7 @@
     }
 
     fn follow_catalog(&mut self) {
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         if catalog.pools.len() == self.contests.len()
             && catalog.pools.keys().eq(self.contests.keys())
         {
@@ -237,7 +237,7 @@
     }
 
     fn publish_owners(&self) {
-        let changed = self.shared.board.owners.send_if_modified(|owners| {
+        let changed = self.shared.state.owners.send_if_modified(|owners| {
             let mut changed = false;
             for (pool, contest) in &self.contests {
                 let Some(record) = contest.record() else {
@@ -259,7 +259,7 @@
     }
 
     fn is_over(&self) -> bool {
-        *self.shared.board.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
+        *self.shared.state.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
     }
 }
 
--- a/lib/src/control/feed.rs
+++ b/lib/src/control/feed.rs
@@ -55,7 +55,7 @@
         &self,
         request: Request<wire::UsageReport>,
     ) -> Result<Response<wire::UsageReply>, Status> {
-        let reply = self.shared.board.usage.take(request.into_inner());
+        let reply = self.shared.state.usage.take(request.into_inner());
         let reply = reply.ok_or_else(|| Status::unavailable("stopping"))?;
         Ok(Response::new(reply))
     }
@@ -63,7 +63,7 @@
 
 /// Sends what changes until the entry goes away or the process stops.
 async fn feed(shared: Shared, from: Revision, to: Messages) {
-    let board = &shared.board;
+    let board = &shared.state;
     let mut catalog = board.catalog.subscribe();
     let mut owners = board.owners.subscribe();
     let mut verdicts = board.verdicts.subscribe();
@@ -104,11 +104,11 @@
 
 /// Sends the deltas since `sent` when there are all of them, else the whole.
 async fn send_catalog(shared: &Shared, sent: &mut Revision, to: &Messages) -> bool {
-    let catalog = shared.board.catalog.borrow().clone();
+    let catalog = shared.state.catalog.borrow().clone();
     if catalog.revision <= *sent {
         return true;
     }
-    let Some(deltas) = shared.board.history.after(*sent).filter(|d| !d.is_empty()) else {
+    let Some(deltas) = shared.state.history.after(*sent).filter(|d| !d.is_empty()) else {
         *sent = catalog.revision;
         return send(to, Body::Snapshot(config::snapshot(&catalog))).await;
     };
@@ -122,7 +122,7 @@
 }
 
 fn owners_body(shared: &Shared) -> Body {
-    let owners = shared.board.owners.borrow();
+    let owners = shared.state.owners.borrow();
     let owners = owners.iter().map(|(pool, owner)| wire::Owner {
         pool: pool.to_string(),
         vm: owner.vm.to_string(),
@@ -136,7 +136,7 @@
 
 fn verdicts_body(shared: &Shared) -> Body {
     let now = uptime_ms();
-    let verdicts = shared.board.verdicts.borrow();
+    let verdicts = shared.state.verdicts.borrow();
     let left = verdicts.iter().filter(|(_, end)| **end > now);
     let verdicts = left.map(|(fingerprint, end)| wire::Verdict {
         fingerprint: fingerprint.0,
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -88,7 +88,7 @@
     ) -> Result<Response<wire::PlanReply>, Status> {
         self.operator(&request)?;
         let intent: Intent = parse(&request.get_ref().intent)?;
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         let plan = Plan::new(&catalog, intent.changes).map_err(plan_status)?;
         let plan = serde_json::to_vec(&plan).map_err(|e| Status::internal(e.to_string()))?;
         Ok(Response::new(wire::PlanReply { plan: plan.into() }))
@@ -115,7 +115,7 @@
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::StatusReply>, Status> {
         self.operator(&request)?;
-        let board = &self.shared.board;
+        let board = &self.shared.state;
         let owners = board.owners.borrow().clone();
         let owners = owners.iter().map(|(pool, owner)| wire::Owner {
             pool: pool.to_string(),
@@ -138,7 +138,7 @@
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::Snapshot>, Status> {
         self.operator(&request)?;
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         let filter = &request.get_ref().filter;
         let answer = match filter.as_str() {
             "" => config::snapshot(&catalog),
@@ -153,7 +153,7 @@
     ) -> Result<Response<wire::UsageTotals>, Status> {
         self.operator(&request)?;
         let filter = &request.get_ref().filter;
-        let all = usage::read_all(&self.shared.platform, &self.shared.board.usage)
+        let all = usage::read_all(&self.shared.platform, &self.shared.state.usage)
             .await
             .map_err(|e| Status::unavailable(format!("usage is not known: {e}")))?;
         let sums = usage::totals(&all);
@@ -176,7 +176,7 @@
 
 impl OperatorService {
     async fn confirm_plan(&self, plan: &Plan, operator: &str) -> Result<u64, Status> {
-        let known = self.shared.board.catalog.borrow().clone();
+        let known = self.shared.state.catalog.borrow().clone();
         let ledger = CatalogStore::new(self.shared.platform.clone());
         let end = ledger.confirm(plan, operator, &known).await;
         let log = &self.shared.log;
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -212,7 +212,7 @@
         name: PoolName,
         lease: HeldLease,
     ) -> Option<Self> {
-        let catalog = shared.board.catalog.borrow().clone();
+        let catalog = shared.state.catalog.borrow().clone();
         let spec = catalog.pools.get(&name)?.clone();
         let honours = match &spec.kind {
             PoolKind::Engine { honours_token, .. } => *honours_token,
@@ -312,7 +312,7 @@
         self.last_publish = now;
         let status = self.status();
         self.shared
-            .board
+            .state
             .pools
             .send_modify(|pools| drop(pools.insert(self.name.clone(), status)));
     }
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -38,7 +38,7 @@
             lease.map(|t| t.valid_until)
         };
         let higher = {
-            let owners = self.shared.board.owners.borrow();
+            let owners = self.shared.state.owners.borrow();
             owners.get(&self.name).is_some_and(|o| o.token > token)
         };
         match valid_until {
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn apply_verdicts(&mut self, now: Moment) {
-        let board = self.shared.board.verdicts.borrow().clone();
+        let board = self.shared.state.verdicts.borrow().clone();
         if board == self.verdicts {
             return;
         }
@@ -109,7 +109,7 @@
     // When the process stops, ends grants and orders first and then publishes
     // that, so that the election can release the lease.
     pub(super) fn drain_if_stopping(&mut self, now: Moment) {
-        if !*self.shared.board.stopping.borrow() {
+        if !*self.shared.state.stopping.borrow() {
             return;
         }
         if !self.draining {
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -24,7 +24,7 @@
 impl OwnerActor {
     /// Applies the pool's specification from the catalog in force.
     pub(super) fn apply_catalog(&mut self, now: Moment) {
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         if Arc::ptr_eq(&catalog, &self.catalog) {
             return;
         }
@@ -181,7 +181,7 @@
         };
         let listed_leaving = self
             .shared
-            .board
+            .state
             .leaving
             .borrow()
             .contains(&replica.address);
--- a/lib/src/control/owner/service.rs
+++ b/lib/src/control/owner/service.rs
@@ -54,7 +54,7 @@
     }
 
     fn not_owner(&self, pool: &PoolName) -> wire::OwnerMessage {
-        let owners = self.shared.board.owners.borrow();
+        let owners = self.shared.state.owners.borrow();
         let other = owners.get(pool).filter(|o| o.vm != self.shared.vm);
         let address = other.map_or(String::new(), |o| o.address.to_string());
         message(OwnerBody::NotOwner(wire::NotOwner { address }))
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -63,7 +63,7 @@
     registry.lock().retain(|pool, (token, address)| {
         let kept = held.get(pool).is_some_and(|t| t.token == *token);
         if !kept {
-            shared.board.pools.send_modify(|p| drop(p.remove(pool)));
+            shared.state.pools.send_modify(|p| drop(p.remove(pool)));
             // The owner refuses its waiting requests, then stops.
             let address = address.clone();
             tokio::spawn(async move {
--- a/lib/src/control/peers.rs
+++ b/lib/src/control/peers.rs
@@ -107,7 +107,7 @@
     /// successor.
     pub fn digest(&self, asked: Option<&wire::Digest>) -> wire::Digest {
         let now = clock::now();
-        let board = &self.shared.board;
+        let board = &self.shared.state;
         let uptime = uptime_ms();
         let verdicts = board.verdicts.borrow();
         let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
@@ -162,7 +162,7 @@
 
     /// One heartbeat; judges the others by their silence.
     pub fn beat(&self) {
-        let board = &self.shared.board;
+        let board = &self.shared.state;
         let revision = board.catalog.borrow().revision;
         let stopping = *board.stopping.borrow();
         let now = clock::now();
@@ -184,7 +184,7 @@
     pub fn convict(shared: &Shared, local: &Local, fingerprint: Fingerprint, hold: Span) {
         let until = uptime_ms() + hold.as_millis();
         let news = shared
-            .board
+            .state
             .verdicts
             .send_if_modified(|verdicts| note_verdict(verdicts, fingerprint, until));
         if news {
@@ -210,12 +210,12 @@
         leaving.extend(state.heard.keys());
         let view = state.members.view();
         drop(state);
-        self.shared.board.leaving.send_if_modified(|old| {
+        self.shared.state.leaving.send_if_modified(|old| {
             let changed = *old != leaving;
             *old = leaving;
             changed
         });
-        self.shared.board.members.send_if_modified(|old| {
+        self.shared.state.members.send_if_modified(|old| {
             let changed = *old != view;
             *old = view;
             changed
@@ -224,7 +224,7 @@
 
     fn absorb_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
         let uptime = uptime_ms();
-        self.shared.board.verdicts.send_if_modified(|known| {
+        self.shared.state.verdicts.send_if_modified(|known| {
             let mut news = false;
             for v in verdicts {
                 news |= note_verdict(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
@@ -234,7 +234,7 @@
     }
 
     fn absorb_owners(&self, owners: &[wire::Owner]) -> bool {
-        self.shared.board.owners.send_if_modified(|known| {
+        self.shared.state.owners.send_if_modified(|known| {
             let mut news = false;
             for (pool, owner) in owners.iter().filter_map(owner_from_wire) {
                 if known.get(&pool).is_none_or(|o| o.token < owner.token) {
@@ -361,7 +361,7 @@
         e.connect_timeout(EXCHANGE_TIMEOUT)
             .timeout(EXCHANGE_TIMEOUT)
     };
-    let channel = shared.board.link().open_lazy(target, limits).ok()?;
+    let channel = shared.state.link().open_lazy(target, limits).ok()?;
     let client = PeersClient::new(channel);
     channels.insert(target, client.clone());
     Some(client)
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -189,14 +189,14 @@
             last: Vec::new(),
         };
         // Nobody has set it: the board is a moment old.
-        let _ = control.shared.board.link.set(link);
+        let _ = control.shared.state.link.set(link);
         control.start_duties(listener)?;
         Ok(control)
     }
 
     /// Hands over what is owned and makes the last writes.
     pub async fn stop(&self) {
-        self.shared.board.stopping.send_replace(true);
+        self.shared.state.stopping.send_replace(true);
         self.local.urgent.notify_one();
         let mut released = self.local.released.subscribe();
         // Leases that cannot be released lapse.
@@ -220,12 +220,12 @@
         let owners = owner::run(self.own(), local(), Arc::clone(&registry));
         self.duty("owner", owners)?;
         self.duty("config", config::run(self.own()))?;
-        let store = self.shared.board.usage.clone();
+        let store = self.shared.state.usage.clone();
         let every = self.local.settings.usage.every();
         let usage = self.duty("usage", usage::run(self.own(), store, every))?;
         let keys = self.local.settings.operators.clone();
         let router = services(&self.own(), registry, members, keys);
-        let link = self.shared.board.link();
+        let link = self.shared.state.link();
         let log = self.shared.log.clone();
         self.duty("listen", async move {
             // Both end with the process.
@@ -278,7 +278,7 @@
         address: settings.listen,
         peers: settings.peers.clone().into(),
         platform: Platform::new(settings.platform),
-        board: Arc::new(ControlState::new()),
+        state: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new(&format!("control {}", settings.vm), TIMELINE)),
         log,
     }
--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -112,7 +112,7 @@
     /// The platform.
     pub platform: Platform,
     /// Shared values.
-    pub board: Arc<ControlState>,
+    pub state: Arc<ControlState>,
     /// The time line.
     pub recorder: Arc<Recorder>,
     /// The log.
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -62,7 +62,7 @@
 /// Hands copies to a peer and writes to the platform each `every` until the
 /// process stops.
 pub async fn run(shared: Shared, store: Store, every: Duration) {
-    let mut stopping = shared.board.stopping.subscribe();
+    let mut stopping = shared.state.stopping.subscribe();
     let stopped = async { stopping.wait_for(|s| *s).await.is_ok() };
     tokio::select! {
         _ = stopped => {}
@@ -234,7 +234,7 @@
 
 async fn connect(shared: &Shared, address: &str) -> Option<PeersClient<Channel>> {
     let address = address.parse().ok()?;
-    let channel = shared.board.link().connect(address, HOLD_TIMEOUT).await;
+    let channel = shared.state.link().connect(address, HOLD_TIMEOUT).await;
     channel.ok().map(PeersClient::new)
 }
 
@@ -242,7 +242,7 @@
 /// in other availability zones first, by rendezvous hashing, so that each VM
 /// keeps its peer while that lives and the work is spread.
 fn holders(shared: &Shared) -> Vec<String> {
-    let members = shared.board.members.borrow();
+    let members = shared.state.members.borrow();
     let live = members
         .values()
         .filter(|m| m.state == 0 && m.vm != shared.vm.as_str());
--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -85,7 +85,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         peers: peers.into(),
         platform: platform.clone(),
-        board: Arc::new(ControlState::new()),
+        state: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new(vm, 1_000)),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     }
@@ -93,7 +93,7 @@
 
 /// Waits until the catalog here has a revision; fails after a bounded count.
 pub(crate) async fn in_force(shared: &Shared, revision: u64) {
-    until(|| shared.board.catalog.borrow().revision.0 >= revision).await;
+    until(|| shared.state.catalog.borrow().revision.0 >= revision).await;
 }
 
 /// Looks until something holds; fails after a bounded count of looks.
@@ -208,7 +208,7 @@
         &self,
         request: tonic::Request<wire::UsageReport>,
     ) -> Result<tonic::Response<wire::UsageReply>, tonic::Status> {
-        let reply = self.0.board.usage.hold(request.into_inner());
+        let reply = self.0.state.usage.hold(request.into_inner());
         let reply = reply.ok_or_else(|| tonic::Status::unavailable("stopping"))?;
         Ok(tonic::Response::new(reply))
     }
@@ -233,6 +233,6 @@
         incarnation: 1,
         heartbeat: 1,
         state: 0,
-        revision: shared.board.catalog.borrow().revision.0,
+        revision: shared.state.catalog.borrow().revision.0,
     }
 }
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -43,7 +43,7 @@
     let mut sets = vec![set(1, rig::basics())];
     sets.extend((0..more).map(|n| set(u64::from(n) + 2, vec![rig::add("rosters", n + 4)])));
     for one in sets {
-        let mut next = Catalog::clone(&shared.board.catalog.borrow());
+        let mut next = Catalog::clone(&shared.state.catalog.borrow());
         next.apply(&one.changes).unwrap();
         assert!(config::accept(shared, next, &[one]));
     }
@@ -62,7 +62,7 @@
         catalog = confirm(&platform, &catalog, vec![rig::add("rosters", version)]).await;
         rig::in_force(&shared, catalog.revision.0).await;
     }
-    assert_eq!(**shared.board.catalog.borrow(), catalog);
+    assert_eq!(**shared.state.catalog.borrow(), catalog);
     assert_eq!(rig::calls(&running, "shards", "get").await, before);
     assert!(rig::calls(&running, "catalogs", "list").await <= 3);
 }
@@ -78,7 +78,7 @@
     let shared = rig::shared("vm-1", &platform, &[]);
     tokio::spawn(config::run(shared.clone()));
     rig::in_force(&shared, catalog.revision.0).await;
-    assert_eq!(**shared.board.catalog.borrow(), catalog);
+    assert_eq!(**shared.state.catalog.borrow(), catalog);
     assert!(rig::calls(&running, "shards", "get").await > 0);
 }
 
@@ -111,10 +111,10 @@
     tokio::spawn(http::serve(listener, Default::default(), handle));
     let shared = rig::shared("vm-1", &stale, &[]);
     advance(&shared, 3);
-    let seen = shared.board.catalog.subscribe();
+    let seen = shared.state.catalog.subscribe();
     tokio::spawn(config::run(shared.clone()));
     rig::until(|| asked.load(std::sync::atomic::Ordering::SeqCst) >= 6).await;
-    assert_eq!(shared.board.catalog.borrow().revision.0, 4);
+    assert_eq!(shared.state.catalog.borrow().revision.0, 4);
     assert!(!seen.has_changed().unwrap());
 }
 
@@ -135,12 +135,12 @@
     let shared = rig::shared("vm-1", &platform, &peers);
     tokio::spawn(config::run(shared.clone()));
     rig::in_force(&shared, 301).await;
-    assert!(!*shared.board.platform_up.borrow());
+    assert!(!*shared.state.platform_up.borrow());
     assert_eq!(
-        *shared.board.catalog.borrow(),
-        *ahead.board.catalog.borrow()
+        *shared.state.catalog.borrow(),
+        *ahead.state.catalog.borrow()
     );
-    let mut next = Catalog::clone(&ahead.board.catalog.borrow());
+    let mut next = Catalog::clone(&ahead.state.catalog.borrow());
     let change = vec![rig::add("dryers", 9)];
     next.apply(&change).unwrap();
     config::accept(&ahead, next, &[set(302, change)]);
@@ -159,13 +159,13 @@
     advance(&shared, 2);
     tokio::spawn(config::run(shared.clone()));
     let member = rig::member(&ahead, address, "suva-b");
-    shared.board.members.send_modify(|m| {
+    shared.state.members.send_modify(|m| {
         m.insert(ahead.vm.clone(), member);
     });
     rig::in_force(&shared, 21).await;
     assert_eq!(
         shared
-            .board
+            .state
             .history
             .after(banyangauge::ids::Revision(3))
             .unwrap()
@@ -191,7 +191,7 @@
         for shared in all {
             let table = all.iter().zip(&addresses);
             let table = table.map(|(m, a)| (m.vm.clone(), rig::member(m, *a, "suva-a")));
-            shared.board.members.send_replace(table.collect());
+            shared.state.members.send_replace(table.collect());
         }
     };
     spread(&all);
@@ -203,7 +203,7 @@
         rig::until(|| {
             spread(&all);
             all.iter()
-                .all(|s| s.board.catalog.borrow().revision.0 == at)
+                .all(|s| s.state.catalog.borrow().revision.0 == at)
         })
         .await;
         catalog = confirm(&platform, &catalog, vec![rig::add("rosters", version)]).await;
@@ -223,7 +223,7 @@
     let whole = |revision| config::fetch_catalog(&shared, &wire::FetchRequest { revision });
     assert!(whole(301).catalog.is_empty());
     let read: Catalog = serde_json::from_slice(&whole(0).catalog).unwrap();
-    assert_eq!(read, **shared.board.catalog.borrow());
+    assert_eq!(read, **shared.state.catalog.borrow());
 }
 
 /// An entry gets a snapshot, then deltas; another one only what it lacks.
@@ -248,7 +248,7 @@
     let mut old = subscribe(299).await;
     assert!(matches!(old.next().await, Some(Body::Delta(d)) if d.revision == 300));
     assert!(matches!(old.next().await, Some(Body::Delta(d)) if d.revision == 301));
-    let mut next = Catalog::clone(&shared.board.catalog.borrow());
+    let mut next = Catalog::clone(&shared.state.catalog.borrow());
     let change = vec![rig::add("dryers", 9)];
     next.apply(&change).unwrap();
     config::accept(&shared, next, &[set(302, change)]);
--- a/lib/tests/test_link_tls.rs
+++ b/lib/tests/test_link_tls.rs
@@ -224,7 +224,7 @@
         .unwrap();
     rig::until(|| entry.state.view().revision().0 == 1).await;
     let live = |n: usize| {
-        let members = controls[n].shared.board.members.borrow();
+        let members = controls[n].shared.state.members.borrow();
         let live = members.values().filter(|m| m.state == 0);
         live.map(|m| m.vm.clone()).collect::<Vec<_>>()
     };
--- a/lib/tests/test_owner_rig.rs
+++ b/lib/tests/test_owner_rig.rs
@@ -165,7 +165,7 @@
     /// Applies a catalog revision with only these replicas on every control.
     pub(crate) fn list_replicas(&self, names: &[&str]) {
         for control in self.controls.iter().flatten() {
-            let mut next = Catalog::clone(&control.shared.board.catalog.borrow());
+            let mut next = Catalog::clone(&control.shared.state.catalog.borrow());
             let all = catalog(&self.plan, &self.engines);
             let mut spec = all.pools[&pool()].clone();
             spec.replicas.retain(|r| names.contains(&r.name.as_str()));
--- a/lib/tests/test_owner_takeover.rs
+++ b/lib/tests/test_owner_takeover.rs
@@ -229,7 +229,7 @@
     .await;
     let orders = rig.orders(0, "fence").await;
     assert!(orders.iter().any(|(_, token)| *token == 2), "{orders:?}");
-    let owner = rig.control(first).shared.board.owners.borrow()[&pool()].clone();
+    let owner = rig.control(first).shared.state.owners.borrow()[&pool()].clone();
     assert_eq!(owner.token.0, 2);
 }
 
@@ -253,12 +253,12 @@
     rig.faults(json!({"down": true})).await;
     let shared = &rig.control(first).shared;
     let until_ms = banyangauge::control::uptime_ms() + 60_000;
-    shared.board.verdicts.send_modify(|v| {
+    shared.state.verdicts.send_modify(|v| {
         v.insert(Fingerprint(7), until_ms);
     });
     until(async || {
         let knows = |n: usize| {
-            let board = &rig.control(n).shared.board;
+            let board = &rig.control(n).shared.state;
             board.verdicts.borrow().contains_key(&Fingerprint(7))
         };
         (0..3).all(knows).then_some(())
@@ -267,7 +267,7 @@
     // The pool's owner refuses the request.
     let mut entry = rig.open_session(first, "e", &[]).await;
     until(async || {
-        let pools = shared.board.pools.borrow();
+        let pools = shared.state.pools.borrow();
         pools.contains_key(&pool()).then_some(())
     })
     .await;
@@ -287,7 +287,7 @@
     let mut entry = rig.open_session(first, "e", &[]).await;
     let leaving = rig.engines[0].address;
     rig.engines[0].begin_stop();
-    let board = &rig.control(first).shared.board;
+    let board = &rig.control(first).shared.state;
     until(async || {
         let pools = board.pools.borrow();
         let replicas = pools.get(&pool())?.replicas.clone();
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -47,7 +47,7 @@
 }
 
 async fn sum(platform: &Platform, adapter: &str) -> u64 {
-    let empty = rig::shared("reader", platform, &[]).board.usage.clone();
+    let empty = rig::shared("reader", platform, &[]).state.usage.clone();
     let all = usage::read_all(platform, &empty).await.unwrap();
     totals(&all).get(&row(adapter)).map_or(0, |c| c.requests)
 }
@@ -55,7 +55,7 @@
 #[tokio::test]
 async fn take_lower_sequence_changes_nothing() {
     let (_running, platform) = rig::platform().await;
-    let store = rig::shared("vm-1", &platform, &[]).board.usage.clone();
+    let store = rig::shared("vm-1", &platform, &[]).state.usage.clone();
     assert_eq!(
         store
             .take(report("vm-1", 5, &[("rosters", 3)]))
@@ -95,14 +95,14 @@
 async fn flush_once_whatever_is_repeated() {
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
-    let store = &shared.board.usage;
+    let store = &shared.state.usage;
     store.take(report("vm-1", 1, &[("rosters", 3), ("dryers", 2)]));
     rig::fault(&running, json!({"lose_after_write": 1})).await;
     usage::flush(&shared, store, usage::SILENCE).await;
     usage::flush(&shared, store, usage::SILENCE).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
     let restarted = rig::shared("vm-1", &platform, &[]);
-    let store = &restarted.board.usage;
+    let store = &restarted.state.usage;
     store.take(report("vm-1", 9, &[("rosters", 4)]));
     usage::flush(&restarted, store, usage::SILENCE).await;
     assert_eq!(sum(&platform, "rosters").await, 4);
@@ -116,7 +116,7 @@
 async fn flush_waits_out_an_outage() {
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
-    let store = &shared.board.usage;
+    let store = &shared.state.usage;
     store.take(report("vm-1", 1, &[("rosters", 3)]));
     rig::fault(&running, json!({"down": true})).await;
     usage::flush(&shared, store, usage::SILENCE).await;
@@ -131,7 +131,7 @@
 async fn flush_in_parts() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
-    let store = &shared.board.usage;
+    let store = &shared.state.usage;
     let names: Vec<_> = (0..4_500).map(|n| format!("adapter-{n:05}")).collect();
     let rows: Vec<_> = names.iter().map(|n| (n.as_str(), 1)).collect();
     store.take(report("vm-1", 1, &rows));
@@ -153,25 +153,25 @@
         rig::member(&holder, rig::serve_peer(&holder).await, "suva-b"),
         rig::member(&near, rig::serve_peer(&near).await, "suva-a"),
     ];
-    shared.board.members.send_modify(|all| {
+    shared.state.members.send_modify(|all| {
         all.extend(members.into_iter().map(|m| (m.vm.parse().unwrap(), m)));
     });
-    let store = shared.board.usage.clone();
+    let store = shared.state.usage.clone();
     let lost = tokio::spawn(usage::run(shared.clone(), store.clone(), usage_every()));
     store.take(report("vm-1", 1, &[("rosters", 3)]));
     store.take(report("vm-1", 2, &[("rosters", 5)]));
     rig::until(|| {
-        totals(&holder.board.usage.counts())
+        totals(&holder.state.usage.counts())
             .get(&row("rosters"))
             .is_some_and(|c| c.requests == 5)
     })
     .await;
-    assert!(near.board.usage.counts().is_empty());
+    assert!(near.state.usage.counts().is_empty());
     lost.abort();
-    usage::flush(&holder, &holder.board.usage, usage::SILENCE).await;
+    usage::flush(&holder, &holder.state.usage, usage::SILENCE).await;
     assert_eq!(sum(&platform, "rosters").await, 0, "the VM may be live");
-    usage::flush(&holder, &holder.board.usage, Duration::ZERO).await;
-    usage::flush(&holder, &holder.board.usage, Duration::ZERO).await;
+    usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
+    usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 5);
 }
 
@@ -181,7 +181,7 @@
 async fn flush_writes_what_a_foreign_entry_reported() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
-    let store = &shared.board.usage;
+    let store = &shared.state.usage;
     store.take(report("vm-1", 1, &[("rosters", 3)]));
     store.hold(report("vm-3", 1, &[("dryers", 2)]));
     usage::flush(&shared, store, usage::SILENCE).await;
@@ -201,20 +201,20 @@
     let holder = rig::shared("vm-2", &platform, &[]);
     let shared = rig::shared("vm-1", &platform, &[]);
     let member = rig::member(&holder, rig::serve_peer(&holder).await, "suva-b");
-    shared.board.members.send_modify(|all| {
+    shared.state.members.send_modify(|all| {
         all.insert(member.vm.parse().unwrap(), member);
     });
     rig::fault(&running, json!({"down": true})).await;
-    let store = shared.board.usage.clone();
+    let store = shared.state.usage.clone();
     let ends = usage::run(shared.clone(), store.clone(), Duration::from_secs(60));
     let ends = tokio::spawn(ends);
     store.take(report("vm-1", 1, &[("rosters", 3)]));
-    rig::until(|| !holder.board.usage.counts().is_empty()).await;
+    rig::until(|| !holder.state.usage.counts().is_empty()).await;
     store.take(report("vm-1", 2, &[("rosters", 5)]));
-    shared.board.stopping.send_replace(true);
+    shared.state.stopping.send_replace(true);
     ends.await.unwrap();
     rig::fault(&running, json!({"down": false})).await;
-    usage::flush(&holder, &holder.board.usage, Duration::ZERO).await;
+    usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 5);
 }
 
@@ -224,9 +224,9 @@
 async fn take_refused_by_a_stopping_process() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
-    let store = shared.board.usage.clone();
+    let store = shared.state.usage.clone();
     assert!(store.take(report("vm-1", 1, &[("rosters", 3)])).is_some());
-    shared.board.stopping.send_replace(true);
+    shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
     assert!(store.take(report("vm-1", 2, &[("rosters", 5)])).is_none());
     assert_eq!(sum(&platform, "rosters").await, 3);
@@ -238,10 +238,10 @@
 async fn hold_refused_by_a_stopping_process() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
-    let store = shared.board.usage.clone();
+    let store = shared.state.usage.clone();
     let held = store.hold(report("vm-1", 1, &[("rosters", 3)]));
     assert!(held.is_some());
-    shared.board.stopping.send_replace(true);
+    shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
     let held = store.hold(report("vm-1", 2, &[("rosters", 5)]));
     assert!(held.is_none(), "it is held by who ends");
@@ -259,16 +259,16 @@
     let shared = rig::shared("vm-2", &platform, &[]);
     let third = rig::shared("vm-3", &platform, &[]);
     let member = rig::member(&third, rig::serve_peer(&third).await, "suva-b");
-    shared.board.members.send_modify(|all| {
+    shared.state.members.send_modify(|all| {
         all.insert(member.vm.parse().unwrap(), member);
     });
-    let store = shared.board.usage.clone();
+    let store = shared.state.usage.clone();
     let _ = store.hold(report("vm-1", 1, &[("rosters", 3)]));
     rig::fault(&running, json!({"down": away})).await;
-    shared.board.stopping.send_replace(true);
+    shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
     rig::fault(&running, json!({"down": false})).await;
-    usage::flush(&third, &third.board.usage, Duration::ZERO).await;
+    usage::flush(&third, &third.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
 
@@ -284,17 +284,17 @@
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     // It is silent: it takes connections and answers nothing.
     let far = rig::member(&gone, nobody.local_addr().unwrap(), "suva-b");
-    shared.board.members.send_modify(|all| {
+    shared.state.members.send_modify(|all| {
         for member in [near, far] {
             all.insert(member.vm.parse().unwrap(), member);
         }
     });
     rig::fault(&running, json!({"down": true})).await;
-    let store = shared.board.usage.clone();
+    let store = shared.state.usage.clone();
     store.take(report("vm-1", 1, &[("rosters", 3)]));
-    shared.board.stopping.send_replace(true);
+    shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
     rig::fault(&running, json!({"down": false})).await;
-    usage::flush(&holder, &holder.board.usage, Duration::ZERO).await;
+    usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
