--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -9,7 +9,7 @@
 use crate::control::Owner;
 use crate::control::Shared;
 use crate::control::clock;
-use crate::control::local::Local;
+use crate::control::local::OwnershipState;
 use crate::control::members;
 use crate::ids::PoolName;
 use crate::lease::Candidate;
@@ -53,7 +53,7 @@
 
 struct Election {
     shared: Shared,
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     events: mpsc::Sender<Event>,
     contests: BTreeMap<PoolName, Elector>,
     watching: bool,
@@ -61,7 +61,7 @@
 
 /// Contends for and holds leases until the process stops and has released
 /// them.
-pub(super) async fn run(shared: Shared, local: Arc<Local>) {
+pub(super) async fn run(shared: Shared, local: Arc<OwnershipState>) {
     let (events, mut inbox) = mpsc::channel(RING);
     tokio::spawn(follow(shared.platform.clone(), events.clone()));
     let mut election = Election {
--- a/lib/src/control/local.rs
+++ b/lib/src/control/local.rs
@@ -18,7 +18,7 @@
 
 /// Values between election, owner and peers; each sender has one writer.
 #[derive(Debug)]
-pub struct Local {
+pub struct OwnershipState {
     /// The settings.
     pub settings: ControlSettings,
     /// The pools held; written by the election.
@@ -47,7 +47,7 @@
     pub urgent: Notify,
 }
 
-impl Local {
+impl OwnershipState {
     /// Nothing is known yet.
     pub fn new(settings: ControlSettings) -> Self {
         Self {
@@ -76,7 +76,7 @@
     }
 }
 
-/// See [`Local::majority`].
+/// See [`OwnershipState::majority`].
 ///
 /// ```
 /// use std::collections::BTreeMap;
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -22,7 +22,7 @@
 pub use clock::duration;
 pub use clock::now;
 pub use local::Entries;
-pub use local::Local;
+pub use local::OwnershipState;
 pub use local::majority;
 pub use members::DIGEST_MEMBERS;
 pub use members::MemberState;
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -21,7 +21,7 @@
 use crate::claims::WriteOutcome;
 use crate::control::Shared;
 use crate::control::clock;
-use crate::control::local::Local;
+use crate::control::local::OwnershipState;
 use crate::control::owner::ExternalState;
 use crate::control::owner::RequestTable;
 use crate::control::owner::SafetyRules;
@@ -148,7 +148,7 @@
 /// The owner of one pool.
 pub struct OwnerActor {
     pub(super) shared: Shared,
-    pub(super) local: Arc<Local>,
+    pub(super) local: Arc<OwnershipState>,
     pub(super) name: PoolName,
     pub(super) spec: PoolSpec,
     pub(super) catalog: Arc<Catalog>,
@@ -208,7 +208,7 @@
     /// Returns `None` if the catalog does not contain the pool.
     pub fn new(
         shared: Shared,
-        local: Arc<Local>,
+        local: Arc<OwnershipState>,
         name: PoolName,
         lease: HeldLease,
     ) -> Option<Self> {
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -8,7 +8,7 @@
 
 use crate::claims::Durability;
 use crate::control::clock;
-use crate::control::local::Local;
+use crate::control::local::OwnershipState;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
 use crate::control::peers::Peers;
@@ -30,7 +30,7 @@
 
 /// One load order with the unload that precedes it.
 struct Load {
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     orders: Orders,
     pool: PoolName,
     token: Token,
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -12,7 +12,7 @@
 
 use crate::control::Shared;
 use crate::control::clock;
-use crate::control::local::Local;
+use crate::control::local::OwnershipState;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
 use crate::ids::PoolName;
@@ -42,7 +42,7 @@
 }
 
 /// Starts an owner when a lease is acquired and stops it when it is lost.
-pub async fn run(shared: Shared, local: Arc<Local>, registry: Arc<Registry>) {
+pub async fn run(shared: Shared, local: Arc<OwnershipState>, registry: Arc<Registry>) {
     let mut leases = local.leases.subscribe();
     loop {
         let held = leases.borrow_and_update().clone();
@@ -76,7 +76,7 @@
 
 fn start(
     shared: &Shared,
-    local: &Arc<Local>,
+    local: &Arc<OwnershipState>,
     registry: &Registry,
     pool: PoolName,
     lease: HeldLease,
--- a/lib/src/control/peers.rs
+++ b/lib/src/control/peers.rs
@@ -18,7 +18,7 @@
 use crate::control::Shared;
 use crate::control::clock;
 use crate::control::config;
-use crate::control::local::Local;
+use crate::control::local::OwnershipState;
 use crate::control::members::Members;
 use crate::control::members::YOUNG;
 use crate::control::uptime_ms;
@@ -66,7 +66,7 @@
 /// and the service that answers.
 pub struct Peers {
     shared: Shared,
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     state: Mutex<State>,
 }
 
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// When the VM's name is no valid name.
-    pub fn new(shared: Shared, local: Arc<Local>) -> Result<Self, IdError> {
+    pub fn new(shared: Shared, local: Arc<OwnershipState>) -> Result<Self, IdError> {
         let me = wire::Member {
             vm: shared.vm.to_string(),
             address: shared.address.to_string(),
@@ -181,7 +181,7 @@
     }
 
     /// A verdict found here: known on this VM now, on its way to the others.
-    pub fn convict(shared: &Shared, local: &Local, fingerprint: Fingerprint, hold: Span) {
+    pub fn convict(shared: &Shared, local: &OwnershipState, fingerprint: Fingerprint, hold: Span) {
         let until = uptime_ms() + hold.as_millis();
         let news = shared
             .state
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -20,7 +20,7 @@
 
 use crate::control::ControlState;
 use crate::control::ControlSettings;
-use crate::control::Local;
+use crate::control::OwnershipState;
 use crate::control::Peers;
 use crate::control::Shared;
 use crate::control::config;
@@ -141,7 +141,7 @@
 pub struct Control {
     /// What the duties share.
     pub shared: Shared,
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     ended: watch::Sender<bool>,
     last: Vec<JoinHandle<()>>,
 }
@@ -184,7 +184,7 @@
         };
         let mut control = Self {
             shared: shared(&settings, log),
-            local: Arc::new(Local::new(settings)),
+            local: Arc::new(OwnershipState::new(settings)),
             ended: watch::Sender::new(false),
             last: Vec::new(),
         };
--- a/lib/src/control/vms.rs
+++ b/lib/src/control/vms.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::control::Shared;
-use crate::control::local::Local;
+use crate::control::local::OwnershipState;
 use crate::platform::List;
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
@@ -37,7 +37,7 @@
 /// Follows the VM list for as long as the process runs. In an outage of the
 /// platform the last list stands: evidence with an age, never a reason to
 /// believe that a VM has gone.
-pub(super) async fn run(shared: Shared, local: Arc<Local>) {
+pub(super) async fn run(shared: Shared, local: Arc<OwnershipState>) {
     let mut known = BTreeSet::new();
     loop {
         if let Err(e) = follow_once(&shared, &local, &mut known).await {
@@ -49,7 +49,7 @@
 
 async fn follow_once(
     shared: &Shared,
-    local: &Local,
+    local: &OwnershipState,
     known: &mut BTreeSet<String>,
 ) -> Result<(), PlatformError> {
     let list: List<Vm> = shared.platform.list(VMS).await?;
@@ -77,7 +77,7 @@
 
 // A VM that is not on the list has left only if it was there before: the list
 // lags for new ones too.
-fn publish(local: &Local, vms: &BTreeMap<String, Vm>, known: &mut BTreeSet<String>) {
+fn publish(local: &OwnershipState, vms: &BTreeMap<String, Vm>, known: &mut BTreeSet<String>) {
     let parse = |vm: &Vm| vm.address.parse::<SocketAddr>().ok();
     known.extend(vms.keys().cloned());
     let departed = known.iter().filter(|n| !vms.contains_key(*n));
