--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -8,9 +8,9 @@
 
 use crate::claims::Durability;
 use crate::control::clock;
-use crate::control::local::OwnershipState;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
+use crate::control::ownership::OwnershipState;
 use crate::control::peers::Peers;
 use crate::ids::AdapterVersion;
 use crate::ids::Incarnation;
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -12,9 +12,9 @@
 
 use crate::control::Shared;
 use crate::control::clock;
-use crate::control::local::OwnershipState;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
+use crate::control::ownership::OwnershipState;
 use crate::ids::PoolName;
 use crate::ids::Token;
 use crate::lease::HeldLease;
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -18,8 +18,8 @@
 use wire::peers_server::PeersServer;
 use wire::timeline_server::TimelineServer;
 
-use crate::control::ControlState;
 use crate::control::ControlSettings;
+use crate::control::ControlState;
 use crate::control::OwnershipState;
 use crate::control::Peers;
 use crate::control::Shared;
--- a/lib/src/control/vms.rs
+++ b/lib/src/control/vms.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::control::Shared;
-use crate::control::local::OwnershipState;
+use crate::control::ownership::OwnershipState;
 use crate::platform::List;
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
