--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -237,9 +237,9 @@
         return Ok(());
     };
     let mut state = node.state();
-    let freshness = state.key_freshness(now());
+    let config_age = state.key_freshness(now());
     let keys = state.active.as_ref().and_then(|a| a.keys.as_ref());
-    let admitted = state.key_bounds.admit(keys, false, Some(key), &freshness);
+    let admitted = state.key_bounds.admit(keys, false, Some(key), &config_age);
     admitted.map(|_| ()).map_err(AttemptFailure::Denied)
 }
 
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -77,7 +77,7 @@
     pub(in crate::serving) response: Option<StartedResponse>,
     /// Chunks that were read ahead.
     pub(in crate::serving) buffered: VecDeque<Bytes>,
-    pub(in crate::serving) tries: Attempts,
+    pub(in crate::serving) attempts: Attempts,
     pub(in crate::serving) avoid: BTreeSet<ReplicaName>,
     /// Splits a stream into complete events; `None` for other bodies.
     pub(in crate::serving) events: Option<EventTracker>,
@@ -130,7 +130,7 @@
         loop {
             let started = self.response.as_mut()?;
             let chunk = match self.events {
-                Some(_) if self.tries.idempotent => {
+                Some(_) if self.attempts.idempotent => {
                     let gap = self
                         .routed
                         .route
@@ -190,7 +190,7 @@
         }
         let mut avoid = self.avoid.clone();
         avoid.insert(replica.clone());
-        self.tries.runs + 1 < self.tries.max_runs
+        self.attempts.runs + 1 < self.attempts.max_runs
             && has_other_replica(&self.node, &self.routed, &self.request, &avoid)
     }
 
@@ -267,13 +267,13 @@
             ));
         };
         events.scanner.reset();
-        self.tries.record(ended);
+        self.attempts.record(ended);
         let resume_after = events.last_id;
         let next = retry(
             &self.node,
             &self.routed,
             &self.request,
-            &mut self.tries,
+            &mut self.attempts,
             &mut self.avoid,
             ended,
             resume_after,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -228,17 +228,17 @@
     routed: &RoutedRequest,
     info: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
-    let (freshness, bounds) = {
+    let (config_age, bounds) = {
         let mut state = node.state();
         (state.key_freshness(now()), state.key_bounds)
     };
     let (keys, public) = (active.keys.as_ref(), routed.route.public);
-    let found = bounds.admit(keys, public, info.key.as_ref(), &freshness);
+    let found = bounds.admit(keys, public, info.key.as_ref(), &config_age);
     found.map_err(|denial| {
         slog::info!(node.log, "API key refused"; "id" => &info.id, "why" => denial.as_str(),
             "borne" => info.key.is_some(), "config" => active.config.version,
-            "proven_ms" => freshness.confirmed.map(Span::as_millis),
-            "believed_ms" => freshness.estimated.map(Span::as_millis));
+            "proven_ms" => config_age.confirmed.map(Span::as_millis),
+            "believed_ms" => config_age.estimated.map(Span::as_millis));
         Refusal::of_denial(denial)
     })
 }
@@ -324,7 +324,7 @@
     arrived: Moment,
     in_flight: InFlight,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let mut tries = Attempts {
+    let mut attempts = Attempts {
         max_runs: routed.route.max_attempts,
         idempotent: routed.route.idempotent(),
         ..Attempts::default()
@@ -333,23 +333,23 @@
     node.state()
         .budget
         .record_first_send(now(), &routed.service);
-    let mut started = first_attempt(node, &routed, &req, &mut tries, &mut avoid).await?;
+    let mut started = first_attempt(node, &routed, &req, &mut attempts, &mut avoid).await?;
     let mut buffered = VecDeque::new();
     let mut complete = false;
     let stream = routed.route.kind == RouteKind::Stream;
     while !stream || started.failed {
         match read_ahead(&mut started, &req, &mut buffered).await {
-            Ok(read) if started.failed && tries.idempotent => {
+            Ok(read) if started.failed && attempts.idempotent => {
                 complete = read;
                 started.run.record_end(RunOutcome::Failed);
-                tries.record(AttemptFailure::Failed);
+                attempts.record(AttemptFailure::Failed);
                 let pieces = std::mem::take(&mut buffered);
                 avoid.insert(started.run.replica.clone());
                 let next = retry(
                     node,
                     &routed,
                     &req,
-                    &mut tries,
+                    &mut attempts,
                     &mut avoid,
                     AttemptFailure::Failed,
                     None,
@@ -373,11 +373,12 @@
             Err(ended) => {
                 started.run.record_end(RunOutcome::Broken);
                 crate::serving::path::forward::record_strike(node, &req, &started.run.instance());
-                tries.record(ended);
+                attempts.record(ended);
                 avoid.insert(started.run.replica.clone());
                 drop(started);
                 buffered.clear();
-                started = retry(node, &routed, &req, &mut tries, &mut avoid, ended, None).await?;
+                started =
+                    retry(node, &routed, &req, &mut attempts, &mut avoid, ended, None).await?;
             }
         }
     }
@@ -387,14 +388,14 @@
     strip_hop_headers(&mut headers);
     *response.headers_mut() = headers;
     let events = (stream && is_event_stream(response.headers())).then(EventTracker::default);
-    tries.answered = true;
+    attempts.answered = true;
     let mut body = ResponseStream {
         node: node.clone(),
         routed,
         request: req,
         response: Some(started),
         buffered,
-        tries,
+        attempts,
         avoid,
         events,
         timing: Timing::new(arrived),
@@ -439,36 +440,36 @@
     node: &Rc<Node>,
     routed: &RoutedRequest,
     req: &BufferedRequest,
-    tries: &mut Attempts,
+    attempts: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
 ) -> Result<StartedResponse, Refusal> {
     let at = wait_for_replica(node, routed, req, avoid).await?;
     match forward(node, req, &at, None).await {
         Ok(started) => Ok(started),
         Err(ended) => {
-            tries.record(ended);
-            log_attempt(node, req, &at, tries, ended);
+            attempts.record(ended);
+            log_attempt(node, req, &at, attempts, ended);
             avoid.insert(at);
-            retry(node, routed, req, tries, avoid, ended, None).await
+            retry(node, routed, req, attempts, avoid, ended, None).await
         }
     }
 }
 
 /// Retries on other replicas after an attempt that ended with `ended` and is already
-/// recorded in `tries`.
+/// recorded in `attempts`.
 pub(in crate::serving) async fn retry(
     node: &Rc<Node>,
     routed: &RoutedRequest,
     req: &BufferedRequest,
-    tries: &mut Attempts,
+    attempts: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
     ended: AttemptFailure,
     resume_after: Option<u64>,
 ) -> Result<StartedResponse, Refusal> {
     let mut ended = ended;
     loop {
-        if !tries.may_retry(ended) {
-            return Err(Refusal::after(tries, ended));
+        if !attempts.may_retry(ended) {
+            return Err(Refusal::after(attempts, ended));
         }
         if ended == AttemptFailure::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
             // The view of the loaded adapters was wrong; the replicas themselves work.
@@ -476,23 +477,23 @@
         }
         let at = match wait_for_replica(node, routed, req, avoid).await {
             Ok(at) => at,
-            Err(refusal) if tries.runs == 0 => return Err(refusal),
-            Err(_) => return Err(Refusal::after(tries, ended)),
+            Err(refusal) if attempts.runs == 0 => return Err(refusal),
+            Err(_) => return Err(Refusal::after(attempts, ended)),
         };
         if ended.reached_replica() && !spend_retry(node, routed) {
-            return Err(Refusal::after(tries, ended));
+            return Err(Refusal::after(attempts, ended));
         }
         ended = match forward(node, req, &at, resume_after).await {
             // An error response cannot continue a response that has started.
-            Ok(started) if tries.answered && !started.answer.head.status.is_success() => {
+            Ok(started) if attempts.answered && !started.answer.head.status.is_success() => {
                 started.run.record_end(RunOutcome::Failed);
                 AttemptFailure::Failed
             }
             Ok(started) => return Ok(started),
             Err(next) => next,
         };
-        tries.record(ended);
-        log_attempt(node, req, &at, tries, ended);
+        attempts.record(ended);
+        log_attempt(node, req, &at, attempts, ended);
         avoid.insert(at);
     }
 }
@@ -509,13 +510,13 @@
     node: &Node,
     req: &BufferedRequest,
     at: &ReplicaName,
-    tries: &Attempts,
+    attempts: &Attempts,
     ended: AttemptFailure,
 ) {
     let standing = node.state().fleet.status(now(), at);
     slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
-        "why" => ended.as_str(), "standing" => standing, "sends" => tries.sends,
-        "runs" => tries.runs, "left_ms" => req.deadline.since(now()).as_millis());
+        "why" => ended.as_str(), "standing" => standing, "sends" => attempts.sends,
+        "runs" => attempts.runs, "left_ms" => req.deadline.since(now()).as_millis());
     metrics::counter!("serve_tries_total", "end" => ended.as_str()).increment(1);
 }
 
