--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -26,7 +26,7 @@
 pub use members::Members;
 pub use members::YOUNG;
 pub use members::candidates;
-pub use ownership::Entries;
+pub use ownership::GrantHolders;
 pub use ownership::OwnershipState;
 pub use ownership::majority;
 pub use peers::Peers;
--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -13,8 +13,8 @@
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
-/// Entries, as `name/incarnation`, that may hold grants; `None` is unknown.
-pub type Entries = Option<BTreeSet<String>>;
+/// GrantHolders, as `name/incarnation`, that may hold grants; `None` is unknown.
+pub type GrantHolders = Option<BTreeSet<String>>;
 
 /// Values between election, owner and peers; each sender has one writer.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     pub leases: watch::Sender<BTreeMap<PoolName, HeldLease>>,
     /// Pools that grant and order nothing any more, ready to be released;
     /// written by the owner.
-    pub drained: watch::Sender<BTreeMap<PoolName, Entries>>,
+    pub drained: watch::Sender<BTreeMap<PoolName, GrantHolders>>,
     /// Pools whose slots may be changed, by token: no earlier owner's grant is
     /// in use any more; written by the owners.
     pub settled: watch::Sender<BTreeMap<PoolName, Token>>,
