--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -28,7 +28,7 @@
 pub use members::candidates;
 pub use ownership::GrantHolders;
 pub use ownership::OwnershipState;
-pub use ownership::majority;
+pub use ownership::majority_contact;
 pub use peers::Peers;
 pub use run::Control;
 pub use run::ControlError;
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -22,7 +22,7 @@
             _ => false,
         };
         self.external = ExternalState {
-            majority: self.local.majority(now),
+            majority: self.local.majority_contact(now),
             predecessor_left: left,
             synced: self.requests.synced().clone(),
         };
--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -71,24 +71,24 @@
     ///
     /// Two processes with the same peers in their settings cannot both have a
     /// majority without a peer that talked to both.
-    pub fn majority(&self, now: Moment) -> Moment {
-        majority(now, &self.settings.peers, &self.contacts.borrow())
+    pub fn majority_contact(&self, now: Moment) -> Moment {
+        majority_contact(now, &self.settings.peers, &self.contacts.borrow())
     }
 }
 
-/// See [`OwnershipState::majority`].
+/// See [`OwnershipState::majority_contact`].
 ///
 /// ```
 /// use std::collections::BTreeMap;
-/// use banyangauge::control::majority;
+/// use banyangauge::control::majority_contact;
 /// use banyangauge::pool::Moment;
 /// let peers: Vec<std::net::SocketAddr> =
 ///     (1..=4).map(|p| ([127, 0, 0, 1], p).into()).collect();
 /// let heard = BTreeMap::from([(peers[0], Moment(5)), (peers[1], Moment(3))]);
-/// assert_eq!(majority(Moment(9), &peers, &heard), Moment(3));
-/// assert_eq!(majority(Moment(9), &[], &heard), Moment(9));
+/// assert_eq!(majority_contact(Moment(9), &peers, &heard), Moment(3));
+/// assert_eq!(majority_contact(Moment(9), &[], &heard), Moment(9));
 /// ```
-pub fn majority(
+pub fn majority_contact(
     now: Moment,
     peers: &[SocketAddr],
     contacts: &BTreeMap<SocketAddr, Moment>,
