--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -40,7 +40,7 @@
     /// its watcher.
     pub departed: watch::Sender<BTreeSet<String>>,
     /// Upstreams that the VM list calls leaving; written by its watcher.
-    pub listed: watch::Sender<BTreeSet<SocketAddr>>,
+    pub listed_leaving: watch::Sender<BTreeSet<SocketAddr>>,
     /// Upstreams whose own reports say leaving; written by the owners.
     pub reported: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
     /// Something changed that the peers should know at once.
@@ -59,7 +59,7 @@
             released: watch::Sender::new(false),
             contacts: watch::Sender::default(),
             departed: watch::Sender::default(),
-            listed: watch::Sender::default(),
+            listed_leaving: watch::Sender::default(),
             reported: watch::Sender::default(),
             urgent: Notify::new(),
         }
--- a/lib/src/control/vms.rs
+++ b/lib/src/control/vms.rs
@@ -84,7 +84,7 @@
     local.departed.send_replace(departed.cloned().collect());
     let leaving = vms.values().filter(|v| v.is_leaving()).filter_map(parse);
     let leaving = leaving.collect();
-    let changed = local.listed.send_if_modified(|old| {
+    let changed = local.listed_leaving.send_if_modified(|old| {
         let changed = *old != leaving;
         *old = leaving;
         changed
