--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -209,7 +209,7 @@
             .filter(|r| r.leaving)
             .map(|r| r.address)
             .collect();
-        let changed = self.local.reported.send_if_modified(|reported| {
+        let changed = self.local.reported_leaving.send_if_modified(|reported| {
             let known = reported.get(&self.name);
             let changed = known.map_or(!leaving.is_empty(), |k| *k != leaving);
             if changed {
--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -42,7 +42,7 @@
     /// Upstreams that the VM list calls leaving; written by its watcher.
     pub listed_leaving: watch::Sender<BTreeSet<SocketAddr>>,
     /// Upstreams whose own reports say leaving; written by the owners.
-    pub reported: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
+    pub reported_leaving: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
     /// Something changed that the peers should know at once.
     pub urgent: Notify,
 }
@@ -60,7 +60,7 @@
             contacts: watch::Sender::default(),
             departed: watch::Sender::default(),
             listed_leaving: watch::Sender::default(),
-            reported: watch::Sender::default(),
+            reported_leaving: watch::Sender::default(),
             urgent: Notify::new(),
         }
     }
--- a/lib/src/control/peers.rs
+++ b/lib/src/control/peers.rs
@@ -199,7 +199,7 @@
     // Only what this VM saw itself is passed on, so that a word ages out.
     fn first_hand(&self) -> BTreeSet<SocketAddr> {
         let mut seen = self.local.listed_leaving.borrow().clone();
-        seen.extend(self.local.reported.borrow().values().flatten());
+        seen.extend(self.local.reported_leaving.borrow().values().flatten());
         seen
     }
 
