--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -254,7 +254,7 @@
             changed
         });
         if changed {
-            self.local.urgent.notify_one();
+            self.local.gossip_wake.notify_one();
         }
     }
 
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -218,7 +218,7 @@
             changed
         });
         if changed {
-            self.local.urgent.notify_one();
+            self.local.gossip_wake.notify_one();
         }
     }
 
--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -44,7 +44,7 @@
     /// Upstreams whose own reports say leaving; written by the owners.
     pub reported_leaving: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
     /// Something changed that the peers should know at once.
-    pub urgent: Notify,
+    pub gossip_wake: Notify,
 }
 
 impl OwnershipState {
@@ -61,7 +61,7 @@
             departed: watch::Sender::default(),
             listed_leaving: watch::Sender::default(),
             reported_leaving: watch::Sender::default(),
-            urgent: Notify::new(),
+            gossip_wake: Notify::new(),
         }
     }
 
--- a/lib/src/control/peers.rs
+++ b/lib/src/control/peers.rs
@@ -156,7 +156,7 @@
         let highest = members.max().unwrap_or(0).max(digest.revision);
         config::nudge(&self.shared, Revision(highest));
         if news {
-            self.local.urgent.notify_one();
+            self.local.gossip_wake.notify_one();
         }
     }
 
@@ -188,7 +188,7 @@
             .verdicts
             .send_if_modified(|verdicts| note_verdict(verdicts, fingerprint, until));
         if news {
-            local.urgent.notify_one();
+            local.gossip_wake.notify_one();
         }
     }
 
@@ -332,7 +332,7 @@
     loop {
         let fanout = tokio::select! {
             _ = beat.tick() => settings.fanout,
-            () = peers.local.urgent.notified() => URGENT_FANOUT,
+            () = peers.local.gossip_wake.notified() => URGENT_FANOUT,
         };
         peers.beat();
         let targets = peers.targets(fanout);
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -197,7 +197,7 @@
     /// Hands over what is owned and makes the last writes.
     pub async fn stop(&self) {
         self.shared.state.stopping.send_replace(true);
-        self.local.urgent.notify_one();
+        self.local.gossip_wake.notify_one();
         let mut released = self.local.released.subscribe();
         // Leases that cannot be released lapse.
         let _ = tokio::time::timeout(RELEASE, released.wait_for(|r| *r)).await;
--- a/lib/src/control/vms.rs
+++ b/lib/src/control/vms.rs
@@ -90,6 +90,6 @@
         changed
     });
     if changed {
-        local.urgent.notify_one();
+        local.gossip_wake.notify_one();
     }
 }
