--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -29,7 +29,7 @@
 pub use ownership::GrantHolders;
 pub use ownership::OwnershipState;
 pub use ownership::majority_contact;
-pub use peers::Peers;
+pub use peers::Gossip;
 pub use run::Control;
 pub use run::ControlError;
 pub use run::run;
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
 use crate::control::ownership::OwnershipState;
-use crate::control::peers::Peers;
+use crate::control::peers::Gossip;
 use crate::ids::AdapterVersion;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
@@ -79,7 +79,7 @@
                 slog::warn!(self.shared.log, "blocked a request that crashes its upstream";
                     "pool" => %self.name, "fingerprint" => fingerprint.0);
                 self.record_event(Kind::Convicted, None, "", &fingerprint.0.to_string());
-                Peers::convict(&self.shared, &self.local, fingerprint, hold);
+                Gossip::convict(&self.shared, &self.local, fingerprint, hold);
             }
         }
     }
--- a/lib/src/control/peers.rs
+++ b/lib/src/control/peers.rs
@@ -64,13 +64,13 @@
 
 /// The member table and what is spread with it; shared by the duty that sends
 /// and the service that answers.
-pub struct Peers {
+pub struct Gossip {
     shared: Shared,
     local: Arc<OwnershipState>,
     state: Mutex<State>,
 }
 
-impl Peers {
+impl Gossip {
     /// A table that holds this process alone.
     ///
     /// # Errors
@@ -324,7 +324,7 @@
 }
 
 /// Exchanges heartbeats for as long as the process runs.
-pub(super) async fn run(peers: Arc<Peers>) {
+pub(super) async fn run(peers: Arc<Gossip>) {
     let settings = peers.local.settings.members.clone();
     let mut beat = tokio::time::interval(Duration::from_millis(settings.beat_ms));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -367,7 +367,7 @@
     Some(client)
 }
 
-async fn exchange(peers: Arc<Peers>, target: SocketAddr, mut client: PeersClient<Channel>) {
+async fn exchange(peers: Arc<Gossip>, target: SocketAddr, mut client: PeersClient<Channel>) {
     let began = clock::now();
     let digest = peers.digest(None);
     count_bytes("sent", &digest);
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -21,7 +21,7 @@
 use crate::control::ControlSettings;
 use crate::control::ControlState;
 use crate::control::OwnershipState;
-use crate::control::Peers;
+use crate::control::Gossip;
 use crate::control::Shared;
 use crate::control::config;
 use crate::control::election;
@@ -212,7 +212,7 @@
     fn start_duties(&mut self, listener: TcpListener) -> Result<(), ControlError> {
         let local = || Arc::clone(&self.local);
         let registry = Arc::new(Registry::default());
-        let members = Peers::new(self.own(), local()).map_err(ControlError::Name)?;
+        let members = Gossip::new(self.own(), local()).map_err(ControlError::Name)?;
         let members = Arc::new(members);
         self.duty("lease", election::run(self.own(), local()))?;
         self.duty("vms", vms::run(self.own(), local()))?;
@@ -284,7 +284,7 @@
     }
 }
 
-fn services(shared: &Shared, registry: Arc<Registry>, members: Arc<Peers>, keys: Keys) -> Router {
+fn services(shared: &Shared, registry: Arc<Registry>, members: Arc<Gossip>, keys: Keys) -> Router {
     let grants = GrantsService::new(shared.clone(), registry);
     let peers = PeersService::new(shared.clone(), members);
     tonic::transport::Server::builder()
--- a/lib/src/control/service.rs
+++ b/lib/src/control/service.rs
@@ -7,7 +7,7 @@
 use tonic::Response;
 use tonic::Status;
 
-use crate::control::Peers;
+use crate::control::Gossip;
 use crate::control::Shared;
 use crate::control::config;
 use crate::control::peers::count_bytes;
@@ -15,12 +15,12 @@
 /// Answers other control processes.
 pub struct PeersService {
     shared: Shared,
-    peers: Arc<Peers>,
+    peers: Arc<Gossip>,
 }
 
 impl PeersService {
     /// A service over this process's table.
-    pub fn new(shared: Shared, peers: Arc<Peers>) -> Self {
+    pub fn new(shared: Shared, peers: Arc<Gossip>) -> Self {
         Self { shared, peers }
     }
 }
