--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -8,10 +8,10 @@
 
 use crate::claims::Durability;
 use crate::control::clock;
+use crate::control::gossip::Gossip;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
 use crate::control::ownership::OwnershipState;
-use crate::control::peers::Gossip;
 use crate::ids::AdapterVersion;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -20,8 +20,8 @@
 
 use crate::control::ControlSettings;
 use crate::control::ControlState;
-use crate::control::OwnershipState;
 use crate::control::Gossip;
+use crate::control::OwnershipState;
 use crate::control::Shared;
 use crate::control::config;
 use crate::control::election;
@@ -31,7 +31,7 @@
 use crate::control::owner;
 use crate::control::owner::GrantsService;
 use crate::control::owner::Registry;
-use crate::control::peers;
+use crate::control::gossip;
 use crate::control::service::PeersService;
 use crate::control::usage;
 use crate::control::vms;
@@ -216,7 +216,7 @@
         let members = Arc::new(members);
         self.duty("lease", election::run(self.own(), local()))?;
         self.duty("vms", vms::run(self.own(), local()))?;
-        self.duty("peers", peers::run(Arc::clone(&members)))?;
+        self.duty("peers", gossip::run(Arc::clone(&members)))?;
         let owners = owner::run(self.own(), local(), Arc::clone(&registry));
         self.duty("owner", owners)?;
         self.duty("config", config::run(self.own()))?;
--- a/lib/src/control/service.rs
+++ b/lib/src/control/service.rs
@@ -10,7 +10,7 @@
 use crate::control::Gossip;
 use crate::control::Shared;
 use crate::control::config;
-use crate::control::peers::count_bytes;
+use crate::control::gossip::count_bytes;
 
 /// Answers other control processes.
 pub struct PeersService {
