--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -17,7 +17,7 @@
 mod settings;
 mod shared;
 pub mod usage;
-mod vms;
+mod vm_list;
 
 pub use clock::duration;
 pub use clock::now;
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -34,7 +34,7 @@
 use crate::control::gossip;
 use crate::control::service::PeersService;
 use crate::control::usage;
-use crate::control::vms;
+use crate::control::vm_list;
 use crate::ids::IdError;
 use crate::ids::Incarnation;
 use crate::link::Link;
@@ -215,7 +215,7 @@
         let members = Gossip::new(self.own(), local()).map_err(ControlError::Name)?;
         let members = Arc::new(members);
         self.duty("lease", election::run(self.own(), local()))?;
-        self.duty("vms", vms::run(self.own(), local()))?;
+        self.duty("vms", vm_list::run(self.own(), local()))?;
         self.duty("peers", gossip::run(Arc::clone(&members)))?;
         let owners = owner::run(self.own(), local(), Arc::clone(&registry));
         self.duty("owner", owners)?;
