--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -181,7 +181,7 @@
     }
 
     /// A verdict found here: known on this VM now, on its way to the others.
-    pub fn convict(shared: &Shared, local: &OwnershipState, fingerprint: Fingerprint, hold: Span) {
+    pub fn block(shared: &Shared, local: &OwnershipState, fingerprint: Fingerprint, hold: Span) {
         let until = uptime_ms() + hold.as_millis();
         let news = shared
             .state
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -79,7 +79,7 @@
                 slog::warn!(self.shared.log, "blocked a request that crashes its upstream";
                     "pool" => %self.name, "fingerprint" => fingerprint.0);
                 self.record_event(Kind::Convicted, None, "", &fingerprint.0.to_string());
-                Gossip::convict(&self.shared, &self.local, fingerprint, hold);
+                Gossip::block(&self.shared, &self.local, fingerprint, hold);
             }
         }
     }
