--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -140,7 +140,7 @@
     }
 
     /// Takes in what a peer told; news are passed on at once.
-    pub fn absorb(&self, digest: &wire::Digest) {
+    pub fn merge(&self, digest: &wire::Digest) {
         let now = clock::now();
         {
             let mut state = self.lock();
@@ -149,8 +149,8 @@
                 state.heard.insert(address, now);
             }
         }
-        let mut news = self.absorb_verdicts(&digest.verdicts);
-        news |= self.absorb_owners(&digest.owners);
+        let mut news = self.merge_verdicts(&digest.verdicts);
+        news |= self.merge_owners(&digest.owners);
         self.refresh(now);
         let members = digest.members.iter().map(|m| m.revision);
         let highest = members.max().unwrap_or(0).max(digest.revision);
@@ -222,7 +222,7 @@
         });
     }
 
-    fn absorb_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
+    fn merge_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
         let uptime = uptime_ms();
         self.shared.state.verdicts.send_if_modified(|known| {
             let mut news = false;
@@ -233,7 +233,7 @@
         })
     }
 
-    fn absorb_owners(&self, owners: &[wire::Owner]) -> bool {
+    fn merge_owners(&self, owners: &[wire::Owner]) -> bool {
         self.shared.state.owners.send_if_modified(|known| {
             let mut news = false;
             for (pool, owner) in owners.iter().filter_map(owner_from_wire) {
@@ -374,7 +374,7 @@
     match client.exchange(digest).await {
         Ok(answer) => {
             count_bytes("received", answer.get_ref());
-            peers.absorb(answer.get_ref());
+            peers.merge(answer.get_ref());
             peers.note_contact(target, began);
         }
         Err(_) => metrics::counter!("peer_exchange_failed_total").increment(1),
--- a/lib/src/control/service.rs
+++ b/lib/src/control/service.rs
@@ -33,7 +33,7 @@
     ) -> Result<Response<wire::Digest>, Status> {
         let asked = request.get_ref();
         count_bytes("received", asked);
-        self.peers.absorb(asked);
+        self.peers.merge(asked);
         let answer = self.peers.digest(Some(asked));
         count_bytes("sent", &answer);
         Ok(Response::new(answer))
