--- a/bench/src/capacity/costs.rs
+++ b/bench/src/capacity/costs.rs
@@ -168,7 +168,7 @@
         return 0.0;
     };
     let all: Vec<_> = (1..members).map(member).collect();
-    table.learn(start, &all);
+    table.merge(start, &all);
     let message = wire::Digest {
         vm: "vm-0000".to_owned(),
         revision: 7_600,
--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -144,7 +144,7 @@
         let now = clock::now();
         {
             let mut state = self.lock();
-            state.members.learn(now, &digest.members);
+            state.members.merge(now, &digest.members);
             for address in digest.leaving.iter().filter_map(|a| a.parse().ok()) {
                 state.heard.insert(address, now);
             }
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -110,16 +110,16 @@
     /// Takes in what another process sent. A higher (incarnation, heartbeat)
     /// replaces what is known; what it says of this process is passed over, and
     /// so is a brief word of a process that is not known.
-    pub fn learn(&mut self, now: Moment, members: &[wire::Member]) {
+    pub fn merge(&mut self, now: Moment, members: &[wire::Member]) {
         for member in members {
             match VmName::new(&member.vm) {
-                Ok(vm) if vm != self.me => self.learn_one(now, vm, member),
+                Ok(vm) if vm != self.me => self.merge_one(now, vm, member),
                 _ => {}
             }
         }
     }
 
-    fn learn_one(&mut self, now: Moment, vm: VmName, member: &wire::Member) {
+    fn merge_one(&mut self, now: Moment, vm: VmName, member: &wire::Member) {
         let known = self.table.get(&vm);
         let age = |m: &wire::Member| (m.incarnation, m.heartbeat);
         if known.is_some_and(|s| age(&s.member) >= age(member)) {
--- a/lib/tests/test_members_table.rs
+++ b/lib/tests/test_members_table.rs
@@ -37,7 +37,7 @@
 #[test]
 fn silence_makes_suspect_then_gone() {
     let mut m = table(1);
-    m.learn(ms(0), &[member(2, 1, 5)]);
+    m.merge(ms(0), &[member(2, 1, 5)]);
     for (t, expected) in [
         (1_999, Some(MemberState::Live as u32)),
         (2_000, Some(MemberState::Suspect as u32)),
@@ -53,8 +53,8 @@
 #[test]
 fn old_news_prove_nothing() {
     let mut m = table(1);
-    m.learn(ms(0), &[member(2, 1, 5)]);
-    m.learn(ms(9_000), &[member(2, 1, 5), member(2, 1, 4)]);
+    m.merge(ms(0), &[member(2, 1, 5)]);
+    m.merge(ms(9_000), &[member(2, 1, 5), member(2, 1, 4)]);
     m.sweep(ms(10_000));
     assert_eq!(state(&m, 2), Some(MemberState::Gone as u32));
     // Nor does a gone member travel on.
@@ -64,11 +64,11 @@
 #[test]
 fn restart_is_a_new_incarnation() {
     let mut m = table(1);
-    m.learn(ms(0), &[member(2, 1, 500)]);
+    m.merge(ms(0), &[member(2, 1, 500)]);
     m.sweep(ms(10_000));
-    m.learn(ms(10_001), &[member(2, 2, 1)]);
+    m.merge(ms(10_001), &[member(2, 2, 1)]);
     assert_eq!(state(&m, 2), Some(MemberState::Live as u32));
-    m.learn(ms(10_002), &[member(2, 1, 900)]);
+    m.merge(ms(10_002), &[member(2, 1, 900)]);
     let vm = VmName::new("vm-2").unwrap();
     assert_eq!(m.view()[&vm].incarnation, 2);
 }
@@ -76,7 +76,7 @@
 #[test]
 fn brief_word_of_a_known_member() {
     let mut m = table(1);
-    m.learn(ms(0), &[member(2, 1, 5)]);
+    m.merge(ms(0), &[member(2, 1, 5)]);
     // Young members are named in full, later ones in brief.
     assert!(
         m.digest(ms(9_999), false, &[])[1]
@@ -91,21 +91,21 @@
             .starts_with("127")
     );
     brief.heartbeat = 6;
-    m.learn(ms(1_500), &[brief.clone()]);
+    m.merge(ms(1_500), &[brief.clone()]);
     m.sweep(ms(3_000));
     let vm = VmName::new("vm-2").unwrap();
     assert_eq!(m.view()[&vm].address, "127.0.0.1:7002");
     assert_eq!(state(&m, 2), Some(MemberState::Live as u32));
     // To one that does not know the member it tells nothing.
     let mut other = table(3);
-    other.learn(ms(0), &[brief]);
+    other.merge(ms(0), &[brief]);
     assert_eq!(state(&other, 2), None);
 }
 
 #[test]
 fn answer_tells_news_only() {
     let mut m = table(1);
-    m.learn(ms(0), &[member(2, 1, 5), member(3, 1, 7)]);
+    m.merge(ms(0), &[member(2, 1, 5), member(3, 1, 7)]);
     let told = [member(2, 1, 5), member(3, 1, 6), member(1, 1, 0)];
     let answer = m.digest(ms(1), false, &told);
     let names: Vec<&str> = answer.iter().map(|m| m.vm.as_str()).collect();
@@ -117,7 +117,7 @@
     let mut m = table(1);
     let mut lie = member(1, 9, 9);
     lie.state = MemberState::Gone as u32;
-    m.learn(ms(1), &[lie]);
+    m.merge(ms(1), &[lie]);
     assert_eq!(state(&m, 1), Some(MemberState::Live as u32));
 }
 
@@ -126,7 +126,7 @@
     let mut m = table(1);
     let mut other = table(2);
     other.beat(ms(1), Revision(7), true);
-    m.learn(ms(2), &other.digest(ms(2), true, &[]));
+    m.merge(ms(2), &other.digest(ms(2), true, &[]));
     assert_eq!(candidates(&m.view()), [VmName::new("vm-1").unwrap()]);
     let vm = VmName::new("vm-2").unwrap();
     assert_eq!(m.view()[&vm].revision, 7);
@@ -141,7 +141,7 @@
             let now = ms(round * 100);
             tables[n].beat(now, Revision(0), false);
             let digest = tables[n].digest(now, false, &[]);
-            tables[(n + 1) % 9].learn(now, &digest);
+            tables[(n + 1) % 9].merge(now, &digest);
         }
     }
     for m in &tables {
