--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -169,7 +169,7 @@
         {
             let mut state = self.lock();
             state.members.beat(now, revision, stopping);
-            state.members.sweep(now);
+            state.members.detect_failures(now);
         }
         let uptime = uptime_ms();
         board.verdicts.send_if_modified(|verdicts| {
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -155,7 +155,7 @@
     }
 
     /// Judges by silence.
-    pub fn sweep(&mut self, now: Moment) {
+    pub fn detect_failures(&mut self, now: Moment) {
         let (me, suspect, gone) = (&self.me, self.suspect, self.gone);
         self.table
             .retain(|vm, s| vm == me || now.since(s.heard) < Span(gone.0 + FORGET.0));
--- a/lib/tests/test_members_table.rs
+++ b/lib/tests/test_members_table.rs
@@ -44,7 +44,7 @@
         (10_000, Some(MemberState::Gone as u32)),
         (70_000, None),
     ] {
-        m.sweep(ms(t));
+        m.detect_failures(ms(t));
         assert_eq!(state(&m, 2), expected, "at {t} ms");
     }
     assert_eq!(state(&m, 1), Some(MemberState::Live as u32));
@@ -55,7 +55,7 @@
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 5)]);
     m.merge(ms(9_000), &[member(2, 1, 5), member(2, 1, 4)]);
-    m.sweep(ms(10_000));
+    m.detect_failures(ms(10_000));
     assert_eq!(state(&m, 2), Some(MemberState::Gone as u32));
     // Nor does a gone member travel on.
     assert_eq!(m.digest(ms(10_000), true, &[]).len(), 1);
@@ -65,7 +65,7 @@
 fn restart_is_a_new_incarnation() {
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 500)]);
-    m.sweep(ms(10_000));
+    m.detect_failures(ms(10_000));
     m.merge(ms(10_001), &[member(2, 2, 1)]);
     assert_eq!(state(&m, 2), Some(MemberState::Live as u32));
     m.merge(ms(10_002), &[member(2, 1, 900)]);
@@ -92,7 +92,7 @@
     );
     brief.heartbeat = 6;
     m.merge(ms(1_500), &[brief.clone()]);
-    m.sweep(ms(3_000));
+    m.detect_failures(ms(3_000));
     let vm = VmName::new("vm-2").unwrap();
     assert_eq!(m.view()[&vm].address, "127.0.0.1:7002");
     assert_eq!(state(&m, 2), Some(MemberState::Live as u32));
