--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -168,7 +168,7 @@
         let now = clock::now();
         {
             let mut state = self.lock();
-            state.members.beat(now, revision, stopping);
+            state.members.advance_heartbeat(now, revision, stopping);
             state.members.detect_failures(now);
         }
         let uptime = uptime_ms();
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -96,7 +96,7 @@
     }
 
     /// One heartbeat of this process.
-    pub fn beat(&mut self, now: Moment, revision: Revision, leaving: bool) {
+    pub fn advance_heartbeat(&mut self, now: Moment, revision: Revision, leaving: bool) {
         if let Some(me) = self.table.get_mut(&self.me) {
             me.heard = now;
             me.member.heartbeat += 1;
--- a/lib/tests/test_members_table.rs
+++ b/lib/tests/test_members_table.rs
@@ -125,7 +125,7 @@
 fn leaving_is_no_candidate() {
     let mut m = table(1);
     let mut other = table(2);
-    other.beat(ms(1), Revision(7), true);
+    other.advance_heartbeat(ms(1), Revision(7), true);
     m.merge(ms(2), &other.digest(ms(2), true, &[]));
     assert_eq!(candidates(&m.view()), [VmName::new("vm-1").unwrap()]);
     let vm = VmName::new("vm-2").unwrap();
@@ -139,7 +139,7 @@
     for round in 0..20 {
         for n in 0..9 {
             let now = ms(round * 100);
-            tables[n].beat(now, Revision(0), false);
+            tables[n].advance_heartbeat(now, Revision(0), false);
             let digest = tables[n].digest(now, false, &[]);
             tables[(n + 1) % 9].merge(now, &digest);
         }
