--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -113,7 +113,7 @@
         let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
         let reader = asked.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
         let mut state = self.lock();
-        let full = state.members.is_young(now, reader);
+        let full = state.members.is_warming_up(now, reader);
         let owners = board.owners.borrow();
         state.note_owners(now, &owners);
         let told = owners.iter().filter(|(pool, owner)| {
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -49,7 +49,7 @@
 }
 
 impl Seen {
-    fn is_young(&self, now: Moment) -> bool {
+    fn is_warming_up(&self, now: Moment) -> bool {
         now.since(self.born) < YOUNG
     }
 
@@ -150,8 +150,8 @@
     }
 
     /// Whether a process started lately, or is not known.
-    pub fn is_young(&self, now: Moment, vm: &str) -> bool {
-        self.table.get(vm).is_none_or(|s| s.is_young(now))
+    pub fn is_warming_up(&self, now: Moment, vm: &str) -> bool {
+        self.table.get(vm).is_none_or(|s| s.is_warming_up(now))
     }
 
     /// Judges by silence.
@@ -199,7 +199,7 @@
         seen.sort_by_key(|s| (!mine(s), std::cmp::Reverse(s.heard)));
         seen.truncate(DIGEST_MEMBERS);
         seen.into_iter()
-            .map(|s| match full || mine(s) || s.is_young(now) {
+            .map(|s| match full || mine(s) || s.is_warming_up(now) {
                 true => s.member.clone(),
                 false => s.brief(),
             })
