--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -19,7 +19,7 @@
 use crate::control::clock;
 use crate::control::config;
 use crate::control::members::Members;
-use crate::control::members::YOUNG;
+use crate::control::members::WARM_UP;
 use crate::control::ownership::OwnershipState;
 use crate::control::uptime_ms;
 use crate::ids::Fingerprint;
@@ -294,7 +294,7 @@
 
     fn is_new(&self, now: Moment, pool: &PoolName) -> bool {
         let changed = self.changed.get(pool);
-        changed.is_some_and(|(_, at)| now.since(*at) < YOUNG)
+        changed.is_some_and(|(_, at)| now.since(*at) < WARM_UP)
     }
 }
 
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -38,7 +38,7 @@
 
 /// How long after its start a process is young: what it tells and is told
 /// names everything, after that only what moves.
-pub const YOUNG: Span = Span::from_millis(10_000);
+pub const WARM_UP: Span = Span::from_millis(10_000);
 
 #[derive(Clone, Debug)]
 struct Seen {
@@ -50,7 +50,7 @@
 
 impl Seen {
     fn is_warming_up(&self, now: Moment) -> bool {
-        now.since(self.born) < YOUNG
+        now.since(self.born) < WARM_UP
     }
 
     // Where a member is does not change within an incarnation, and is most of
