--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -34,7 +34,7 @@
 
 /// Members that one digest carries. Today all fit; with more, each digest
 /// carries the ones heard of last, and the rest travel in later ones.
-pub const DIGEST_MEMBERS: usize = 14;
+pub const MAX_DIGEST_MEMBERS: usize = 14;
 
 /// How long after its start a process is young: what it tells and is told
 /// names everything, after that only what moves.
@@ -197,7 +197,7 @@
             .filter(is_news)
             .collect();
         seen.sort_by_key(|s| (!mine(s), std::cmp::Reverse(s.heard)));
-        seen.truncate(DIGEST_MEMBERS);
+        seen.truncate(MAX_DIGEST_MEMBERS);
         seen.into_iter()
             .map(|s| match full || mine(s) || s.is_warming_up(now) {
                 true => s.member.clone(),
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -22,7 +22,7 @@
 pub use clock::duration;
 pub use clock::now;
 pub use gossip::Gossip;
-pub use members::DIGEST_MEMBERS;
+pub use members::MAX_DIGEST_MEMBERS;
 pub use members::MemberState;
 pub use members::Members;
 pub use members::WARM_UP;
