--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use super::accept;
+use super::activate;
 use crate::catalog::CatalogStore;
 use crate::catalog::ROOT_KIND;
 use crate::catalog::ROOT_NAME;
@@ -145,13 +145,13 @@
     }
     if let Some(next) = replay(&current, root) {
         let sets = root.changes_after(current.revision);
-        accept(shared, next, &sets.unwrap_or_default());
+        activate(shared, next, &sets.unwrap_or_default());
         return Ok(());
     }
     let ledger = CatalogStore::new(shared.platform.clone());
     match ledger.read_catalog(root).await {
         Ok(next) => {
-            accept(shared, next, &[]);
+            activate(shared, next, &[]);
             Ok(())
         }
         // A newer root has taken this one's place and its shards are gone;
--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -53,7 +53,7 @@
 
 /// Brings `next` into force if it is higher than what is; gives whether it
 /// was. `sets` are the change sets that lead to it, as far as they are known.
-pub fn accept(shared: &Shared, next: Catalog, sets: &[ChangeSet]) -> bool {
+pub fn activate(shared: &Shared, next: Catalog, sets: &[ChangeSet]) -> bool {
     let mut deltas = shared.state.history.lock();
     let current = shared.state.catalog.borrow().revision;
     if next.revision <= current {
--- a/lib/src/control/config/mod.rs
+++ b/lib/src/control/config/mod.rs
@@ -10,7 +10,7 @@
 use banyangauge_proto as wire;
 use bytes::Bytes;
 pub use history::History;
-pub use history::accept;
+pub use history::activate;
 
 use super::Shared;
 use crate::catalog::Catalog;
--- a/lib/src/control/config/peers.rs
+++ b/lib/src/control/config/peers.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 use wire::peers_client::PeersClient;
 
-use super::accept;
+use super::activate;
 use crate::catalog::Catalog;
 use crate::catalog::ChangeSet;
 use crate::catalog::MAX_SNAPSHOT_BYTES;
@@ -123,7 +123,7 @@
             return false;
         }
     }
-    accept(shared, next, &sets)
+    activate(shared, next, &sets)
 }
 
 fn take_snapshot(shared: &Shared, snapshot: &wire::Snapshot) {
@@ -131,6 +131,6 @@
         return;
     }
     if let Ok(next) = serde_json::from_slice::<Catalog>(&snapshot.catalog) {
-        accept(shared, next, &[]);
+        activate(shared, next, &[]);
     }
 }
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -191,7 +191,7 @@
         info!(log, "plan confirmed"; "operator" => operator,
             "operation" => &plan.operation, "revision" => confirmed.revision.0);
         if let Some((set, catalog)) = confirmed.applied {
-            config::accept(&self.shared, catalog, &[set]);
+            config::activate(&self.shared, catalog, &[set]);
         }
         Ok(confirmed.revision.0)
     }
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -45,7 +45,7 @@
     for one in sets {
         let mut next = Catalog::clone(&shared.state.catalog.borrow());
         next.apply(&one.changes).unwrap();
-        assert!(config::accept(shared, next, &[one]));
+        assert!(config::activate(shared, next, &[one]));
     }
 }
 
@@ -143,7 +143,7 @@
     let mut next = Catalog::clone(&ahead.state.catalog.borrow());
     let change = vec![rig::add("dryers", 9)];
     next.apply(&change).unwrap();
-    config::accept(&ahead, next, &[set(302, change)]);
+    config::activate(&ahead, next, &[set(302, change)]);
     rig::in_force(&shared, 302).await;
 }
 
@@ -251,6 +251,6 @@
     let mut next = Catalog::clone(&shared.state.catalog.borrow());
     let change = vec![rig::add("dryers", 9)];
     next.apply(&change).unwrap();
-    config::accept(&shared, next, &[set(302, change)]);
+    config::activate(&shared, next, &[set(302, change)]);
     assert!(matches!(new.next().await, Some(Body::Delta(d)) if d.revision == 302));
 }
--- a/lib/tests/test_owner_rig.rs
+++ b/lib/tests/test_owner_rig.rs
@@ -110,7 +110,7 @@
             let settings: ControlSettings = toml::from_str(&text).unwrap();
             let log = slog::Logger::root(slog::Discard, slog::o!());
             let control = Control::start_on(listener, settings, log).unwrap();
-            config::accept(&control.shared, catalog.clone(), &[]);
+            config::activate(&control.shared, catalog.clone(), &[]);
             controls.push(Some(control));
         }
         Self {
@@ -171,7 +171,7 @@
             spec.replicas.retain(|r| names.contains(&r.name.as_str()));
             let pool = pool();
             next.apply(&[Change::PutPool { pool, spec }]).unwrap();
-            assert!(config::accept(&control.shared, next, &[]));
+            assert!(config::activate(&control.shared, next, &[]));
         }
     }
 
