--- a/lib/src/control/config/mod.rs
+++ b/lib/src/control/config/mod.rs
@@ -29,7 +29,7 @@
 
 /// Tells that some VM has this revision in force; a higher one than here is
 /// fetched from peers.
-pub fn nudge(shared: &Shared, revision: Revision) {
+pub fn notify_revision(shared: &Shared, revision: Revision) {
     if revision > shared.state.catalog.borrow().revision {
         shared.state.history.wake.notify_one();
     }
--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -154,7 +154,7 @@
         self.refresh(now);
         let members = digest.members.iter().map(|m| m.revision);
         let highest = members.max().unwrap_or(0).max(digest.revision);
-        config::nudge(&self.shared, Revision(highest));
+        config::notify_revision(&self.shared, Revision(highest));
         if news {
             self.local.gossip_wake.notify_one();
         }
