--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -36,7 +36,7 @@
 impl History {
     /// The deltas that lead from `revision` to the present one; `None` when
     /// they do not reach back that far.
-    pub fn after(&self, revision: Revision) -> Option<Vec<wire::Delta>> {
+    pub fn since(&self, revision: Revision) -> Option<Vec<wire::Delta>> {
         let deltas = self.lock();
         let first = deltas.front()?.revision;
         if first > revision.0 + 1 {
--- a/lib/src/control/config/mod.rs
+++ b/lib/src/control/config/mod.rs
@@ -50,7 +50,7 @@
 /// The changes after the peer's revision; none when the peer is up to date or
 /// too far behind.
 pub fn fetch_changes(shared: &Shared, request: &wire::FetchRequest) -> wire::Changes {
-    let deltas = shared.state.history.after(Revision(request.revision));
+    let deltas = shared.state.history.since(Revision(request.revision));
     wire::Changes {
         deltas: deltas.unwrap_or_default(),
     }
--- a/lib/src/control/feed.rs
+++ b/lib/src/control/feed.rs
@@ -108,7 +108,7 @@
     if catalog.revision <= *sent {
         return true;
     }
-    let Some(deltas) = shared.state.history.after(*sent).filter(|d| !d.is_empty()) else {
+    let Some(deltas) = shared.state.history.since(*sent).filter(|d| !d.is_empty()) else {
         *sent = catalog.revision;
         return send(to, Body::Snapshot(config::snapshot(&catalog))).await;
     };
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -166,8 +166,7 @@
     assert_eq!(
         shared
             .state
-            .history
-            .after(banyangauge::ids::Revision(3))
+            .history.since(banyangauge::ids::Revision(3))
             .unwrap()
             .len(),
         18
