--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -28,19 +28,19 @@
 use crate::ids::AdapterName;
 
 /// SHA-256 of each operator's key as lower-case hex, by the operator's name.
-pub type Keys = BTreeMap<String, String>;
+pub type OperatorKeys = BTreeMap<String, String>;
 
 /// The gRPC service `Operator`. Each call carries the operator's key as
 /// `authorization: Bearer <key>`.
 #[derive(Clone)]
 pub struct OperatorService {
     shared: Shared,
-    keys: Keys,
+    keys: OperatorKeys,
 }
 
 impl OperatorService {
     /// Serves the operators whose keys are listed.
-    pub const fn new(shared: Shared, keys: Keys) -> Self {
+    pub const fn new(shared: Shared, keys: OperatorKeys) -> Self {
         Self { shared, keys }
     }
 
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -26,7 +26,7 @@
 use crate::control::config;
 use crate::control::election;
 use crate::control::feed::FeedService;
-use crate::control::operator::Keys;
+use crate::control::operator::OperatorKeys;
 use crate::control::operator::OperatorService;
 use crate::control::owner;
 use crate::control::owner::GrantsService;
@@ -284,7 +284,7 @@
     }
 }
 
-fn services(shared: &Shared, registry: Arc<Registry>, members: Arc<Gossip>, keys: Keys) -> Router {
+fn services(shared: &Shared, registry: Arc<Registry>, members: Arc<Gossip>, keys: OperatorKeys) -> Router {
     let grants = GrantsService::new(shared.clone(), registry);
     let peers = PeersService::new(shared.clone(), members);
     tonic::transport::Server::builder()
