--- a/lib/src/control/clock.rs
+++ b/lib/src/control/clock.rs
@@ -20,6 +20,6 @@
 }
 
 /// A span as the library's type.
-pub const fn duration(span: Span) -> std::time::Duration {
+pub const fn to_duration(span: Span) -> std::time::Duration {
     std::time::Duration::from_micros(span.0)
 }
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -19,7 +19,7 @@
 pub mod usage;
 mod vm_list;
 
-pub use clock::duration;
+pub use clock::to_duration;
 pub use clock::now;
 pub use gossip::Gossip;
 pub use members::MAX_DIGEST_MEMBERS;
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -94,7 +94,7 @@
 async fn send_ticks(owner: WeakAddress<OwnerActor>, mut next_tick: watch::Receiver<Moment>) {
     loop {
         let at = *next_tick.borrow_and_update();
-        let delay = clock::duration(at.since(clock::now()));
+        let delay = clock::to_duration(at.since(clock::now()));
         tokio::select! {
             changed = next_tick.changed() => match changed {
                 Ok(()) => continue,
