--- a/lib/src/control/usage/counts.rs
+++ b/lib/src/control/usage/counts.rs
@@ -8,7 +8,7 @@
 
 /// Who is charged for what.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub struct Row {
+pub struct UsageKey {
     /// The team.
     pub team: String,
     /// The adapter, or the pool of a plain service.
@@ -45,7 +45,7 @@
 }
 
 /// Counters by row.
-pub type Counts = BTreeMap<Row, Count>;
+pub type Counts = BTreeMap<UsageKey, Count>;
 
 /// One start of an entry process.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Line {
     #[serde(flatten)]
-    pub(super) row: Row,
+    pub(super) row: UsageKey,
     #[serde(flatten)]
     pub(super) count: Count,
 }
@@ -99,8 +99,8 @@
 ///
 /// ```
 /// use std::collections::BTreeMap;
-/// use banyangauge::control::usage::{Count, Row, Source, totals};
-/// let row = Row { team: "laundry".into(), adapter: "rosters".into(), version: 1 };
+/// use banyangauge::control::usage::{Count, UsageKey, Source, totals};
+/// let row = UsageKey { team: "laundry".into(), adapter: "rosters".into(), version: 1 };
 /// let source = |incarnation| Source { vm: "vm-1".into(), incarnation };
 /// let one = Count { requests: 1, prompt: 10, output: 20 };
 /// let all = BTreeMap::from([
@@ -118,7 +118,7 @@
 }
 
 /// A row on the wire.
-pub fn to_wire(row: &Row, count: &Count) -> wire::UsageCount {
+pub fn to_wire(row: &UsageKey, count: &Count) -> wire::UsageCount {
     wire::UsageCount {
         team: row.team.clone(),
         adapter: row.adapter.clone(),
@@ -129,8 +129,8 @@
     }
 }
 
-pub(super) fn from_wire(line: wire::UsageCount) -> (Row, Count) {
-    let row = Row {
+pub(super) fn from_wire(line: wire::UsageCount) -> (UsageKey, Count) {
+    let row = UsageKey {
         team: line.team,
         adapter: line.adapter,
         version: line.version,
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -18,7 +18,7 @@
 
 pub use counts::Count;
 pub use counts::Counts;
-pub use counts::Row;
+pub use counts::UsageKey;
 pub use counts::Source;
 pub use counts::to_wire;
 pub use counts::totals;
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -16,7 +16,7 @@
 
 use super::Count;
 use super::Counts;
-use super::Row;
+use super::UsageKey;
 use super::SILENCE;
 use super::Source;
 use super::counts::from_wire;
@@ -35,11 +35,11 @@
 #[derive(Debug)]
 struct Account {
     sequence: Option<u64>,
-    rows: BTreeMap<Row, Cell>,
+    rows: BTreeMap<UsageKey, Cell>,
     /// Parts that the platform does not have as they are here.
     dirty: BTreeSet<usize>,
     /// Rows that the holding peer does not have as they are here.
-    unheld: BTreeSet<Row>,
+    unheld: BTreeSet<UsageKey>,
     heard: Instant,
     /// Whether its entry reports here, rather than a peer handing copies over.
     direct: bool,
@@ -57,7 +57,7 @@
         }
     }
 
-    fn raise(&mut self, row: Row, count: &Count) {
+    fn raise(&mut self, row: UsageKey, count: &Count) {
         let part = self.rows.len() / PART_ROWS;
         let cell = self.rows.entry(row.clone()).or_insert(Cell {
             count: Count::default(),
@@ -73,7 +73,7 @@
     fn report(
         &self,
         source: &Source,
-        wanted: impl Fn(&Row, &Cell) -> bool,
+        wanted: impl Fn(&UsageKey, &Cell) -> bool,
     ) -> Option<wire::UsageReport> {
         let rows = self.rows.iter().filter(|(r, c)| wanted(r, c));
         let counts: Vec<_> = rows.map(|(r, c)| to_wire(r, &c.count)).collect();
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -12,7 +12,7 @@
 
 use banyangauge::control::usage;
 use banyangauge::control::usage::Count;
-use banyangauge::control::usage::Row;
+use banyangauge::control::usage::UsageKey;
 use banyangauge::control::usage::totals;
 use banyangauge::platform::Platform;
 use banyangauge_proto as wire;
@@ -38,8 +38,8 @@
     }
 }
 
-fn row(adapter: &str) -> Row {
-    Row {
+fn row(adapter: &str) -> UsageKey {
+    UsageKey {
         team: "laundry".to_owned(),
         adapter: adapter.to_owned(),
         version: 1,
