--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -44,7 +44,7 @@
 
 /// A source that was silent this long is written and let go of, by whoever
 /// holds it: its VM may be gone.
-pub const SILENCE: Duration = Duration::from_secs(15);
+pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The longest that a stopping process waits for its last write.
 const LAST_FLUSH: Duration = Duration::from_secs(2);
@@ -108,7 +108,7 @@
     let first = rand::random_range(0.0..1.0);
     tokio::time::sleep(every.mul_f64(first)).await;
     loop {
-        flush(shared, store, SILENCE).await;
+        flush(shared, store, SOURCE_TIMEOUT).await;
         store.forget();
         tokio::time::sleep(every).await;
     }
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -17,7 +17,7 @@
 use super::Count;
 use super::Counts;
 use super::UsageKey;
-use super::SILENCE;
+use super::SOURCE_TIMEOUT;
 use super::Source;
 use super::counts::from_wire;
 use super::counts::to_wire;
@@ -251,7 +251,7 @@
 
     /// Lets go of sources that are silent and wholly written.
     pub(super) fn forget(&self) {
-        let done = |a: &Account| a.dirty.is_empty() && a.heard.elapsed() > SILENCE;
+        let done = |a: &Account| a.dirty.is_empty() && a.heard.elapsed() > SOURCE_TIMEOUT;
         self.lock().retain(|_, a| !done(a));
     }
 }
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -98,17 +98,17 @@
     let store = &shared.state.usage;
     store.take(report("vm-1", 1, &[("rosters", 3), ("dryers", 2)]));
     rig::fault(&running, json!({"lose_after_write": 1})).await;
-    usage::flush(&shared, store, usage::SILENCE).await;
-    usage::flush(&shared, store, usage::SILENCE).await;
+    usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
+    usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
     let restarted = rig::shared("vm-1", &platform, &[]);
     let store = &restarted.state.usage;
     store.take(report("vm-1", 9, &[("rosters", 4)]));
-    usage::flush(&restarted, store, usage::SILENCE).await;
+    usage::flush(&restarted, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 4);
     assert_eq!(sum(&platform, "dryers").await, 2);
     let before = rig::calls(&running, "usages", "replace").await;
-    usage::flush(&restarted, store, usage::SILENCE).await;
+    usage::flush(&restarted, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(rig::calls(&running, "usages", "replace").await, before);
 }
 
@@ -119,10 +119,10 @@
     let store = &shared.state.usage;
     store.take(report("vm-1", 1, &[("rosters", 3)]));
     rig::fault(&running, json!({"down": true})).await;
-    usage::flush(&shared, store, usage::SILENCE).await;
+    usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert!(usage::read_all(&platform, store).await.is_err());
     rig::fault(&running, json!({"down": false})).await;
-    usage::flush(&shared, store, usage::SILENCE).await;
+    usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
 
@@ -135,7 +135,7 @@
     let names: Vec<_> = (0..4_500).map(|n| format!("adapter-{n:05}")).collect();
     let rows: Vec<_> = names.iter().map(|n| (n.as_str(), 1)).collect();
     store.take(report("vm-1", 1, &rows));
-    usage::flush(&shared, store, usage::SILENCE).await;
+    usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     let list = platform.list::<serde_json::Value>("usages").await.unwrap();
     assert_eq!(list.items.len(), 3);
     assert_eq!(sum(&platform, "adapter-04499").await, 1);
@@ -168,7 +168,7 @@
     .await;
     assert!(near.state.usage.counts().is_empty());
     lost.abort();
-    usage::flush(&holder, &holder.state.usage, usage::SILENCE).await;
+    usage::flush(&holder, &holder.state.usage, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 0, "the VM may be live");
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
@@ -184,7 +184,7 @@
     let store = &shared.state.usage;
     store.take(report("vm-1", 1, &[("rosters", 3)]));
     store.hold(report("vm-3", 1, &[("dryers", 2)]));
-    usage::flush(&shared, store, usage::SILENCE).await;
+    usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
     assert_eq!(sum(&platform, "dryers").await, 0, "its own VM writes it");
 }
