--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -60,7 +60,7 @@
     /// `config` together with `catalog`.
     pub history: History,
     /// The usage counters that this process holds.
-    pub usage: usage::Store,
+    pub usage: usage::UsageStore,
     /// How our processes connect to each other; set once at the start, plain
     /// connections until then.
     pub link: OnceLock<Link>,
@@ -79,7 +79,7 @@
             platform_up: watch::Sender::new(false),
             stopping: watch::Sender::new(false),
             history: History::default(),
-            usage: usage::Store::new(),
+            usage: usage::UsageStore::new(),
             link: OnceLock::new(),
         }
     }
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -22,7 +22,7 @@
 pub use counts::Source;
 pub use counts::to_wire;
 pub use counts::totals;
-pub use store::Store;
+pub use store::UsageStore;
 
 use counts::Sheet;
 use counts::rows_of;
@@ -61,7 +61,7 @@
 
 /// Hands copies to a peer and writes to the platform each `every` until the
 /// process stops.
-pub async fn run(shared: Shared, store: Store, every: Duration) {
+pub async fn run(shared: Shared, store: UsageStore, every: Duration) {
     let mut stopping = shared.state.stopping.subscribe();
     let stopped = async { stopping.wait_for(|s| *s).await.is_ok() };
     tokio::select! {
@@ -86,7 +86,7 @@
 
 /// Hands all counters to a peer, to the next one where one does not take them,
 /// as often as it takes.
-async fn hold_last(shared: &Shared, store: &Store) {
+async fn hold_last(shared: &Shared, store: &UsageStore) {
     let reports = store.to_hand_on();
     loop {
         let holders = holders(shared);
@@ -103,7 +103,7 @@
     }
 }
 
-async fn flush_all(shared: &Shared, store: &Store, every: Duration) {
+async fn flush_all(shared: &Shared, store: &UsageStore, every: Duration) {
     // VMs that start together do not write together.
     let first = rand::random_range(0.0..1.0);
     tokio::time::sleep(every.mul_f64(first)).await;
@@ -116,7 +116,7 @@
 
 /// Writes what is due: the counters taken here, and those held for others that
 /// were silent for longer than `silence`. What fails stays due.
-pub async fn flush(shared: &Shared, store: &Store, silence: Duration) {
+pub async fn flush(shared: &Shared, store: &UsageStore, silence: Duration) {
     for (source, part) in store.due(silence) {
         match write_part(&shared.platform, store, &source, part).await {
             Ok(()) => {}
@@ -134,7 +134,7 @@
 /// outcome is the same whoever writes, in whichever order and how often.
 async fn write_part(
     platform: &Platform,
-    store: &Store,
+    store: &UsageStore,
     source: &Source,
     part: usize,
 ) -> Result<(), PlatformError> {
@@ -180,7 +180,7 @@
 /// When the platform does not answer: a part of the counters is no answer.
 pub async fn read_all(
     platform: &Platform,
-    store: &Store,
+    store: &UsageStore,
 ) -> Result<BTreeMap<Source, Counts>, PlatformError> {
     let mut all = store.counts();
     for object in platform.list::<Sheet>(KIND).await?.items {
@@ -194,7 +194,7 @@
 
 /// Hands each change to the peer that holds this VM's counters, over one
 /// connection as long as that peer stays the same.
-async fn hold_all(shared: &Shared, store: &Store) {
+async fn hold_all(shared: &Shared, store: &UsageStore) {
     let mut link: Option<(String, PeersClient<Channel>)> = None;
     loop {
         store.wake.notified().await;
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -96,14 +96,14 @@
 /// The counters that this process holds, its own VM's and others'; clones
 /// share them. [`ControlState::usage`](crate::control::ControlState::usage) is the one of a process.
 #[derive(Clone, Debug)]
-pub struct Store {
+pub struct UsageStore {
     accounts: Arc<Mutex<Accounts>>,
     /// Whether reports are taken no more; changed with the accounts locked.
     closed: Arc<AtomicBool>,
     pub(super) wake: Arc<Notify>,
 }
 
-impl Store {
+impl UsageStore {
     pub(in crate::control) fn new() -> Self {
         Self {
             accounts: Arc::default(),
