--- a/lib/src/control/feed.rs
+++ b/lib/src/control/feed.rs
@@ -55,7 +55,7 @@
         &self,
         request: Request<wire::UsageReport>,
     ) -> Result<Response<wire::UsageReply>, Status> {
-        let reply = self.shared.state.usage.take(request.into_inner());
+        let reply = self.shared.state.usage.record(request.into_inner());
         let reply = reply.ok_or_else(|| Status::unavailable("stopping"))?;
         Ok(Response::new(reply))
     }
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -121,7 +121,7 @@
     /// down.
     ///
     /// `None` once the process stops: what it would take now, nobody would write.
-    pub fn take(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
+    pub fn record(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
         self.add(report, true)
     }
 
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -58,27 +58,27 @@
     let store = rig::shared("vm-1", &platform, &[]).state.usage.clone();
     assert_eq!(
         store
-            .take(report("vm-1", 5, &[("rosters", 3)]))
+            .record(report("vm-1", 5, &[("rosters", 3)]))
             .unwrap()
             .sequence,
         5
     );
     assert_eq!(
         store
-            .take(report("vm-1", 5, &[("rosters", 9)]))
+            .record(report("vm-1", 5, &[("rosters", 9)]))
             .unwrap()
             .sequence,
         5
     );
     assert_eq!(
         store
-            .take(report("vm-1", 4, &[("rosters", 9)]))
+            .record(report("vm-1", 4, &[("rosters", 9)]))
             .unwrap()
             .sequence,
         5
     );
     // A higher report may leave out what did not rise, and never lowers.
-    store.take(report("vm-1", 6, &[("dryers", 1), ("rosters", 2)]));
+    store.record(report("vm-1", 6, &[("dryers", 1), ("rosters", 2)]));
     let sums = totals(&store.counts());
     let three = Count {
         requests: 3,
@@ -96,14 +96,14 @@
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = &shared.state.usage;
-    store.take(report("vm-1", 1, &[("rosters", 3), ("dryers", 2)]));
+    store.record(report("vm-1", 1, &[("rosters", 3), ("dryers", 2)]));
     rig::fault(&running, json!({"lose_after_write": 1})).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
     let restarted = rig::shared("vm-1", &platform, &[]);
     let store = &restarted.state.usage;
-    store.take(report("vm-1", 9, &[("rosters", 4)]));
+    store.record(report("vm-1", 9, &[("rosters", 4)]));
     usage::flush(&restarted, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 4);
     assert_eq!(sum(&platform, "dryers").await, 2);
@@ -117,7 +117,7 @@
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = &shared.state.usage;
-    store.take(report("vm-1", 1, &[("rosters", 3)]));
+    store.record(report("vm-1", 1, &[("rosters", 3)]));
     rig::fault(&running, json!({"down": true})).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert!(usage::read_all(&platform, store).await.is_err());
@@ -134,7 +134,7 @@
     let store = &shared.state.usage;
     let names: Vec<_> = (0..4_500).map(|n| format!("adapter-{n:05}")).collect();
     let rows: Vec<_> = names.iter().map(|n| (n.as_str(), 1)).collect();
-    store.take(report("vm-1", 1, &rows));
+    store.record(report("vm-1", 1, &rows));
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     let list = platform.list::<serde_json::Value>("usages").await.unwrap();
     assert_eq!(list.items.len(), 3);
@@ -158,8 +158,8 @@
     });
     let store = shared.state.usage.clone();
     let lost = tokio::spawn(usage::run(shared.clone(), store.clone(), usage_every()));
-    store.take(report("vm-1", 1, &[("rosters", 3)]));
-    store.take(report("vm-1", 2, &[("rosters", 5)]));
+    store.record(report("vm-1", 1, &[("rosters", 3)]));
+    store.record(report("vm-1", 2, &[("rosters", 5)]));
     rig::until(|| {
         totals(&holder.state.usage.counts())
             .get(&row("rosters"))
@@ -182,7 +182,7 @@
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
     let store = &shared.state.usage;
-    store.take(report("vm-1", 1, &[("rosters", 3)]));
+    store.record(report("vm-1", 1, &[("rosters", 3)]));
     store.hold(report("vm-3", 1, &[("dryers", 2)]));
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
@@ -208,9 +208,9 @@
     let store = shared.state.usage.clone();
     let ends = usage::run(shared.clone(), store.clone(), Duration::from_secs(60));
     let ends = tokio::spawn(ends);
-    store.take(report("vm-1", 1, &[("rosters", 3)]));
+    store.record(report("vm-1", 1, &[("rosters", 3)]));
     rig::until(|| !holder.state.usage.counts().is_empty()).await;
-    store.take(report("vm-1", 2, &[("rosters", 5)]));
+    store.record(report("vm-1", 2, &[("rosters", 5)]));
     shared.state.stopping.send_replace(true);
     ends.await.unwrap();
     rig::fault(&running, json!({"down": false})).await;
@@ -225,10 +225,10 @@
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = shared.state.usage.clone();
-    assert!(store.take(report("vm-1", 1, &[("rosters", 3)])).is_some());
+    assert!(store.record(report("vm-1", 1, &[("rosters", 3)])).is_some());
     shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
-    assert!(store.take(report("vm-1", 2, &[("rosters", 5)])).is_none());
+    assert!(store.record(report("vm-1", 2, &[("rosters", 5)])).is_none());
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
 
@@ -291,7 +291,7 @@
     });
     rig::fault(&running, json!({"down": true})).await;
     let store = shared.state.usage.clone();
-    store.take(report("vm-1", 1, &[("rosters", 3)]));
+    store.record(report("vm-1", 1, &[("rosters", 3)]));
     shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
     rig::fault(&running, json!({"down": false})).await;
