--- a/lib/src/control/service.rs
+++ b/lib/src/control/service.rs
@@ -59,7 +59,7 @@
         &self,
         request: Request<wire::UsageReport>,
     ) -> Result<Response<wire::UsageReply>, Status> {
-        let reply = self.shared.state.usage.hold(request.into_inner());
+        let reply = self.shared.state.usage.hold_copy(request.into_inner());
         let reply = reply.ok_or_else(|| Status::unavailable("stopping"))?;
         Ok(Response::new(reply))
     }
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -136,7 +136,7 @@
     ///
     /// `None` once the process stops: the peer, which may stop as well, must not
     /// take its counters for held.
-    pub fn hold(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
+    pub fn hold_copy(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
         self.add(report, false)
     }
 
--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -208,7 +208,7 @@
         &self,
         request: tonic::Request<wire::UsageReport>,
     ) -> Result<tonic::Response<wire::UsageReply>, tonic::Status> {
-        let reply = self.0.state.usage.hold(request.into_inner());
+        let reply = self.0.state.usage.hold_copy(request.into_inner());
         let reply = reply.ok_or_else(|| tonic::Status::unavailable("stopping"))?;
         Ok(tonic::Response::new(reply))
     }
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -183,7 +183,7 @@
     let shared = rig::shared("vm-2", &platform, &[]);
     let store = &shared.state.usage;
     store.record(report("vm-1", 1, &[("rosters", 3)]));
-    store.hold(report("vm-3", 1, &[("dryers", 2)]));
+    store.hold_copy(report("vm-3", 1, &[("dryers", 2)]));
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
     assert_eq!(sum(&platform, "dryers").await, 0, "its own VM writes it");
@@ -239,11 +239,11 @@
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
     let store = shared.state.usage.clone();
-    let held = store.hold(report("vm-1", 1, &[("rosters", 3)]));
+    let held = store.hold_copy(report("vm-1", 1, &[("rosters", 3)]));
     assert!(held.is_some());
     shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
-    let held = store.hold(report("vm-1", 2, &[("rosters", 5)]));
+    let held = store.hold_copy(report("vm-1", 2, &[("rosters", 5)]));
     assert!(held.is_none(), "it is held by who ends");
 }
 
@@ -263,7 +263,7 @@
         all.insert(member.vm.parse().unwrap(), member);
     });
     let store = shared.state.usage.clone();
-    let _ = store.hold(report("vm-1", 1, &[("rosters", 3)]));
+    let _ = store.hold_copy(report("vm-1", 1, &[("rosters", 3)]));
     rig::fault(&running, json!({"down": away})).await;
     shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), usage_every()).await;
