--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -19,8 +19,8 @@
 pub mod usage;
 mod vm_list;
 
-pub use clock::to_duration;
 pub use clock::now;
+pub use clock::to_duration;
 pub use gossip::Gossip;
 pub use members::MAX_DIGEST_MEMBERS;
 pub use members::MemberState;
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -157,8 +157,9 @@
             .await
             .map_err(|e| Status::unavailable(format!("usage is not known: {e}")))?;
         let sums = usage::totals(&all);
-        let wanted =
-            |row: &usage::UsageKey| filter.is_empty() || row.team == *filter || row.adapter == *filter;
+        let wanted = |row: &usage::UsageKey| {
+            filter.is_empty() || row.team == *filter || row.adapter == *filter
+        };
         let rows = sums.iter().filter(|(row, _)| wanted(row));
         Ok(Response::new(wire::UsageTotals {
             counts: rows.map(|(r, c)| usage::to_wire(r, c)).collect(),
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -26,12 +26,12 @@
 use crate::control::config;
 use crate::control::election;
 use crate::control::feed::FeedService;
+use crate::control::gossip;
 use crate::control::operator::OperatorKeys;
 use crate::control::operator::OperatorService;
 use crate::control::owner;
 use crate::control::owner::GrantsService;
 use crate::control::owner::Registry;
-use crate::control::gossip;
 use crate::control::service::PeersService;
 use crate::control::usage;
 use crate::control::vm_list;
@@ -284,7 +284,12 @@
     }
 }
 
-fn services(shared: &Shared, registry: Arc<Registry>, members: Arc<Gossip>, keys: OperatorKeys) -> Router {
+fn services(
+    shared: &Shared,
+    registry: Arc<Registry>,
+    members: Arc<Gossip>,
+    keys: OperatorKeys,
+) -> Router {
     let grants = GrantsService::new(shared.clone(), registry);
     let peers = PeersService::new(shared.clone(), members);
     tonic::transport::Server::builder()
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -18,8 +18,8 @@
 
 pub use counts::Count;
 pub use counts::Counts;
-pub use counts::UsageKey;
 pub use counts::Source;
+pub use counts::UsageKey;
 pub use counts::to_wire;
 pub use counts::totals;
 pub use store::UsageStore;
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -16,9 +16,9 @@
 
 use super::Count;
 use super::Counts;
-use super::UsageKey;
 use super::SOURCE_TIMEOUT;
 use super::Source;
+use super::UsageKey;
 use super::counts::from_wire;
 use super::counts::to_wire;
 
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -166,7 +166,8 @@
     assert_eq!(
         shared
             .state
-            .history.since(banyangauge::ids::Revision(3))
+            .history
+            .since(banyangauge::ids::Revision(3))
             .unwrap()
             .len(),
         18
