--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -87,7 +87,7 @@
     /// use banyangauge::serving::access::{KeyBounds, ConfigAge};
     /// let revoke = Some(Span::from_millis(5_000));
     /// let bounds = KeyBounds { revoke, apply: Span::from_millis(3_000) };
-    /// let aged = |ms| ConfigAge { proven: Some(Span::from_millis(ms)), ..ConfigAge::default() };
+    /// let aged = |ms| ConfigAge { confirmed: Some(Span::from_millis(ms)), ..ConfigAge::default() };
     /// assert!(bounds.may_use_keys(&aged(4_000)));
     /// assert!(!bounds.may_use_keys(&aged(5_000)));
     /// assert!(!bounds.may_use_keys(&ConfigAge::default()));
--- a/lib/src/serving/decisions/adapter_planner/replica_plan.rs
+++ b/lib/src/serving/decisions/adapter_planner/replica_plan.rs
@@ -351,7 +351,7 @@
         Some(ReplicaAction::Unload { target, expected })
     }
 
-    /// Returns whether a load was accepted longer than [`LOAD_TIMEOUT`] ago.
+    /// Returns whether a load was accepted longer than `LOAD_TIMEOUT` ago.
     fn has_lost_load(&self, now: Moment) -> bool {
         let over =
             |s: &Slot| matches!(s.phase, Phase::Loading(c) if now.since(c.since) > LOAD_TIMEOUT);
--- a/lib/src/serving/decisions/crash_tracker.rs
+++ b/lib/src/serving/decisions/crash_tracker.rs
@@ -73,7 +73,7 @@
         self.by_request.remove(&request);
     }
 
-    /// Returns whether a request has crashed [`MAX_CRASHES`] replicas; `down`
+    /// Returns whether a request has crashed `MAX_CRASHES` replicas; `down`
     /// says whether a replica that broke is gone.
     pub fn is_poison(
         &self,
--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns whether this VM received nothing from a replica for
-    /// [`UNRESPONSIVE_AFTER`].
+    /// `UNRESPONSIVE_AFTER`.
     pub fn is_silent(&self, now: Moment, name: &ReplicaName) -> bool {
         let r = self.replicas.get(name);
         r.is_none_or(|r| now.since(r.health.last_received) > UNRESPONSIVE_AFTER)
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -295,7 +295,7 @@
     }
 
     /// Applies the complete list of the store. After an outage, entries that
-    /// expired meanwhile may reappear within [`EXPIRED_GRACE`], so missing
+    /// expired meanwhile may reappear within `EXPIRED_GRACE`, so missing
     /// replicas are kept that long; otherwise they are removed.
     pub fn replace_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>, outage: bool) {
         let names: BTreeSet<_> = all.iter().map(|l| l.name.clone()).collect();
--- a/lib/src/serving/decisions/retry.rs
+++ b/lib/src/serving/decisions/retry.rs
@@ -93,7 +93,7 @@
     ///
     /// ```
     /// use banyangauge::serving::retry::{AttemptFailure, Attempts};
-    /// let mut t = Attempts { most_runs: 2, ..Attempts::default() };
+    /// let mut t = Attempts { max_runs: 2, ..Attempts::default() };
     /// t.record(AttemptFailure::NotSent);
     /// assert!(t.may_retry(AttemptFailure::NotSent));
     /// t.record(AttemptFailure::Broken);
