--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by its key and by how old the configuration is.
+//! Admission by API key and by the age of the configuration.
 
 use banyangauge::pool::Span;
 use banyangauge::serving::KeyDigest;
@@ -26,10 +26,10 @@
     }
 }
 
-fn aged(proven: Option<u64>, believed: u64) -> ConfigAge {
+fn aged(confirmed: Option<u64>, estimated: u64) -> ConfigAge {
     ConfigAge {
-        confirmed: proven.map(Span::from_millis),
-        estimated: Some(Span::from_millis(believed)),
+        confirmed: confirmed.map(Span::from_millis),
+        estimated: Some(Span::from_millis(estimated)),
     }
 }
 
@@ -45,12 +45,12 @@
 fn admit_by_age(
     #[case] key: &str,
     #[case] public: bool,
-    #[case] proven: Option<u64>,
-    #[case] believed: u64,
+    #[case] confirmed: Option<u64>,
+    #[case] estimated: u64,
     #[case] expected: Result<Option<&str>, Denial>,
 ) {
     let key = KeyDigest::of(key.as_bytes());
-    let freshness = aged(proven, believed);
+    let freshness = aged(confirmed, estimated);
     let admitted = bounds(true).admit(Some(&keys()), public, Some(&key), &freshness);
     let admitted = admitted.map(|o| o.map(|o| o.name.to_string()));
     assert_eq!(admitted, expected.map(|o| o.map(str::to_owned)));
@@ -68,8 +68,8 @@
     assert_eq!(admitted, Ok(None));
 }
 
-/// Where only VMs that reach the store must heed a key that was taken away, the
-/// others go on.
+/// If only VMs that can reach the store must enforce revocations, the others keep
+/// admitting requests.
 #[test]
 fn admit_where_revocation_is_not_strict() {
     let key = KeyDigest::of(b"one");
--- a/lib/tests/test_serving_books.rs
+++ b/lib/tests/test_serving_books.rs
@@ -1,4 +1,4 @@
-//! Which order a replica gets next: loads on demand, evictions, new versions.
+//! Orders to owned replicas: loads on demand, evictions and new versions.
 
 use banyangauge::ids::ModelName;
 use banyangauge::ids::ReplicaName;
@@ -26,33 +26,33 @@
     Target::parse(text).unwrap()
 }
 
-fn took(ms: u64) -> LoadDuration {
+fn duration(ms: u64) -> LoadDuration {
     LoadDuration {
         min: Span::from_millis(ms),
         max: Span::from_millis(ms),
     }
 }
 
-struct Desk {
-    books: AdapterPlanner,
+struct Owner {
+    planner: AdapterPlanner,
     versions: Versions,
     name: ReplicaName,
     model: ModelName,
 }
 
-impl Desk {
-    /// The owner of one replica with two slots, which reports `held`.
+impl Owner {
+    /// Creates the owner of one replica with two slots, which reports `held`.
     fn new(held: &[&str], accepted: u64) -> Self {
         let listing: ReplicaInfo = listing("i-1", "llm", "z-a", held);
-        let mut books = AdapterPlanner::default();
-        books.track(ms(0), &listing, 2);
-        let mut desk = Self {
-            books,
+        let mut planner = AdapterPlanner::default();
+        planner.track(ms(0), &listing, 2);
+        let mut owner = Self {
+            planner,
             versions: Versions::default(),
             name: listing.name,
             model: ModelName::new("base").unwrap(),
         };
-        assert_eq!(desk.next(0), Some(ReplicaAction::Inspect));
+        assert_eq!(owner.next(0), Some(ReplicaAction::Inspect));
         let here = held.iter().map(|t| (target(t), 1)).collect();
         let report = ReplicaReport {
             accepted,
@@ -60,29 +60,30 @@
             weights_cached: true,
             ..ReplicaReport::default()
         };
-        desk.books
-            .finish_inspection(ms(0), &desk.name, Some(report));
-        desk
+        owner
+            .planner
+            .finish_inspection(ms(0), &owner.name, Some(report));
+        owner
     }
 
     fn next(&mut self, at: u64) -> Option<ReplicaAction> {
         let model = Some(&self.model);
-        self.books
+        self.planner
             .next_action(ms(at), &self.name, &self.versions, model)
     }
 
-    fn wish(&mut self, at: u64, adapter: &str) {
-        self.books
+    fn request(&mut self, at: u64, adapter: &str) {
+        self.planner
             .request_load(ms(at), &self.name, &target(adapter));
     }
 
     fn end(&mut self, at: u64, step: &ReplicaAction, end: OrderOutcome) {
-        self.books.finish_order(ms(at), &self.name, step, end);
+        self.planner.finish_order(ms(at), &self.name, step, end);
     }
 
-    /// Loads an adapter that is wished for.
+    /// Requests an adapter and loads it.
     fn load(&mut self, at: u64, adapter: &str) {
-        self.wish(at, adapter);
+        self.request(at, adapter);
         let step = self.next(at).unwrap();
         self.end(at, &step, OrderOutcome::Accepted);
         self.end(at + 250, &step, OrderOutcome::InEffect);
@@ -105,261 +106,271 @@
 }
 
 #[test]
-fn wish_for_a_free_slot_loads() {
-    let mut desk = Desk::new(&["base"], 3);
-    desk.wish(0, "base/a1");
-    assert_eq!(desk.next(0), load("base/a1", 3));
+fn request_for_a_free_slot_loads() {
+    let mut owner = Owner::new(&["base"], 3);
+    owner.request(0, "base/a1");
+    assert_eq!(owner.next(0), load("base/a1", 3));
 }
 
-/// One order at a time: the count that the next one expects depends on it.
+/// Orders are sent one at a time: the next one's expected count depends on the
+/// outcome.
 #[test]
 fn order_under_way_lets_the_next_wait() {
-    let mut desk = Desk::new(&["base"], 3);
-    desk.wish(0, "base/a1");
-    desk.wish(0, "base/a2");
-    let first = desk.next(0).unwrap();
-    assert_eq!(desk.next(1), None);
-    desk.end(2, &first, OrderOutcome::Accepted);
-    assert_eq!(desk.next(2), load("base/a2", 4));
+    let mut owner = Owner::new(&["base"], 3);
+    owner.request(0, "base/a1");
+    owner.request(0, "base/a2");
+    let first = owner.next(0).unwrap();
+    assert_eq!(owner.next(1), None);
+    owner.end(2, &first, OrderOutcome::Accepted);
+    assert_eq!(owner.next(2), load("base/a2", 4));
 }
 
-/// Full slots under many wishes: the least wanted gives way, never one in use
-/// or one that has just come.
+/// With full slots the adapter with the least demand is evicted, but none that is
+/// in use or has just been loaded.
 #[test]
-fn wish_for_a_full_replica_unloads_the_least_wanted() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 0);
+fn request_for_a_full_replica_evicts_least_demand() {
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 0);
     let vm = "vm-2".parse().unwrap();
-    let name = desk.name.clone();
-    desk.books
+    let name = owner.name.clone();
+    owner
+        .planner
         .record_use(ms(0), &name, &vm, &target("base/a1"), 0, 5);
-    desk.books
+    owner
+        .planner
         .record_use(ms(0), &name, &vm, &target("base/a2"), 0, 1);
-    desk.wish(500, "base/a3");
-    assert_eq!(desk.next(500), None, "both were used just now");
-    desk.wish(1_000, "base/a3");
-    assert_eq!(desk.next(1_000), unload("base/a2", 0));
+    owner.request(500, "base/a3");
+    assert_eq!(owner.next(500), None, "both were used just now");
+    owner.request(1_000, "base/a3");
+    assert_eq!(owner.next(1_000), unload("base/a2", 0));
 }
 
 #[test]
-fn adapter_in_use_does_not_give_way() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 0);
+fn adapter_in_use_is_not_evicted() {
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 0);
     let vm = "vm-2".parse().unwrap();
-    let name = desk.name.clone();
+    let name = owner.name.clone();
     for adapter in ["base/a1", "base/a2"] {
-        desk.books
+        owner
+            .planner
             .record_use(ms(0), &name, &vm, &target(adapter), 0, 1);
-        desk.books
+        owner
+            .planner
             .record_use(ms(1_500), &name, &vm, &target(adapter), 1, 0);
     }
-    desk.wish(2_500, "base/a3");
-    assert_eq!(desk.next(2_500), None);
+    owner.request(2_500, "base/a3");
+    assert_eq!(owner.next(2_500), None);
 }
 
-/// An unload that drops its adapter at once is an accepted order.
+/// An immediate unload counts as an accepted order.
 #[test]
 fn unload_at_once_counts_as_an_order() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 7);
-    desk.wish(1_000, "base/a3");
-    let step = desk.next(1_000).unwrap();
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
+    owner.request(1_000, "base/a3");
+    let step = owner.next(1_000).unwrap();
     assert_eq!(Some(step.clone()), unload("base/a1", 7));
-    desk.end(1_001, &step, OrderOutcome::InEffect);
-    assert_eq!(desk.next(1_001), load("base/a3", 8));
+    owner.end(1_001, &step, OrderOutcome::InEffect);
+    assert_eq!(owner.next(1_001), load("base/a3", 8));
 }
 
 #[test]
 fn unload_that_waited_counts_once() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 7);
-    desk.wish(1_000, "base/a3");
-    let step = desk.next(1_000).unwrap();
-    desk.end(1_001, &step, OrderOutcome::Accepted);
-    desk.wish(1_400, "base/a3");
-    let again = desk.next(1_400).unwrap();
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
+    owner.request(1_000, "base/a3");
+    let step = owner.next(1_000).unwrap();
+    owner.end(1_001, &step, OrderOutcome::Accepted);
+    owner.request(1_400, "base/a3");
+    let again = owner.next(1_400).unwrap();
     assert_eq!(Some(again.clone()), unload("base/a1", 8));
-    desk.end(1_400, &again, OrderOutcome::InEffect);
-    assert_eq!(desk.next(1_400), load("base/a3", 8));
+    owner.end(1_400, &again, OrderOutcome::InEffect);
+    assert_eq!(owner.next(1_400), load("base/a3", 8));
 }
 
-/// An unload that waits for its runs: the replica refuses any other order.
+/// The replica refuses any other order while an unload waits for its runs.
 #[test]
 fn unload_that_waits_holds_up_the_others() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 7);
-    desk.wish(1_000, "base/a3");
-    let step = desk.next(1_000).unwrap();
-    desk.end(1_001, &step, OrderOutcome::Accepted);
-    desk.wish(1_100, "base/a4");
-    assert_eq!(desk.next(1_100), None);
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
+    owner.request(1_000, "base/a3");
+    let step = owner.next(1_000).unwrap();
+    owner.end(1_001, &step, OrderOutcome::Accepted);
+    owner.request(1_100, "base/a4");
+    assert_eq!(owner.next(1_100), None);
 }
 
-/// A new owner does not know yet what the other VMs have under way there.
+/// A new owner does not know yet which adapters the other VMs use.
 #[test]
 fn new_owner_evicts_nothing_at_first() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 7);
-    desk.wish(0, "base/a3");
-    assert_eq!(desk.next(0), None);
-    desk.wish(900, "base/a3");
-    assert_eq!(desk.next(900), unload("base/a1", 7));
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
+    owner.request(0, "base/a3");
+    assert_eq!(owner.next(0), None);
+    owner.request(900, "base/a3");
+    assert_eq!(owner.next(900), unload("base/a1", 7));
 }
 
-/// After a restart replicas are listed before the configuration is read.
+/// After a restart of the VM replicas may be listed before the configuration.
 #[test]
 fn configuration_that_comes_late_opens_the_slots() {
     let listing = listing("i-1", "llm", "z-a", &["base"]);
-    let mut books = AdapterPlanner::default();
-    books.track(ms(0), &listing, 0);
-    let mut desk = Desk::new(&["base"], 0);
-    books.track(ms(10), &listing, 2);
-    desk.books = books;
-    assert_eq!(desk.next(10), Some(ReplicaAction::Inspect));
+    let mut planner = AdapterPlanner::default();
+    planner.track(ms(0), &listing, 0);
+    let mut owner = Owner::new(&["base"], 0);
+    planner.track(ms(10), &listing, 2);
+    owner.planner = planner;
+    assert_eq!(owner.next(10), Some(ReplicaAction::Inspect));
     let report = ReplicaReport {
         loaded: [(target("base"), 0)].into(),
         ..ReplicaReport::default()
     };
-    desk.books
-        .finish_inspection(ms(11), &desk.name, Some(report));
-    desk.wish(20, "base/a1");
-    assert_eq!(desk.next(20), load("base/a1", 0));
+    owner
+        .planner
+        .finish_inspection(ms(11), &owner.name, Some(report));
+    owner.request(20, "base/a1");
+    assert_eq!(owner.next(20), load("base/a1", 0));
 }
 
-/// Asking whether a load has come is answered like an order, but is none.
+/// A poll of a load is answered like an order, but does not count as one.
 #[test]
-fn question_about_a_load_counts_no_order() {
-    let mut desk = Desk::new(&["base"], 3);
-    desk.wish(0, "base/a1");
-    let step = desk.next(0).unwrap();
-    desk.end(0, &step, OrderOutcome::Accepted);
-    let again = desk.next(300).unwrap();
+fn poll_of_a_load_counts_no_order() {
+    let mut owner = Owner::new(&["base"], 3);
+    owner.request(0, "base/a1");
+    let step = owner.next(0).unwrap();
+    owner.end(0, &step, OrderOutcome::Accepted);
+    let again = owner.next(300).unwrap();
     assert_eq!(Some(again.clone()), load("base/a1", 4));
-    desk.end(300, &again, OrderOutcome::Accepted);
-    assert_eq!(desk.next(400), load("base/a1", 4));
+    owner.end(300, &again, OrderOutcome::Accepted);
+    assert_eq!(owner.next(400), load("base/a1", 4));
 }
 
-/// Beyond what the weight store serves at full speed, more fetches at a time
-/// only end later.
+/// With more concurrent fetches than the weight store serves at full speed, all
+/// of them only end later.
 #[test]
 fn fetches_wait_for_the_weight_store() {
-    let mut desk = Desk::new(&["base"], 0);
-    desk.books.set_fetches(8, 0);
-    desk.wish(0, "base/a1");
-    assert_eq!(desk.next(0), None);
-    desk.books.set_fetches(7, 0);
-    assert_eq!(desk.next(1), load("base/a1", 0));
+    let mut owner = Owner::new(&["base"], 0);
+    owner.planner.set_fetches(8, 0);
+    owner.request(0, "base/a1");
+    assert_eq!(owner.next(0), None);
+    owner.planner.set_fetches(7, 0);
+    assert_eq!(owner.next(1), load("base/a1", 0));
 }
 
-/// What a replica had lately is in its own memory and costs no fetch.
+/// An adapter that a replica held recently loads from its memory, without a fetch.
 #[test]
-fn adapter_had_lately_loads_in_spite_of_fetches() {
-    let mut desk = Desk::new(&["base"], 0);
-    desk.load(0, "base/a1");
-    desk.load(300, "base/a2");
-    desk.wish(2_000, "base/a3");
-    let step = desk.next(2_000).unwrap();
+fn cached_adapter_loads_despite_fetch_limit() {
+    let mut owner = Owner::new(&["base"], 0);
+    owner.load(0, "base/a1");
+    owner.load(300, "base/a2");
+    owner.request(2_000, "base/a3");
+    let step = owner.next(2_000).unwrap();
     assert_eq!(Some(step.clone()), unload("base/a1", 2));
-    desk.end(2_000, &step, OrderOutcome::InEffect);
-    desk.books.set_fetches(20, 0);
-    desk.wish(2_010, "base/a1");
-    assert_eq!(desk.next(2_010), load("base/a1", 3));
+    owner.end(2_000, &step, OrderOutcome::InEffect);
+    owner.planner.set_fetches(20, 0);
+    owner.request(2_010, "base/a1");
+    assert_eq!(owner.next(2_010), load("base/a1", 3));
 }
 
 #[test]
-fn pace_learns_what_the_store_serves() {
-    let mut pace = FetchLimiter::default();
+fn fetch_limiter_learns_capacity() {
+    let mut limiter = FetchLimiter::default();
     for _ in 0..60 {
-        // Twenty at a time, of which five are served at full speed.
-        pace.observe(took(1_000), 20);
-        pace.observe(took(250), 3);
+        // Twenty concurrent fetches, of which five are served at full speed.
+        limiter.observe(duration(1_000), 20);
+        limiter.observe(duration(250), 3);
     }
-    assert!((4..=8).contains(&pace.capacity()), "{}", pace.capacity());
+    assert!(
+        (4..=8).contains(&limiter.capacity()),
+        "{}",
+        limiter.capacity()
+    );
     for n in 1..60 {
-        pace.observe(took(250), n);
+        limiter.observe(duration(250), n);
     }
-    assert!(pace.capacity() > 20, "{}", pace.capacity());
+    assert!(limiter.capacity() > 20, "{}", limiter.capacity());
 }
 
-/// A store that serves 24 at a time, known for one of eight: after the loads of
-/// a second and a half it is used in full, and one that serves eight is not
-/// overrun.
+/// A store that serves 24 concurrent fetches, with an initial estimate of eight,
+/// is fully used after 1.5 s of loads; one that serves eight is not overloaded.
 #[rstest]
 #[case::wide(24.0, 22)]
 #[case::narrow(8.0, 6)]
-fn pace_finds_the_width_at_the_start(#[case] width: f64, #[case] least: usize) {
-    let mut pace = FetchLimiter::default();
+fn fetch_limiter_learns_capacity_at_start(#[case] width: f64, #[case] least: usize) {
+    let mut limiter = FetchLimiter::default();
     let mut most = 0;
     for _ in 0..24 {
-        let n = pace.capacity();
+        let n = limiter.capacity();
         most = most.max(n);
         let slowed = (n as f64 / width).max(1.0);
-        pace.observe(took((250.0 * slowed) as u64), n);
+        limiter.observe(duration((250.0 * slowed) as u64), n);
     }
-    assert!(pace.capacity() >= least, "{}", pace.capacity());
+    assert!(limiter.capacity() >= least, "{}", limiter.capacity());
     assert!(most as f64 <= width * 1.5, "{most}");
 }
 
-/// A load whose end was seen late may have been fast: it tells nothing.
+/// A load whose end was seen late may have been fast and is ignored.
 #[test]
-fn pace_learns_nothing_from_what_was_seen_late() {
-    let mut pace = FetchLimiter::default();
+fn fetch_limiter_ignores_late_polls() {
+    let mut limiter = FetchLimiter::default();
     for _ in 0..20 {
-        pace.observe(took(250), 12);
+        limiter.observe(duration(250), 12);
     }
-    let capacity = pace.capacity();
+    let capacity = limiter.capacity();
     for _ in 0..20 {
         let late = LoadDuration {
             min: Span::from_millis(240),
             max: Span::from_millis(1_200),
         };
-        pace.observe(late, 12);
+        limiter.observe(late, 12);
     }
-    assert_eq!(pace.capacity(), capacity);
+    assert_eq!(limiter.capacity(), capacity);
 }
 
 #[test]
-fn adapter_that_has_just_come_stays() {
-    let mut desk = Desk::new(&["base"], 0);
-    desk.load(0, "base/a1");
-    desk.load(300, "base/a2");
-    desk.wish(600, "base/a3");
-    assert_eq!(desk.next(600), None);
+fn adapter_just_loaded_is_not_evicted() {
+    let mut owner = Owner::new(&["base"], 0);
+    owner.load(0, "base/a1");
+    owner.load(300, "base/a2");
+    owner.request(600, "base/a3");
+    assert_eq!(owner.next(600), None);
 }
 
-/// An order without an answer may be carried out later. What follows expects
-/// the same count of orders, so that the replica carries out one of them at
-/// most; a replica that answers none is looked at first.
+/// An unanswered order may be carried out later. The next one expects the same
+/// order count, so that the replica carries out at most one of them. After
+/// several unanswered orders the replica's report is read first.
 #[test]
 fn order_without_answer_is_given_again() {
-    let mut desk = Desk::new(&["base"], 3);
-    desk.wish(0, "base/a1");
+    let mut owner = Owner::new(&["base"], 3);
+    owner.request(0, "base/a1");
     for i in 0..5 {
-        let step = desk.next(80 * i).unwrap();
+        let step = owner.next(80 * i).unwrap();
         assert_eq!(Some(step.clone()), load("base/a1", 3));
-        desk.end(80 * i + 80, &step, OrderOutcome::Unknown);
+        owner.end(80 * i + 80, &step, OrderOutcome::Unknown);
     }
-    desk.wish(400, "base/a1");
-    assert_eq!(desk.next(400), None);
-    assert_eq!(desk.next(700), Some(ReplicaAction::Inspect));
+    owner.request(400, "base/a1");
+    assert_eq!(owner.next(400), None);
+    assert_eq!(owner.next(700), Some(ReplicaAction::Inspect));
 }
 
-/// It was carried out after all: the count tells, and the replica is looked at.
+/// An unanswered order that was carried out shows as a conflict of the count, and
+/// the replica's report is read.
 #[test]
-fn order_that_was_carried_out_unseen_is_looked_after() {
-    let mut desk = Desk::new(&["base"], 3);
-    desk.wish(0, "base/a1");
-    let step = desk.next(0).unwrap();
-    desk.end(80, &step, OrderOutcome::Unknown);
-    let step = desk.next(80).unwrap();
-    desk.end(85, &step, OrderOutcome::Conflict);
-    assert_eq!(desk.next(90), None);
-    assert_eq!(desk.next(400), Some(ReplicaAction::Inspect));
-}
-
-/// Loads in ten seconds at a replica that leaves one in so many orders
-/// unanswered, and carries out none of these.
+fn conflict_after_unanswered_order_reads_report() {
+    let mut owner = Owner::new(&["base"], 3);
+    owner.request(0, "base/a1");
+    let step = owner.next(0).unwrap();
+    owner.end(80, &step, OrderOutcome::Unknown);
+    let step = owner.next(80).unwrap();
+    owner.end(85, &step, OrderOutcome::Conflict);
+    assert_eq!(owner.next(90), None);
+    assert_eq!(owner.next(400), Some(ReplicaAction::Inspect));
+}
+
+/// Returns the loads in ten seconds at a replica that leaves one in `one_in`
+/// orders unanswered, and carries out none of these.
 fn loads_with_unanswered(one_in: u64) -> u32 {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 0);
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 0);
     let (mut now, mut loads, mut orders) = (2_000, 0, 0);
     let mut ready: Option<u64> = None;
     while now < 12_000 {
-        desk.wish(now, &format!("base/b{loads}"));
-        let Some(step) = desk.next(now) else {
+        owner.request(now, &format!("base/b{loads}"));
+        let Some(step) = owner.next(now) else {
             now += 10;
             continue;
         };
@@ -367,7 +378,7 @@
         orders += 1;
         if orders % one_in == 0 {
             now += 80;
-            desk.end(now, &step, OrderOutcome::Unknown);
+            owner.end(now, &step, OrderOutcome::Unknown);
             continue;
         }
         now += 4;
@@ -388,12 +399,12 @@
             ready = None;
             loads += 1;
         }
-        desk.end(now, &step, end);
+        owner.end(now, &step, end);
     }
     loads
 }
 
-/// Two thirds of the orders are answered: most of these loads come all the same.
+/// With two thirds of the orders answered, at least 60 % of the loads complete.
 #[test]
 fn loads_go_on_while_orders_are_left_unanswered() {
     let all = loads_with_unanswered(1_000_000);
@@ -401,30 +412,30 @@
     assert!(some * 10 >= all * 6, "{some} in place of {all}");
 }
 
-/// A restarted replica holds nothing: its model goes before any adapter.
+/// A restarted replica is empty and loads its model before any adapter.
 #[test]
 fn empty_replica_loads_its_model_first() {
-    let mut desk = Desk::new(&[], 0);
-    desk.wish(0, "base/a1");
-    let step = desk.next(0);
+    let mut owner = Owner::new(&[], 0);
+    owner.request(0, "base/a1");
+    let step = owner.next(0);
     assert_eq!(step, load("base", 0));
-    desk.end(0, &step.unwrap(), OrderOutcome::Accepted);
-    desk.wish(100, "base/a1");
-    assert_eq!(desk.next(100), None);
-    desk.end(900, &load("base", 1).unwrap(), OrderOutcome::InEffect);
-    desk.wish(900, "base/a1");
-    assert_eq!(desk.next(900), load("base/a1", 1));
+    owner.end(0, &step.unwrap(), OrderOutcome::Accepted);
+    owner.request(100, "base/a1");
+    assert_eq!(owner.next(100), None);
+    owner.end(900, &load("base", 1).unwrap(), OrderOutcome::InEffect);
+    owner.request(900, "base/a1");
+    assert_eq!(owner.next(900), load("base/a1", 1));
 }
 
 #[test]
 fn new_version_replaces_the_old_one() {
-    let mut desk = Desk::new(&["base", "base/a1"], 0);
+    let mut owner = Owner::new(&["base", "base/a1"], 0);
     let news = AnnouncedVersion {
         target: target("base/a1"),
         version: 2,
     };
-    assert!(desk.versions.announce(ms(0), &news));
-    let step = desk.next(0).unwrap();
+    assert!(owner.versions.announce(ms(0), &news));
+    let step = owner.next(0).unwrap();
     let ReplicaAction::Load {
         target: t, version, ..
     } = &step
@@ -432,54 +443,54 @@
         panic!("{step:?}");
     };
     assert_eq!((t.to_string().as_str(), *version), ("base/a1", Some(2)));
-    desk.end(0, &step, OrderOutcome::Accepted);
-    desk.end(250, &step, OrderOutcome::InEffect);
-    assert_eq!(desk.next(251), None);
-    let held = desk.books.residency(&desk.name).unwrap();
+    owner.end(0, &step, OrderOutcome::Accepted);
+    owner.end(250, &step, OrderOutcome::InEffect);
+    assert_eq!(owner.next(251), None);
+    let held = owner.planner.residency(&owner.name).unwrap();
     assert_eq!(held.loaded.get(&target("base/a1")), Some(&2));
 }
 
-/// In a large fleet the beacons are further apart, and a use is known later: an
-/// adapter that others may be using must not be taken from them meanwhile.
+/// With many VMs beacons are less frequent and uses are known later: an adapter
+/// that other VMs may be using must not be evicted meanwhile.
 #[test]
-fn adapter_in_use_stays_until_news_would_have_come() {
-    let mut desk = Desk::new(&["base", "base/a1", "base/a2"], 0);
-    desk.books.set_report_delay(Span::from_millis(2_500));
+fn adapter_in_use_stays_for_report_delay() {
+    let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 0);
+    owner.planner.set_report_delay(Span::from_millis(2_500));
     let vm = "vm-2".parse().unwrap();
-    let name = desk.name.clone();
+    let name = owner.name.clone();
     for adapter in ["base/a1", "base/a2"] {
         let used = target(adapter);
-        desk.books.record_use(ms(1_000), &name, &vm, &used, 0, 1);
+        owner.planner.record_use(ms(1_000), &name, &vm, &used, 0, 1);
     }
-    desk.wish(2_900, "base/a3");
-    assert_eq!(desk.next(2_900), None);
-    desk.wish(3_600, "base/a3");
-    assert_eq!(desk.next(3_600), unload("base/a1", 0));
+    owner.request(2_900, "base/a3");
+    assert_eq!(owner.next(2_900), None);
+    owner.request(3_600, "base/a3");
+    assert_eq!(owner.next(3_600), unload("base/a1", 0));
 }
 
-/// A large fleet that starts empty asks for hundreds of adapters at once: the
-/// store that fits it is used from the first moment.
+/// Many engines that start empty need hundreds of adapters at once: a store sized
+/// for them is fully used from the start.
 #[rstest]
 #[case::small_fleet(9, 9)]
 #[case::large_fleet(140, 140)]
-fn pace_expects_a_store_that_fits(#[case] engines: usize, #[case] fetches: usize) {
-    let mut desk = Desk::new(&["base"], 0);
-    desk.wish(0, "base/a1");
-    desk.books.set_fetches(fetches, engines);
-    assert_eq!(desk.next(0), None);
-    desk.books.set_fetches(fetches - 1, engines);
-    assert_eq!(desk.next(0), load("base/a1", 0));
+fn fetch_limiter_starts_with_engine_count(#[case] engines: usize, #[case] fetches: usize) {
+    let mut owner = Owner::new(&["base"], 0);
+    owner.request(0, "base/a1");
+    owner.planner.set_fetches(fetches, engines);
+    assert_eq!(owner.next(0), None);
+    owner.planner.set_fetches(fetches - 1, engines);
+    assert_eq!(owner.next(0), load("base/a1", 0));
 }
 
-/// What fetches have shown goes before what the fleet's size lets expect.
+/// Observed fetches take precedence over the estimate by the number of engines.
 #[test]
-fn pace_that_has_learned_expects_nothing() {
-    let mut pace = FetchLimiter::default();
-    pace.set_engine_count(140);
-    pace.observe(took(250), 4);
+fn fetch_limiter_prefers_observations() {
+    let mut limiter = FetchLimiter::default();
+    limiter.set_engine_count(140);
+    limiter.observe(duration(250), 4);
     for _ in 0..40 {
-        pace.observe(took(2_500), 80);
+        limiter.observe(duration(2_500), 80);
     }
-    pace.set_engine_count(140);
-    assert!(pace.capacity() < 20, "{}", pace.capacity());
+    limiter.set_engine_count(140);
+    assert!(limiter.capacity() < 20, "{}", limiter.capacity());
 }
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -1,4 +1,4 @@
-//! Where a request runs: affinity, load, failures, versions.
+//! Placement of requests: affinity, load, failures and versions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,7 +29,7 @@
 use banyangauge::serving::Versions;
 use rstest::rstest;
 
-/// A replica's entry that holds models and adapters in version 1.
+/// Entry of a replica that holds models, and adapters in version 1.
 pub(crate) fn listing(name: &str, service: &str, zone: &str, held: &[&str]) -> ReplicaInfo {
     let held: Vec<Target> = held.iter().map(|t| Target::parse(t).unwrap()).collect();
     let number = name
@@ -150,8 +150,8 @@
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
 }
 
-/// All VMs load an adapter at the same place, whichever replicas they see
-/// first, and hardly any adapter moves when a replica comes.
+/// All VMs choose the same home for an adapter, in whichever order they learn of
+/// the replicas, and few homes change when a replica is added.
 #[test]
 fn adapter_has_one_home() {
     let all: Vec<_> = (0..6)
@@ -174,7 +174,7 @@
     assert!(moved <= 20, "{moved} of 60 moved");
 }
 
-/// A replica whose owner cannot order, or that holds no model, is no home.
+/// A replica whose owner cannot order loads, or that holds no model, is no home.
 #[rstest]
 #[case::no_owner(&["base"], false)]
 #[case::no_model(&[], true)]
@@ -192,9 +192,9 @@
     }
 }
 
-/// Many requests for rare adapters: at a replica that runs as many requests as it
-/// holds adapters none of them can give way, and a load there waits. A request
-/// that has waited for longer than a load takes looks elsewhere.
+/// A replica that runs as many requests as it holds adapters cannot evict one,
+/// and a load there waits. A request that has waited for longer than a load takes
+/// goes to another replica.
 #[test]
 fn home_moves_to_where_an_adapter_is_idle() {
     let all: Vec<_> = (0..4)
@@ -202,7 +202,7 @@
         .collect();
     let mut scene = Scene::new(&all);
     for busy in ["i-0", "i-1", "i-2"] {
-        // Two adapters fit, and this is far from making it the busiest.
+        // Two adapters fit, and two requests do not make it the busiest.
         scene.fleet.begin_run(&busy.parse().unwrap(), COST);
         scene.fleet.begin_run(&busy.parse().unwrap(), COST);
     }
@@ -214,13 +214,13 @@
     assert!((0..20).any(|n| home(&scene, n) != idle));
     scene.waited = Some(Span::from_millis(500));
     assert!((0..20).all(|n| home(&scene, n) == idle));
-    // Where none is idle, one of them is the home all the same.
+    // If no adapter is idle anywhere, a replica is still chosen.
     scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
     scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
     assert!(matches!(home(&scene, 1), Placement::Load { .. }));
 }
 
-/// A burst within one beacon: what this VM has sent itself counts at once.
+/// A burst within one beacon interval: requests that this VM sends count at once.
 #[test]
 fn burst_spreads_by_own_count() {
     let held: Vec<_> = ["i-a", "i-b", "i-c"]
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn peers_counts_are_seen_and_lapse() {
+fn peer_loads_count_and_expire() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-a", &[]);
     let mut scene = Scene::new(&[a, b]);
@@ -254,7 +254,7 @@
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
 }
 
-/// Saturation: full replicas get nothing that would only wait there.
+/// Full replicas get no requests that would only wait there.
 #[test]
 fn full_replicas_are_full() {
     let a = listing("i-a", "app", "z-a", &[]);
@@ -279,7 +279,7 @@
     assert_eq!(scene.place(at(0), "llm", Some("base")), Placement::Full);
 }
 
-/// What an engine has yet to read holds up those who come next.
+/// Pending prefill delays the next requests at an engine.
 #[test]
 fn unread_prompts_weigh_more_than_runs() {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
@@ -299,9 +299,8 @@
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-a");
 }
 
-/// A hot adapter's only holder asks for help when its queue takes up most of
-/// the time within which an answer should begin, and not before: a copy takes
-/// the place of another adapter.
+/// A second copy of a hot adapter is requested only when the queue of its single
+/// holder takes up most of the latency objective: a copy evicts another adapter.
 #[rstest]
 #[case::in_time(24_000, None)]
 #[case::late(36_000, Some("i-b"))]
@@ -323,9 +322,9 @@
     assert_eq!(copy(&scene).as_deref(), expected);
 }
 
-/// A burst on one adapter while its only holder reads long prompts: who has the
-/// time waits for the copy, as whoever is sent there is late and makes the
-/// others late; who has not is sent there all the same.
+/// A burst on one adapter while its single holder prefills long prompts. A request
+/// with time left waits for the copy, as it would be late at the holder and delay
+/// the others; one without time left is sent to the holder.
 #[rstest]
 #[case::has_time(Some(0), 36_000, Placement::Load { at: "i-b".parse().unwrap() })]
 #[case::has_none(None, 36_000, Placement::Send {
@@ -341,7 +340,7 @@
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
-fn overloaded_holder_is_worth_a_wait(
+fn request_waits_for_copy_of_overloaded_holder(
     #[case] waited: Option<u64>,
     #[case] unread: u64,
     #[case] expected: Placement,
@@ -360,9 +359,9 @@
     assert_eq!(place, expected);
 }
 
-/// Requests that begin alike meet where the beginning is kept.
+/// Requests with the same prompt prefix go where it is cached.
 #[test]
-fn shared_beginnings_meet() {
+fn shared_prefixes_are_placed_together() {
     let all: Vec<_> = (0..4)
         .map(|n| listing(&format!("i-{n}"), "llm", "z-a", &["base", "base/x"]))
         .collect();
@@ -388,12 +387,12 @@
     assert!(first < 25, "{first} of 40 beginnings at one replica");
 }
 
-/// A crashed replica refuses at once and would seem the least loaded.
+/// A crashed replica refuses at once and would appear the least loaded.
 #[rstest]
 #[case::unreached(RunOutcome::Unreached)]
 #[case::broken(RunOutcome::Broken)]
 #[case::gone(RunOutcome::Gone)]
-fn failing_replica_is_left_alone(#[case] end: RunOutcome) {
+fn failing_replica_is_avoided(#[case] end: RunOutcome) {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
@@ -403,7 +402,7 @@
     assert_eq!(scene.sent(at(100), "app", None), "i-b");
 }
 
-/// After its pause one request at a time tries it.
+/// After its back-off a failed replica gets one request at a time.
 #[test]
 fn failed_replica_is_tried_by_one() {
     let a = listing("i-a", "app", "z-a", &[]);
@@ -423,9 +422,9 @@
     assert_eq!(scene.sent(at(5_010), "app", None), "i-a");
 }
 
-/// A replica that takes requests and says nothing more to anybody.
+/// A replica that accepts requests and sends nothing is not used.
 #[test]
-fn dark_replica_is_left_alone() {
+fn unresponsive_replica_is_avoided() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
@@ -454,7 +453,7 @@
     );
 }
 
-/// Entries that lapsed while the store was away may come back for two seconds.
+/// Entries that expired during a store outage may reappear within two seconds.
 #[rstest]
 #[case::after_outage(true, 1_000, true)]
 #[case::too_late(true, 2_100, false)]
@@ -467,10 +466,10 @@
     assert_eq!(scene.sent(at(ms), "app", None) == "i-a", kept);
 }
 
-/// An owner's count holds what it was told of this VM's requests; those are
-/// known better here, and are not counted twice.
+/// The owner's load of a replica includes this VM's requests as last reported;
+/// they must not be counted twice.
 #[test]
-fn owners_count_holds_our_own_once() {
+fn own_load_is_counted_once() {
     let mut scene = Scene::new(&[
         listing("i-1", "app", "z-a", &[]),
         listing("i-2", "app", "z-a", &[]),
@@ -484,7 +483,7 @@
     scene.fleet.begin_run(&one, requests(14));
     assert_eq!(scene.fleet.take_report(&one), requests(14));
     scene.fleet.apply_owner_load(at(0), &one, requests(14));
-    // Fourteen of sixteen places: one more fits.
+    // The owner's load consists of this VM's requests only.
     let only = |scene: &Scene, now| {
         let total = scene.fleet.total_load(now, &one).unwrap();
         total.requests
@@ -494,12 +493,12 @@
     assert_eq!(only(&scene, at(10)), 10);
     scene.fleet.apply_owner_load(at(20), &one, requests(20));
     assert_eq!(only(&scene, at(20)), 16);
-    // Without its owner's word only our own are known.
+    // After the owner's report expired only this VM's own load is known.
     assert_eq!(only(&scene, at(9_000)), 10);
 }
 
-/// Each version counts from its own news: one that is announced again and
-/// again would otherwise serve its first version for ever.
+/// The period of the previous version starts with each announcement: an adapter
+/// with frequent announcements would otherwise serve its first version for ever.
 #[test]
 fn required_while_versions_follow_each_other() {
     let mut versions = Versions::default();
@@ -522,8 +521,8 @@
     }
 }
 
-/// A replica that has the newest one already must not be asked for the one
-/// that is required.
+/// A replica that already holds a newer version must not be asked for the
+/// required one.
 #[test]
 fn expected_version_is_the_one_that_is_held() {
     let mut scene = Scene::new(&[]);
@@ -545,7 +544,7 @@
     }
 }
 
-/// What a mechanism decides is decided otherwise without it.
+/// Placement with mechanisms switched off.
 #[rstest]
 #[case::whole(&[], Placement::Load { at: "i-b".parse().unwrap() })]
 #[case::copy_waits(&[Mechanism::CopyWaits], Placement::Send {
@@ -587,8 +586,8 @@
     assert_eq!(scene.sent(at(0), "app", None), expected);
 }
 
-/// A request that waits in the queue of a crowded engine begins later than it
-/// is sent: on an old version it would begin when that may serve no more.
+/// A request that waits in the queue of a busy engine begins later than it is
+/// sent, when the old version may no longer serve.
 #[rstest]
 #[case::free(0, "i-a")]
 #[case::crowded(4_000, "Load { at: ReplicaName(\"i-b\") }")]
@@ -612,12 +611,12 @@
     assert_eq!(scene.sent(at(1_500), "llm", Some("base/x")), expected);
 }
 
-/// A VM that was told that a replica is leaving, before it reads so itself,
-/// tells all others all the same: not all have been told.
+/// A VM that learned from another VM that a replica is draining still announces
+/// the entry when it reads it: not all VMs know it.
 #[rstest]
 #[case::told(true)]
 #[case::not_told(false)]
-fn leaving_is_news_to_the_others(#[case] told: bool) {
+fn draining_entry_is_always_an_update(#[case] told: bool) {
     let mut a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a.clone()]);
     assert!(!scene.fleet.is_update(&a));
@@ -632,9 +631,9 @@
     assert!(scene.fleet.is_update(&a));
 }
 
-/// What a replica holds is told by its owner, and is no news of the store.
+/// A change of the adapters alone is not announced: the owner reports those.
 #[test]
-fn adapters_are_no_news_of_the_store() {
+fn adapters_alone_are_no_update() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let scene = Scene::new(&[a]);
     let loaded = listing("i-a", "llm", "z-a", &["base", "base/x"]);
@@ -643,11 +642,11 @@
     assert!(scene.fleet.is_update(&moved));
 }
 
-/// An entry that lapsed with an outage of the store is there again, unchanged:
-/// the others, who heard that it lapsed, would drop the replica two seconds
+/// An entry that expired in a store outage reappears unchanged. It must be
+/// announced: the VMs that know of the expiry would drop the replica two seconds
 /// later.
 #[test]
-fn return_of_a_lapsed_entry_is_news() {
+fn reappearance_of_an_expired_entry_is_an_update() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(std::slice::from_ref(&a));
     scene.fleet.mark_expired(at(0), &a.name);
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -1,4 +1,4 @@
-//! Turns in which replicas read long prompts.
+//! Prefill turns for long prompts, and the stall detection that enables them.
 
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::Moment;
@@ -49,7 +49,7 @@
     assert_eq!(numbers(&mut turns, 0), [1, 2]);
 }
 
-/// A VM died, or its word was lost: the others do not wait for ever.
+/// If a VM died or its end message was lost, the turn times out.
 #[test]
 fn turn_whose_end_was_lost_is_over() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
@@ -73,8 +73,9 @@
     assert_eq!(numbers(&mut turns, 930), [3]);
 }
 
-/// Saturation: prompts come half as fast again as they are read. Each is sent
-/// after a bounded wait, and streams get a pause between prompts.
+/// Prompts arrive faster than they are prefilled: one every 150 ms, at 200 ms
+/// each. Their order is kept, each is sent after a bounded wait, and streams get a
+/// gap between prompts.
 #[test]
 fn saturation_keeps_the_order_and_the_pause() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
@@ -99,38 +100,42 @@
 }
 
 #[test]
-fn strain_shows_in_streams_that_pause() {
-    let mut strain = StallDetector::default();
+fn stalled_streams_activate_turns() {
+    let mut detector = StallDetector::default();
     for n in 0..200 {
-        // One in fifty is no reason.
-        assert!(!strain.record_stream(at(n), 8, n % 50 == 0));
+        // One stalled stream in fifty does not activate turns.
+        assert!(!detector.record_stream(at(n), 8, n % 50 == 0));
     }
-    let reason = (0..20).any(|n| strain.record_stream(at(300 + n), 8, true));
-    assert!(reason && strain.is_active(at(400)));
-    assert!(!strain.is_active(at(300_000)));
+    let reason = (0..20).any(|n| detector.record_stream(at(300 + n), 8, true));
+    assert!(reason && detector.is_active(at(400)));
+    assert!(!detector.is_active(at(300_000)));
 }
 
-/// The longest event of a stream, in milliseconds, on an engine to which six
-/// prompts of 9,200 tokens come at once. A step reads up to 4,096 tokens of those
-/// that wait, 35 in a millisecond, and takes 6 ms besides; an event takes `steps`.
+/// Returns the longest gap between stream events, in milliseconds, on an engine
+/// that gets six prompts of 9,200 tokens at once. A step prefills up to 4,096
+/// pending tokens at 35 per millisecond, plus 6 ms; an event takes `steps` steps.
 fn longest_event(steps: usize, turns: bool) -> u64 {
-    let (mut desk, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
+    let (mut turns_queue, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     let mut queue: Vec<(u64, u64)> = Vec::new();
     for number in 0..6 {
         match turns {
-            true => desk.request(at(0), &r, id(number), 9_200),
+            true => turns_queue.request(at(0), &r, id(number), 9_200),
             false => queue.push((number, 9_200)),
         }
     }
     let (mut now, mut took) = (0, Vec::new());
     while now < 6_000 {
-        queue.extend(numbers(&mut desk, now).into_iter().map(|n| (n, 9_200)));
+        queue.extend(
+            numbers(&mut turns_queue, now)
+                .into_iter()
+                .map(|n| (n, 9_200)),
+        );
         let mut room = 4_096;
         while let Some((number, left)) = queue.first_mut().filter(|_| room > 0) {
             let read = (*left).min(room);
             (*left, room) = (*left - read, room - read);
             if *left == 0 {
-                desk.finish(at(now), &r, &id(*number));
+                turns_queue.finish(at(now), &r, &id(*number));
                 queue.remove(0);
             }
         }
@@ -141,11 +146,11 @@
     took.windows(steps).map(|w| w.iter().sum()).max().unwrap()
 }
 
-/// A burst of long prompts at one engine: without turns it fills all steps of an
-/// event, and one of five takes longer than the 600 ms that callers allow. Events
-/// of four steps are in time without.
+/// Without turns a burst of long prompts fills all steps of a stream event. Events
+/// of five steps then exceed the 600 ms that callers allow; events of four steps
+/// do not.
 #[test]
-fn burst_of_prompts_pauses_streams() {
+fn burst_of_prompts_stalls_streams() {
     assert!(longest_event(5, false) > 600, "{}", longest_event(5, false));
     assert!(longest_event(5, true) <= 600, "{}", longest_event(5, true));
     assert!(
@@ -155,17 +160,17 @@
     );
 }
 
-/// Streams with events of five steps that pause are a reason for turns.
+/// Stalled streams with events of five steps activate turns.
 #[test]
-fn strain_shows_in_events_of_five_steps() {
-    let mut strain = StallDetector::default();
-    assert!((0..20).any(|n| strain.record_stream(at(n), 5, true)));
+fn events_of_five_steps_activate_turns() {
+    let mut detector = StallDetector::default();
+    assert!((0..20).any(|n| detector.record_stream(at(n), 5, true)));
 }
 
-/// All steps of such an event are no longer than callers allow, whatever is read:
-/// no order of prompts mends what pauses the stream.
+/// Events of fewer than five steps are within the gap that callers allow whatever
+/// is prefilled, so turns cannot help and are not activated.
 #[test]
-fn short_events_are_no_reason() {
-    let mut strain = StallDetector::default();
-    assert!(!(0..100).any(|n| strain.record_stream(at(n), 4, true)));
+fn short_events_do_not_activate_turns() {
+    let mut detector = StallDetector::default();
+    assert!(!(0..100).any(|n| detector.record_stream(at(n), 4, true)));
 }
