--- a/lib/src/entry/body.rs
+++ b/lib/src/entry/body.rs
@@ -13,7 +13,7 @@
 use super::Code;
 use crate::ids::AdapterVersion;
 use crate::ids::Fingerprint;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
 
 /// Bytes of the prompt's head that are hashed for prefix-cache affinity.
 const PREFIX: usize = 256;
@@ -132,7 +132,7 @@
 
     /// The body for the engine: `model` and `priority` replaced, the rest as
     /// views of what the caller sent.
-    pub fn rewrite(&self, adapter: &AdapterVersion, priority: i32) -> Parts {
+    pub fn rewrite(&self, adapter: &AdapterVersion, priority: i32) -> BodyChunks {
         // Names hold no character that JSON escapes.
         let model = (self.model_at, Bytes::from(format!("\"{adapter}\"")));
         match self.priority_at {
@@ -142,7 +142,7 @@
                     true => (value, model),
                     false => (model, value),
                 };
-                Parts::new([
+                BodyChunks::new([
                     self.body.slice(..a.0.start),
                     a.1,
                     self.body.slice(a.0.end..b.0.start),
@@ -150,7 +150,7 @@
                     self.body.slice(b.0.end..),
                 ])
             }
-            None => Parts::new([
+            None => BodyChunks::new([
                 self.body.slice(..self.model_at.start),
                 model.1,
                 Bytes::from(format!(",\"priority\":{priority}")),
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -38,7 +38,7 @@
 use crate::timeline::Kind;
 use crate::upstream;
 use crate::upstream::Expected;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
 use crate::upstream::RunError;
 
 /// Runs a call to its answer. Dropping this abandons or cancels it.
@@ -228,7 +228,7 @@
     call: &Call,
     grant: &wire::Grant,
     resume: Option<u64>,
-) -> Result<Request<Parts>, RunError> {
+) -> Result<Request<BodyChunks>, RunError> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
@@ -242,12 +242,12 @@
             builder = builder.header(CONTENT_TYPE, "application/json");
             match &call.adapter {
                 Some(a) => c.rewrite(a, grant.priority),
-                None => Parts::default(),
+                None => BodyChunks::default(),
             }
         }
         Content::Plain { headers, body } => {
             builder = with_headers(builder, headers);
-            Parts::from(body.clone())
+            BodyChunks::from(body.clone())
         }
     };
     builder
@@ -342,7 +342,7 @@
 
 async fn fetch(
     state: &State,
-    message: Request<Parts>,
+    message: Request<BodyChunks>,
     address: SocketAddr,
     expected: &Expected,
     most: usize,
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -19,7 +19,7 @@
 use crate::serving::path::types::RequestInfo;
 use crate::serving::path::types::Target;
 use crate::serving::store::port::Item;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
 
 /// Error for a stored record or a message that does not have the published format.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -129,11 +129,11 @@
     /// Parses an announced adapter version.
     pub parse_version: fn(&Item) -> Result<AnnouncedVersion, BadRecord>,
     /// Encodes an order as a request to its replica.
-    pub encode_order: fn(&Order<'_>) -> Result<Request<Parts>, BadRecord>,
+    pub encode_order: fn(&Order<'_>) -> Result<Request<BodyChunks>, BadRecord>,
     /// Maps the status of the response to an order to its outcome.
     pub parse_order_outcome: fn(StatusCode) -> OrderOutcome,
     /// Encodes a request for a replica's status report.
-    pub encode_report_request: fn() -> Result<Request<Parts>, BadRecord>,
+    pub encode_report_request: fn() -> Result<Request<BodyChunks>, BadRecord>,
     /// Parses a replica's status report.
     pub parse_report: fn(&[u8]) -> Result<ReplicaReport, BadRecord>,
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -36,7 +36,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::upstream::Answer;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
 use crate::upstream::SendError;
 
 /// A caller's request, buffered until its response is complete so that it can be retried.
@@ -278,8 +278,8 @@
     req: &BufferedRequest,
     replica: &ReplicaName,
     resume_after: Option<u64>,
-) -> Request<Parts> {
-    let mut request = Request::new(Parts::new(req.body.iter().cloned()));
+) -> Request<BodyChunks> {
+    let mut request = Request::new(BodyChunks::new(req.body.iter().cloned()));
     *request.method_mut() = req.method.clone();
     *request.uri_mut() = req.path.clone();
     let now = now();
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -21,7 +21,7 @@
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::now;
 use crate::serving::program::node::time_until;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
 use crate::upstream::collect;
 
 /// Maximum timeout for the response to an order, and the timeout for a report.
@@ -239,7 +239,7 @@
 async fn call(
     node: &Node,
     name: &ReplicaName,
-    request: Request<Parts>,
+    request: Request<BodyChunks>,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     let address = node.state().fleet.listing(name)?.address;
--- a/lib/src/upstream/body.rs
+++ b/lib/src/upstream/body.rs
@@ -14,16 +14,16 @@
 /// A body of known length in several views.
 ///
 /// ```
-/// use banyangauge::upstream::Parts;
-/// let p = Parts::new(["ab".into(), "".into(), "c".into()]);
+/// use banyangauge::upstream::BodyChunks;
+/// let p = BodyChunks::new(["ab".into(), "".into(), "c".into()]);
 /// assert_eq!(p.len(), 3);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Parts {
+pub struct BodyChunks {
     parts: VecDeque<Bytes>,
 }
 
-impl Parts {
+impl BodyChunks {
     /// Joins views without copying them; empty ones are left out.
     pub fn new(parts: impl IntoIterator<Item = Bytes>) -> Self {
         Self {
@@ -42,13 +42,13 @@
     }
 }
 
-impl From<Bytes> for Parts {
+impl From<Bytes> for BodyChunks {
     fn from(b: Bytes) -> Self {
         Self::new([b])
     }
 }
 
-impl Body for Parts {
+impl Body for BodyChunks {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -25,7 +25,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::Parts;
+use super::BodyChunks;
 
 /// The longest wait for a connection; upstreams are about a millisecond away.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -51,7 +51,7 @@
 }
 
 struct Idle {
-    sender: SendRequest<Parts>,
+    sender: SendRequest<BodyChunks>,
     until: Instant,
 }
 
@@ -95,7 +95,7 @@
     pub async fn send(
         &self,
         address: SocketAddr,
-        mut request: Request<Parts>,
+        mut request: Request<BodyChunks>,
     ) -> Result<Answer, SendError> {
         while let Some(sender) = self.take(address) {
             match self.send_on(address, sender, request).await {
@@ -118,9 +118,9 @@
     async fn send_on(
         &self,
         address: SocketAddr,
-        mut sender: SendRequest<Parts>,
-        request: Request<Parts>,
-    ) -> Result<Answer, (Option<Request<Parts>>, String)> {
+        mut sender: SendRequest<BodyChunks>,
+        request: Request<BodyChunks>,
+    ) -> Result<Answer, (Option<Request<BodyChunks>>, String)> {
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, body) = response.into_parts();
@@ -144,7 +144,7 @@
     }
 
     /// The connection that was used last; the others age, and go.
-    fn take(&self, address: SocketAddr) -> Option<SendRequest<Parts>> {
+    fn take(&self, address: SocketAddr) -> Option<SendRequest<BodyChunks>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = idle.get_mut(&address)?;
         let now = Instant::now();
@@ -165,7 +165,7 @@
     Some(time.saturating_sub(CLOSE_MARGIN))
 }
 
-async fn connect(address: SocketAddr, longest: Duration) -> Result<SendRequest<Parts>, String> {
+async fn connect(address: SocketAddr, longest: Duration) -> Result<SendRequest<BodyChunks>, String> {
     let work = async {
         let stream = TcpStream::connect(address).await.map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
@@ -196,7 +196,7 @@
 
 /// A connection that goes back to the shelf after the answer's end.
 struct Kept {
-    sender: SendRequest<Parts>,
+    sender: SendRequest<BodyChunks>,
     address: SocketAddr,
     shelf: Shelf,
     time: Duration,
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -8,7 +8,7 @@
 mod run;
 mod sse;
 
-pub use body::Parts;
+pub use body::BodyChunks;
 pub use connections::Answer;
 pub use connections::SendError;
 pub use connections::Upstreams;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 
 use super::Answer;
-use super::Parts;
+use super::BodyChunks;
 use super::RunError;
 use super::SendError;
 use super::Unready;
@@ -61,7 +61,7 @@
 pub async fn run(
     upstreams: &Upstreams,
     address: SocketAddr,
-    request: Request<Parts>,
+    request: Request<BodyChunks>,
     expected: &Expected,
 ) -> Result<Answer, RunError> {
     let answer = upstreams
@@ -242,7 +242,7 @@
         .method(Method::DELETE)
         .uri(format!("/v1/requests/{request}"))
         .header("host", address.to_string())
-        .body(Parts::default())
+        .body(BodyChunks::default())
     else {
         return;
     };
