--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -30,7 +30,7 @@
 use crate::pool::Outcome;
 use crate::timeline::Kind;
 use crate::upstream;
-use crate::upstream::Answer;
+use crate::upstream::UpstreamResponse;
 use crate::upstream::Checker;
 use crate::upstream::Expected;
 use crate::upstream::Fault;
@@ -42,15 +42,15 @@
 /// for 5 s, and one that breaks at once each time is not worth more.
 const MOST_RESUMES: u32 = 2;
 
-type Opening = Pin<Box<dyn Future<Output = Result<Answer, RunError>> + Send>>;
+type Opening = Pin<Box<dyn Future<Output = Result<UpstreamResponse, RunError>> + Send>>;
 
 enum Source {
     /// Events come in.
-    Open(Answer),
+    Open(UpstreamResponse),
     /// The connection is being made, for the first time or again.
     Opening(Opening),
     /// `[DONE]` was passed on; only the end of the body is missing.
-    Draining(Answer),
+    Draining(UpstreamResponse),
     /// Nothing more comes.
     Closed,
 }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -35,7 +35,7 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
-use crate::upstream::Answer;
+use crate::upstream::UpstreamResponse;
 use crate::upstream::BodyChunks;
 use crate::upstream::SendError;
 
@@ -158,7 +158,7 @@
 
 /// A response that may be forwarded to the caller.
 pub(in crate::serving) struct StartedResponse {
-    pub(in crate::serving) answer: Answer,
+    pub(in crate::serving) answer: UpstreamResponse,
     pub(in crate::serving) run: Run,
     /// Whether the response says that the replica failed.
     pub(in crate::serving) failed: bool,
--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -96,7 +96,7 @@
         &self,
         address: SocketAddr,
         mut request: Request<BodyChunks>,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         while let Some(sender) = self.take(address) {
             match self.send_on(address, sender, request).await {
                 Ok(answer) => return Ok(answer),
@@ -120,7 +120,7 @@
         address: SocketAddr,
         mut sender: SendRequest<BodyChunks>,
         request: Request<BodyChunks>,
-    ) -> Result<Answer, (Option<Request<BodyChunks>>, String)> {
+    ) -> Result<UpstreamResponse, (Option<Request<BodyChunks>>, String)> {
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, body) = response.into_parts();
@@ -130,7 +130,7 @@
                     shelf: self.idle.clone(),
                     time: idle_time(&head).unwrap_or(self.keep),
                 };
-                Ok(Answer {
+                Ok(UpstreamResponse {
                     head,
                     body,
                     kept: Some(kept),
@@ -187,7 +187,7 @@
 
 /// The head of an answer, with its body still to come. Dropping it before its
 /// end closes the connection.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status and headers.
     pub head: response::Parts,
     body: Incoming,
@@ -202,7 +202,7 @@
     time: Duration,
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// The next piece of the body; `None` at its proper end.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, hyper::Error>>> {
         loop {
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -9,7 +9,7 @@
 mod sse;
 
 pub use body::BodyChunks;
-pub use connections::Answer;
+pub use connections::UpstreamResponse;
 pub use connections::SendError;
 pub use connections::Upstreams;
 pub use errors::RunError;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -9,7 +9,7 @@
 use hyper::Request;
 use serde::Deserialize;
 
-use super::Answer;
+use super::UpstreamResponse;
 use super::BodyChunks;
 use super::RunError;
 use super::SendError;
@@ -63,7 +63,7 @@
     address: SocketAddr,
     request: Request<BodyChunks>,
     expected: &Expected,
-) -> Result<Answer, RunError> {
+) -> Result<UpstreamResponse, RunError> {
     let answer = upstreams
         .send(address, request)
         .await
@@ -77,7 +77,7 @@
     }
 }
 
-async fn check_engine(answer: Answer, expected: &Expected) -> Result<Answer, RunError> {
+async fn check_engine(answer: UpstreamResponse, expected: &Expected) -> Result<UpstreamResponse, RunError> {
     let status = answer.head.status.as_u16();
     if status != 200 {
         return Err(refused(status, answer).await);
@@ -86,7 +86,7 @@
     Ok(answer)
 }
 
-async fn check_service(answer: Answer, expected: &Expected) -> Result<Answer, RunError> {
+async fn check_service(answer: UpstreamResponse, expected: &Expected) -> Result<UpstreamResponse, RunError> {
     // A leaving service says so with the code; any other failure is its answer.
     let status = answer.head.status.as_u16();
     if status == 503 && answer.header("x-request-id").is_none() {
@@ -97,14 +97,14 @@
 }
 
 /// The engine's incarnation by its answer; 0 when it tells none.
-pub fn incarnation(answer: &Answer) -> u64 {
+pub fn incarnation(answer: &UpstreamResponse) -> u64 {
     answer
         .header("x-engine-incarnation")
         .and_then(|v| v.parse().ok())
         .unwrap_or(0)
 }
 
-fn check_head(answer: &Answer, expected: &Expected) -> Result<(), RunError> {
+fn check_head(answer: &UpstreamResponse, expected: &Expected) -> Result<(), RunError> {
     let seen = incarnation(answer);
     check_request(answer, expected, seen)?;
     let wrong = |what| Err(RunError::WrongIdentity { what, seen });
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-fn check_request(answer: &Answer, expected: &Expected, seen: u64) -> Result<(), RunError> {
+fn check_request(answer: &UpstreamResponse, expected: &Expected, seen: u64) -> Result<(), RunError> {
     match answer.header("x-request-id") == Some(expected.request.as_str()) {
         true => Ok(()),
         false => Err(RunError::WrongIdentity {
@@ -127,7 +127,7 @@
     }
 }
 
-async fn refused(status: u16, mut answer: Answer) -> RunError {
+async fn refused(status: u16, mut answer: UpstreamResponse) -> RunError {
     let body = collect(&mut answer, MAX_ERROR).await.unwrap_or_default();
     let code = serde_json::from_slice::<ErrorBody<'_>>(&body)
         .map(|b| b.error.code.into_owned())
@@ -149,7 +149,7 @@
 ///
 /// [`RunError::BrokenEarly`] or [`RunError::BrokenLate`] when it broke off or
 /// is longer.
-pub async fn collect(answer: &mut Answer, most: usize) -> Result<Bytes, RunError> {
+pub async fn collect(answer: &mut UpstreamResponse, most: usize) -> Result<Bytes, RunError> {
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(piece) = answer.data().await {
