--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -47,7 +47,7 @@
 use crate::pool::Ticket;
 use crate::upstream::Fence;
 use crate::upstream::OrderError;
-use crate::upstream::Orders;
+use crate::upstream::OrderClient;
 use crate::upstream::Report;
 
 /// The stream to an entry. A full one means that the entry does not read it;
@@ -164,9 +164,9 @@
     pub(super) outboxes: BTreeMap<SessionId, Outbox>,
     pub(super) replicas: BTreeMap<ReplicaName, ReplicaMonitor>,
     // Sends load and unload orders.
-    pub(super) order_client: Orders,
+    pub(super) order_client: OrderClient,
     // Requests load reports and fences, with a timeout of its own.
-    pub(super) report_client: Orders,
+    pub(super) report_client: OrderClient,
     // Blocked request fingerprints, each with the uptime in ms at which its block
     // ends.
     pub(super) verdicts: BTreeMap<Fingerprint, u64>,
@@ -222,8 +222,8 @@
         let margin = Span::from_millis(grants.margin_ms);
         let quarantine = Span::from_millis(grants.quarantine_ms);
         let upstreams = &local.settings.upstreams;
-        let order_client = Orders::new(std::time::Duration::from_millis(upstreams.order_ms));
-        let report_client = Orders::new(std::time::Duration::from_millis(upstreams.report_ms));
+        let order_client = OrderClient::new(std::time::Duration::from_millis(upstreams.order_ms));
+        let report_client = OrderClient::new(std::time::Duration::from_millis(upstreams.report_ms));
         let limits = local.settings.claim_limits();
         let mut pool = new_pool(&catalog, &spec);
         pool.freeze_slots(clock::now().after(FREEZE_AHEAD));
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -26,12 +26,12 @@
 use crate::timeline::About;
 use crate::timeline::Kind;
 use crate::upstream::OrderError;
-use crate::upstream::Orders;
+use crate::upstream::OrderClient;
 
 /// One load order with the unload that precedes it.
 struct Load {
     local: Arc<OwnershipState>,
-    orders: Orders,
+    orders: OrderClient,
     pool: PoolName,
     token: Token,
     honours_token: bool,
--- a/lib/src/control/owner/polling.rs
+++ b/lib/src/control/owner/polling.rs
@@ -11,13 +11,13 @@
 use crate::ids::ReplicaName;
 use crate::ids::Token;
 use crate::upstream::OrderError;
-use crate::upstream::Orders;
+use crate::upstream::OrderClient;
 use crate::upstream::read_report;
 
 /// Polls one replica for load reports until the owner stops.
 pub(super) async fn poll(
     owner: Address<OwnerActor>,
-    orders: Orders,
+    orders: OrderClient,
     replica: ReplicaName,
     address: SocketAddr,
     interval: Duration,
@@ -42,7 +42,7 @@
 /// Asks an engine to confirm the token and sends its answer to the owner.
 pub(super) async fn fence(
     owner: Address<OwnerActor>,
-    orders: Orders,
+    orders: OrderClient,
     replica: ReplicaName,
     address: SocketAddr,
     token: Token,
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -16,7 +16,7 @@
 pub use errors::Unready;
 pub use orders::Fence;
 pub use orders::OrderError;
-pub use orders::Orders;
+pub use orders::OrderClient;
 pub use report::Report;
 pub use report::read_report;
 pub use run::Expected;
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -70,12 +70,12 @@
 
 /// A client for the control side of upstreams; clones share connections.
 #[derive(Clone, Debug)]
-pub struct Orders {
+pub struct OrderClient {
     client: Client<HttpConnector, Full<Bytes>>,
     timeout: Duration,
 }
 
-impl Orders {
+impl OrderClient {
     /// A client whose calls take `timeout` at the most.
     pub fn new(timeout: Duration) -> Self {
         let client = Client::builder(TokioExecutor::new())
--- a/lib/src/upstream/report.rs
+++ b/lib/src/upstream/report.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use super::orders::OrderError;
-use super::orders::Orders;
+use super::orders::OrderClient;
 use super::orders::parse;
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
@@ -63,6 +63,6 @@
 /// # Errors
 ///
 /// Those of [`OrderError`].
-pub async fn read_report(orders: &Orders, from: SocketAddr) -> Result<Report, OrderError> {
+pub async fn read_report(orders: &OrderClient, from: SocketAddr) -> Result<Report, OrderError> {
     parse(&orders.get(from, "/load").await?)
 }
