--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -48,7 +48,7 @@
 use crate::upstream::Fence;
 use crate::upstream::OrderError;
 use crate::upstream::OrderClient;
-use crate::upstream::Report;
+use crate::upstream::EngineReport;
 
 /// The stream to an entry. A full one means that the entry does not read it;
 /// then its requests are refused.
@@ -82,7 +82,7 @@
         /// The address that was asked.
         address: SocketAddr,
         /// The report, or why there is none.
-        report: Result<Report, OrderError>,
+        report: Result<EngineReport, OrderError>,
     },
     /// An engine was asked to confirm the fencing token.
     FenceAnswer {
@@ -95,7 +95,7 @@
         /// Its answer.
         answer: Result<Fence, OrderError>,
         /// The load report that made the owner ask.
-        report: Report,
+        report: EngineReport,
     },
     /// An order to a replica ended.
     OrderEnded {
--- a/lib/src/control/owner/polling.rs
+++ b/lib/src/control/owner/polling.rs
@@ -46,7 +46,7 @@
     replica: ReplicaName,
     address: SocketAddr,
     token: Token,
-    report: crate::upstream::Report,
+    report: crate::upstream::EngineReport,
 ) {
     let asked = clock::now();
     let answer: Result<_, OrderError> = orders.fence(address, token).await;
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -19,7 +19,7 @@
 use crate::timeline::Kind;
 use crate::upstream::Fence;
 use crate::upstream::OrderError;
-use crate::upstream::Report;
+use crate::upstream::EngineReport;
 
 impl OwnerActor {
     /// Applies the pool's specification from the catalog in force.
@@ -85,7 +85,7 @@
         now: Moment,
         name: &ReplicaName,
         address: SocketAddr,
-        report: Result<Report, OrderError>,
+        report: Result<EngineReport, OrderError>,
     ) {
         let Some(replica) = self.replicas.get_mut(name).filter(|r| r.address == address) else {
             return;
@@ -124,7 +124,7 @@
         address: SocketAddr,
         asked: Moment,
         answer: Result<Fence, OrderError>,
-        report: &Report,
+        report: &EngineReport,
     ) {
         let Some(replica) = self.replicas.get_mut(name).filter(|r| r.address == address) else {
             return;
@@ -148,7 +148,7 @@
     }
 
     // Applies a load report, once the engine refuses earlier owners' orders.
-    fn accept_report(&mut self, now: Moment, name: &ReplicaName, report: &Report) {
+    fn accept_report(&mut self, now: Moment, name: &ReplicaName, report: &EngineReport) {
         let Some(replica) = self.replicas.get_mut(name) else {
             return;
         };
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -17,7 +17,7 @@
 pub use orders::Fence;
 pub use orders::OrderError;
 pub use orders::OrderClient;
-pub use report::Report;
+pub use report::EngineReport;
 pub use report::read_report;
 pub use run::Expected;
 pub use run::Usage;
--- a/lib/src/upstream/report.rs
+++ b/lib/src/upstream/report.rs
@@ -15,7 +15,7 @@
 
 /// What `GET /load` answers.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub struct EngineReport {
     /// The upstream's start.
     pub incarnation: u64,
     /// How old the numbers are, in milliseconds.
@@ -35,14 +35,14 @@
     pub leaving: bool,
 }
 
-impl Report {
+impl EngineReport {
     /// The report as the pool takes it.
     ///
     /// ```
     /// use banyangauge::ids::ReplicaName;
-    /// use banyangauge::upstream::Report;
+    /// use banyangauge::upstream::EngineReport;
     /// let text = r#"{"incarnation":7,"age_ms":20,"loaded":["a@1"],"leaving":false}"#;
-    /// let report: Report = serde_json::from_str(text).unwrap();
+    /// let report: EngineReport = serde_json::from_str(text).unwrap();
     /// let load = report.for_pool(&ReplicaName::new("r-1").unwrap());
     /// assert_eq!((load.incarnation.0, load.loaded.len()), (7, 1));
     /// ```
@@ -63,6 +63,6 @@
 /// # Errors
 ///
 /// Those of [`OrderError`].
-pub async fn read_report(orders: &OrderClient, from: SocketAddr) -> Result<Report, OrderError> {
+pub async fn read_report(orders: &OrderClient, from: SocketAddr) -> Result<EngineReport, OrderError> {
     parse(&orders.get(from, "/load").await?)
 }
