--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -162,7 +162,7 @@
             replica.leaving = report.leaving;
         }
         self.update_health(now, name);
-        self.pool.report(now, report.for_pool(name));
+        self.pool.report(now, report.to_load_report(name));
     }
 
     /// Updates the health of all replicas.
--- a/lib/src/upstream/report.rs
+++ b/lib/src/upstream/report.rs
@@ -43,10 +43,10 @@
     /// use banyangauge::upstream::EngineReport;
     /// let text = r#"{"incarnation":7,"age_ms":20,"loaded":["a@1"],"leaving":false}"#;
     /// let report: EngineReport = serde_json::from_str(text).unwrap();
-    /// let load = report.for_pool(&ReplicaName::new("r-1").unwrap());
+    /// let load = report.to_load_report(&ReplicaName::new("r-1").unwrap());
     /// assert_eq!((load.incarnation.0, load.loaded.len()), (7, 1));
     /// ```
-    pub fn for_pool(&self, replica: &ReplicaName) -> LoadReport {
+    pub fn to_load_report(&self, replica: &ReplicaName) -> LoadReport {
         LoadReport {
             replica: replica.clone(),
             incarnation: Incarnation(self.incarnation),
