--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -45,7 +45,7 @@
 use crate::pool::Shares;
 use crate::pool::Span;
 use crate::pool::Ticket;
-use crate::upstream::Fence;
+use crate::upstream::FenceReply;
 use crate::upstream::OrderError;
 use crate::upstream::OrderClient;
 use crate::upstream::EngineReport;
@@ -93,7 +93,7 @@
         /// When it was asked.
         asked: Moment,
         /// Its answer.
-        answer: Result<Fence, OrderError>,
+        answer: Result<FenceReply, OrderError>,
         /// The load report that made the owner ask.
         report: EngineReport,
     },
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -17,7 +17,7 @@
 use crate::pool::Moment;
 use crate::pool::ReplicaSpec;
 use crate::timeline::Kind;
-use crate::upstream::Fence;
+use crate::upstream::FenceReply;
 use crate::upstream::OrderError;
 use crate::upstream::EngineReport;
 
@@ -123,7 +123,7 @@
         name: &ReplicaName,
         address: SocketAddr,
         asked: Moment,
-        answer: Result<Fence, OrderError>,
+        answer: Result<FenceReply, OrderError>,
         report: &EngineReport,
     ) {
         let Some(replica) = self.replicas.get_mut(name).filter(|r| r.address == address) else {
@@ -131,12 +131,12 @@
         };
         replica.fence_pending = false;
         match answer {
-            Ok(Fence::Highest(_)) => {
+            Ok(FenceReply::Highest(_)) => {
                 self.safety
                     .confirm(asked, name, Incarnation(report.incarnation));
                 self.accept_report(now, name, report);
             }
-            Ok(Fence::Ignored) => {
+            Ok(FenceReply::Unsupported) => {
                 // The pool is configured to honour tokens, so this engine's slots
                 // are not protected: it gets no grants.
                 slog::error!(self.shared.log, "engine ignores fencing tokens";
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -14,7 +14,7 @@
 pub use connections::Upstreams;
 pub use errors::RunError;
 pub use errors::Unready;
-pub use orders::Fence;
+pub use orders::FenceReply;
 pub use orders::OrderError;
 pub use orders::OrderClient;
 pub use report::EngineReport;
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -61,7 +61,7 @@
 
 /// What an engine says of its fence.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fence {
+pub enum FenceReply {
     /// The highest token that it has seen, this one included.
     Highest(Token),
     /// It ignores tokens.
@@ -124,7 +124,7 @@
     /// # Errors
     ///
     /// Those of [`OrderError`]; `Fenced` when a higher token was seen.
-    pub async fn fence(&self, to: SocketAddr, token: Token) -> Result<Fence, OrderError> {
+    pub async fn fence(&self, to: SocketAddr, token: Token) -> Result<FenceReply, OrderError> {
         #[derive(Deserialize)]
         struct Answer {
             token: u64,
@@ -133,13 +133,13 @@
             .post(to, "/v1/fence", token, &json!({"token": token.0}))
             .await;
         match answer {
-            Err(OrderError::Refused(404)) => Ok(Fence::Ignored),
+            Err(OrderError::Refused(404)) => Ok(FenceReply::Unsupported),
             Err(e) => Err(e),
             Ok(body) => {
                 let answer: Answer = parse(&body)?;
                 match answer.token > token.0 {
                     true => Err(OrderError::Fenced),
-                    false => Ok(Fence::Highest(Token(answer.token))),
+                    false => Ok(FenceReply::Highest(Token(answer.token))),
                 }
             }
         }
