--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -36,7 +36,7 @@
 use crate::upstream::Fault;
 use crate::upstream::Progress;
 use crate::upstream::RunError;
-use crate::upstream::Scanner;
+use crate::upstream::EventSplitter;
 
 /// Resumptions in a row that bring no token: the engine keeps a broken stream
 /// for 5 s, and one that breaks at once each time is not worth more.
@@ -80,7 +80,7 @@
     address: SocketAddr,
     expected: Arc<Expected>,
     source: Source,
-    scanner: Scanner,
+    scanner: EventSplitter,
     checker: Checker,
     resumes: u32,
     counter: Arc<Counter>,
@@ -112,7 +112,7 @@
             address,
             expected: Arc::new(expected),
             source: Source::Closed,
-            scanner: Scanner::default(),
+            scanner: EventSplitter::default(),
             checker: Checker::default(),
             resumes: 0,
             counter,
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -33,7 +33,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::program::node::to_instant;
-use crate::upstream::Scanner;
+use crate::upstream::EventSplitter;
 
 /// A resumable stream is checked after a silence of this many times the route's maximum gap;
 /// callers disconnect after eight times.
@@ -115,7 +115,7 @@
 /// Position in an event stream.
 #[derive(Default)]
 pub(in crate::serving) struct EventTracker {
-    scanner: Scanner,
+    scanner: EventSplitter,
     /// ID of the last event that was forwarded.
     last_id: Option<u64>,
 }
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -29,4 +29,4 @@
 pub use sse::Checker;
 pub use sse::Fault;
 pub use sse::Progress;
-pub use sse::Scanner;
+pub use sse::EventSplitter;
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -24,16 +24,16 @@
 /// Cuts pieces of a body into runs of whole events, without copying events
 /// that came in one piece.
 #[derive(Debug, Default)]
-pub struct Scanner {
+pub struct EventSplitter {
     rest: BytesMut,
 }
 
-impl Scanner {
+impl EventSplitter {
     /// Takes the next piece; gives all whole events up to its end.
     ///
     /// ```
-    /// use banyangauge::upstream::Scanner;
-    /// let mut s = Scanner::default();
+    /// use banyangauge::upstream::EventSplitter;
+    /// let mut s = EventSplitter::default();
     /// assert_eq!(s.push("data: 1\n\ndata".into()).unwrap(), "data: 1\n\n");
     /// assert_eq!(s.push(": 2\n\n".into()).unwrap(), "data: 2\n\n");
     /// ```
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -3,7 +3,7 @@
 use banyangauge::upstream::Checker;
 use banyangauge::upstream::Expected;
 use banyangauge::upstream::Fault;
-use banyangauge::upstream::Scanner;
+use banyangauge::upstream::EventSplitter;
 use bytes::Bytes;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -57,7 +57,7 @@
 
 #[test]
 fn scanner_endless_event() {
-    let mut scanner = Scanner::default();
+    let mut scanner = EventSplitter::default();
     let piece = Bytes::from(vec![b'x'; 64 << 10]);
     let ends = (0..8).map(|_| scanner.push(piece.clone()).is_err());
     assert!(ends.last().unwrap());
@@ -72,7 +72,7 @@
         let text = event(0, "null") + &event(1, "null") + &event(2, "\"stop\"") + "data: [DONE]\n\n";
         cuts.push(text.len());
         cuts.sort_unstable();
-        let mut scanner = Scanner::default();
+        let mut scanner = EventSplitter::default();
         let mut checker = Checker::default();
         let (mut out, mut from) = (Vec::new(), 0);
         for cut in cuts {
