--- a/bench/src/capacity/costs.rs
+++ b/bench/src/capacity/costs.rs
@@ -20,7 +20,7 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Objective;
 use banyangauge::pool::Span;
-use banyangauge::upstream::Checker;
+use banyangauge::upstream::StreamChecker;
 use banyangauge::upstream::Expected;
 use banyangauge_proto as wire;
 use prost::Message;
@@ -185,7 +185,7 @@
         model: "adapter-00042@1".to_owned(),
         incarnation: 1,
     };
-    let mut checker = Checker::default();
+    let mut checker = StreamChecker::default();
     let pieces: Vec<String> = (0..PIECES)
         .map(|p| {
             let mut piece = String::new();
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -31,7 +31,7 @@
 use crate::timeline::Kind;
 use crate::upstream;
 use crate::upstream::UpstreamResponse;
-use crate::upstream::Checker;
+use crate::upstream::StreamChecker;
 use crate::upstream::Expected;
 use crate::upstream::Fault;
 use crate::upstream::Progress;
@@ -81,7 +81,7 @@
     expected: Arc<Expected>,
     source: Source,
     scanner: EventSplitter,
-    checker: Checker,
+    checker: StreamChecker,
     resumes: u32,
     counter: Arc<Counter>,
     first: Option<Run>,
@@ -113,7 +113,7 @@
             expected: Arc::new(expected),
             source: Source::Closed,
             scanner: EventSplitter::default(),
-            checker: Checker::default(),
+            checker: StreamChecker::default(),
             resumes: 0,
             counter,
             first: None,
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -26,7 +26,7 @@
 pub use run::collect;
 pub use run::incarnation;
 pub use run::run;
-pub use sse::Checker;
+pub use sse::StreamChecker;
 pub use sse::Fault;
 pub use sse::Progress;
 pub use sse::EventSplitter;
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -107,12 +107,12 @@
 
 /// Checks the events of one stream, over resumed connections too.
 #[derive(Debug, Default)]
-pub struct Checker {
+pub struct StreamChecker {
     next: u64,
     finished: bool,
 }
 
-impl Checker {
+impl StreamChecker {
     /// The index of the next token, at which a broken stream is resumed.
     pub fn next(&self) -> u64 {
         self.next
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -1,6 +1,6 @@
 //! Events of a stream: cut and checked.
 
-use banyangauge::upstream::Checker;
+use banyangauge::upstream::StreamChecker;
 use banyangauge::upstream::Expected;
 use banyangauge::upstream::Fault;
 use banyangauge::upstream::EventSplitter;
@@ -25,7 +25,7 @@
 
 #[test]
 fn check_whole_stream() {
-    let mut checker = Checker::default();
+    let mut checker = StreamChecker::default();
     let text = event(0, "null") + ": comment\n\n" + &event(1, "\"stop\"") + "data: [DONE]\n\n";
     let progress = checker.check(text.as_bytes(), &expected()).unwrap();
     assert_eq!(
@@ -40,7 +40,7 @@
 #[case::model(event(0, "null").replace("a@1", "a@2"))]
 #[case::after_last(event(0, "\"stop\"") + &event(1, "null"))]
 fn check_identity(#[case] text: String) {
-    let fault = Checker::default().check(text.as_bytes(), &expected());
+    let fault = StreamChecker::default().check(text.as_bytes(), &expected());
     assert!(matches!(fault, Err(Fault::Identity(_))), "{fault:?}");
 }
 
@@ -51,7 +51,7 @@
 #[case::no_json("data: {\n\n".to_owned())]
 #[case::no_index(event(0, "null").replace("token_index", "index"))]
 fn check_malformed(#[case] text: String) {
-    let fault = Checker::default().check(text.as_bytes(), &expected());
+    let fault = StreamChecker::default().check(text.as_bytes(), &expected());
     assert!(matches!(fault, Err(Fault::Malformed(_))), "{fault:?}");
 }
 
@@ -73,7 +73,7 @@
         cuts.push(text.len());
         cuts.sort_unstable();
         let mut scanner = EventSplitter::default();
-        let mut checker = Checker::default();
+        let mut checker = StreamChecker::default();
         let (mut out, mut from) = (Vec::new(), 0);
         for cut in cuts {
             let cut = cut.min(text.len());
