--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -33,7 +33,7 @@
 use crate::upstream::UpstreamResponse;
 use crate::upstream::StreamChecker;
 use crate::upstream::Expected;
-use crate::upstream::Fault;
+use crate::upstream::StreamFault;
 use crate::upstream::Progress;
 use crate::upstream::RunError;
 use crate::upstream::EventSplitter;
@@ -323,13 +323,13 @@
         Ok(Some(Run { events, progress }))
     }
 
-    fn fault(&self, fault: Fault) -> RunError {
+    fn fault(&self, fault: StreamFault) -> RunError {
         match fault {
-            Fault::Identity(what) => RunError::WrongIdentity {
+            StreamFault::Identity(what) => RunError::WrongIdentity {
                 what,
                 seen: self.expected.incarnation,
             },
-            Fault::Malformed(text) => self.broken(text),
+            StreamFault::Malformed(text) => self.broken(text),
         }
     }
 
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -27,6 +27,6 @@
 pub use run::incarnation;
 pub use run::run;
 pub use sse::StreamChecker;
-pub use sse::Fault;
+pub use sse::StreamFault;
 pub use sse::Progress;
 pub use sse::EventSplitter;
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -14,7 +14,7 @@
 
 /// What is wrong with a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum StreamFault {
     /// An event is another request's or model's, or its index is not the next.
     Identity(&'static str),
     /// An event is not of the published form.
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// When an event is longer than 256 KiB.
-    pub fn push(&mut self, mut piece: Bytes) -> Result<Bytes, Fault> {
+    pub fn push(&mut self, mut piece: Bytes) -> Result<Bytes, StreamFault> {
         if self.rest.is_empty() {
             let whole = piece.split_to(last_end(&piece));
             self.keep(&piece)?;
@@ -62,9 +62,9 @@
         self.rest.clear();
     }
 
-    fn keep(&mut self, piece: &[u8]) -> Result<(), Fault> {
+    fn keep(&mut self, piece: &[u8]) -> Result<(), StreamFault> {
         if self.rest.len() + piece.len() > MAX_EVENT {
-            return Err(Fault::Malformed("an event is too long".to_owned()));
+            return Err(StreamFault::Malformed("an event is too long".to_owned()));
         }
         self.rest.extend_from_slice(piece);
         Ok(())
@@ -124,7 +124,7 @@
     ///
     /// The first event that is not the expected next one; nothing of the run
     /// may be passed on then.
-    pub fn check(&mut self, run: &[u8], expected: &Expected) -> Result<Progress, Fault> {
+    pub fn check(&mut self, run: &[u8], expected: &Expected) -> Result<Progress, StreamFault> {
         let mut progress = Progress::default();
         let mut rest = run;
         while let Some(end) = rest.windows(2).position(|w| w == b"\n\n") {
@@ -139,25 +139,25 @@
         event: &[u8],
         expected: &Expected,
         progress: &mut Progress,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StreamFault> {
         if event.is_empty() || event.starts_with(b":") {
             return Ok(());
         }
         if progress.done {
-            return Err(Fault::Malformed("an event after [DONE]".to_owned()));
+            return Err(StreamFault::Malformed("an event after [DONE]".to_owned()));
         }
         let data = event
             .strip_prefix(b"data: ")
-            .ok_or_else(|| Fault::Malformed("an event without data".to_owned()))?;
+            .ok_or_else(|| StreamFault::Malformed("an event without data".to_owned()))?;
         if data == b"[DONE]" {
             progress.done = true;
             return match self.finished {
                 true => Ok(()),
-                false => Err(Fault::Malformed("[DONE] before the last token".to_owned())),
+                false => Err(StreamFault::Malformed("[DONE] before the last token".to_owned())),
             };
         }
         let token: Token<'_> =
-            serde_json::from_slice(data).map_err(|e| Fault::Malformed(e.to_string()))?;
+            serde_json::from_slice(data).map_err(|e| StreamFault::Malformed(e.to_string()))?;
         self.check_token(&token, expected)?;
         self.next += 1;
         self.finished = token
@@ -169,15 +169,15 @@
         Ok(())
     }
 
-    fn check_token(&self, token: &Token<'_>, expected: &Expected) -> Result<(), Fault> {
+    fn check_token(&self, token: &Token<'_>, expected: &Expected) -> Result<(), StreamFault> {
         if token.id != expected.request {
-            return Err(Fault::Identity("request"));
+            return Err(StreamFault::Identity("request"));
         }
         if token.model != expected.model {
-            return Err(Fault::Identity("model"));
+            return Err(StreamFault::Identity("model"));
         }
         if token.token_index != self.next || self.finished {
-            return Err(Fault::Identity("token index"));
+            return Err(StreamFault::Identity("token index"));
         }
         Ok(())
     }
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -2,7 +2,7 @@
 
 use banyangauge::upstream::StreamChecker;
 use banyangauge::upstream::Expected;
-use banyangauge::upstream::Fault;
+use banyangauge::upstream::StreamFault;
 use banyangauge::upstream::EventSplitter;
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -41,7 +41,7 @@
 #[case::after_last(event(0, "\"stop\"") + &event(1, "null"))]
 fn check_identity(#[case] text: String) {
     let fault = StreamChecker::default().check(text.as_bytes(), &expected());
-    assert!(matches!(fault, Err(Fault::Identity(_))), "{fault:?}");
+    assert!(matches!(fault, Err(StreamFault::Identity(_))), "{fault:?}");
 }
 
 #[rstest]
@@ -52,7 +52,7 @@
 #[case::no_index(event(0, "null").replace("token_index", "index"))]
 fn check_malformed(#[case] text: String) {
     let fault = StreamChecker::default().check(text.as_bytes(), &expected());
-    assert!(matches!(fault, Err(Fault::Malformed(_))), "{fault:?}");
+    assert!(matches!(fault, Err(StreamFault::Malformed(_))), "{fault:?}");
 }
 
 #[test]
