--- a/bench/src/capacity/costs.rs
+++ b/bench/src/capacity/costs.rs
@@ -21,7 +21,7 @@
 use banyangauge::pool::Objective;
 use banyangauge::pool::Span;
 use banyangauge::upstream::StreamChecker;
-use banyangauge::upstream::Expected;
+use banyangauge::upstream::ExpectedIdentity;
 use banyangauge_proto as wire;
 use prost::Message;
 
@@ -180,7 +180,7 @@
 
 pub(super) fn token_us(tokens: usize) -> f64 {
     const PIECES: u64 = 5_000;
-    let expected = Expected {
+    let expected = ExpectedIdentity {
         request: "661acd35baf3b-40".to_owned(),
         model: "adapter-00042@1".to_owned(),
         incarnation: 1,
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -37,7 +37,7 @@
 use crate::timeline::About;
 use crate::timeline::Kind;
 use crate::upstream;
-use crate::upstream::Expected;
+use crate::upstream::ExpectedIdentity;
 use crate::upstream::BodyChunks;
 use crate::upstream::RunError;
 
@@ -177,7 +177,7 @@
             return Err(Failure::BadGrant(e));
         }
     };
-    let expected = Expected {
+    let expected = ExpectedIdentity {
         request: call.id.clone(),
         model: call
             .adapter
@@ -302,7 +302,7 @@
     call: &Arc<Call>,
     mut hold: Box<Hold>,
     address: SocketAddr,
-    expected: &Expected,
+    expected: &ExpectedIdentity,
 ) -> Result<Response<AnswerBody>, Failure> {
     let most = state.settings.limits.answer;
     let work = async {
@@ -344,7 +344,7 @@
     state: &State,
     message: Request<BodyChunks>,
     address: SocketAddr,
-    expected: &Expected,
+    expected: &ExpectedIdentity,
     most: usize,
 ) -> Result<WholeAnswer, RunError> {
     let head_only = message.method() == Method::HEAD;
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -32,7 +32,7 @@
 use crate::upstream;
 use crate::upstream::UpstreamResponse;
 use crate::upstream::StreamChecker;
-use crate::upstream::Expected;
+use crate::upstream::ExpectedIdentity;
 use crate::upstream::StreamFault;
 use crate::upstream::Progress;
 use crate::upstream::RunError;
@@ -78,7 +78,7 @@
     guard: Guard,
     grant: wire::Grant,
     address: SocketAddr,
-    expected: Arc<Expected>,
+    expected: Arc<ExpectedIdentity>,
     source: Source,
     scanner: EventSplitter,
     checker: StreamChecker,
@@ -101,7 +101,7 @@
         call: &Arc<Call>,
         hold: Box<Hold>,
         address: SocketAddr,
-        expected: Expected,
+        expected: ExpectedIdentity,
     ) -> Result<(response::Parts, Box<Self>), Failure> {
         let counter = state.usage.counter(&call.team, call.adapter.as_ref());
         let mut passing = Box::new(Self {
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -19,7 +19,7 @@
 pub use orders::OrderClient;
 pub use report::EngineReport;
 pub use report::read_report;
-pub use run::Expected;
+pub use run::ExpectedIdentity;
 pub use run::Usage;
 pub use run::cancel;
 pub use run::check_whole;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -21,7 +21,7 @@
 
 /// What an answer must name to be passed on.
 #[derive(Clone, Debug)]
-pub struct Expected {
+pub struct ExpectedIdentity {
     /// The request's id.
     pub request: String,
     /// `adapter@version`; empty for a plain service.
@@ -62,7 +62,7 @@
     upstreams: &Upstreams,
     address: SocketAddr,
     request: Request<BodyChunks>,
-    expected: &Expected,
+    expected: &ExpectedIdentity,
 ) -> Result<UpstreamResponse, RunError> {
     let answer = upstreams
         .send(address, request)
@@ -77,7 +77,7 @@
     }
 }
 
-async fn check_engine(answer: UpstreamResponse, expected: &Expected) -> Result<UpstreamResponse, RunError> {
+async fn check_engine(answer: UpstreamResponse, expected: &ExpectedIdentity) -> Result<UpstreamResponse, RunError> {
     let status = answer.head.status.as_u16();
     if status != 200 {
         return Err(refused(status, answer).await);
@@ -86,7 +86,7 @@
     Ok(answer)
 }
 
-async fn check_service(answer: UpstreamResponse, expected: &Expected) -> Result<UpstreamResponse, RunError> {
+async fn check_service(answer: UpstreamResponse, expected: &ExpectedIdentity) -> Result<UpstreamResponse, RunError> {
     // A leaving service says so with the code; any other failure is its answer.
     let status = answer.head.status.as_u16();
     if status == 503 && answer.header("x-request-id").is_none() {
@@ -104,7 +104,7 @@
         .unwrap_or(0)
 }
 
-fn check_head(answer: &UpstreamResponse, expected: &Expected) -> Result<(), RunError> {
+fn check_head(answer: &UpstreamResponse, expected: &ExpectedIdentity) -> Result<(), RunError> {
     let seen = incarnation(answer);
     check_request(answer, expected, seen)?;
     let wrong = |what| Err(RunError::WrongIdentity { what, seen });
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-fn check_request(answer: &UpstreamResponse, expected: &Expected, seen: u64) -> Result<(), RunError> {
+fn check_request(answer: &UpstreamResponse, expected: &ExpectedIdentity, seen: u64) -> Result<(), RunError> {
     match answer.header("x-request-id") == Some(expected.request.as_str()) {
         true => Ok(()),
         false => Err(RunError::WrongIdentity {
@@ -197,8 +197,8 @@
 /// Checks that a whole answer of an engine is complete and the expected one.
 ///
 /// ```
-/// use banyangauge::upstream::{Expected, check_whole};
-/// let want = Expected { request: "r".into(), model: "a@1".into(), incarnation: 1 };
+/// use banyangauge::upstream::{ExpectedIdentity, check_whole};
+/// let want = ExpectedIdentity { request: "r".into(), model: "a@1".into(), incarnation: 1 };
 /// let body = br#"{"id":"r","model":"a@1","choices":[{"finish_reason":"stop"}],
 ///     "usage":{"prompt_tokens":2,"completion_tokens":3}}"#;
 /// assert_eq!(check_whole(body, &want).unwrap().completion_tokens, 3);
@@ -209,7 +209,7 @@
 ///
 /// [`RunError::BrokenLate`] when it is not complete JSON of the published
 /// form, [`RunError::WrongIdentity`] when it is another's.
-pub fn check_whole(body: &[u8], expected: &Expected) -> Result<Usage, RunError> {
+pub fn check_whole(body: &[u8], expected: &ExpectedIdentity) -> Result<Usage, RunError> {
     let whole: Whole<'_> =
         serde_json::from_slice(body).map_err(|e| RunError::BrokenLate(e.to_string()))?;
     let seen = expected.incarnation;
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use serde::Deserialize;
 
-use super::Expected;
+use super::ExpectedIdentity;
 use super::Usage;
 
 /// The longest event; a token with its frame is some hundred bytes.
@@ -124,7 +124,7 @@
     ///
     /// The first event that is not the expected next one; nothing of the run
     /// may be passed on then.
-    pub fn check(&mut self, run: &[u8], expected: &Expected) -> Result<Progress, StreamFault> {
+    pub fn check(&mut self, run: &[u8], expected: &ExpectedIdentity) -> Result<Progress, StreamFault> {
         let mut progress = Progress::default();
         let mut rest = run;
         while let Some(end) = rest.windows(2).position(|w| w == b"\n\n") {
@@ -137,7 +137,7 @@
     fn check_one(
         &mut self,
         event: &[u8],
-        expected: &Expected,
+        expected: &ExpectedIdentity,
         progress: &mut Progress,
     ) -> Result<(), StreamFault> {
         if event.is_empty() || event.starts_with(b":") {
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    fn check_token(&self, token: &Token<'_>, expected: &Expected) -> Result<(), StreamFault> {
+    fn check_token(&self, token: &Token<'_>, expected: &ExpectedIdentity) -> Result<(), StreamFault> {
         if token.id != expected.request {
             return Err(StreamFault::Identity("request"));
         }
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -1,15 +1,15 @@
 //! Events of a stream: cut and checked.
 
 use banyangauge::upstream::StreamChecker;
-use banyangauge::upstream::Expected;
+use banyangauge::upstream::ExpectedIdentity;
 use banyangauge::upstream::StreamFault;
 use banyangauge::upstream::EventSplitter;
 use bytes::Bytes;
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn expected() -> Expected {
-    Expected {
+fn expected() -> ExpectedIdentity {
+    ExpectedIdentity {
         request: "r".into(),
         model: "a@1".into(),
         incarnation: 1,
