--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 pub use report::EngineReport;
 pub use report::read_report;
 pub use run::ExpectedIdentity;
-pub use run::Usage;
+pub use run::TokenUsage;
 pub use run::cancel;
 pub use run::check_whole;
 pub use run::collect;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -32,7 +32,7 @@
 
 /// Tokens by the upstream's own count.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
-pub struct Usage {
+pub struct TokenUsage {
     /// In the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
@@ -186,7 +186,7 @@
     #[serde(borrow)]
     model: Cow<'a, str>,
     choices: Vec<Choice>,
-    usage: Usage,
+    usage: TokenUsage,
 }
 
 #[derive(Deserialize)]
@@ -209,7 +209,7 @@
 ///
 /// [`RunError::BrokenLate`] when it is not complete JSON of the published
 /// form, [`RunError::WrongIdentity`] when it is another's.
-pub fn check_whole(body: &[u8], expected: &ExpectedIdentity) -> Result<Usage, RunError> {
+pub fn check_whole(body: &[u8], expected: &ExpectedIdentity) -> Result<TokenUsage, RunError> {
     let whole: Whole<'_> =
         serde_json::from_slice(body).map_err(|e| RunError::BrokenLate(e.to_string()))?;
     let seen = expected.incarnation;
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use super::ExpectedIdentity;
-use super::Usage;
+use super::TokenUsage;
 
 /// The longest event; a token with its frame is some hundred bytes.
 const MAX_EVENT: usize = 256 << 10;
@@ -86,7 +86,7 @@
     model: Cow<'a, str>,
     token_index: u64,
     choices: Vec<Choice>,
-    usage: Option<Usage>,
+    usage: Option<TokenUsage>,
 }
 
 #[derive(Deserialize)]
@@ -100,7 +100,7 @@
     /// Tokens in it.
     pub tokens: u64,
     /// The upstream's own count, with the last token.
-    pub usage: Option<Usage>,
+    pub usage: Option<TokenUsage>,
     /// Whether the stream is complete.
     pub done: bool,
 }
