--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -294,7 +294,7 @@
     seen: u64,
     head: response::Parts,
     body: Bytes,
-    usage: upstream::Usage,
+    usage: upstream::TokenUsage,
 }
 
 async fn whole(
@@ -350,9 +350,9 @@
     let head_only = message.method() == Method::HEAD;
     let mut answer = upstream::run(&state.upstreams, address, message, expected).await?;
     let begun = now_us();
-    let body = upstream::collect(&mut answer, most).await?;
+    let body = upstream::read_body(&mut answer, most).await?;
     let usage = match expected.model.is_empty() || head_only {
-        true => upstream::Usage::default(),
+        true => upstream::TokenUsage::default(),
         false => upstream::check_whole(&body, expected)?,
     };
     Ok(WholeAnswer {
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -22,7 +22,7 @@
 use crate::serving::program::node::now;
 use crate::serving::program::node::time_until;
 use crate::upstream::BodyChunks;
-use crate::upstream::collect;
+use crate::upstream::read_body;
 
 /// Maximum timeout for the response to an order, and the timeout for a report.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
@@ -245,7 +245,7 @@
     let address = node.state().fleet.listing(name)?.address;
     let exchange = async {
         let mut response = node.upstreams.send(address, request).await.ok()?;
-        let body = collect(&mut response, MAX_REPORT_BYTES).await.ok()?;
+        let body = read_body(&mut response, MAX_REPORT_BYTES).await.ok()?;
         Some((response.head.status, body))
     };
     tokio::time::timeout(timeout, exchange).await.ok().flatten()
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -23,7 +23,7 @@
 pub use run::TokenUsage;
 pub use run::cancel;
 pub use run::check_whole;
-pub use run::collect;
+pub use run::read_body;
 pub use run::incarnation;
 pub use run::run;
 pub use sse::StreamChecker;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -128,7 +128,7 @@
 }
 
 async fn refused(status: u16, mut answer: UpstreamResponse) -> RunError {
-    let body = collect(&mut answer, MAX_ERROR).await.unwrap_or_default();
+    let body = read_body(&mut answer, MAX_ERROR).await.unwrap_or_default();
     let code = serde_json::from_slice::<ErrorBody<'_>>(&body)
         .map(|b| b.error.code.into_owned())
         .unwrap_or_default();
@@ -149,7 +149,7 @@
 ///
 /// [`RunError::BrokenEarly`] or [`RunError::BrokenLate`] when it broke off or
 /// is longer.
-pub async fn collect(answer: &mut UpstreamResponse, most: usize) -> Result<Bytes, RunError> {
+pub async fn read_body(answer: &mut UpstreamResponse, most: usize) -> Result<Bytes, RunError> {
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(piece) = answer.data().await {
@@ -249,7 +249,7 @@
     let work = async {
         if let Ok(mut answer) = upstreams.send(address, message).await {
             // Reading to the end lets the connection be used again.
-            collect(&mut answer, MAX_ERROR).await.ok();
+            read_body(&mut answer, MAX_ERROR).await.ok();
         }
     };
     tokio::time::timeout(CANCEL_TIMEOUT, work).await.ok();
