--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -353,7 +353,7 @@
     let body = upstream::read_body(&mut answer, most).await?;
     let usage = match expected.model.is_empty() || head_only {
         true => upstream::TokenUsage::default(),
-        false => upstream::check_whole(&body, expected)?,
+        false => upstream::check_completion(&body, expected)?,
     };
     Ok(WholeAnswer {
         begun,
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -22,7 +22,7 @@
 pub use run::ExpectedIdentity;
 pub use run::TokenUsage;
 pub use run::cancel;
-pub use run::check_whole;
+pub use run::check_completion;
 pub use run::read_body;
 pub use run::incarnation;
 pub use run::run;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -197,19 +197,19 @@
 /// Checks that a whole answer of an engine is complete and the expected one.
 ///
 /// ```
-/// use banyangauge::upstream::{ExpectedIdentity, check_whole};
+/// use banyangauge::upstream::{ExpectedIdentity, check_completion};
 /// let want = ExpectedIdentity { request: "r".into(), model: "a@1".into(), incarnation: 1 };
 /// let body = br#"{"id":"r","model":"a@1","choices":[{"finish_reason":"stop"}],
 ///     "usage":{"prompt_tokens":2,"completion_tokens":3}}"#;
-/// assert_eq!(check_whole(body, &want).unwrap().completion_tokens, 3);
-/// assert!(check_whole(&body[..40], &want).is_err());
+/// assert_eq!(check_completion(body, &want).unwrap().completion_tokens, 3);
+/// assert!(check_completion(&body[..40], &want).is_err());
 /// ```
 ///
 /// # Errors
 ///
 /// [`RunError::BrokenLate`] when it is not complete JSON of the published
 /// form, [`RunError::WrongIdentity`] when it is another's.
-pub fn check_whole(body: &[u8], expected: &ExpectedIdentity) -> Result<TokenUsage, RunError> {
+pub fn check_completion(body: &[u8], expected: &ExpectedIdentity) -> Result<TokenUsage, RunError> {
     let whole: Whole<'_> =
         serde_json::from_slice(body).map_err(|e| RunError::BrokenLate(e.to_string()))?;
     let seen = expected.incarnation;
