--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -141,7 +141,7 @@
             settings,
             codec,
             store,
-            upstreams: Upstreams::with(CONNECT_TIMEOUT, IDLE_TIMEOUT),
+            upstreams: Upstreams::with_timeouts(CONNECT_TIMEOUT, IDLE_TIMEOUT),
             log,
             incarnation,
             placement_wake: Notify::new(),
--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -67,7 +67,7 @@
 
 impl Default for Upstreams {
     fn default() -> Self {
-        Self::with(CONNECT_TIMEOUT, IDLE_TIMEOUT)
+        Self::with_timeouts(CONNECT_TIMEOUT, IDLE_TIMEOUT)
     }
 }
 
@@ -79,7 +79,7 @@
 
     /// No connections yet; one is waited for as long as `connect`, and kept
     /// unused as long as the upstream says, or `keep` where it says nothing.
-    pub fn with(connect: Duration, keep: Duration) -> Self {
+    pub fn with_timeouts(connect: Duration, keep: Duration) -> Self {
         Self {
             idle: Shelf::default(),
             connect,
