--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -24,10 +24,10 @@
 use super::call::travelling;
 use super::clock;
 use super::clock::now_us;
-use super::decide;
-use super::decide::Failure;
-use super::decide::Next;
-use super::decide::Tries;
+use super::retry;
+use super::retry::Failure;
+use super::retry::Next;
+use super::retry::Tries;
 use super::hold::Hold;
 use super::session::NoGrant;
 use super::state::State;
@@ -69,12 +69,12 @@
             }
             Err(failure) => failure,
         };
-        match decide::after(&failure, &tries) {
+        match retry::after(&failure, &tries) {
             Next::GiveUp(e) => return Err(e),
             Next::Again => {
-                let why = || decide::describe(&failure);
+                let why = || retry::describe(&failure);
                 note(&state, Kind::Retried, &call, &replica, why);
-                tries.ran |= decide::may_have_run(&failure);
+                tries.ran |= retry::may_have_run(&failure);
                 tries.attempt += 1;
                 tries.avoid.push(replica);
             }
@@ -116,17 +116,17 @@
         match session.acquire(ask(call, tries), call.deadline).await {
             Ok(hold) => return Ok(hold),
             Err(NoGrant::Refused(refusal)) => {
-                let error = decide::refused(&refusal);
+                let error = retry::refused(&refusal);
                 if error.code != Code::Draining || now_us() >= last {
                     break error;
                 }
                 tokio::time::sleep(ASK_AGAIN).await;
             }
-            Err(NoGrant::Deadline) => break decide::overdue(),
-            Err(NoGrant::NoOwner) => break decide::no_owner(),
+            Err(NoGrant::Deadline) => break retry::overdue(),
+            Err(NoGrant::NoOwner) => break retry::no_owner(),
         }
     };
-    Err(decide::truthful(error, tries.ran))
+    Err(retry::truthful(error, tries.ran))
 }
 
 fn ask(call: &Call, tries: &Tries) -> wire::Acquire {
@@ -313,8 +313,8 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(e)) => {
             let failure = Failure::Run(e);
-            hold.seen = decide::seen(&failure);
-            hold.settle(decide::outcome(&failure));
+            hold.seen = retry::seen(&failure);
+            hold.settle(retry::outcome(&failure));
             return Err(failure);
         }
         // Dropping the hold cancels the dispatch.
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -13,7 +13,7 @@
 
 use super::clock;
 use super::clock::now_us;
-use super::decide::Failure;
+use super::retry::Failure;
 use super::hold::Hold;
 use crate::pool::Outcome;
 
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -4,7 +4,7 @@
 //! its connection, `serve` reads it, `call`, `auth`, `body` and `view` check
 //! it against the catalog, `session` gets a grant for it from the owner of
 //! its pool, `dispatch` sends it to the granted upstream, and `stream` passes
-//! a streamed answer on. [`decide`] holds what follows a failure, `ledger`
+//! a streamed answer on. [`retry`] decides what follows a failure, `ledger`
 //! what a session knows, `hold` one grant in use. `feed` brings the catalog
 //! and takes usage away.
 
@@ -13,7 +13,7 @@
 mod body;
 mod call;
 mod clock;
-pub mod decide;
+pub mod retry;
 mod dispatch;
 mod errors;
 mod feed;
--- a/lib/src/entry/decide.rs
+++ b/lib/src/entry/retry.rs
@@ -95,7 +95,7 @@
 /// the tries before this one.
 ///
 /// ```
-/// use banyangauge::entry::decide::{Failure, Next, Tries, after};
+/// use banyangauge::entry::retry::{Failure, Next, Tries, after};
 /// use banyangauge::upstream::RunError;
 /// let broken = Failure::Run(RunError::BrokenEarly("reset".into()));
 /// let mut t = Tries { retries: 3, idempotent: true, ..Tries::default() };
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -18,8 +18,8 @@
 use super::answer::Truncated;
 use super::call::Call;
 use super::clock::now_us;
-use super::decide;
-use super::decide::Failure;
+use super::retry;
+use super::retry::Failure;
 use super::dispatch::answer_head;
 use super::dispatch::note;
 use super::dispatch::request;
@@ -134,8 +134,8 @@
             Err(failure) => {
                 passing
                     .guard
-                    .with(|hold| hold.seen = decide::seen(&failure));
-                passing.guard.settle(decide::outcome(&failure));
+                    .with(|hold| hold.seen = retry::seen(&failure));
+                passing.guard.settle(retry::outcome(&failure));
                 Err(failure)
             }
         }
@@ -233,14 +233,14 @@
     /// The last thing that the caller of a broken stream reads.
     fn tell(&mut self, failure: &Failure) -> Bytes {
         self.phase = Phase::Told;
-        let text = decide::describe(failure);
+        let text = retry::describe(failure);
         let replica = &self.grant.replica;
         note(&self.state, Kind::Unknown, &self.call, replica, || {
             text.clone()
         });
         metrics::counter!("entry_requests_total", "outcome" => "truncated").increment(1);
         self.source = Source::Closed;
-        self.guard.settle(decide::outcome(failure));
+        self.guard.settle(retry::outcome(failure));
         let code = match failure {
             Failure::Deadline => Code::Overdue,
             _ => Code::OutcomeUnknown,
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -65,7 +65,7 @@
     /// The highest token that it has seen, this one included.
     Highest(Token),
     /// It ignores tokens.
-    Ignored,
+    Unsupported,
 }
 
 /// A client for the control side of upstreams; clones share connections.
