--- a/bench/src/capacity/costs.rs
+++ b/bench/src/capacity/costs.rs
@@ -20,8 +20,8 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Objective;
 use banyangauge::pool::Span;
-use banyangauge::upstream::StreamChecker;
 use banyangauge::upstream::ExpectedIdentity;
+use banyangauge::upstream::StreamChecker;
 use banyangauge_proto as wire;
 use prost::Message;
 
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -45,10 +45,10 @@
 use crate::pool::Shares;
 use crate::pool::Span;
 use crate::pool::Ticket;
+use crate::upstream::EngineReport;
 use crate::upstream::FenceReply;
-use crate::upstream::OrderError;
 use crate::upstream::OrderClient;
-use crate::upstream::EngineReport;
+use crate::upstream::OrderError;
 
 /// The stream to an entry. A full one means that the entry does not read it;
 /// then its requests are refused.
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -25,8 +25,8 @@
 use crate::pool::Ticket;
 use crate::timeline::About;
 use crate::timeline::Kind;
-use crate::upstream::OrderError;
 use crate::upstream::OrderClient;
+use crate::upstream::OrderError;
 
 /// One load order with the unload that precedes it.
 struct Load {
--- a/lib/src/control/owner/polling.rs
+++ b/lib/src/control/owner/polling.rs
@@ -10,8 +10,8 @@
 use crate::control::owner::OwnerActor;
 use crate::ids::ReplicaName;
 use crate::ids::Token;
-use crate::upstream::OrderError;
 use crate::upstream::OrderClient;
+use crate::upstream::OrderError;
 use crate::upstream::read_report;
 
 /// Polls one replica for load reports until the owner stops.
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -17,9 +17,9 @@
 use crate::pool::Moment;
 use crate::pool::ReplicaSpec;
 use crate::timeline::Kind;
+use crate::upstream::EngineReport;
 use crate::upstream::FenceReply;
 use crate::upstream::OrderError;
-use crate::upstream::EngineReport;
 
 impl OwnerActor {
     /// Applies the pool's specification from the catalog in force.
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -24,11 +24,11 @@
 use super::call::travelling;
 use super::clock;
 use super::clock::now_us;
+use super::hold::Hold;
 use super::retry;
 use super::retry::Failure;
 use super::retry::Next;
 use super::retry::Tries;
-use super::hold::Hold;
 use super::session::NoGrant;
 use super::state::State;
 use super::stream::Passing;
@@ -37,8 +37,8 @@
 use crate::timeline::About;
 use crate::timeline::Kind;
 use crate::upstream;
-use crate::upstream::ExpectedIdentity;
 use crate::upstream::BodyChunks;
+use crate::upstream::ExpectedIdentity;
 use crate::upstream::RunError;
 
 /// Runs a call to its answer. Dropping this abandons or cancels it.
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -13,8 +13,8 @@
 
 use super::clock;
 use super::clock::now_us;
-use super::retry::Failure;
 use super::hold::Hold;
+use super::retry::Failure;
 use crate::pool::Outcome;
 
 enum Held {
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -18,25 +18,25 @@
 use super::answer::Truncated;
 use super::call::Call;
 use super::clock::now_us;
-use super::retry;
-use super::retry::Failure;
 use super::dispatch::answer_head;
 use super::dispatch::note;
 use super::dispatch::request;
 use super::guard::Guard;
 use super::hold::Hold;
+use super::retry;
+use super::retry::Failure;
 use super::state::State;
 use super::usage::Counter;
 use crate::pool::Outcome;
 use crate::timeline::Kind;
 use crate::upstream;
-use crate::upstream::UpstreamResponse;
-use crate::upstream::StreamChecker;
+use crate::upstream::EventSplitter;
 use crate::upstream::ExpectedIdentity;
-use crate::upstream::StreamFault;
 use crate::upstream::Progress;
 use crate::upstream::RunError;
-use crate::upstream::EventSplitter;
+use crate::upstream::StreamChecker;
+use crate::upstream::StreamFault;
+use crate::upstream::UpstreamResponse;
 
 /// Resumptions in a row that bring no token: the engine keeps a broken stream
 /// for 5 s, and one that breaks at once each time is not worth more.
@@ -132,9 +132,7 @@
                 Ok((passing.head(), passing))
             }
             Err(failure) => {
-                passing
-                    .guard
-                    .with(|hold| hold.seen = retry::seen(&failure));
+                passing.guard.with(|hold| hold.seen = retry::seen(&failure));
                 passing.guard.settle(retry::outcome(&failure));
                 Err(failure)
             }
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -35,9 +35,9 @@
 use crate::serving::path::types::Target;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
-use crate::upstream::UpstreamResponse;
 use crate::upstream::BodyChunks;
 use crate::upstream::SendError;
+use crate::upstream::UpstreamResponse;
 
 /// A caller's request, buffered until its response is complete so that it can be retried.
 pub(in crate::serving) struct BufferedRequest {
--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -165,7 +165,10 @@
     Some(time.saturating_sub(CLOSE_MARGIN))
 }
 
-async fn connect(address: SocketAddr, longest: Duration) -> Result<SendRequest<BodyChunks>, String> {
+async fn connect(
+    address: SocketAddr,
+    longest: Duration,
+) -> Result<SendRequest<BodyChunks>, String> {
     let work = async {
         let stream = TcpStream::connect(address).await.map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
--- a/lib/src/upstream/report.rs
+++ b/lib/src/upstream/report.rs
@@ -5,8 +5,8 @@
 
 use serde::Deserialize;
 
-use super::orders::OrderError;
 use super::orders::OrderClient;
+use super::orders::OrderError;
 use super::orders::parse;
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
@@ -63,6 +63,9 @@
 /// # Errors
 ///
 /// Those of [`OrderError`].
-pub async fn read_report(orders: &OrderClient, from: SocketAddr) -> Result<EngineReport, OrderError> {
+pub async fn read_report(
+    orders: &OrderClient,
+    from: SocketAddr,
+) -> Result<EngineReport, OrderError> {
     parse(&orders.get(from, "/load").await?)
 }
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -9,11 +9,11 @@
 use hyper::Request;
 use serde::Deserialize;
 
-use super::UpstreamResponse;
 use super::BodyChunks;
 use super::RunError;
 use super::SendError;
 use super::Unready;
+use super::UpstreamResponse;
 use super::Upstreams;
 
 /// The longest error body that is read for its code.
@@ -77,7 +77,10 @@
     }
 }
 
-async fn check_engine(answer: UpstreamResponse, expected: &ExpectedIdentity) -> Result<UpstreamResponse, RunError> {
+async fn check_engine(
+    answer: UpstreamResponse,
+    expected: &ExpectedIdentity,
+) -> Result<UpstreamResponse, RunError> {
     let status = answer.head.status.as_u16();
     if status != 200 {
         return Err(refused(status, answer).await);
@@ -86,7 +89,10 @@
     Ok(answer)
 }
 
-async fn check_service(answer: UpstreamResponse, expected: &ExpectedIdentity) -> Result<UpstreamResponse, RunError> {
+async fn check_service(
+    answer: UpstreamResponse,
+    expected: &ExpectedIdentity,
+) -> Result<UpstreamResponse, RunError> {
     // A leaving service says so with the code; any other failure is its answer.
     let status = answer.head.status.as_u16();
     if status == 503 && answer.header("x-request-id").is_none() {
@@ -117,7 +123,11 @@
     Ok(())
 }
 
-fn check_request(answer: &UpstreamResponse, expected: &ExpectedIdentity, seen: u64) -> Result<(), RunError> {
+fn check_request(
+    answer: &UpstreamResponse,
+    expected: &ExpectedIdentity,
+    seen: u64,
+) -> Result<(), RunError> {
     match answer.header("x-request-id") == Some(expected.request.as_str()) {
         true => Ok(()),
         false => Err(RunError::WrongIdentity {
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -124,7 +124,11 @@
     ///
     /// The first event that is not the expected next one; nothing of the run
     /// may be passed on then.
-    pub fn check(&mut self, run: &[u8], expected: &ExpectedIdentity) -> Result<Progress, StreamFault> {
+    pub fn check(
+        &mut self,
+        run: &[u8],
+        expected: &ExpectedIdentity,
+    ) -> Result<Progress, StreamFault> {
         let mut progress = Progress::default();
         let mut rest = run;
         while let Some(end) = rest.windows(2).position(|w| w == b"\n\n") {
@@ -153,7 +157,9 @@
             progress.done = true;
             return match self.finished {
                 true => Ok(()),
-                false => Err(StreamFault::Malformed("[DONE] before the last token".to_owned())),
+                false => Err(StreamFault::Malformed(
+                    "[DONE] before the last token".to_owned(),
+                )),
             };
         }
         let token: Token<'_> =
@@ -169,7 +175,11 @@
         Ok(())
     }
 
-    fn check_token(&self, token: &Token<'_>, expected: &ExpectedIdentity) -> Result<(), StreamFault> {
+    fn check_token(
+        &self,
+        token: &Token<'_>,
+        expected: &ExpectedIdentity,
+    ) -> Result<(), StreamFault> {
         if token.id != expected.request {
             return Err(StreamFault::Identity("request"));
         }
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -1,9 +1,9 @@
 //! Events of a stream: cut and checked.
 
-use banyangauge::upstream::StreamChecker;
+use banyangauge::upstream::EventSplitter;
 use banyangauge::upstream::ExpectedIdentity;
+use banyangauge::upstream::StreamChecker;
 use banyangauge::upstream::StreamFault;
-use banyangauge::upstream::EventSplitter;
 use bytes::Bytes;
 use proptest::prelude::*;
 use rstest::rstest;
