--- a/bench/benches/placement.rs
+++ b/bench/benches/placement.rs
@@ -66,7 +66,7 @@
             let target = Target::parse(&format!("{model}/a{}", i * ADAPTERS + a))?;
             Some((target, 1))
         });
-        fleet.list(ReplicaInfo {
+        fleet.apply_listing(ReplicaInfo {
             name: name(i)?,
             started_ms: 0,
             service: service.clone(),
@@ -83,11 +83,11 @@
         let load = Load {
             requests: 1,
             tokens: 2_000,
-            unread: 0,
+            prefill: 0,
         };
         let counts = used.map(|name| (name, load)).collect();
         let vm: VmName = format!("vm-{vm}").parse().ok()?;
-        fleet.hear_counts(NOW, &vm, &counts);
+        fleet.apply_peer_loads(NOW, &vm, &counts);
     }
     Some(fleet)
 }
@@ -102,15 +102,15 @@
     let avoid = BTreeSet::new();
     for (case, adapter) in [("held", "base/a7"), ("nowhere", "base/a9999")] {
         let target = Target::parse(adapter);
-        let want = Want {
+        let want = PlacementRequest {
             service: &service,
             target: target.as_ref(),
             cost: Load {
                 requests: 1,
                 tokens: 2_000,
-                unread: 1_000,
+                prefill: 1_000,
             },
-            shared: None,
+            shared_prefix: None,
             body_kb: 2.0,
             objective_ms: 1_000.0,
             waited: Some(Span::from_millis(0)),
--- a/bench/src/capacity/costs.rs
+++ b/bench/src/capacity/costs.rs
@@ -20,8 +20,8 @@
 use banyangauge::pool::Moment;
 use banyangauge::pool::Objective;
 use banyangauge::pool::Span;
-use banyangauge::upstream::Checker;
-use banyangauge::upstream::Expected;
+use banyangauge::upstream::ExpectedIdentity;
+use banyangauge::upstream::StreamChecker;
 use banyangauge_proto as wire;
 use prost::Message;
 
@@ -168,7 +168,7 @@
         return 0.0;
     };
     let all: Vec<_> = (1..members).map(member).collect();
-    table.learn(start, &all);
+    table.merge(start, &all);
     let message = wire::Digest {
         vm: "vm-0000".to_owned(),
         revision: 7_600,
@@ -180,12 +180,12 @@
 
 pub(super) fn token_us(tokens: usize) -> f64 {
     const PIECES: u64 = 5_000;
-    let expected = Expected {
+    let expected = ExpectedIdentity {
         request: "661acd35baf3b-40".to_owned(),
         model: "adapter-00042@1".to_owned(),
         incarnation: 1,
     };
-    let mut checker = Checker::default();
+    let mut checker = StreamChecker::default();
     let pieces: Vec<String> = (0..PIECES)
         .map(|p| {
             let mut piece = String::new();
--- a/lib/src/catalog/root.rs
+++ b/lib/src/catalog/root.rs
@@ -33,11 +33,11 @@
 
 /// Confirmations that the root remembers. A plan whose base is older is
 /// refused, because a repeat of it could no longer be told from a new one.
-pub const LOG_ENTRIES: usize = 64;
+pub const MAX_LOG_ENTRIES: usize = 64;
 
 /// Bytes of changes that the root's log holds; each watcher gets the root at
 /// each confirmation, so it has to stay small.
-pub const LOG_BYTES: usize = 16 << 10;
+pub const MAX_LOG_BYTES: usize = 16 << 10;
 
 /// Name of a shard: `base` for teams, `p0` to `p7` for pools, `00` to `3f` for
 /// adapters.
@@ -141,7 +141,7 @@
 
 /// A confirmation as the root remembers it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// The revision that it made.
     pub revision: Revision,
     /// Its operation id.
@@ -154,7 +154,7 @@
     pub changes: Option<Vec<Change>>,
 }
 
-impl Entry {
+impl LogEntry {
     /// The change set, when the root still holds it.
     pub fn change_set(&self) -> Option<ChangeSet> {
         Some(ChangeSet {
@@ -174,7 +174,7 @@
     /// The object that holds each shard; an empty shard has none.
     pub shards: BTreeMap<ShardName, String>,
     /// The last confirmations, oldest first.
-    pub log: Vec<Entry>,
+    pub log: Vec<LogEntry>,
     /// Shard objects that were replaced, by the first revision that does not
     /// name them; a later confirmation deletes them.
     pub retired: BTreeMap<String, Revision>,
@@ -182,7 +182,7 @@
 
 impl Root {
     /// The confirmation of an operation, when the log still holds it.
-    pub fn find(&self, operation: &str) -> Option<&Entry> {
+    pub fn find(&self, operation: &str) -> Option<&LogEntry> {
         self.log.iter().find(|e| e.operation == operation)
     }
 
@@ -200,7 +200,7 @@
             return None;
         }
         let after = self.log.iter().filter(|e| e.revision > base);
-        after.map(Entry::change_set).collect()
+        after.map(LogEntry::change_set).collect()
     }
 
     /// Shard objects that neither this root nor the one before names.
@@ -214,7 +214,7 @@
     /// shards they hold, `deleted` are forgotten.
     pub fn next(
         &self,
-        entry: Entry,
+        entry: LogEntry,
         objects: BTreeMap<ShardName, String>,
         deleted: &[String],
     ) -> Self {
@@ -235,10 +235,10 @@
 }
 
 /// Keeps the last entries, and of their changes the newest that fit.
-fn trim(log: &mut Vec<Entry>) {
-    let surplus = log.len().saturating_sub(LOG_ENTRIES);
+fn trim(log: &mut Vec<LogEntry>) {
+    let surplus = log.len().saturating_sub(MAX_LOG_ENTRIES);
     log.drain(..surplus);
-    let mut left = LOG_BYTES;
+    let mut left = MAX_LOG_BYTES;
     for entry in log.iter_mut().rev() {
         let size = serde_json::to_vec(&entry.changes).map_or(usize::MAX, |b| b.len());
         match left.checked_sub(size) {
--- a/lib/src/catalog/ledger.rs
+++ b/lib/src/catalog/store.rs
@@ -12,7 +12,7 @@
 use super::ChangeSet;
 use super::ConfirmError;
 use super::Confirmed;
-use super::Entry;
+use super::LogEntry;
 use super::Plan;
 use super::PlanError;
 use super::Root;
@@ -61,7 +61,7 @@
 
 /// The catalog as it lies in the platform.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct CatalogStore {
     platform: Platform,
 }
 
@@ -74,7 +74,7 @@
     Stale,
 }
 
-impl Ledger {
+impl CatalogStore {
     /// The ledger in a platform; nothing is sent yet.
     pub const fn new(platform: Platform) -> Self {
         Self { platform }
@@ -194,7 +194,7 @@
             .await
             .map_err(ConfirmError::Platform)?;
         let deleted = self.delete_all(root.garbage()).await;
-        let entry = Entry {
+        let entry = LogEntry {
             revision: next.revision,
             operation: plan.operation.clone(),
             operator: operator.to_owned(),
@@ -213,7 +213,7 @@
             };
             return Ok(Round::Done(Confirmed {
                 revision: next.revision,
-                made: Some((set, next)),
+                applied: Some((set, next)),
             }));
         }
         self.settle_conflict(plan, &next, objects, sent).await
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use super::accept;
-use crate::catalog::Ledger;
+use super::activate;
+use crate::catalog::CatalogStore;
 use crate::catalog::ROOT_KIND;
 use crate::catalog::ROOT_NAME;
 use crate::catalog::Root;
@@ -55,7 +55,7 @@
 fn watches(shared: &Shared) -> bool {
     let rank = |vm: &str| xxhash_rust::xxh3::xxh3_64(vm.as_bytes());
     let mine = rank(shared.vm.as_str());
-    let members = shared.board.members.borrow();
+    let members = shared.state.members.borrow();
     let before = members
         .values()
         .filter(|m| m.state == LIVE && m.zone == shared.zone.as_str())
@@ -87,7 +87,9 @@
 /// Reads the root once, then waits until the next read is due or this VM is to
 /// watch.
 async fn poll_root(shared: &Shared) -> Result<(), PlatformError> {
-    let read = Ledger::new(shared.platform.clone()).read_root().await?;
+    let read = CatalogStore::new(shared.platform.clone())
+        .read_root()
+        .await?;
     set_platform(shared, Ok(()));
     take_root(shared, &read.root).await?;
     let end = Instant::now() + ROOT_POLL.mul_f64(rand::random_range(0.5..1.5));
@@ -137,19 +139,19 @@
 
 /// Brings a root's revision into force, from its log where that is enough.
 async fn take_root(shared: &Shared, root: &Root) -> Result<(), PlatformError> {
-    let current = shared.board.catalog.borrow().clone();
+    let current = shared.state.catalog.borrow().clone();
     if root.revision <= current.revision {
         return Ok(());
     }
     if let Some(next) = replay(&current, root) {
         let sets = root.changes_after(current.revision);
-        accept(shared, next, &sets.unwrap_or_default());
+        activate(shared, next, &sets.unwrap_or_default());
         return Ok(());
     }
-    let ledger = Ledger::new(shared.platform.clone());
+    let ledger = CatalogStore::new(shared.platform.clone());
     match ledger.read_catalog(root).await {
         Ok(next) => {
-            accept(shared, next, &[]);
+            activate(shared, next, &[]);
             Ok(())
         }
         // A newer root has taken this one's place and its shards are gone;
@@ -161,7 +163,7 @@
 
 fn set_platform(shared: &Shared, result: Result<(), &PlatformError>) {
     let up = result.is_ok();
-    let changed = shared.board.platform_up.send_if_modified(|now| {
+    let changed = shared.state.platform_up.send_if_modified(|now| {
         let changed = *now != up;
         *now = up;
         changed
--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -36,7 +36,7 @@
 impl History {
     /// The deltas that lead from `revision` to the present one; `None` when
     /// they do not reach back that far.
-    pub fn after(&self, revision: Revision) -> Option<Vec<wire::Delta>> {
+    pub fn since(&self, revision: Revision) -> Option<Vec<wire::Delta>> {
         let deltas = self.lock();
         let first = deltas.front()?.revision;
         if first > revision.0 + 1 {
@@ -53,9 +53,9 @@
 
 /// Brings `next` into force if it is higher than what is; gives whether it
 /// was. `sets` are the change sets that lead to it, as far as they are known.
-pub fn accept(shared: &Shared, next: Catalog, sets: &[ChangeSet]) -> bool {
-    let mut deltas = shared.board.history.lock();
-    let current = shared.board.catalog.borrow().revision;
+pub fn activate(shared: &Shared, next: Catalog, sets: &[ChangeSet]) -> bool {
+    let mut deltas = shared.state.history.lock();
+    let current = shared.state.catalog.borrow().revision;
     if next.revision <= current {
         return false;
     }
@@ -69,7 +69,7 @@
         trim(&mut deltas);
     }
     let revision = next.revision;
-    shared.board.catalog.send_replace(Arc::new(next));
+    shared.state.catalog.send_replace(Arc::new(next));
     drop(deltas);
     metrics::gauge!("banyan_catalog_revision").set(revision.0 as f64);
     shared.recorder.record(
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -9,8 +9,8 @@
 use crate::control::Owner;
 use crate::control::Shared;
 use crate::control::clock;
-use crate::control::local::Local;
 use crate::control::members;
+use crate::control::ownership::OwnershipState;
 use crate::ids::PoolName;
 use crate::lease::Candidate;
 use crate::lease::Elector;
@@ -53,7 +53,7 @@
 
 struct Election {
     shared: Shared,
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     events: mpsc::Sender<Event>,
     contests: BTreeMap<PoolName, Elector>,
     watching: bool,
@@ -61,7 +61,7 @@
 
 /// Contends for and holds leases until the process stops and has released
 /// them.
-pub(super) async fn run(shared: Shared, local: Arc<Local>) {
+pub(super) async fn run(shared: Shared, local: Arc<OwnershipState>) {
     let (events, mut inbox) = mpsc::channel(RING);
     tokio::spawn(follow(shared.platform.clone(), events.clone()));
     let mut election = Election {
@@ -132,8 +132,8 @@
     fn advance(&mut self) {
         self.follow_catalog();
         let now = clock::now();
-        let stopping = *self.shared.board.stopping.borrow();
-        let live = members::candidates(&self.shared.board.members.borrow());
+        let stopping = *self.shared.state.stopping.borrow();
+        let live = members::candidates(&self.shared.state.members.borrow());
         let drained = self.local.drained.borrow().clone();
         let settled = self.local.settled.borrow().clone();
         let deposed = self.local.deposed.borrow().clone();
@@ -155,7 +155,7 @@
     }
 
     fn follow_catalog(&mut self) {
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         if catalog.pools.len() == self.contests.len()
             && catalog.pools.keys().eq(self.contests.keys())
         {
@@ -237,7 +237,7 @@
     }
 
     fn publish_owners(&self) {
-        let changed = self.shared.board.owners.send_if_modified(|owners| {
+        let changed = self.shared.state.owners.send_if_modified(|owners| {
             let mut changed = false;
             for (pool, contest) in &self.contests {
                 let Some(record) = contest.record() else {
@@ -254,12 +254,12 @@
             changed
         });
         if changed {
-            self.local.urgent.notify_one();
+            self.local.gossip_wake.notify_one();
         }
     }
 
     fn is_over(&self) -> bool {
-        *self.shared.board.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
+        *self.shared.state.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
     }
 }
 
--- a/lib/src/control/peers.rs
+++ b/lib/src/control/gossip.rs
@@ -18,9 +18,9 @@
 use crate::control::Shared;
 use crate::control::clock;
 use crate::control::config;
-use crate::control::local::Local;
 use crate::control::members::Members;
-use crate::control::members::YOUNG;
+use crate::control::members::WARM_UP;
+use crate::control::ownership::OwnershipState;
 use crate::control::uptime_ms;
 use crate::ids::Fingerprint;
 use crate::ids::IdError;
@@ -64,19 +64,19 @@
 
 /// The member table and what is spread with it; shared by the duty that sends
 /// and the service that answers.
-pub struct Peers {
+pub struct Gossip {
     shared: Shared,
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     state: Mutex<State>,
 }
 
-impl Peers {
+impl Gossip {
     /// A table that holds this process alone.
     ///
     /// # Errors
     ///
     /// When the VM's name is no valid name.
-    pub fn new(shared: Shared, local: Arc<Local>) -> Result<Self, IdError> {
+    pub fn new(shared: Shared, local: Arc<OwnershipState>) -> Result<Self, IdError> {
         let me = wire::Member {
             vm: shared.vm.to_string(),
             address: shared.address.to_string(),
@@ -107,13 +107,13 @@
     /// successor.
     pub fn digest(&self, asked: Option<&wire::Digest>) -> wire::Digest {
         let now = clock::now();
-        let board = &self.shared.board;
+        let board = &self.shared.state;
         let uptime = uptime_ms();
         let verdicts = board.verdicts.borrow();
         let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
         let reader = asked.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
         let mut state = self.lock();
-        let full = state.members.is_young(now, reader);
+        let full = state.members.is_warming_up(now, reader);
         let owners = board.owners.borrow();
         state.note_owners(now, &owners);
         let told = owners.iter().filter(|(pool, owner)| {
@@ -140,36 +140,36 @@
     }
 
     /// Takes in what a peer told; news are passed on at once.
-    pub fn absorb(&self, digest: &wire::Digest) {
+    pub fn merge(&self, digest: &wire::Digest) {
         let now = clock::now();
         {
             let mut state = self.lock();
-            state.members.learn(now, &digest.members);
+            state.members.merge(now, &digest.members);
             for address in digest.leaving.iter().filter_map(|a| a.parse().ok()) {
                 state.heard.insert(address, now);
             }
         }
-        let mut news = self.absorb_verdicts(&digest.verdicts);
-        news |= self.absorb_owners(&digest.owners);
+        let mut news = self.merge_verdicts(&digest.verdicts);
+        news |= self.merge_owners(&digest.owners);
         self.refresh(now);
         let members = digest.members.iter().map(|m| m.revision);
         let highest = members.max().unwrap_or(0).max(digest.revision);
-        config::nudge(&self.shared, Revision(highest));
+        config::notify_revision(&self.shared, Revision(highest));
         if news {
-            self.local.urgent.notify_one();
+            self.local.gossip_wake.notify_one();
         }
     }
 
     /// One heartbeat; judges the others by their silence.
     pub fn beat(&self) {
-        let board = &self.shared.board;
+        let board = &self.shared.state;
         let revision = board.catalog.borrow().revision;
         let stopping = *board.stopping.borrow();
         let now = clock::now();
         {
             let mut state = self.lock();
-            state.members.beat(now, revision, stopping);
-            state.members.sweep(now);
+            state.members.advance_heartbeat(now, revision, stopping);
+            state.members.detect_failures(now);
         }
         let uptime = uptime_ms();
         board.verdicts.send_if_modified(|verdicts| {
@@ -181,14 +181,14 @@
     }
 
     /// A verdict found here: known on this VM now, on its way to the others.
-    pub fn convict(shared: &Shared, local: &Local, fingerprint: Fingerprint, hold: Span) {
+    pub fn block(shared: &Shared, local: &OwnershipState, fingerprint: Fingerprint, hold: Span) {
         let until = uptime_ms() + hold.as_millis();
         let news = shared
-            .board
+            .state
             .verdicts
             .send_if_modified(|verdicts| note_verdict(verdicts, fingerprint, until));
         if news {
-            local.urgent.notify_one();
+            local.gossip_wake.notify_one();
         }
     }
 
@@ -198,8 +198,8 @@
 
     // Only what this VM saw itself is passed on, so that a word ages out.
     fn first_hand(&self) -> BTreeSet<SocketAddr> {
-        let mut seen = self.local.listed.borrow().clone();
-        seen.extend(self.local.reported.borrow().values().flatten());
+        let mut seen = self.local.listed_leaving.borrow().clone();
+        seen.extend(self.local.reported_leaving.borrow().values().flatten());
         seen
     }
 
@@ -210,21 +210,21 @@
         leaving.extend(state.heard.keys());
         let view = state.members.view();
         drop(state);
-        self.shared.board.leaving.send_if_modified(|old| {
+        self.shared.state.leaving.send_if_modified(|old| {
             let changed = *old != leaving;
             *old = leaving;
             changed
         });
-        self.shared.board.members.send_if_modified(|old| {
+        self.shared.state.members.send_if_modified(|old| {
             let changed = *old != view;
             *old = view;
             changed
         });
     }
 
-    fn absorb_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
+    fn merge_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
         let uptime = uptime_ms();
-        self.shared.board.verdicts.send_if_modified(|known| {
+        self.shared.state.verdicts.send_if_modified(|known| {
             let mut news = false;
             for v in verdicts {
                 news |= note_verdict(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
@@ -233,8 +233,8 @@
         })
     }
 
-    fn absorb_owners(&self, owners: &[wire::Owner]) -> bool {
-        self.shared.board.owners.send_if_modified(|known| {
+    fn merge_owners(&self, owners: &[wire::Owner]) -> bool {
+        self.shared.state.owners.send_if_modified(|known| {
             let mut news = false;
             for (pool, owner) in owners.iter().filter_map(owner_from_wire) {
                 if known.get(&pool).is_none_or(|o| o.token < owner.token) {
@@ -294,7 +294,7 @@
 
     fn is_new(&self, now: Moment, pool: &PoolName) -> bool {
         let changed = self.changed.get(pool);
-        changed.is_some_and(|(_, at)| now.since(*at) < YOUNG)
+        changed.is_some_and(|(_, at)| now.since(*at) < WARM_UP)
     }
 }
 
@@ -324,7 +324,7 @@
 }
 
 /// Exchanges heartbeats for as long as the process runs.
-pub(super) async fn run(peers: Arc<Peers>) {
+pub(super) async fn run(peers: Arc<Gossip>) {
     let settings = peers.local.settings.members.clone();
     let mut beat = tokio::time::interval(Duration::from_millis(settings.beat_ms));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -332,7 +332,7 @@
     loop {
         let fanout = tokio::select! {
             _ = beat.tick() => settings.fanout,
-            () = peers.local.urgent.notified() => URGENT_FANOUT,
+            () = peers.local.gossip_wake.notified() => URGENT_FANOUT,
         };
         peers.beat();
         let targets = peers.targets(fanout);
@@ -361,20 +361,20 @@
         e.connect_timeout(EXCHANGE_TIMEOUT)
             .timeout(EXCHANGE_TIMEOUT)
     };
-    let channel = shared.board.link().open_lazy(target, limits).ok()?;
+    let channel = shared.state.link().open_lazy(target, limits).ok()?;
     let client = PeersClient::new(channel);
     channels.insert(target, client.clone());
     Some(client)
 }
 
-async fn exchange(peers: Arc<Peers>, target: SocketAddr, mut client: PeersClient<Channel>) {
+async fn exchange(peers: Arc<Gossip>, target: SocketAddr, mut client: PeersClient<Channel>) {
     let began = clock::now();
     let digest = peers.digest(None);
     count_bytes("sent", &digest);
     match client.exchange(digest).await {
         Ok(answer) => {
             count_bytes("received", answer.get_ref());
-            peers.absorb(answer.get_ref());
+            peers.merge(answer.get_ref());
             peers.note_contact(target, began);
         }
         Err(_) => metrics::counter!("peer_exchange_failed_total").increment(1),
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -34,11 +34,11 @@
 
 /// Members that one digest carries. Today all fit; with more, each digest
 /// carries the ones heard of last, and the rest travel in later ones.
-pub const DIGEST_MEMBERS: usize = 14;
+pub const MAX_DIGEST_MEMBERS: usize = 14;
 
 /// How long after its start a process is young: what it tells and is told
 /// names everything, after that only what moves.
-pub const YOUNG: Span = Span::from_millis(10_000);
+pub const WARM_UP: Span = Span::from_millis(10_000);
 
 #[derive(Clone, Debug)]
 struct Seen {
@@ -49,8 +49,8 @@
 }
 
 impl Seen {
-    fn is_young(&self, now: Moment) -> bool {
-        now.since(self.born) < YOUNG
+    fn is_warming_up(&self, now: Moment) -> bool {
+        now.since(self.born) < WARM_UP
     }
 
     // Where a member is does not change within an incarnation, and is most of
@@ -96,7 +96,7 @@
     }
 
     /// One heartbeat of this process.
-    pub fn beat(&mut self, now: Moment, revision: Revision, leaving: bool) {
+    pub fn advance_heartbeat(&mut self, now: Moment, revision: Revision, leaving: bool) {
         if let Some(me) = self.table.get_mut(&self.me) {
             me.heard = now;
             me.member.heartbeat += 1;
@@ -110,16 +110,16 @@
     /// Takes in what another process sent. A higher (incarnation, heartbeat)
     /// replaces what is known; what it says of this process is passed over, and
     /// so is a brief word of a process that is not known.
-    pub fn learn(&mut self, now: Moment, members: &[wire::Member]) {
+    pub fn merge(&mut self, now: Moment, members: &[wire::Member]) {
         for member in members {
             match VmName::new(&member.vm) {
-                Ok(vm) if vm != self.me => self.learn_one(now, vm, member),
+                Ok(vm) if vm != self.me => self.merge_one(now, vm, member),
                 _ => {}
             }
         }
     }
 
-    fn learn_one(&mut self, now: Moment, vm: VmName, member: &wire::Member) {
+    fn merge_one(&mut self, now: Moment, vm: VmName, member: &wire::Member) {
         let known = self.table.get(&vm);
         let age = |m: &wire::Member| (m.incarnation, m.heartbeat);
         if known.is_some_and(|s| age(&s.member) >= age(member)) {
@@ -150,12 +150,12 @@
     }
 
     /// Whether a process started lately, or is not known.
-    pub fn is_young(&self, now: Moment, vm: &str) -> bool {
-        self.table.get(vm).is_none_or(|s| s.is_young(now))
+    pub fn is_warming_up(&self, now: Moment, vm: &str) -> bool {
+        self.table.get(vm).is_none_or(|s| s.is_warming_up(now))
     }
 
     /// Judges by silence.
-    pub fn sweep(&mut self, now: Moment) {
+    pub fn detect_failures(&mut self, now: Moment) {
         let (me, suspect, gone) = (&self.me, self.suspect, self.gone);
         self.table
             .retain(|vm, s| vm == me || now.since(s.heard) < Span(gone.0 + FORGET.0));
@@ -197,9 +197,9 @@
             .filter(is_news)
             .collect();
         seen.sort_by_key(|s| (!mine(s), std::cmp::Reverse(s.heard)));
-        seen.truncate(DIGEST_MEMBERS);
+        seen.truncate(MAX_DIGEST_MEMBERS);
         seen.into_iter()
-            .map(|s| match full || mine(s) || s.is_young(now) {
+            .map(|s| match full || mine(s) || s.is_warming_up(now) {
                 true => s.member.clone(),
                 false => s.brief(),
             })
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -19,34 +19,34 @@
 use super::usage;
 use crate::catalog::Adapter;
 use crate::catalog::Catalog;
+use crate::catalog::CatalogStore;
 use crate::catalog::ConfirmError;
 use crate::catalog::Intent;
-use crate::catalog::Ledger;
-use crate::catalog::MAX_SNAPSHOT;
+use crate::catalog::MAX_SNAPSHOT_BYTES;
 use crate::catalog::Plan;
 use crate::catalog::PlanError;
 use crate::ids::AdapterName;
 
 /// SHA-256 of each operator's key as lower-case hex, by the operator's name.
-pub type Keys = BTreeMap<String, String>;
+pub type OperatorKeys = BTreeMap<String, String>;
 
 /// The gRPC service `Operator`. Each call carries the operator's key as
 /// `authorization: Bearer <key>`.
 #[derive(Clone)]
 pub struct OperatorService {
     shared: Shared,
-    keys: Keys,
+    keys: OperatorKeys,
 }
 
 impl OperatorService {
     /// Serves the operators whose keys are listed.
-    pub const fn new(shared: Shared, keys: Keys) -> Self {
+    pub const fn new(shared: Shared, keys: OperatorKeys) -> Self {
         Self { shared, keys }
     }
 
     /// The service with room for a plan of [`MAX_CHANGES`](crate::catalog::MAX_CHANGES) changes.
     pub fn server(self) -> OperatorServer<Self> {
-        OperatorServer::new(self).max_decoding_message_size(MAX_SNAPSHOT)
+        OperatorServer::new(self).max_decoding_message_size(MAX_SNAPSHOT_BYTES)
     }
 
     /// The operator whose key the call carries.
@@ -88,7 +88,7 @@
     ) -> Result<Response<wire::PlanReply>, Status> {
         self.operator(&request)?;
         let intent: Intent = parse(&request.get_ref().intent)?;
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         let plan = Plan::new(&catalog, intent.changes).map_err(plan_status)?;
         let plan = serde_json::to_vec(&plan).map_err(|e| Status::internal(e.to_string()))?;
         Ok(Response::new(wire::PlanReply { plan: plan.into() }))
@@ -115,7 +115,7 @@
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::StatusReply>, Status> {
         self.operator(&request)?;
-        let board = &self.shared.board;
+        let board = &self.shared.state;
         let owners = board.owners.borrow().clone();
         let owners = owners.iter().map(|(pool, owner)| wire::Owner {
             pool: pool.to_string(),
@@ -138,7 +138,7 @@
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::Snapshot>, Status> {
         self.operator(&request)?;
-        let catalog = self.shared.board.catalog.borrow().clone();
+        let catalog = self.shared.state.catalog.borrow().clone();
         let filter = &request.get_ref().filter;
         let answer = match filter.as_str() {
             "" => config::snapshot(&catalog),
@@ -153,12 +153,13 @@
     ) -> Result<Response<wire::UsageTotals>, Status> {
         self.operator(&request)?;
         let filter = &request.get_ref().filter;
-        let all = usage::read_all(&self.shared.platform, &self.shared.board.usage)
+        let all = usage::read_all(&self.shared.platform, &self.shared.state.usage)
             .await
             .map_err(|e| Status::unavailable(format!("usage is not known: {e}")))?;
         let sums = usage::totals(&all);
-        let wanted =
-            |row: &usage::Row| filter.is_empty() || row.team == *filter || row.adapter == *filter;
+        let wanted = |row: &usage::UsageKey| {
+            filter.is_empty() || row.team == *filter || row.adapter == *filter
+        };
         let rows = sums.iter().filter(|(row, _)| wanted(row));
         Ok(Response::new(wire::UsageTotals {
             counts: rows.map(|(r, c)| usage::to_wire(r, c)).collect(),
@@ -176,8 +177,8 @@
 
 impl OperatorService {
     async fn confirm_plan(&self, plan: &Plan, operator: &str) -> Result<u64, Status> {
-        let known = self.shared.board.catalog.borrow().clone();
-        let ledger = Ledger::new(self.shared.platform.clone());
+        let known = self.shared.state.catalog.borrow().clone();
+        let ledger = CatalogStore::new(self.shared.platform.clone());
         let end = ledger.confirm(plan, operator, &known).await;
         let log = &self.shared.log;
         let confirmed = match end {
@@ -190,8 +191,8 @@
         };
         info!(log, "plan confirmed"; "operator" => operator,
             "operation" => &plan.operation, "revision" => confirmed.revision.0);
-        if let Some((set, catalog)) = confirmed.made {
-            config::accept(&self.shared, catalog, &[set]);
+        if let Some((set, catalog)) = confirmed.applied {
+            config::activate(&self.shared, catalog, &[set]);
         }
         Ok(confirmed.revision.0)
     }
@@ -230,7 +231,7 @@
     match error {
         ConfirmError::Plan(PlanError::Rules(_)) => Status::failed_precondition(text),
         ConfirmError::Plan(_) => Status::invalid_argument(text),
-        ConfirmError::Overtaken(_) | ConfirmError::TooOld { .. } | ConfirmError::Busy => {
+        ConfirmError::ReadConflict(_) | ConfirmError::TooOld { .. } | ConfirmError::Busy => {
             Status::aborted(text)
         }
         ConfirmError::Platform(_) => Status::unavailable(text),
--- a/lib/src/control/owner/mod.rs
+++ b/lib/src/control/owner/mod.rs
@@ -1,13 +1,13 @@
-//! Owners of pools: each drives one [`Pool`](crate::pool::Pool).
+//! Pool owners. Each owner drives one [`Pool`](crate::pool::Pool).
 //!
-//! [`requests`](RequestTable) and [`safety`](SafetyRules) are plain state; the actor carries
-//! out what they and the pool decide.
+//! [`RequestTable`] and [`SafetyRules`] hold state and do no I/O; the actor carries
+//! out the decisions of both and of the pool.
 
 mod actor;
 mod dispatch;
 mod journal;
 mod maintenance;
-mod probes;
+mod polling;
 mod replicas;
 mod requests;
 mod safety;
--- a/lib/src/control/local.rs
+++ b/lib/src/control/ownership.rs
@@ -13,19 +13,19 @@
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
-/// Entries, as `name/incarnation`, that may hold grants; `None` is unknown.
-pub type Entries = Option<BTreeSet<String>>;
+/// GrantHolders, as `name/incarnation`, that may hold grants; `None` is unknown.
+pub type GrantHolders = Option<BTreeSet<String>>;
 
 /// Values between election, owner and peers; each sender has one writer.
 #[derive(Debug)]
-pub struct Local {
+pub struct OwnershipState {
     /// The settings.
     pub settings: ControlSettings,
     /// The pools held; written by the election.
     pub leases: watch::Sender<BTreeMap<PoolName, HeldLease>>,
     /// Pools that grant and order nothing any more, ready to be released;
     /// written by the owner.
-    pub drained: watch::Sender<BTreeMap<PoolName, Entries>>,
+    pub drained: watch::Sender<BTreeMap<PoolName, GrantHolders>>,
     /// Pools whose slots may be changed, by token: no earlier owner's grant is
     /// in use any more; written by the owners.
     pub settled: watch::Sender<BTreeMap<PoolName, Token>>,
@@ -40,14 +40,14 @@
     /// its watcher.
     pub departed: watch::Sender<BTreeSet<String>>,
     /// Upstreams that the VM list calls leaving; written by its watcher.
-    pub listed: watch::Sender<BTreeSet<SocketAddr>>,
+    pub listed_leaving: watch::Sender<BTreeSet<SocketAddr>>,
     /// Upstreams whose own reports say leaving; written by the owners.
-    pub reported: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
+    pub reported_leaving: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
     /// Something changed that the peers should know at once.
-    pub urgent: Notify,
+    pub gossip_wake: Notify,
 }
 
-impl Local {
+impl OwnershipState {
     /// Nothing is known yet.
     pub fn new(settings: ControlSettings) -> Self {
         Self {
@@ -59,9 +59,9 @@
             released: watch::Sender::new(false),
             contacts: watch::Sender::default(),
             departed: watch::Sender::default(),
-            listed: watch::Sender::default(),
-            reported: watch::Sender::default(),
-            urgent: Notify::new(),
+            listed_leaving: watch::Sender::default(),
+            reported_leaving: watch::Sender::default(),
+            gossip_wake: Notify::new(),
         }
     }
 
@@ -71,24 +71,24 @@
     ///
     /// Two processes with the same peers in their settings cannot both have a
     /// majority without a peer that talked to both.
-    pub fn majority(&self, now: Moment) -> Moment {
-        majority(now, &self.settings.peers, &self.contacts.borrow())
+    pub fn majority_contact(&self, now: Moment) -> Moment {
+        majority_contact(now, &self.settings.peers, &self.contacts.borrow())
     }
 }
 
-/// See [`Local::majority`].
+/// See [`OwnershipState::majority_contact`].
 ///
 /// ```
 /// use std::collections::BTreeMap;
-/// use banyangauge::control::majority;
+/// use banyangauge::control::majority_contact;
 /// use banyangauge::pool::Moment;
 /// let peers: Vec<std::net::SocketAddr> =
 ///     (1..=4).map(|p| ([127, 0, 0, 1], p).into()).collect();
 /// let heard = BTreeMap::from([(peers[0], Moment(5)), (peers[1], Moment(3))]);
-/// assert_eq!(majority(Moment(9), &peers, &heard), Moment(3));
-/// assert_eq!(majority(Moment(9), &[], &heard), Moment(9));
+/// assert_eq!(majority_contact(Moment(9), &peers, &heard), Moment(3));
+/// assert_eq!(majority_contact(Moment(9), &[], &heard), Moment(9));
 /// ```
-pub fn majority(
+pub fn majority_contact(
     now: Moment,
     peers: &[SocketAddr],
     contacts: &BTreeMap<SocketAddr, Moment>,
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -18,23 +18,23 @@
 use wire::peers_server::PeersServer;
 use wire::timeline_server::TimelineServer;
 
-use crate::control::Board;
 use crate::control::ControlSettings;
-use crate::control::Local;
-use crate::control::Peers;
+use crate::control::ControlState;
+use crate::control::Gossip;
+use crate::control::OwnershipState;
 use crate::control::Shared;
 use crate::control::config;
 use crate::control::election;
 use crate::control::feed::FeedService;
-use crate::control::operator::Keys;
+use crate::control::gossip;
+use crate::control::operator::OperatorKeys;
 use crate::control::operator::OperatorService;
 use crate::control::owner;
 use crate::control::owner::GrantsService;
 use crate::control::owner::Registry;
-use crate::control::peers;
 use crate::control::service::PeersService;
 use crate::control::usage;
-use crate::control::vms;
+use crate::control::vm_list;
 use crate::ids::IdError;
 use crate::ids::Incarnation;
 use crate::link::Link;
@@ -141,7 +141,7 @@
 pub struct Control {
     /// What the duties share.
     pub shared: Shared,
-    local: Arc<Local>,
+    local: Arc<OwnershipState>,
     ended: watch::Sender<bool>,
     last: Vec<JoinHandle<()>>,
 }
@@ -184,20 +184,20 @@
         };
         let mut control = Self {
             shared: shared(&settings, log),
-            local: Arc::new(Local::new(settings)),
+            local: Arc::new(OwnershipState::new(settings)),
             ended: watch::Sender::new(false),
             last: Vec::new(),
         };
         // Nobody has set it: the board is a moment old.
-        let _ = control.shared.board.link.set(link);
+        let _ = control.shared.state.link.set(link);
         control.start_duties(listener)?;
         Ok(control)
     }
 
     /// Hands over what is owned and makes the last writes.
     pub async fn stop(&self) {
-        self.shared.board.stopping.send_replace(true);
-        self.local.urgent.notify_one();
+        self.shared.state.stopping.send_replace(true);
+        self.local.gossip_wake.notify_one();
         let mut released = self.local.released.subscribe();
         // Leases that cannot be released lapse.
         let _ = tokio::time::timeout(RELEASE, released.wait_for(|r| *r)).await;
@@ -212,20 +212,20 @@
     fn start_duties(&mut self, listener: TcpListener) -> Result<(), ControlError> {
         let local = || Arc::clone(&self.local);
         let registry = Arc::new(Registry::default());
-        let members = Peers::new(self.own(), local()).map_err(ControlError::Name)?;
+        let members = Gossip::new(self.own(), local()).map_err(ControlError::Name)?;
         let members = Arc::new(members);
         self.duty("lease", election::run(self.own(), local()))?;
-        self.duty("vms", vms::run(self.own(), local()))?;
-        self.duty("peers", peers::run(Arc::clone(&members)))?;
+        self.duty("vms", vm_list::run(self.own(), local()))?;
+        self.duty("peers", gossip::run(Arc::clone(&members)))?;
         let owners = owner::run(self.own(), local(), Arc::clone(&registry));
         self.duty("owner", owners)?;
         self.duty("config", config::run(self.own()))?;
-        let store = self.shared.board.usage.clone();
+        let store = self.shared.state.usage.clone();
         let every = self.local.settings.usage.every();
         let usage = self.duty("usage", usage::run(self.own(), store, every))?;
         let keys = self.local.settings.operators.clone();
         let router = services(&self.own(), registry, members, keys);
-        let link = self.shared.board.link();
+        let link = self.shared.state.link();
         let log = self.shared.log.clone();
         self.duty("listen", async move {
             // Both end with the process.
@@ -278,13 +278,18 @@
         address: settings.listen,
         peers: settings.peers.clone().into(),
         platform: Platform::new(settings.platform),
-        board: Arc::new(Board::new()),
+        state: Arc::new(ControlState::new()),
         recorder: Arc::new(Recorder::new(&format!("control {}", settings.vm), TIMELINE)),
         log,
     }
 }
 
-fn services(shared: &Shared, registry: Arc<Registry>, members: Arc<Peers>, keys: Keys) -> Router {
+fn services(
+    shared: &Shared,
+    registry: Arc<Registry>,
+    members: Arc<Gossip>,
+    keys: OperatorKeys,
+) -> Router {
     let grants = GrantsService::new(shared.clone(), registry);
     let peers = PeersService::new(shared.clone(), members);
     tonic::transport::Server::builder()
--- a/lib/src/control/service.rs
+++ b/lib/src/control/service.rs
@@ -7,20 +7,20 @@
 use tonic::Response;
 use tonic::Status;
 
-use crate::control::Peers;
+use crate::control::Gossip;
 use crate::control::Shared;
 use crate::control::config;
-use crate::control::peers::count_bytes;
+use crate::control::gossip::count_bytes;
 
 /// Answers other control processes.
 pub struct PeersService {
     shared: Shared,
-    peers: Arc<Peers>,
+    peers: Arc<Gossip>,
 }
 
 impl PeersService {
     /// A service over this process's table.
-    pub fn new(shared: Shared, peers: Arc<Peers>) -> Self {
+    pub fn new(shared: Shared, peers: Arc<Gossip>) -> Self {
         Self { shared, peers }
     }
 }
@@ -33,7 +33,7 @@
     ) -> Result<Response<wire::Digest>, Status> {
         let asked = request.get_ref();
         count_bytes("received", asked);
-        self.peers.absorb(asked);
+        self.peers.merge(asked);
         let answer = self.peers.digest(Some(asked));
         count_bytes("sent", &answer);
         Ok(Response::new(answer))
@@ -59,7 +59,7 @@
         &self,
         request: Request<wire::UsageReport>,
     ) -> Result<Response<wire::UsageReply>, Status> {
-        let reply = self.shared.board.usage.hold(request.into_inner());
+        let reply = self.shared.state.usage.hold_copy(request.into_inner());
         let reply = reply.ok_or_else(|| Status::unavailable("stopping"))?;
         Ok(Response::new(reply))
     }
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -18,11 +18,11 @@
 
 pub use counts::Count;
 pub use counts::Counts;
-pub use counts::Row;
 pub use counts::Source;
+pub use counts::UsageKey;
 pub use counts::to_wire;
 pub use counts::totals;
-pub use store::Store;
+pub use store::UsageStore;
 
 use counts::Sheet;
 use counts::rows_of;
@@ -44,7 +44,7 @@
 
 /// A source that was silent this long is written and let go of, by whoever
 /// holds it: its VM may be gone.
-pub const SILENCE: Duration = Duration::from_secs(15);
+pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The longest that a stopping process waits for its last write.
 const LAST_FLUSH: Duration = Duration::from_secs(2);
@@ -61,8 +61,8 @@
 
 /// Hands copies to a peer and writes to the platform each `every` until the
 /// process stops.
-pub async fn run(shared: Shared, store: Store, every: Duration) {
-    let mut stopping = shared.board.stopping.subscribe();
+pub async fn run(shared: Shared, store: UsageStore, every: Duration) {
+    let mut stopping = shared.state.stopping.subscribe();
     let stopped = async { stopping.wait_for(|s| *s).await.is_ok() };
     tokio::select! {
         _ = stopped => {}
@@ -86,7 +86,7 @@
 
 /// Hands all counters to a peer, to the next one where one does not take them,
 /// as often as it takes.
-async fn hold_last(shared: &Shared, store: &Store) {
+async fn hold_last(shared: &Shared, store: &UsageStore) {
     let reports = store.to_hand_on();
     loop {
         let holders = holders(shared);
@@ -103,12 +103,12 @@
     }
 }
 
-async fn flush_all(shared: &Shared, store: &Store, every: Duration) {
+async fn flush_all(shared: &Shared, store: &UsageStore, every: Duration) {
     // VMs that start together do not write together.
     let first = rand::random_range(0.0..1.0);
     tokio::time::sleep(every.mul_f64(first)).await;
     loop {
-        flush(shared, store, SILENCE).await;
+        flush(shared, store, SOURCE_TIMEOUT).await;
         store.forget();
         tokio::time::sleep(every).await;
     }
@@ -116,7 +116,7 @@
 
 /// Writes what is due: the counters taken here, and those held for others that
 /// were silent for longer than `silence`. What fails stays due.
-pub async fn flush(shared: &Shared, store: &Store, silence: Duration) {
+pub async fn flush(shared: &Shared, store: &UsageStore, silence: Duration) {
     for (source, part) in store.due(silence) {
         match write_part(&shared.platform, store, &source, part).await {
             Ok(()) => {}
@@ -134,7 +134,7 @@
 /// outcome is the same whoever writes, in whichever order and how often.
 async fn write_part(
     platform: &Platform,
-    store: &Store,
+    store: &UsageStore,
     source: &Source,
     part: usize,
 ) -> Result<(), PlatformError> {
@@ -180,7 +180,7 @@
 /// When the platform does not answer: a part of the counters is no answer.
 pub async fn read_all(
     platform: &Platform,
-    store: &Store,
+    store: &UsageStore,
 ) -> Result<BTreeMap<Source, Counts>, PlatformError> {
     let mut all = store.counts();
     for object in platform.list::<Sheet>(KIND).await?.items {
@@ -194,7 +194,7 @@
 
 /// Hands each change to the peer that holds this VM's counters, over one
 /// connection as long as that peer stays the same.
-async fn hold_all(shared: &Shared, store: &Store) {
+async fn hold_all(shared: &Shared, store: &UsageStore) {
     let mut link: Option<(String, PeersClient<Channel>)> = None;
     loop {
         store.wake.notified().await;
@@ -234,7 +234,7 @@
 
 async fn connect(shared: &Shared, address: &str) -> Option<PeersClient<Channel>> {
     let address = address.parse().ok()?;
-    let channel = shared.board.link().connect(address, HOLD_TIMEOUT).await;
+    let channel = shared.state.link().connect(address, HOLD_TIMEOUT).await;
     channel.ok().map(PeersClient::new)
 }
 
@@ -242,7 +242,7 @@
 /// in other availability zones first, by rendezvous hashing, so that each VM
 /// keeps its peer while that lives and the work is spread.
 fn holders(shared: &Shared) -> Vec<String> {
-    let members = shared.board.members.borrow();
+    let members = shared.state.members.borrow();
     let live = members
         .values()
         .filter(|m| m.state == 0 && m.vm != shared.vm.as_str());
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -16,9 +16,9 @@
 
 use super::Count;
 use super::Counts;
-use super::Row;
-use super::SILENCE;
+use super::SOURCE_TIMEOUT;
 use super::Source;
+use super::UsageKey;
 use super::counts::from_wire;
 use super::counts::to_wire;
 
@@ -35,11 +35,11 @@
 #[derive(Debug)]
 struct Account {
     sequence: Option<u64>,
-    rows: BTreeMap<Row, Cell>,
+    rows: BTreeMap<UsageKey, Cell>,
     /// Parts that the platform does not have as they are here.
     dirty: BTreeSet<usize>,
     /// Rows that the holding peer does not have as they are here.
-    unheld: BTreeSet<Row>,
+    unheld: BTreeSet<UsageKey>,
     heard: Instant,
     /// Whether its entry reports here, rather than a peer handing copies over.
     direct: bool,
@@ -57,7 +57,7 @@
         }
     }
 
-    fn raise(&mut self, row: Row, count: &Count) {
+    fn raise(&mut self, row: UsageKey, count: &Count) {
         let part = self.rows.len() / PART_ROWS;
         let cell = self.rows.entry(row.clone()).or_insert(Cell {
             count: Count::default(),
@@ -73,7 +73,7 @@
     fn report(
         &self,
         source: &Source,
-        wanted: impl Fn(&Row, &Cell) -> bool,
+        wanted: impl Fn(&UsageKey, &Cell) -> bool,
     ) -> Option<wire::UsageReport> {
         let rows = self.rows.iter().filter(|(r, c)| wanted(r, c));
         let counts: Vec<_> = rows.map(|(r, c)| to_wire(r, &c.count)).collect();
@@ -94,16 +94,16 @@
 type Accounts = BTreeMap<Source, Account>;
 
 /// The counters that this process holds, its own VM's and others'; clones
-/// share them. [`Board::usage`](crate::control::Board::usage) is the one of a process.
+/// share them. [`ControlState::usage`](crate::control::ControlState::usage) is the one of a process.
 #[derive(Clone, Debug)]
-pub struct Store {
+pub struct UsageStore {
     accounts: Arc<Mutex<Accounts>>,
     /// Whether reports are taken no more; changed with the accounts locked.
     closed: Arc<AtomicBool>,
     pub(super) wake: Arc<Notify>,
 }
 
-impl Store {
+impl UsageStore {
     pub(in crate::control) fn new() -> Self {
         Self {
             accounts: Arc::default(),
@@ -121,7 +121,7 @@
     /// down.
     ///
     /// `None` once the process stops: what it would take now, nobody would write.
-    pub fn take(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
+    pub fn record(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
         self.add(report, true)
     }
 
@@ -136,7 +136,7 @@
     ///
     /// `None` once the process stops: the peer, which may stop as well, must not
     /// take its counters for held.
-    pub fn hold(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
+    pub fn hold_copy(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
         self.add(report, false)
     }
 
@@ -251,7 +251,7 @@
 
     /// Lets go of sources that are silent and wholly written.
     pub(super) fn forget(&self) {
-        let done = |a: &Account| a.dirty.is_empty() && a.heard.elapsed() > SILENCE;
+        let done = |a: &Account| a.dirty.is_empty() && a.heard.elapsed() > SOURCE_TIMEOUT;
         self.lock().retain(|_, a| !done(a));
     }
 }
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -24,11 +24,11 @@
 use super::call::travelling;
 use super::clock;
 use super::clock::now_us;
-use super::decide;
-use super::decide::Failure;
-use super::decide::Next;
-use super::decide::Tries;
 use super::hold::Hold;
+use super::retry;
+use super::retry::Failure;
+use super::retry::Next;
+use super::retry::Tries;
 use super::session::NoGrant;
 use super::state::State;
 use super::stream::Passing;
@@ -37,8 +37,8 @@
 use crate::timeline::About;
 use crate::timeline::Kind;
 use crate::upstream;
-use crate::upstream::Expected;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
+use crate::upstream::ExpectedIdentity;
 use crate::upstream::RunError;
 
 /// Runs a call to its answer. Dropping this abandons or cancels it.
@@ -69,12 +69,12 @@
             }
             Err(failure) => failure,
         };
-        match decide::after(&failure, &tries) {
+        match retry::after(&failure, &tries) {
             Next::GiveUp(e) => return Err(e),
             Next::Again => {
-                let why = || decide::describe(&failure);
+                let why = || retry::describe(&failure);
                 note(&state, Kind::Retried, &call, &replica, why);
-                tries.ran |= decide::may_have_run(&failure);
+                tries.ran |= retry::may_have_run(&failure);
                 tries.attempt += 1;
                 tries.avoid.push(replica);
             }
@@ -116,17 +116,17 @@
         match session.acquire(ask(call, tries), call.deadline).await {
             Ok(hold) => return Ok(hold),
             Err(NoGrant::Refused(refusal)) => {
-                let error = decide::refused(&refusal);
+                let error = retry::refused(&refusal);
                 if error.code != Code::Draining || now_us() >= last {
                     break error;
                 }
                 tokio::time::sleep(ASK_AGAIN).await;
             }
-            Err(NoGrant::Deadline) => break decide::overdue(),
-            Err(NoGrant::NoOwner) => break decide::no_owner(),
+            Err(NoGrant::Deadline) => break retry::overdue(),
+            Err(NoGrant::NoOwner) => break retry::no_owner(),
         }
     };
-    Err(decide::truthful(error, tries.ran))
+    Err(retry::truthful(error, tries.ran))
 }
 
 fn ask(call: &Call, tries: &Tries) -> wire::Acquire {
@@ -177,7 +177,7 @@
             return Err(Failure::BadGrant(e));
         }
     };
-    let expected = Expected {
+    let expected = ExpectedIdentity {
         request: call.id.clone(),
         model: call
             .adapter
@@ -228,7 +228,7 @@
     call: &Call,
     grant: &wire::Grant,
     resume: Option<u64>,
-) -> Result<Request<Parts>, RunError> {
+) -> Result<Request<BodyChunks>, RunError> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
@@ -242,12 +242,12 @@
             builder = builder.header(CONTENT_TYPE, "application/json");
             match &call.adapter {
                 Some(a) => c.rewrite(a, grant.priority),
-                None => Parts::default(),
+                None => BodyChunks::default(),
             }
         }
         Content::Plain { headers, body } => {
             builder = with_headers(builder, headers);
-            Parts::from(body.clone())
+            BodyChunks::from(body.clone())
         }
     };
     builder
@@ -294,7 +294,7 @@
     seen: u64,
     head: response::Parts,
     body: Bytes,
-    usage: upstream::Usage,
+    usage: upstream::TokenUsage,
 }
 
 async fn whole(
@@ -302,7 +302,7 @@
     call: &Arc<Call>,
     mut hold: Box<Hold>,
     address: SocketAddr,
-    expected: &Expected,
+    expected: &ExpectedIdentity,
 ) -> Result<Response<AnswerBody>, Failure> {
     let most = state.settings.limits.answer;
     let work = async {
@@ -313,8 +313,8 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(e)) => {
             let failure = Failure::Run(e);
-            hold.seen = decide::seen(&failure);
-            hold.settle(decide::outcome(&failure));
+            hold.seen = retry::seen(&failure);
+            hold.settle(retry::outcome(&failure));
             return Err(failure);
         }
         // Dropping the hold cancels the dispatch.
@@ -342,18 +342,18 @@
 
 async fn fetch(
     state: &State,
-    message: Request<Parts>,
+    message: Request<BodyChunks>,
     address: SocketAddr,
-    expected: &Expected,
+    expected: &ExpectedIdentity,
     most: usize,
 ) -> Result<WholeAnswer, RunError> {
     let head_only = message.method() == Method::HEAD;
     let mut answer = upstream::run(&state.upstreams, address, message, expected).await?;
     let begun = now_us();
-    let body = upstream::collect(&mut answer, most).await?;
+    let body = upstream::read_body(&mut answer, most).await?;
     let usage = match expected.model.is_empty() || head_only {
-        true => upstream::Usage::default(),
-        false => upstream::check_whole(&body, expected)?,
+        true => upstream::TokenUsage::default(),
+        false => upstream::check_completion(&body, expected)?,
     };
     Ok(WholeAnswer {
         begun,
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -18,39 +18,39 @@
 use super::answer::Truncated;
 use super::call::Call;
 use super::clock::now_us;
-use super::decide;
-use super::decide::Failure;
 use super::dispatch::answer_head;
 use super::dispatch::note;
 use super::dispatch::request;
 use super::guard::Guard;
 use super::hold::Hold;
+use super::retry;
+use super::retry::Failure;
 use super::state::State;
 use super::usage::Counter;
 use crate::pool::Outcome;
 use crate::timeline::Kind;
 use crate::upstream;
-use crate::upstream::Answer;
-use crate::upstream::Checker;
-use crate::upstream::Expected;
-use crate::upstream::Fault;
+use crate::upstream::EventSplitter;
+use crate::upstream::ExpectedIdentity;
 use crate::upstream::Progress;
 use crate::upstream::RunError;
-use crate::upstream::Scanner;
+use crate::upstream::StreamChecker;
+use crate::upstream::StreamFault;
+use crate::upstream::UpstreamResponse;
 
 /// Resumptions in a row that bring no token: the engine keeps a broken stream
 /// for 5 s, and one that breaks at once each time is not worth more.
 const MOST_RESUMES: u32 = 2;
 
-type Opening = Pin<Box<dyn Future<Output = Result<Answer, RunError>> + Send>>;
+type Opening = Pin<Box<dyn Future<Output = Result<UpstreamResponse, RunError>> + Send>>;
 
 enum Source {
     /// Events come in.
-    Open(Answer),
+    Open(UpstreamResponse),
     /// The connection is being made, for the first time or again.
     Opening(Opening),
     /// `[DONE]` was passed on; only the end of the body is missing.
-    Draining(Answer),
+    Draining(UpstreamResponse),
     /// Nothing more comes.
     Closed,
 }
@@ -78,10 +78,10 @@
     guard: Guard,
     grant: wire::Grant,
     address: SocketAddr,
-    expected: Arc<Expected>,
+    expected: Arc<ExpectedIdentity>,
     source: Source,
-    scanner: Scanner,
-    checker: Checker,
+    scanner: EventSplitter,
+    checker: StreamChecker,
     resumes: u32,
     counter: Arc<Counter>,
     first: Option<Run>,
@@ -101,7 +101,7 @@
         call: &Arc<Call>,
         hold: Box<Hold>,
         address: SocketAddr,
-        expected: Expected,
+        expected: ExpectedIdentity,
     ) -> Result<(response::Parts, Box<Self>), Failure> {
         let counter = state.usage.counter(&call.team, call.adapter.as_ref());
         let mut passing = Box::new(Self {
@@ -112,8 +112,8 @@
             address,
             expected: Arc::new(expected),
             source: Source::Closed,
-            scanner: Scanner::default(),
-            checker: Checker::default(),
+            scanner: EventSplitter::default(),
+            checker: StreamChecker::default(),
             resumes: 0,
             counter,
             first: None,
@@ -132,10 +132,8 @@
                 Ok((passing.head(), passing))
             }
             Err(failure) => {
-                passing
-                    .guard
-                    .with(|hold| hold.seen = decide::seen(&failure));
-                passing.guard.settle(decide::outcome(&failure));
+                passing.guard.with(|hold| hold.seen = retry::seen(&failure));
+                passing.guard.settle(retry::outcome(&failure));
                 Err(failure)
             }
         }
@@ -233,14 +231,14 @@
     /// The last thing that the caller of a broken stream reads.
     fn tell(&mut self, failure: &Failure) -> Bytes {
         self.phase = Phase::Told;
-        let text = decide::describe(failure);
+        let text = retry::describe(failure);
         let replica = &self.grant.replica;
         note(&self.state, Kind::Unknown, &self.call, replica, || {
             text.clone()
         });
         metrics::counter!("entry_requests_total", "outcome" => "truncated").increment(1);
         self.source = Source::Closed;
-        self.guard.settle(decide::outcome(failure));
+        self.guard.settle(retry::outcome(failure));
         let code = match failure {
             Failure::Deadline => Code::Overdue,
             _ => Code::OutcomeUnknown,
@@ -323,13 +321,13 @@
         Ok(Some(Run { events, progress }))
     }
 
-    fn fault(&self, fault: Fault) -> RunError {
+    fn fault(&self, fault: StreamFault) -> RunError {
         match fault {
-            Fault::Identity(what) => RunError::WrongIdentity {
+            StreamFault::Identity(what) => RunError::WrongIdentity {
                 what,
                 seen: self.expected.incarnation,
             },
-            Fault::Malformed(text) => self.broken(text),
+            StreamFault::Malformed(text) => self.broken(text),
         }
     }
 
--- a/lib/src/pool/adapter.rs
+++ b/lib/src/pool/adapter.rs
@@ -1,5 +1,4 @@
-//! What the pool knows of one adapter version, and the ordered indexes over
-//! all of them.
+//! State of each adapter version, and ordered indexes over all versions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,94 +10,99 @@
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// What a request runs on: an adapter, or the bare model or service.
+/// The target of a request: an adapter version, or `None` for the bare model or
+/// plain service.
 pub(super) type Target = Option<AdapterVersion>;
 
-/// The most versions remembered; those least asked for are forgotten first.
-/// Above the 14,000 adapters of the target with a new and an old version each.
-const MOST_KEPT: usize = 32_768;
+/// Maximum number of versions without a live copy that are remembered; idle
+/// ones with the lowest request rate are forgotten first. Exceeds the design
+/// target of 14,000 adapters with an old and a new version each.
+const MAX_ADAPTERS: usize = 32_768;
 
-/// One adapter version.
+/// State of one adapter version.
 #[derive(Debug)]
 pub(super) struct Adapter {
-    /// What waits for it, by lane, in the order of their turn.
-    pub(super) lists: [BTreeSet<(u64, Ticket)>; 2],
-    /// How many suspects wait for it.
-    pub(super) solos: u32,
-    /// Since when something has waited for it.
-    pub(super) since: Moment,
+    /// Waiting requests by lane, ordered by fair-queueing tag.
+    pub(super) lane_queues: [BTreeSet<(u64, Ticket)>; 2],
+    /// Number of waiting requests that must run isolated.
+    pub(super) isolated: u32,
+    /// When the oldest run of waiting requests began: set when a request
+    /// arrives while no other waits.
+    pub(super) waiting_since: Moment,
     pub(super) demand: Demand,
-    /// Replicas that have it, live or not.
+    /// Replicas that hold the adapter, live or not.
     pub(super) holders: BTreeSet<ReplicaName>,
-    /// Orders under way for it.
-    pub(super) loading: u32,
-    /// Loads that failed one after the other.
+    /// Load orders in flight.
+    pub(super) pending_loads: u32,
+    /// Consecutive failed loads.
     pub(super) failures: u32,
-    /// No load before then.
-    pub(super) backoff: Moment,
-    wanted: Option<(Lane, i64)>,
-    ranked: Option<Rank>,
+    /// Earliest time of the next load.
+    pub(super) backoff_until: Moment,
+    load_key: Option<(Lane, i64)>,
+    index_keys: Option<IndexKeys>,
 }
 
-/// The keys under which an adapter stands in the indexes.
+/// Keys of an adapter in the ordered indexes, kept so that its entries can be
+/// removed.
 #[derive(Clone, Copy, Debug)]
-struct Rank {
-    key: i64,
-    last: Moment,
+struct IndexKeys {
+    rate: i64,
+    used: Moment,
     due: Moment,
 }
 
 impl Adapter {
     fn new() -> Self {
         Self {
-            lists: [BTreeSet::new(), BTreeSet::new()],
-            solos: 0,
-            since: Moment(0),
+            lane_queues: [BTreeSet::new(), BTreeSet::new()],
+            isolated: 0,
+            waiting_since: Moment(0),
             demand: Demand::NONE,
             holders: BTreeSet::new(),
-            loading: 0,
+            pending_loads: 0,
             failures: 0,
-            backoff: Moment(0),
-            wanted: None,
-            ranked: None,
+            backoff_until: Moment(0),
+            load_key: None,
+            index_keys: None,
         }
     }
 
-    /// How many requests wait for it.
+    /// Returns the number of requests that wait for the adapter.
     pub(super) fn waiting(&self) -> usize {
-        self.lists[0].len() + self.lists[1].len() + self.solos as usize
+        self.lane_queues[0].len() + self.lane_queues[1].len() + self.isolated as usize
     }
 
-    /// Whether someone stands and waits for it.
+    /// Returns whether a request of the short lane or an isolated one waits.
     pub(super) fn urgent(&self) -> bool {
-        !self.lists[Lane::Short.index()].is_empty() || self.solos > 0
+        !self.lane_queues[Lane::Short.index()].is_empty() || self.isolated > 0
     }
 
-    pub(super) fn list(&self, lane: Lane) -> &BTreeSet<(u64, Ticket)> {
-        &self.lists[lane.index()]
+    pub(super) fn lane_queue(&self, lane: Lane) -> &BTreeSet<(u64, Ticket)> {
+        &self.lane_queues[lane.index()]
     }
 
     fn idle(&self) -> bool {
-        self.waiting() == 0 && self.holders.is_empty() && self.loading == 0
+        self.waiting() == 0 && self.holders.is_empty() && self.pending_loads == 0
     }
 }
 
-/// All adapter versions, with the sets that make each choice a look at the
+/// All adapter versions, with indexes that let each choice examine only the
 /// first few entries.
 #[derive(Debug, Default)]
 pub(super) struct Adapters {
     all: BTreeMap<Target, Adapter>,
-    /// Adapters that something waits for and that should be loaded, the most
-    /// beneficial load first; by the most urgent lane that waits.
-    wanted: [BTreeSet<(i64, AdapterVersion)>; 2],
-    /// Slots that nothing uses, the least asked for first.
+    /// Adapters that need a load, by the most urgent lane that waits and then
+    /// by load key; the lowest key is loaded first.
+    load_queues: [BTreeSet<(i64, AdapterVersion)>; 2],
+    /// Evictable slots, the lowest request rate first.
     by_rate: BTreeSet<(i64, ReplicaName, AdapterVersion)>,
-    /// The same, the longest silent first.
+    /// Evictable slots, the least recently requested first.
     by_use: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
-    /// The same, those first whose next request is the longest overdue.
+    /// Evictable slots, the earliest overdue time first.
     by_due: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
-    /// Known adapters that no live replica has, the least asked for first.
-    cold: BTreeSet<(i64, AdapterVersion)>,
+    /// Known adapters that no live replica holds, the lowest request rate
+    /// first.
+    unloaded: BTreeSet<(i64, AdapterVersion)>,
 }
 
 impl Adapters {
@@ -110,7 +114,6 @@
         if !self.all.contains_key(target) {
             self.all.insert(target.clone(), Adapter::new());
         }
-        // The entry was just made sure of.
         self.all.entry(target.clone()).or_insert_with(Adapter::new)
     }
 
@@ -118,52 +121,54 @@
         self.all.get_mut(target)
     }
 
-    /// How many adapters wait for a load.
-    pub(super) fn wanted_len(&self) -> usize {
-        self.wanted.iter().map(BTreeSet::len).sum()
+    /// Returns the number of adapters in the load queues.
+    pub(super) fn queued_loads(&self) -> usize {
+        self.load_queues.iter().map(BTreeSet::len).sum()
     }
 
-    /// How many loads come before one of this key, counted up to `most`.
-    pub(super) fn wanted_before(&self, lane: Lane, key: i64, most: usize) -> usize {
-        let before = self.wanted[lane.index()].iter();
+    /// Counts the queued loads of a lane with a key below `key`, up to `most`.
+    pub(super) fn loads_before(&self, lane: Lane, key: i64, most: usize) -> usize {
+        let before = self.load_queues[lane.index()].iter();
         before.take_while(|(k, _)| *k < key).take(most).count()
     }
 
-    /// The loads that wait in a lane, the most beneficial first.
-    pub(super) fn wanted(&self, lane: Lane) -> impl Iterator<Item = &AdapterVersion> {
-        self.wanted[lane.index()].iter().map(|(_, a)| a)
+    /// Returns the queued loads of a lane, the lowest key first.
+    pub(super) fn load_queue(&self, lane: Lane) -> impl Iterator<Item = &AdapterVersion> {
+        self.load_queues[lane.index()].iter().map(|(_, a)| a)
     }
 
-    /// Sets or ends that an adapter should be loaded; lower keys go first.
-    pub(super) fn want(&mut self, adapter: &AdapterVersion, key: Option<i64>) {
+    /// Queues a load of an adapter under `key`, or removes it from the queue.
+    /// Lower keys are loaded first.
+    pub(super) fn set_load_key(&mut self, adapter: &AdapterVersion, key: Option<i64>) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
         let lane = if a.urgent() { Lane::Short } else { Lane::Long };
         let new = key.map(|key| (lane, key));
-        if a.wanted == new {
+        if a.load_key == new {
             return;
         }
-        if let Some((lane, old)) = a.wanted {
-            self.wanted[lane.index()].remove(&(old, adapter.clone()));
+        if let Some((lane, old)) = a.load_key {
+            self.load_queues[lane.index()].remove(&(old, adapter.clone()));
         }
         if let Some((lane, new)) = new {
-            self.wanted[lane.index()].insert((new, adapter.clone()));
+            self.load_queues[lane.index()].insert((new, adapter.clone()));
         }
-        a.wanted = new;
+        a.load_key = new;
     }
 
-    /// Idle slots in the order of least demand.
-    pub(super) fn least_asked(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
+    /// Returns evictable slots by ascending request rate.
+    pub(super) fn least_requested(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         self.by_rate.iter().map(|(_, r, a)| (r, a))
     }
 
-    /// Idle slots in the order of longest silence.
-    pub(super) fn longest_silent(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
+    /// Returns evictable slots, the least recently requested first.
+    pub(super) fn least_recent(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         self.by_use.iter().map(|(_, r, a)| (r, a))
     }
 
-    /// Idle slots whose next request is overdue, the longest overdue first.
+    /// Returns evictable slots whose next request is overdue, the longest
+    /// overdue first.
     pub(super) fn overdue(
         &self,
         now: Moment,
@@ -175,65 +180,66 @@
         due.map(|(_, r, a)| (r, a))
     }
 
-    /// Adapters that no live replica has, the most asked for first.
-    pub(super) fn missed(&self) -> impl Iterator<Item = &AdapterVersion> {
-        self.cold.iter().rev().map(|(_, a)| a)
+    /// Returns adapters that no live replica holds, the highest request rate
+    /// first.
+    pub(super) fn hottest_unloaded(&self) -> impl Iterator<Item = &AdapterVersion> {
+        self.unloaded.iter().rev().map(|(_, a)| a)
     }
 
-    /// Takes an adapter out of the indexes before its demand, holders or idle
-    /// slots change; [`Adapters::index`] puts it back.
+    /// Removes an adapter from the indexes. Must be called before its demand,
+    /// holders or evictable slots change; [`Adapters::index`] adds it again.
     pub(super) fn unindex(&mut self, adapter: &AdapterVersion) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let Some(Rank { key, last, due }) = a.ranked.take() else {
+        let Some(IndexKeys { rate, used, due }) = a.index_keys.take() else {
             return;
         };
-        self.cold.remove(&(key, adapter.clone()));
+        self.unloaded.remove(&(rate, adapter.clone()));
         for r in &a.holders {
-            self.by_rate.remove(&(key, r.clone(), adapter.clone()));
-            self.by_use.remove(&(last, r.clone(), adapter.clone()));
+            self.by_rate.remove(&(rate, r.clone(), adapter.clone()));
+            self.by_use.remove(&(used, r.clone(), adapter.clone()));
             self.by_due.remove(&(due, r.clone(), adapter.clone()));
         }
     }
 
-    /// Puts an adapter into the indexes; `idle` tells whether its slot at a
+    /// Adds an adapter to the indexes. `idle` returns whether its slot at a
     /// replica may be evicted.
     pub(super) fn index(
         &mut self,
         adapter: &AdapterVersion,
-        half_us: f64,
+        half_life: f64,
         live: impl Fn(&ReplicaName) -> bool,
         idle: impl Fn(&ReplicaName) -> bool,
     ) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
         };
-        let key = a.demand.order_key(a.holders.len());
-        let last = a.demand.last_request;
-        let due = a.demand.due(half_us);
-        a.ranked = Some(Rank { key, last, due });
+        let rate = a.demand.order_key(a.holders.len());
+        let used = a.demand.last_request;
+        let due = a.demand.overdue_at(half_life);
+        a.index_keys = Some(IndexKeys { rate, used, due });
         if !a.holders.iter().any(live) {
-            self.cold.insert((key, adapter.clone()));
+            self.unloaded.insert((rate, adapter.clone()));
         }
         for r in a.holders.iter().filter(|r| idle(r)) {
-            self.by_rate.insert((key, r.clone(), adapter.clone()));
-            self.by_use.insert((last, r.clone(), adapter.clone()));
+            self.by_rate.insert((rate, r.clone(), adapter.clone()));
+            self.by_use.insert((used, r.clone(), adapter.clone()));
             self.by_due.insert((due, r.clone(), adapter.clone()));
         }
-        if self.cold.len() > MOST_KEPT {
-            self.forget_one();
+        if self.unloaded.len() > MAX_ADAPTERS {
+            self.forget_idle();
         }
     }
 
-    fn forget_one(&mut self) {
+    fn forget_idle(&mut self) {
         let idle = |a: &&(i64, AdapterVersion)| {
             self.all
                 .get(&Some(a.1.clone()))
                 .is_none_or(|adapter| adapter.idle())
         };
-        if let Some(entry) = self.cold.iter().find(idle).cloned() {
-            self.cold.remove(&entry);
+        if let Some(entry) = self.unloaded.iter().find(idle).cloned() {
+            self.unloaded.remove(&entry);
             self.all.remove(&Some(entry.1));
         }
     }
--- a/lib/src/pool/slots.rs
+++ b/lib/src/pool/slots.rs
@@ -1,39 +1,42 @@
-//! Slots: what is loaded where, what uses it and what may be evicted.
+//! Slot state: which adapters are loaded where, which are in use and which may
+//! be evicted.
 
 use super::adapter::Target;
 use super::replica::Replica;
+use super::state::Dispatch;
 use super::state::Pool;
-use super::state::Running;
 use super::types::*;
 use crate::ids::AdapterVersion;
 use crate::ids::ReplicaName;
 
-/// Requests for one adapter that come closer together than this would have
-/// waited for the same load.
-const TOGETHER: Span = Span::from_millis(1_000);
+/// Requests for one adapter that arrive within this interval would have waited
+/// for the same load.
+const BURST_INTERVAL: Span = Span::from_millis(1_000);
 
-/// What each further one of them counts for. A load that is saved for a group
-/// of readings is one load; counted in full, the group would make its adapter
-/// look as busy as one that is asked for again and again.
-const TOGETHER_WEIGHT: f64 = 0.1;
+/// Weight in the request rate of each further request of such a burst. Keeping
+/// the adapter loaded saves the burst one load; counted in full, a burst of
+/// long requests would rank its adapter as high as one that is requested again
+/// and again.
+const BURST_WEIGHT: f64 = 0.1;
 
-/// How long a slot is kept after a dispatch that did not end with its answer:
-/// the five seconds for which an engine keeps a broken stream, and one more.
-const LINGER: Span = Span::from_millis(6_000);
+/// How long a slot is retained after a dispatch that did not end with its
+/// answer: an engine keeps a broken stream for 5 s, and 1 s is added as a
+/// margin.
+const RETENTION: Span = Span::from_millis(6_000);
 
 impl Pool {
-    /// Half-life of demand, in microseconds.
+    /// Returns the half-life of request rates, in microseconds.
     pub(super) fn half_life(&self) -> f64 {
         self.settings.half_life_us()
     }
 
-    /// Counts a request for an adapter. A retry is not demand of its own.
-    pub(super) fn note_demand(&mut self, now: Moment, a: &Arrival) {
+    /// Records a request in the rate of its adapter, unless it is a retry.
+    pub(super) fn record_demand(&mut self, now: Moment, a: &Arrival) {
         let half = self.half_life();
         if a.attempt == 0 {
             let demand = &mut self.adapters.entry(&a.adapter).demand;
-            let together = now.since(demand.last_request) < TOGETHER;
-            let weight = if together { TOGETHER_WEIGHT } else { 1.0 };
+            let burst = now.since(demand.last_request) < BURST_INTERVAL;
+            let weight = if burst { BURST_WEIGHT } else { 1.0 };
             demand.record(now, half, weight);
         }
         if let Some(adapter) = &a.adapter {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Keeps the indexes in step with one adapter.
+    /// Updates the index entries of an adapter.
     pub(super) fn reindex(&mut self, adapter: &AdapterVersion) {
         let half = self.half_life();
         self.adapters.unindex(adapter);
@@ -54,8 +57,9 @@
         self.adapters.index(adapter, half, live, idle);
     }
 
-    /// Changes holders of an adapter and keeps the indexes in step.
-    fn hold(&mut self, name: &ReplicaName, adapter: &AdapterVersion, holds: bool) {
+    /// Adds or removes a replica as holder of an adapter and updates the
+    /// indexes.
+    fn set_holder(&mut self, name: &ReplicaName, adapter: &AdapterVersion, holds: bool) {
         self.adapters.unindex(adapter);
         let entry = self.adapters.entry(&Some(adapter.clone()));
         match holds {
@@ -65,60 +69,60 @@
         self.reindex(adapter);
     }
 
-    /// A replica has an adapter from now on.
-    pub(super) fn gain(&mut self, now: Moment, name: &ReplicaName, adapter: &AdapterVersion) {
+    /// Records that a replica holds an adapter.
+    pub(super) fn add_loaded(&mut self, now: Moment, name: &ReplicaName, adapter: &AdapterVersion) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        r.ghosts.remove(adapter);
+        r.unconfirmed.remove(adapter);
         if r.loaded.insert(adapter.clone()) {
-            self.hold(name, adapter, true);
+            self.set_holder(name, adapter, true);
         }
         let entry = self.adapters.entry(&Some(adapter.clone()));
         entry.failures = 0;
-        self.rewant(now, adapter);
+        self.update_load_key(now, adapter);
     }
 
-    /// A replica has an adapter no more; `ghost` when it may still fill a
-    /// slot.
-    pub(super) fn lose(
+    /// Records that a replica no longer holds an adapter; `unconfirmed` if it
+    /// may still occupy a slot.
+    pub(super) fn remove_loaded(
         &mut self,
         now: Moment,
         name: &ReplicaName,
         adapter: &AdapterVersion,
-        ghost: bool,
+        unconfirmed: bool,
     ) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        r.ghosts.remove(adapter);
-        if ghost {
-            r.ghosts.insert(adapter.clone());
+        r.unconfirmed.remove(adapter);
+        if unconfirmed {
+            r.unconfirmed.insert(adapter.clone());
         }
         if r.loaded.remove(adapter) {
-            self.hold(name, adapter, false);
+            self.set_holder(name, adapter, false);
         }
-        self.rewant(now, adapter);
+        self.update_load_key(now, adapter);
     }
 
-    /// A dispatch uses a slot; under an earlier owner's grant it tells that
-    /// the slot is there.
-    pub(super) fn use_slot(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
+    /// Counts a dispatch as a use of its slot. A dispatch granted by an earlier
+    /// owner also shows that the adapter is loaded.
+    pub(super) fn acquire_slot(&mut self, now: Moment, name: &ReplicaName, target: &Target) {
         let Some(adapter) = target else {
             return;
         };
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        r.hold(adapter);
-        match r.loaded.contains(adapter) || r.ghosts.contains(adapter) {
+        r.acquire(adapter);
+        match r.loaded.contains(adapter) || r.unconfirmed.contains(adapter) {
             true => self.reindex(adapter),
-            false => self.gain(now, name, adapter),
+            false => self.add_loaded(now, name, adapter),
         }
     }
 
-    /// A dispatch no longer uses a slot.
-    pub(super) fn free_slot(&mut self, name: &ReplicaName, target: &Target) {
+    /// Ends the use of a slot by a dispatch.
+    pub(super) fn release_slot(&mut self, name: &ReplicaName, target: &Target) {
         let Some(adapter) = target else {
             return;
         };
@@ -131,38 +135,37 @@
         }
     }
 
-    /// Keeps the slot of a dispatch whose engine may not know yet that it is
-    /// over.
+    /// Retains the slot of a dispatch that may still run in its engine.
     ///
-    /// Made for connections that break and callers that go away: the engine
+    /// Covers connections that break and callers that disconnect. The engine
     /// keeps such a stream for some seconds, and an eviction would fail a
     /// request that still runs or is resumed.
-    pub(super) fn linger(&mut self, now: Moment, ticket: Ticket, run: Running) {
-        self.lingers.insert((now.after(LINGER), ticket));
-        self.lingering.insert(ticket, run);
+    pub(super) fn retain_slot(&mut self, now: Moment, ticket: Ticket, run: Dispatch) {
+        self.retention_ends.insert((now.after(RETENTION), ticket));
+        self.retained.insert(ticket, run);
     }
 
-    /// Gives up the slots that were kept long enough.
-    pub(super) fn end_lingers(&mut self, now: Moment) {
-        while let Some((at, _)) = self.lingers.first()
+    /// Releases the slots whose retention has ended.
+    pub(super) fn release_retained(&mut self, now: Moment) {
+        while let Some((at, _)) = self.retention_ends.first()
             && *at <= now
-            && let Some((_, ticket)) = self.lingers.pop_first()
+            && let Some((_, ticket)) = self.retention_ends.pop_first()
         {
-            let run = self.lingering.remove(&ticket);
-            let same = |run: &Running| {
+            let run = self.retained.remove(&ticket);
+            let same = |run: &Dispatch| {
                 let r = self.replicas.get(&run.replica);
                 r.is_some_and(|r| r.incarnation == run.incarnation)
             };
             if let Some(run) = run.filter(same) {
-                self.free_slot(&run.replica, &run.target);
+                self.release_slot(&run.replica, &run.target);
             }
         }
     }
 }
 
-/// Whether an adapter's slot may be given up: nothing uses it, at a replica
-/// that takes orders. An adapter that a request is using, or has been granted,
-/// is never evicted: its requests would fail.
+/// Returns whether an adapter may be evicted from a replica: the replica is
+/// live and nothing uses the adapter. An adapter with a running or granted
+/// request is never evicted, as the request would fail.
 fn evictable(r: &Replica, adapter: &AdapterVersion) -> bool {
-    r.live() && !r.users.contains_key(adapter)
+    r.live() && !r.in_use.contains_key(adapter)
 }
--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -1,5 +1,5 @@
-//! What a VM knows of each kind of objects in the store, how old that is, and
-//! who asks the store for news.
+//! Tracks how far a VM has followed each kind of stored objects, how old that
+//! state is, and which VM polls the store next.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,134 +15,136 @@
 use crate::serving::peers::compression::compress;
 use crate::serving::store::port::Item;
 
-/// How long a change is told: three beacons.
-const TOLD_FOR: Span = Span::from_millis(1_300);
+/// How long a change is repeated in beacons: three beacon intervals.
+const SHARE_TTL: Span = Span::from_millis(1_300);
 
-/// The most bytes of changes that are told at a time, packed: a beacon must fit
-/// a datagram, and its copies for a zone the link of a small VM. Who misses
-/// more asks the store.
-const MOST_TOLD: usize = 8 << 10;
+/// The size limit of the changes in one update, compressed. A beacon must fit a
+/// datagram, and its copies for a zone must fit the link of a small VM. VMs
+/// that miss changes because of the limit poll the store.
+const MAX_UPDATE_BYTES: usize = 8 << 10;
 
-/// The first VMs in the order of asking, which tell what they know. Others
-/// that ask, as they missed something, would all tell it again to all: with
-/// 195 VMs that filled their links (served 0.90 -> 0.76 of what was owed).
-const TELLERS: u64 = 3;
+/// How many of the first VMs in polling order send updates. If every VM that
+/// polls because it missed changes sent them on, the copies would fill the
+/// links: with 195 VMs the share of owed requests that were served fell from
+/// 0.90 to 0.76.
+const SENDER_COUNT: u64 = 3;
 
-/// What to do next about a topic.
+/// The next action of a feed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FeedAction {
-    /// Nothing before this moment.
+    /// Do nothing before this moment.
     Wait(Moment),
-    /// Read all of it.
+    /// List all objects of the topic.
     List,
-    /// Ask what changed, and have the store wait so long for a change.
+    /// Watch for changes, with this long-poll timeout.
     Watch(Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct SyncPoint {
     revision: u64,
     as_of: Moment,
 }
 
-/// What a VM knows of one topic.
+/// The synchronization state of one topic.
 ///
-/// Made for hundreds of VMs that must all know what changed within seconds,
-/// where each call to the store is paid for and a waiting one as well. One VM
-/// asks; what it hears goes to the others with its beacons, with the revision
-/// and the time at which the store had nothing newer. A VM whose knowledge gets
-/// too old asks for itself, whatever the reason, so that no lost, frozen or cut
-/// off VM keeps a change from another. The store stays the only truth.
+/// Hundreds of VMs must learn of each change within seconds, and every call to
+/// the store has a cost, also one that only waits. One VM therefore watches the
+/// store and passes the changes on with its beacons, along with the revision
+/// and the time at which the store had nothing newer. A VM whose state gets too
+/// old polls the store itself, whatever the reason, so that a VM that failed,
+/// froze or was partitioned cannot withhold changes from the others. The store
+/// remains the only source of truth.
 #[derive(Debug)]
 pub struct Feed {
-    rhythm: PollPolicy,
-    known: Option<Known>,
-    /// The objects that are there.
+    policy: PollPolicy,
+    synced: Option<SyncPoint>,
+    /// The names of the objects that exist.
     names: BTreeSet<String>,
-    /// The newest change of each object, with the time until which it is told.
-    recent: BTreeMap<String, (Moment, TopicChange)>,
-    /// All changes after this revision are among the recent ones.
-    since: u64,
-    /// The part of that over which a list stepped.
-    blind: Option<SkippedRange>,
-    /// When this VM last had an answer.
-    answered: Option<Moment>,
-    /// Since when changes are missing that others know of.
-    gap: Option<Moment>,
-    /// The revisions of changes that were taken beyond the one known, as
-    /// others before them are missing.
-    ahead: BTreeMap<String, u64>,
-    /// Whether the store failed to answer since the last answer.
-    outage: bool,
+    /// The newest change of each object that is being shared, and until when.
+    shared: BTreeMap<String, (Moment, TopicChange)>,
+    /// All changes after this revision are in `shared`.
+    history_start: u64,
+    /// The revisions after `history_start` that a list skipped.
+    skipped: Option<SkippedRange>,
+    /// When the store last answered this VM.
+    last_answer: Option<Moment>,
+    /// Since when another VM is known to have changes that are missing here.
+    gap_since: Option<Moment>,
+    /// Changes that were applied beyond the synced revision while earlier ones
+    /// are missing: the revision by object name.
+    taken_ahead: BTreeMap<String, u64>,
+    /// Whether a call failed since the last answer of the store.
+    failing: bool,
     failures: u32,
-    retry: Option<Moment>,
-    /// Whether the store forgot what changed since our revision.
+    retry_at: Option<Moment>,
+    /// Whether the store no longer has the history after the synced revision.
     expired: bool,
 }
 
 impl Feed {
-    /// Nothing is known yet.
-    pub fn new(rhythm: PollPolicy) -> Self {
+    /// Creates a feed that has no state yet.
+    pub fn new(policy: PollPolicy) -> Self {
         Self {
-            rhythm,
-            known: None,
+            policy,
+            synced: None,
             names: BTreeSet::new(),
-            recent: BTreeMap::new(),
-            since: 0,
-            blind: None,
-            answered: None,
-            gap: None,
-            ahead: BTreeMap::new(),
-            outage: false,
+            shared: BTreeMap::new(),
+            history_start: 0,
+            skipped: None,
+            last_answer: None,
+            gap_since: None,
+            taken_ahead: BTreeMap::new(),
+            failing: false,
             failures: 0,
-            retry: None,
+            retry_at: None,
             expired: false,
         }
     }
 
-    /// The revision up to which all is known.
+    /// Returns the revision up to which all changes are known.
     pub fn revision(&self) -> u64 {
-        self.known.map_or(0, |k| k.revision)
+        self.synced.map_or(0, |k| k.revision)
     }
 
-    /// How old the knowledge is; `None` before there is any.
+    /// Returns the age of the state, or `None` before the first list.
     pub fn age(&self, now: Moment) -> Option<Span> {
-        self.known.map(|k| now.since(k.as_of))
+        self.synced.map(|k| now.since(k.as_of))
     }
 
-    /// Whether others know of changes that are missing here.
+    /// Whether another VM has changes that are missing here.
     pub fn has_gap(&self) -> bool {
-        self.gap.is_some()
+        self.gap_since.is_some()
     }
 
-    /// Whether the store failed to answer this VM last.
+    /// Whether the last call to the store failed.
     pub fn is_failing(&self) -> bool {
-        self.outage
+        self.failing
     }
 
-    /// Whether a call failed a moment ago, so that the next one waits.
+    /// Whether the next call waits because one failed recently.
     pub fn is_backing_off(&self, now: Moment) -> bool {
-        self.retry.is_some_and(|at| at > now)
+        self.retry_at.is_some_and(|at| at > now)
     }
 
-    /// What the VM at place `rank` in the order of asking does next; `None`
-    /// where each VM asks for itself.
+    /// Returns what the VM at position `rank` in polling order does next.
+    /// `rank` is `None` where each VM polls for itself.
     pub fn next_action(&self, now: Moment, rank: Option<u64>) -> FeedAction {
-        if let Some(retry) = self.retry.filter(|at| *at > now) {
+        if let Some(retry) = self.retry_at.filter(|at| *at > now) {
             return FeedAction::Wait(retry);
         }
-        let Some(known) = self.known.filter(|_| !self.expired) else {
+        let Some(known) = self.synced.filter(|_| !self.expired) else {
             return FeedAction::List;
         };
         let Some(rank) = rank else {
-            return FeedAction::Watch(self.rhythm.solo_wait());
+            return FeedAction::Watch(self.policy.solo_wait());
         };
         if rank == 0 {
-            return FeedAction::Watch(self.rhythm.shared_wait());
+            return FeedAction::Watch(self.policy.shared_wait());
         }
-        let spread = self.rhythm.stagger(rank);
-        let gap = self.gap.map(|at| at.after(Span(spread.0 / 2)));
-        let due = known.as_of.after(self.rhythm.max_age(rank));
+        let spread = self.policy.stagger(rank);
+        let gap = self.gap_since.map(|at| at.after(Span(spread.0 / 2)));
+        let due = known.as_of.after(self.policy.max_age(rank));
         let due = gap.map_or(due, |gap| gap.min(due));
         match due <= now {
             true => FeedAction::Watch(Duration::ZERO),
@@ -150,16 +152,16 @@
         }
     }
 
-    /// The pause after an answer with changes.
+    /// Returns the pause after an answer that had changes.
     pub fn pause(&self, rank: Option<u64>) -> Duration {
         match rank {
-            None => self.rhythm.solo_pause,
-            Some(_) => self.rhythm.shared_pause,
+            None => self.policy.solo_pause,
+            Some(_) => self.policy.shared_pause,
         }
     }
 
-    /// The whole topic, asked for at `asked`. Gives what changed since what was
-    /// known; the first time there is nothing that it could follow on from.
+    /// Applies a complete list requested at `asked`. Returns the changes
+    /// against the previous state; there are none for the first list.
     pub fn apply_list(
         &mut self,
         now: Moment,
@@ -168,58 +170,59 @@
         items: &[Item],
     ) -> Vec<TopicChange> {
         let names: BTreeSet<_> = items.iter().map(|i| i.name.clone()).collect();
-        let Some(known) = self.known else {
+        let Some(known) = self.synced else {
             let newest = items.iter().map(|i| i.revision).max().unwrap_or(0);
-            // What was removed before is not known.
-            self.since = match self.rhythm.has_removals {
+            // Removals before the list are unknown.
+            self.history_start = match self.policy.has_removals {
                 true => revision,
                 false => newest,
             };
             self.names = names;
-            // It may be seconds old: it is told to nobody, and followed on from
-            // as soon as any other knowledge that gets too old.
-            self.take_answer(now, asked, revision);
-            self.answered = None;
+            // The first list may be seconds old. It is not shared, and its age
+            // makes this VM poll again like any other old state.
+            self.record_answer(now, asked, revision);
+            self.last_answer = None;
             return Vec::new();
         };
-        // Another VM told of all up to a later revision since it was asked for:
-        // what is not in the list may have come after it.
+        // Another VM's update went beyond the list since it was requested:
+        // objects missing from the list may have been created after it.
         if revision <= known.revision {
-            self.take_answer(now, asked, revision);
+            self.record_answer(now, asked, revision);
             return Vec::new();
         }
         let present = items
             .iter()
             .map(|item| TopicChange::new(item.clone(), false, false));
-        let gone = self.names.difference(&names).map(|name| {
+        let removed = self.names.difference(&names).map(|name| {
             let mut item = Item::empty(name);
             item.revision = revision;
-            TopicChange::new(item, true, self.outage)
+            TopicChange::new(item, true, self.failing)
         });
-        let changes = self.admit(present.chain(gone).collect());
-        // What is never removed cannot have come and gone in between.
-        if self.rhythm.has_removals {
-            self.step_over(SkippedRange {
+        let changes = self.accept_new(present.chain(removed).collect());
+        // Objects that are never removed cannot have been created and removed
+        // in between.
+        if self.policy.has_removals {
+            self.record_skipped(SkippedRange {
                 from: known.revision,
                 to: revision,
             });
         }
-        self.take_answer(now, asked, revision);
+        self.record_answer(now, asked, revision);
         changes
     }
 
-    fn step_over(&mut self, blind: SkippedRange) {
-        self.blind = Some(self.blind.map_or(blind, |b| b.merge(blind)));
+    fn record_skipped(&mut self, skipped: SkippedRange) {
+        self.skipped = Some(self.skipped.map_or(skipped, |s| s.merge(skipped)));
     }
 
-    /// The part of the history that is told over which a list stepped.
+    /// Returns the skipped revisions within the history that is shared.
     pub fn skipped(&self) -> Option<SkippedRange> {
-        self.blind.filter(|b| b.to > self.since)
+        self.skipped.filter(|s| s.to > self.history_start)
     }
 
-    /// What changed, asked for at `asked` by a question that waited at least
-    /// `waited`: an answer without changes says that there were none so long.
-    /// Gives the changes, with what is to be told of each.
+    /// Applies the changes returned by a watch that was sent at `asked` and
+    /// waited at least `waited`. An answer without changes proves that there
+    /// were none during that wait. Returns the changes that are new.
     pub fn apply_changes(
         &mut self,
         now: Moment,
@@ -234,36 +237,40 @@
                 .min(now),
             false => asked,
         };
-        let changes = self.dated(revision, changes);
-        let changes = self.admit(changes);
-        self.take_answer(now, as_of, revision);
+        let changes = self.with_removal_revisions(revision, changes);
+        let changes = self.accept_new(changes);
+        self.record_answer(now, as_of, revision);
         changes
     }
 
-    /// The changes of an answer as they are told. The revision of an object that
-    /// is gone may be that of its content: it is gone as of the answer, or until
-    /// its next change.
-    fn dated(&self, revision: u64, changes: Vec<(Item, bool)>) -> Vec<TopicChange> {
+    /// Converts the changes of an answer. The store may report a removal with
+    /// the revision of the object's last content, so a removal gets the
+    /// revision of the answer, or the one before the object's next change.
+    fn with_removal_revisions(
+        &self,
+        revision: u64,
+        changes: Vec<(Item, bool)>,
+    ) -> Vec<TopicChange> {
         let mut next = BTreeMap::new();
-        let mut told = Vec::new();
+        let mut converted = Vec::new();
         for (mut item, removed) in changes.into_iter().rev() {
             let after = next.get(&item.name).copied().unwrap_or(revision + 1);
             if removed {
                 item.revision = after - 1;
             }
             next.insert(item.name.clone(), item.revision);
-            told.push(TopicChange::new(item, removed, removed && self.outage));
+            converted.push(TopicChange::new(item, removed, removed && self.failing));
         }
-        told.reverse();
-        told
+        converted.reverse();
+        converted
     }
 
-    /// Those changes that are news, which are known from now on.
-    fn admit(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
+    /// Records the changes that are new and returns them.
+    fn accept_new(&mut self, changes: Vec<TopicChange>) -> Vec<TopicChange> {
         let changes: Vec<_> = changes.into_iter().filter(|c| self.is_new(c)).collect();
         for c in &changes {
             let name = c.item.name.clone();
-            self.ahead.insert(name.clone(), c.item.revision);
+            self.taken_ahead.insert(name.clone(), c.item.revision);
             match c.removed {
                 true => self.names.remove(&name),
                 false => self.names.insert(name),
@@ -272,130 +279,133 @@
         changes
     }
 
-    /// Whether a change is newer than what is known of its object. A question
-    /// may be answered after another VM told of something newer: taken late, an
-    /// older change would be told on in place of the newer one, and whoever
-    /// knows the older one would believe that it knows all.
+    /// Whether a change is newer than the known state of its object. An answer
+    /// may arrive after another VM shared something newer. If the older change
+    /// were applied, it would be shared in place of the newer one, and a VM
+    /// that already has the older change would conclude that it is up to date.
     fn is_new(&self, change: &TopicChange) -> bool {
         let revision = change.item.revision;
-        let ahead = self.ahead.get(&change.item.name);
+        let ahead = self.taken_ahead.get(&change.item.name);
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
     }
 
-    /// All changes up to a revision are known.
+    /// Records that all changes up to a revision are known.
     fn advance(&mut self, revision: u64, as_of: Moment) {
-        let old = self.known.unwrap_or(Known { revision, as_of });
-        let known = Known {
+        let old = self.synced.unwrap_or(SyncPoint { revision, as_of });
+        let known = SyncPoint {
             revision: old.revision.max(revision),
             as_of: old.as_of.max(as_of),
         };
-        self.ahead.retain(|_, taken| *taken > known.revision);
-        self.known = Some(known);
+        self.taken_ahead.retain(|_, taken| *taken > known.revision);
+        self.synced = Some(known);
     }
 
-    fn take_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
+    fn record_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
         self.advance(revision, as_of);
-        self.answered = Some(now);
-        self.gap = None;
-        self.outage = false;
+        self.last_answer = Some(now);
+        self.gap_since = None;
+        self.failing = false;
         self.failures = 0;
-        self.retry = None;
+        self.retry_at = None;
         self.expired = false;
     }
 
-    /// A change is worth telling the other VMs.
+    /// Shares a change with the other VMs.
     pub fn share(&mut self, now: Moment, mut change: TopicChange) {
         if change.compressed.is_empty() {
             change.compressed = compress(change.item.spec.get());
         }
-        let until = now.after(TOLD_FOR);
-        self.recent
+        let until = now.after(SHARE_TTL);
+        self.shared
             .insert(change.item.name.clone(), (until, change));
     }
 
-    /// The store did not answer, or with a failure.
+    /// Records that a call to the store failed or timed out.
     pub fn record_failure(&mut self, now: Moment, rank: Option<u64>) {
-        self.outage = true;
-        let pause = self.rhythm.retry_backoff(rank, self.failures);
+        self.failing = true;
+        let pause = self.policy.retry_backoff(rank, self.failures);
         self.failures += 1;
-        self.retry = Some(now.after(pause));
+        self.retry_at = Some(now.after(pause));
     }
 
-    /// The store forgot what changed since our revision: all is read anew.
+    /// Records that the store no longer has the history needed: the next action
+    /// is a list.
     pub fn mark_expired(&mut self) {
         self.expired = true;
     }
 
-    /// Another VM tells what it knows. Gives the changes that are news.
+    /// Applies an update from another VM. Returns the changes that are new.
     ///
-    /// They are news also where others before them are missing: the newest
-    /// content of an object holds whatever was missed. A VM that the store
-    /// turns away is not left on an old configuration that way, though only the
-    /// store can fill its gap.
-    pub fn apply_update(&mut self, now: Moment, said: TopicUpdate) -> Vec<TopicChange> {
-        let Some(known) = &mut self.known else {
+    /// Changes are applied even if earlier ones are missing, as the newest
+    /// content of an object replaces everything that was missed. A VM that the
+    /// store rejects thus still gets the current configuration, although only
+    /// the store can close its gap.
+    pub fn apply_update(&mut self, now: Moment, update: TopicUpdate) -> Vec<TopicChange> {
+        let Some(known) = &mut self.synced else {
             return Vec::new();
         };
-        if said.revision <= known.revision {
-            known.as_of = known.as_of.max(said.as_of);
+        if update.revision <= known.revision {
+            known.as_of = known.as_of.max(update.as_of);
             return Vec::new();
         }
-        let follows = said.since <= known.revision;
-        let changes = self.admit(said.changes);
+        let follows = update.since <= known.revision;
+        let changes = self.accept_new(update.changes);
         for c in &changes {
             self.share(now, c.clone());
         }
         if follows {
-            self.advance(said.revision, said.as_of);
-            self.gap = None;
-            self.outage = false;
+            self.advance(update.revision, update.as_of);
+            self.gap_since = None;
+            self.failing = false;
             self.expired = false;
         } else {
-            self.gap.get_or_insert(now);
+            self.gap_since.get_or_insert(now);
         }
         changes
     }
 
-    /// The same where the other VM stepped over a part of the history: within
-    /// that, an object may have come that this VM knows of, and gone again.
+    /// Applies an update from a VM whose list skipped a range of revisions. An
+    /// object that this VM knows may have been created and removed within that
+    /// range, so a state inside it has a gap.
     pub fn apply_update_over(
         &mut self,
         now: Moment,
-        mut said: TopicUpdate,
-        blind: SkippedRange,
+        mut update: TopicUpdate,
+        skipped: SkippedRange,
     ) -> Vec<TopicChange> {
-        if blind.contains(self.revision()) {
-            said.since = said.revision;
+        if skipped.contains(self.revision()) {
+            update.since = update.revision;
         }
-        let to = said.revision;
-        let changes = self.apply_update(now, said);
+        let to = update.revision;
+        let changes = self.apply_update(now, update);
         if self.revision() == to {
-            self.step_over(blind);
+            self.record_skipped(skipped);
         }
         changes
     }
 
-    /// What this VM tells the others: nothing unless it is one of the first to
-    /// ask, and had an answer lately.
+    /// Returns the update to share with the other VMs. There is none unless
+    /// this VM is among the first in polling order and had an answer from the
+    /// store recently.
     pub fn outgoing_update(&mut self, now: Moment, rank: Option<u64>) -> Option<TopicUpdate> {
-        let known = self.known?;
-        let over = |(until, _): &(Moment, TopicChange)| *until <= now;
-        for (_, (_, change)) in self.recent.extract_if(.., |_, kept| over(kept)) {
-            self.since = self.since.max(change.item.revision);
+        let known = self.synced?;
+        let is_over = |(until, _): &(Moment, TopicChange)| *until <= now;
+        for (_, (_, change)) in self.shared.extract_if(.., |_, kept| is_over(kept)) {
+            self.history_start = self.history_start.max(change.item.revision);
         }
-        let answered = self.answered?;
-        let tells = rank.is_some_and(|rank| rank < TELLERS);
-        if !tells || now.since(answered) >= self.rhythm.max_staleness {
+        let answered = self.last_answer?;
+        let sends = rank.is_some_and(|rank| rank < SENDER_COUNT);
+        if !sends || now.since(answered) >= self.policy.max_staleness {
             return None;
         }
-        let mut newest: Vec<_> = self.recent.values().map(|(_, c)| c).collect();
+        let mut newest: Vec<_> = self.shared.values().map(|(_, c)| c).collect();
         newest.sort_by_key(|c| std::cmp::Reverse(c.item.revision));
-        let mut since = self.since;
+        let mut since = self.history_start;
         let mut bytes = 0;
         let mut changes = Vec::new();
         for change in newest {
             bytes += change.item.name.len() + change.compressed.len();
-            if bytes > MOST_TOLD {
+            if bytes > MAX_UPDATE_BYTES {
                 since = since.max(change.item.revision);
                 break;
             }
@@ -411,7 +421,7 @@
     }
 }
 
-/// The topics of a VM.
+/// The feeds of all topics.
 #[derive(Debug)]
 pub struct Feeds {
     config: Feed,
@@ -421,9 +431,9 @@
 }
 
 impl Feeds {
-    /// Nothing is known yet of any.
-    pub fn new(rhythm: impl Fn(Topic) -> PollPolicy) -> Self {
-        let feed = |topic| Feed::new(rhythm(topic));
+    /// Creates feeds that have no state yet.
+    pub fn new(policy: impl Fn(Topic) -> PollPolicy) -> Self {
+        let feed = |topic| Feed::new(policy(topic));
         Self {
             config: feed(Topic::Config),
             replicas: feed(Topic::Replicas),
@@ -432,7 +442,7 @@
         }
     }
 
-    /// One of them.
+    /// Returns the feed of a topic.
     pub fn get(&mut self, topic: Topic) -> &mut Feed {
         match topic {
             Topic::Config => &mut self.config,
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -1,4 +1,4 @@
-//! All that one VM believes, in one place.
+//! The state that the tasks of one serving VM share.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,37 +20,37 @@
 use crate::serving::cluster::recency::WitnessQueue;
 use crate::serving::cluster::subscriptions::Subscriptions;
 use crate::serving::cluster::topic::Topic;
-use crate::serving::decisions::access::Bounds;
-use crate::serving::decisions::access::Freshness;
-use crate::serving::decisions::access::Keys;
-use crate::serving::decisions::books::Books;
-use crate::serving::decisions::budget::Budget;
+use crate::serving::decisions::access::ApiKeys;
+use crate::serving::decisions::access::ConfigAge;
+use crate::serving::decisions::access::KeyBounds;
+use crate::serving::decisions::adapter_planner::AdapterPlanner;
+use crate::serving::decisions::crash_tracker::CrashTracker;
 use crate::serving::decisions::fleet::Fleet;
 use crate::serving::decisions::fleet::Load;
+use crate::serving::decisions::prefill_turns::PrefillTurns;
 use crate::serving::decisions::quota::Borrower;
 use crate::serving::decisions::quota::Lender;
-use crate::serving::decisions::reserved::Reserved;
-use crate::serving::decisions::strain::Strain;
-use crate::serving::decisions::strikes::Strikes;
-use crate::serving::decisions::turns::Turns;
-use crate::serving::path::model::Config;
-use crate::serving::path::model::Instance;
-use crate::serving::path::model::RateLimit;
-use crate::serving::path::model::ReplicaInfo;
-use crate::serving::path::model::Target;
+use crate::serving::decisions::reservations::Reservations;
+use crate::serving::decisions::retry_budget::RetryBudget;
+use crate::serving::decisions::stall_detector::StallDetector;
 use crate::serving::path::routes::Routes;
+use crate::serving::path::types::Config;
+use crate::serving::path::types::Instance;
+use crate::serving::path::types::RateLimit;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::Target;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::to_span;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::follow;
 
-/// A configuration that is in force.
+/// The configuration in force.
 #[derive(Debug)]
 pub(in crate::serving) struct ActiveConfig {
     pub(in crate::serving) config: Config,
     pub(in crate::serving) routes: Routes,
-    /// Who calls with which key; `None` where callers need none.
-    pub(in crate::serving) keys: Option<Keys>,
+    /// The keys of callers; `None` if callers need no key.
+    pub(in crate::serving) keys: Option<ApiKeys>,
     /// The limits of organisations that have one.
     pub(in crate::serving) use_limits: BTreeMap<OrganisationName, RateLimit>,
 }
@@ -62,7 +62,7 @@
         let limits = all.unwrap_or_default().iter();
         let limits = limits.filter_map(|o| Some((o.name.clone(), o.limit?)));
         Self {
-            keys: all.map(Keys::new),
+            keys: all.map(ApiKeys::new),
             use_limits: limits.collect(),
             routes,
             config,
@@ -70,52 +70,52 @@
     }
 }
 
-/// Runs of one adapter at one replica, of this VM's requests.
+/// This VM's use of one adapter at one replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::serving) struct LocalUse {
     pub(in crate::serving) running: u32,
     pub(in crate::serving) started: u32,
 }
 
-/// The beliefs of one VM; tasks take them for a moment at a time.
+/// The state of one VM. Tasks borrow it briefly and never across an await.
 #[derive(Debug)]
 pub(in crate::serving) struct NodeState {
     pub(in crate::serving) active: Option<Rc<ActiveConfig>>,
     pub(in crate::serving) fleet: Fleet,
-    pub(in crate::serving) budget: Budget,
+    pub(in crate::serving) budget: RetryBudget,
     pub(in crate::serving) members: Members,
     pub(in crate::serving) ownership: Ownership,
-    pub(in crate::serving) books: Books,
-    pub(in crate::serving) strikes: Strikes,
-    pub(in crate::serving) strain: Strain,
-    pub(in crate::serving) turns: Turns,
+    pub(in crate::serving) planner: AdapterPlanner,
+    pub(in crate::serving) strikes: CrashTracker,
+    pub(in crate::serving) strain: StallDetector,
+    pub(in crate::serving) turns: PrefillTurns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
-    /// Places at our replicas that were granted a moment ago.
-    pub(in crate::serving) reserved: Reserved,
-    /// Leaving replicas that the other VMs are to be told of.
+    /// Places at our replicas that were granted recently.
+    pub(in crate::serving) reserved: Reservations,
+    /// Leaving replicas to announce to the other VMs.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
-    /// Who waits for news of which of our replicas.
+    /// VMs that wait for changes of our replicas.
     pub(in crate::serving) subscriptions: Subscriptions,
-    /// The newest report of each VM on its requests.
+    /// The incarnation and number of each VM's newest load report.
     pub(in crate::serving) last_reports: BTreeMap<VmName, (Incarnation, u64)>,
-    /// What is known of the store.
+    /// The synchronization state of the store's topics.
     pub(in crate::serving) feeds: Feeds,
-    /// Beacons from other availability zones that are to be passed on.
+    /// Beacons from other availability zones to pass on.
     pub(in crate::serving) relay_queue: BTreeMap<VmName, wire::Beacon>,
-    /// Whether the replicas were listed once.
+    /// Whether the replicas were listed at least once.
     pub(in crate::serving) replicas_listed: bool,
-    /// Within how long changes of keys must be heeded.
-    pub(in crate::serving) key_bounds: Bounds,
-    /// When the configuration was surely the newest.
+    /// The time limits for applying changes of keys.
+    pub(in crate::serving) key_bounds: KeyBounds,
+    /// When the configuration was last proven to be the newest.
     pub(in crate::serving) recency: Recency,
     pub(in crate::serving) witnesses: WitnessQueue,
-    /// What this VM was lent of organisations' limits.
+    /// The shares of organisations' limits lent to this VM.
     pub(in crate::serving) borrower: Borrower,
-    /// What it lends of them.
+    /// The shares of organisations' limits that this VM lends.
     pub(in crate::serving) lender: Lender,
 }
 
-/// The seed of the order in which VMs lend for an organisation.
+/// Returns the seed of the order in which VMs lend for an organisation.
 pub(in crate::serving) fn lender_seed(name: &OrganisationName) -> u64 {
     xxh3_64(name.as_str().as_bytes())
 }
@@ -123,25 +123,25 @@
 impl NodeState {
     pub(in crate::serving) fn new(settings: &ServeSettings, now: Moment) -> Self {
         let lease = to_span(settings.lease);
-        let mut beliefs = Self {
+        let mut state = Self {
             active: None,
             fleet: Fleet::new(settings.zone.clone()),
-            budget: Budget::new(settings.budget),
+            budget: RetryBudget::new(settings.budget),
             members: Members::new(settings.vm.clone(), now),
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
-            books: Books::default(),
-            strikes: Strikes::default(),
-            strain: Strain::default(),
-            turns: Turns::default(),
+            planner: AdapterPlanner::default(),
+            strikes: CrashTracker::default(),
+            strain: StallDetector::default(),
+            turns: PrefillTurns::default(),
             local_uses: BTreeMap::new(),
-            reserved: Reserved::default(),
+            reserved: Reservations::default(),
             leaving: BTreeSet::new(),
             subscriptions: Subscriptions::default(),
             last_reports: BTreeMap::new(),
             feeds: Feeds::new(|topic| follow::poll_policy(settings, topic)),
             relay_queue: BTreeMap::new(),
             replicas_listed: false,
-            key_bounds: Bounds {
+            key_bounds: KeyBounds {
                 revoke: settings.key_revocation.map(to_span),
                 apply: to_span(settings.config_apply),
             },
@@ -150,17 +150,17 @@
             borrower: Borrower::default(),
             lender: Lender::new(settings.allowance),
         };
-        // An owner whose replicas check no fences must be heard by each VM.
+        // Without fencing, an owner needs direct acknowledgements from each VM.
         if settings.fencing && settings.experiment.is_enabled(Mechanism::ZoneRelays) {
-            beliefs.members.enable_relays(settings.zone.clone());
+            state.members.enable_relays(settings.zone.clone());
         }
-        beliefs.fleet.set_experiment(&settings.experiment);
-        beliefs.books.set_experiment(&settings.experiment);
-        beliefs
+        state.fleet.set_experiment(&settings.experiment);
+        state.planner.set_experiment(&settings.experiment);
+        state
     }
 
-    /// Our place in the order in which VMs ask the store about a topic; `None`
-    /// where each asks for itself.
+    /// Returns our position in the polling order of a topic, or `None` where
+    /// each VM polls for itself.
     pub(in crate::serving) fn poll_rank(
         &self,
         now: Moment,
@@ -172,32 +172,32 @@
         shared.then(|| self.members.rank(now, u64::from(topic.number())))
     }
 
-    /// How old what is known of the keys is.
-    pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> Freshness {
-        Freshness {
-            proven: self.recency.age(now),
-            believed: self.feeds.get(Topic::Config).age(now),
+    /// Returns the age of the key configuration.
+    pub(in crate::serving) fn key_freshness(&mut self, now: Moment) -> ConfigAge {
+        ConfigAge {
+            confirmed: self.recency.age(now),
+            estimated: self.feeds.get(Topic::Config).age(now),
         }
     }
 
-    /// Whether this VM may serve callers who need a key.
+    /// Whether this VM may serve callers that need a key.
     pub(in crate::serving) fn keys_valid(&mut self, now: Moment) -> bool {
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
         let freshness = self.key_freshness(now);
-        !needed || self.key_bounds.holds(&freshness)
+        !needed || self.key_bounds.may_use_keys(&freshness)
     }
 
-    /// Whether it is time to ask the store whether the keys still hold.
+    /// Whether the store must be asked now to prove that the keys are current.
     pub(in crate::serving) fn proof_due(&mut self, now: Moment, rank: Option<u64>) -> bool {
         let Some(revoke) = self.key_bounds.revoke else {
             return false;
         };
         let needed = self.active.as_ref().is_some_and(|a| a.keys.is_some());
-        let rests = self.feeds.get(Topic::Config).is_backing_off(now);
-        needed && !rests && self.recency.is_due(now, revoke, rank.unwrap_or(0))
+        let backing_off = self.feeds.get(Topic::Config).is_backing_off(now);
+        needed && !backing_off && self.recency.is_due(now, revoke, rank.unwrap_or(0))
     }
 
-    /// Takes the time that passed into the limits that this VM lends.
+    /// Advances the limits for which this VM is the first lender to `now`.
     pub(in crate::serving) fn update_lender(&mut self, now: Moment) {
         let Some(active) = self.active.clone() else {
             return;
@@ -208,8 +208,8 @@
             let lenders = self.members.lenders(now, lender_seed(name));
             lenders.first() == Some(&own)
         };
-        let kept = active.use_limits.iter().filter(|(name, _)| first(name));
-        self.lender.keep(now, part, kept);
+        let limits = active.use_limits.iter().filter(|(name, _)| first(name));
+        self.lender.renew(now, part, limits);
     }
 
     /// Whether requests can be served.
@@ -217,7 +217,8 @@
         self.active.is_some() && self.replicas_listed
     }
 
-    /// Takes a configuration if it is newer than the one in force.
+    /// Applies a configuration. Returns `false` if it is not newer than the one
+    /// in force.
     pub(in crate::serving) fn apply_config(&mut self, config: Config) -> bool {
         let old = self.active.as_ref().map_or(0, |a| a.config.version);
         if config.version <= old {
@@ -231,31 +232,35 @@
         true
     }
 
-    /// Takes a replica's entry in the store; gives whether it changed what
-    /// requests may use.
+    /// Applies a replica's entry from the store. Returns whether it changed
+    /// what requests may use.
     pub(in crate::serving) fn apply_listing(&mut self, listing: ReplicaInfo) -> bool {
-        let (name, born) = (listing.name.clone(), listing.started_ms);
-        if self.fleet.born(&name).is_some_and(|old| old != born) {
+        let (name, started_ms) = (listing.name.clone(), listing.started_ms);
+        if self
+            .fleet
+            .started_ms(&name)
+            .is_some_and(|old| old != started_ms)
+        {
             self.local_uses.remove(&name);
         }
-        self.fleet.list(listing)
+        self.fleet.apply_listing(listing)
     }
 
-    /// Takes the whole list of replicas.
+    /// Applies the complete list of replicas.
     pub(in crate::serving) fn apply_listings(&mut self, now: Moment, all: Vec<ReplicaInfo>) {
         for l in &all {
             if self
                 .fleet
-                .born(&l.name)
+                .started_ms(&l.name)
                 .is_some_and(|old| old != l.started_ms)
             {
                 self.local_uses.remove(&l.name);
             }
         }
-        self.fleet.relist(now, all, false);
+        self.fleet.replace_listings(now, all, false);
     }
 
-    /// Whether somebody can load adapters at a replica now.
+    /// Whether the owner of a replica can load adapters there now.
     pub(in crate::serving) fn can_load(
         &self,
         now: Moment,
@@ -264,13 +269,14 @@
     ) -> bool {
         match self.ownership.owner(name) {
             Some(vm) if vm == own => self.ownership.token(now, name).is_some(),
-            // One that waits out the lease before it tells nothing yet.
-            Some(vm) => self.members.is_live(now, vm) && self.fleet.has_word(now, name),
+            // An owner that waits out the former owner's lease sends no
+            // contents yet.
+            Some(vm) => self.members.is_live(now, vm) && self.fleet.has_fresh_residency(now, name),
             None => false,
         }
     }
 
-    /// Takes the owner table; gives whether it is news.
+    /// Applies the owner table. Returns `false` if it is not newer.
     pub(in crate::serving) fn apply_owner_table(
         &mut self,
         now: Moment,
@@ -283,20 +289,20 @@
         }
         for (name, owner) in &self.ownership.table.owners {
             if old.get(name).is_some_and(|o| o.token != owner.token) {
-                self.fleet.forget_book(name);
+                self.fleet.expire_owner_reports(name);
             }
         }
         true
     }
 
-    /// A run begins at a replica.
+    /// Counts a run that begins at a replica.
     pub(in crate::serving) fn begin_run(
         &mut self,
         name: &ReplicaName,
         target: Option<&Target>,
         cost: Load,
     ) {
-        self.fleet.begin(name, cost);
+        self.fleet.begin_run(name, cost);
         if let Some(target) = target.filter(|t| t.adapter.is_some()) {
             let uses = self.local_uses.entry(name.clone()).or_default();
             let entry = uses.entry(target.clone()).or_default();
@@ -305,19 +311,19 @@
         }
     }
 
-    /// It ended there.
+    /// Counts the end of a run.
     pub(in crate::serving) fn end_run(
         &mut self,
         at: &Instance,
         target: Option<&Target>,
         cost: Load,
     ) {
-        // A replica that has started anew does not count it.
+        // A restarted replica no longer counts the run.
         if !self.fleet.is_current(at) {
             return;
         }
         let name = &at.name;
-        self.fleet.end(name, cost);
+        self.fleet.end_run(name, cost);
         let target = target.filter(|t| t.adapter.is_some());
         let uses = target.and_then(|t| self.local_uses.get_mut(name)?.get_mut(t));
         if let Some(entry) = uses {
@@ -325,7 +331,8 @@
         }
     }
 
-    /// The uses at a replica to tell its owner; what was begun is told once.
+    /// Takes the uses at a replica to report to its owner. Started runs are
+    /// reported once.
     pub(in crate::serving) fn take_uses(
         &mut self,
         name: &ReplicaName,
@@ -333,28 +340,30 @@
         let Some(uses) = self.local_uses.get_mut(name) else {
             return BTreeMap::new();
         };
-        let told = uses.clone();
+        let reported = uses.clone();
         uses.retain(|_, u| u.running > 0);
         uses.values_mut().for_each(|u| u.started = 0);
         if uses.is_empty() {
             self.local_uses.remove(name);
         }
-        told
+        reported
     }
 
-    /// Brings the books in step with what we own.
-    pub(in crate::serving) fn sync_books(&mut self, now: Moment) {
+    /// Tracks the replicas that this VM owns in its adapter planner, and drops
+    /// the others.
+    pub(in crate::serving) fn sync_planner(&mut self, now: Moment) {
         let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
             if let Some(listing) = self.fleet.listing(name) {
                 let most = self.fleet.engine_slots(listing);
-                // Plain replicas are owned for the count of their requests.
+                // Replicas without adapter slots need no planning: they are
+                // owned to sum their requests.
                 if most > 0 {
-                    self.books.open(now, listing, most);
+                    self.planner.track(now, listing, most);
                 }
             }
         }
-        self.books.keep(&ours);
+        self.planner.retain(&ours);
     }
 }
--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -1,28 +1,28 @@
-//! Whose request it is, and whether it may run.
+//! Authentication of callers by API key, and the maximum age of the key list.
 //!
-//! Load: keys that are taken away while some VMs are cut off from the store,
-//! and floods of keys that nobody holds. Harm prevented: a request that runs on
-//! a key which its holder has given up. Nothing is kept of a key that is not
-//! known, and no call is made for it.
+//! Keys may be revoked while some VMs are partitioned from the store, and
+//! unknown keys may arrive in floods. A request must not run on a key that was
+//! revoked longer ago than the configured bound. An unknown key allocates no
+//! state and causes no remote call.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use crate::pool::Span;
-use crate::serving::path::model::KeyDigest;
-use crate::serving::path::model::Organisation;
+use crate::serving::path::types::KeyDigest;
+use crate::serving::path::types::Organisation;
 
-/// The part of the time that a revoked key may still be used in which a VM goes
-/// by what it knows; the rest is for clocks that do not run alike.
-const HELD_PART: f64 = 0.96;
+/// Fraction of the revocation bound during which a VM trusts its key list; the
+/// rest allows for clock drift between VMs.
+const TRUSTED_FRACTION: f64 = 0.96;
 
-/// The organisations of a configuration, by their keys.
+/// Maps API keys to the organisations of a configuration.
 #[derive(Debug)]
-pub struct Keys {
+pub struct ApiKeys {
     by_key: BTreeMap<KeyDigest, Rc<Organisation>>,
 }
 
-impl Keys {
+impl ApiKeys {
     /// Indexes the organisations of a configuration.
     pub fn new(organisations: &[Organisation]) -> Self {
         let mut by_key = BTreeMap::new();
@@ -35,97 +35,98 @@
         Self { by_key }
     }
 
-    /// Who holds a key.
-    pub fn find(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
+    /// Returns the organisation that holds a key.
+    pub fn holder(&self, key: &KeyDigest) -> Option<&Rc<Organisation>> {
         self.by_key.get(key)
     }
 }
 
-/// How old what a VM knows of the keys is.
+/// Age of the configuration from which a VM knows the keys.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Freshness {
-    /// Since the configuration was surely the newest.
-    pub proven: Option<Span>,
-    /// Since it was the newest as far as is known.
-    pub believed: Option<Span>,
+pub struct ConfigAge {
+    /// Time since the configuration was confirmed to be the newest.
+    pub confirmed: Option<Span>,
+    /// Time since it was the newest as far as this VM can tell.
+    pub estimated: Option<Span>,
 }
 
-/// Within how long changes of the keys must be heeded.
+/// Time limits within which key changes must take effect.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// For a key that was taken away, by every VM; `None` where only those that
-    /// reach the store must heed it.
+pub struct KeyBounds {
+    /// For a revoked key, on every VM; `None` if only VMs that can reach the
+    /// store have to enforce it.
     pub revoke: Option<Span>,
-    /// For a new key.
+    /// For a new key to be accepted.
     pub apply: Span,
 }
 
-/// Why a request may not run.
+/// Reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// Nobody holds its key.
+    /// No organisation holds its key.
     UnknownKey,
-    /// The configuration may be too old to tell.
-    ConfigOld,
+    /// The configuration may be too old to decide.
+    StaleConfig,
 }
 
 impl Denial {
-    /// A word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    /// Name used in logs, metrics and error replies.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownKey => "unknown_key",
-            Self::ConfigOld => "configuration_old",
+            Self::StaleConfig => "configuration_old",
         }
     }
 }
 
-impl Bounds {
-    /// Whether this VM may still go by the keys that it knows.
+impl KeyBounds {
+    /// Returns whether this VM may still rely on its key list.
     ///
     /// ```
     /// use banyangauge::pool::Span;
-    /// use banyangauge::serving::access::{Bounds, Freshness};
+    /// use banyangauge::serving::access::{KeyBounds, ConfigAge};
     /// let revoke = Some(Span::from_millis(5_000));
-    /// let bounds = Bounds { revoke, apply: Span::from_millis(3_000) };
-    /// let aged = |ms| Freshness { proven: Some(Span::from_millis(ms)), ..Freshness::default() };
-    /// assert!(bounds.holds(&aged(4_000)));
-    /// assert!(!bounds.holds(&aged(5_000)));
-    /// assert!(!bounds.holds(&Freshness::default()));
+    /// let bounds = KeyBounds { revoke, apply: Span::from_millis(3_000) };
+    /// let aged = |ms| ConfigAge { confirmed: Some(Span::from_millis(ms)), ..ConfigAge::default() };
+    /// assert!(bounds.may_use_keys(&aged(4_000)));
+    /// assert!(!bounds.may_use_keys(&aged(5_000)));
+    /// assert!(!bounds.may_use_keys(&ConfigAge::default()));
     /// ```
-    pub fn holds(&self, freshness: &Freshness) -> bool {
-        let held = |revoke: Span| Span((revoke.0 as f64 * HELD_PART) as u64);
+    pub fn may_use_keys(&self, freshness: &ConfigAge) -> bool {
+        let trusted = |revoke: Span| Span((revoke.0 as f64 * TRUSTED_FRACTION) as u64);
         self.revoke
-            .is_none_or(|revoke| freshness.proven.is_some_and(|age| age < held(revoke)))
+            .is_none_or(|revoke| freshness.confirmed.is_some_and(|age| age < trusted(revoke)))
     }
 
-    /// Whose request this is; `Ok(None)` where nobody's name goes with it.
+    /// Returns the organisation that a request belongs to, or `Ok(None)` if it
+    /// runs without one: keys are not in use, or the route is public.
     ///
     /// # Errors
     ///
-    /// When it may not run.
+    /// Returns a [`Denial`] if the request may not run.
     pub fn admit(
         &self,
-        keys: Option<&Keys>,
+        keys: Option<&ApiKeys>,
         public: bool,
         key: Option<&KeyDigest>,
-        freshness: &Freshness,
+        freshness: &ConfigAge,
     ) -> Result<Option<Rc<Organisation>>, Denial> {
         let Some(keys) = keys else {
             return Ok(None);
         };
-        let holder = key.and_then(|key| keys.find(key)).cloned();
-        let holds = self.holds(freshness);
+        let holder = key.and_then(|key| keys.holder(key)).cloned();
+        let holds = self.may_use_keys(freshness);
         if public {
             return Ok(holder.filter(|_| holds));
         }
         if !holds {
-            return Err(Denial::ConfigOld);
+            return Err(Denial::StaleConfig);
         }
-        let recent = freshness.believed.is_some_and(|age| age <= self.apply);
+        let recent = freshness.estimated.is_some_and(|age| age <= self.apply);
         match holder {
             Some(holder) => Ok(Some(holder)),
-            // It may be a new one that this VM has not heard of.
-            None if !recent => Err(Denial::ConfigOld),
+            // It may be a new key that has not reached this VM yet.
+            None if !recent => Err(Denial::StaleConfig),
             None => Err(Denial::UnknownKey),
         }
     }
--- /dev/null
+++ b/lib/src/serving/decisions/adapter_planner/mod.rs
@@ -0,0 +1,251 @@
+//! Plans which adapters the replicas owned by this VM load and unload.
+
+mod order;
+mod replica_plan;
+
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+
+use crate::ids::ModelName;
+use crate::ids::ReplicaName;
+use crate::ids::VmName;
+use crate::pool::Moment;
+use crate::pool::Span;
+use crate::serving::decisions::fetch_limiter::FetchLimiter;
+use crate::serving::decisions::fleet::Residency;
+use crate::serving::decisions::fleet::Versions;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::Target;
+use crate::serving::program::experiment::Experiment;
+
+pub use order::LoadDuration;
+pub use order::OrderOutcome;
+pub use order::ReplicaAction;
+pub use order::ReplicaReport;
+
+use self::replica_plan::ReplicaPlan;
+
+/// Plans the orders to the replicas that this VM owns.
+#[derive(Debug, Default)]
+pub struct AdapterPlanner {
+    plans: BTreeMap<ReplicaName, ReplicaPlan>,
+    fetch_limiter: FetchLimiter,
+    model_rate: LoadRateLimit,
+    /// Fetches in flight at all replicas, as far as known.
+    in_flight: usize,
+}
+
+/// Limits how often this VM has model weights loaded from the weight store, which
+/// all VMs share.
+#[derive(Clone, Copy, Debug, Default)]
+struct LoadRateLimit {
+    interval: Span,
+    last: Option<Moment>,
+}
+
+impl LoadRateLimit {
+    fn allows(&self, now: Moment) -> bool {
+        self.last.is_none_or(|at| now.since(at) >= self.interval)
+    }
+}
+
+impl AdapterPlanner {
+    /// Applies the mechanisms that are switched off.
+    pub fn set_experiment(&mut self, experiment: &Experiment) {
+        self.fetch_limiter.set_experiment(experiment);
+    }
+
+    /// Starts or updates the plan of a replica that this VM owns and that may hold
+    /// `max_adapters` adapters. Its entry in the store gives the initial state,
+    /// its report is authoritative.
+    pub fn track(&mut self, now: Moment, listing: &ReplicaInfo, max_adapters: u32) {
+        let plan = self.plans.entry(listing.name.clone());
+        let plan = plan.or_insert_with(|| ReplicaPlan::new(now, listing));
+        if plan.listed != listing.started_ms {
+            plan.listed = listing.started_ms;
+            if plan.started_ms != listing.started_ms {
+                *plan = ReplicaPlan::new(now, listing);
+            }
+        }
+        // The configuration may arrive after the replica is listed.
+        plan.max_adapters = max_adapters as usize;
+    }
+
+    /// Drops the plans of all replicas but those in `owned`.
+    pub fn retain(&mut self, owned: &BTreeSet<ReplicaName>) {
+        self.plans.retain(|name, _| owned.contains(name));
+    }
+
+    /// Returns the start time of an owned replica.
+    pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
+        self.plans.get(name).map(|b| b.started_ms)
+    }
+
+    /// Iterates over the owned replicas.
+    pub fn replicas(&self) -> impl Iterator<Item = &ReplicaName> {
+        self.plans.keys()
+    }
+
+    /// Requests that a replica loads an adapter; the request expires unless it is
+    /// renewed. Returns whether this VM owns the replica.
+    pub fn request_load(&mut self, now: Moment, name: &ReplicaName, target: &Target) -> bool {
+        let Some(plan) = self.plans.get_mut(name) else {
+            return false;
+        };
+        plan.request_load(now, target);
+        true
+    }
+
+    /// Records that a VM began `begun` runs of an adapter and has `running` in
+    /// progress.
+    pub fn record_use(
+        &mut self,
+        now: Moment,
+        name: &ReplicaName,
+        vm: &VmName,
+        target: &Target,
+        running: u32,
+        begun: u32,
+    ) {
+        let Some(plan) = self.plans.get_mut(name) else {
+            return;
+        };
+        plan.record_use(now, vm, target, running, begun);
+    }
+
+    /// Returns whether a replica holds no model and is loading none.
+    pub fn needs_model(&self, name: &ReplicaName) -> bool {
+        self.plans.get(name).is_some_and(ReplicaPlan::needs_model)
+    }
+
+    /// Returns what a replica holds, to be reported to the other VMs.
+    pub fn residency(&self, name: &ReplicaName) -> Option<Residency> {
+        self.plans.get(name).map(ReplicaPlan::held)
+    }
+
+    /// Returns the replicas whose contents changed since the last call.
+    pub fn take_changed(&mut self) -> Vec<ReplicaName> {
+        let changed = self.plans.iter_mut().filter(|(_, b)| b.changed);
+        let changed = changed.map(|(name, b)| {
+            b.changed = false;
+            name.clone()
+        });
+        changed.collect()
+    }
+
+    /// Returns how many adapters the owned replicas are loading.
+    pub fn loading_adapters(&self) -> usize {
+        self.plans.values().map(ReplicaPlan::coming).sum()
+    }
+
+    /// Returns the next action at a replica, if any. The caller passes its outcome
+    /// to [`AdapterPlanner::finish_order`] or
+    /// [`AdapterPlanner::finish_inspection`] before it asks for the next.
+    ///
+    /// Many requests may need adapters that no replica holds while all slots are
+    /// full. Load requests are served first come, first served, so none starves.
+    /// The idle adapter with the least demand is evicted, but never one with a
+    /// pending load request.
+    ///
+    /// A restarted replica is empty and loads `model` first.
+    pub fn next_action(
+        &mut self,
+        now: Moment,
+        name: &ReplicaName,
+        versions: &Versions,
+        model: Option<&ModelName>,
+    ) -> Option<ReplicaAction> {
+        let model_rate = self.model_rate;
+        let fetch = self.in_flight < self.fetch_limiter.capacity();
+        let plan = self.plans.get_mut(name)?;
+        if plan.busy {
+            return None;
+        }
+        let action = plan.next(now, versions, fetch);
+        if let Some(ReplicaAction::Load { target, .. }) = &action
+            && plan.is_fetch(target)
+        {
+            self.in_flight += 1;
+        }
+        let action = match (action, model, plan.needs_model()) {
+            (Some(action), ..) => Some(action),
+            (None, Some(model), true) if plan.weights_near || model_rate.allows(now) => {
+                if !plan.weights_near {
+                    self.model_rate.last = Some(now);
+                }
+                plan.load_model(model)
+            }
+            _ => None,
+        };
+        plan.busy = action.is_some();
+        action
+    }
+
+    /// Sets how many fetches are in flight at all replicas, and how many engines
+    /// the weight store serves.
+    pub fn set_fetches(&mut self, in_flight: usize, engines: usize) {
+        self.in_flight = in_flight;
+        self.fetch_limiter.set_engine_count(engines);
+    }
+
+    /// Sets the minimum interval between model loads from the weight store.
+    pub fn set_load_interval(&mut self, interval: Span) {
+        self.model_rate.interval = interval;
+    }
+
+    /// Sets the maximum delay after which this VM knows of uses by other VMs. An
+    /// adapter that was used within that time is not unloaded: a request already
+    /// sent to it would be refused, and an unload that waits for a run blocks all
+    /// other orders to the replica.
+    pub fn set_report_delay(&mut self, report_delay: Span) {
+        self.plans
+            .values_mut()
+            .for_each(|b| b.report_delay = report_delay);
+    }
+
+    /// Returns how many consecutive orders a replica left unanswered.
+    pub fn unanswered(&self, name: &ReplicaName) -> u32 {
+        self.plans.get(name).map_or(0, |b| b.unanswered)
+    }
+
+    /// Returns the latest time at which [`AdapterPlanner::next_action`] should be
+    /// called again.
+    pub fn next_wake(&self, now: Moment) -> Option<Moment> {
+        let plans = self.plans.values().filter(|b| !b.busy);
+        plans.filter_map(|b| b.next_wake(now)).min()
+    }
+
+    /// Applies a replica's report; `None` if it could not be read.
+    pub fn finish_inspection(
+        &mut self,
+        now: Moment,
+        name: &ReplicaName,
+        report: Option<ReplicaReport>,
+    ) {
+        let Some(plan) = self.plans.get_mut(name) else {
+            return;
+        };
+        plan.busy = false;
+        plan.apply_inspection(now, report);
+    }
+
+    /// Applies the outcome of an order. Returns the duration of the load, if it
+    /// completed one.
+    pub fn finish_order(
+        &mut self,
+        now: Moment,
+        name: &ReplicaName,
+        action: &ReplicaAction,
+        outcome: OrderOutcome,
+    ) -> Option<LoadDuration> {
+        let time = self.fetch_limiter.first_check_delay();
+        let plan = self.plans.get_mut(name)?;
+        plan.busy = false;
+        let fetched = matches!(action, ReplicaAction::Load { target, .. } if plan.is_cached(target) == Some(false));
+        let duration = plan.apply_outcome(now, action, outcome, time);
+        if let Some(duration) = duration.filter(|_| fetched) {
+            self.fetch_limiter.observe(duration, self.in_flight);
+        }
+        duration
+    }
+}
--- /dev/null
+++ b/lib/src/serving/decisions/adapter_planner/replica_plan.rs
@@ -0,0 +1,578 @@
+//! The plan for one owned replica: its adapters, and the next order to it.
+
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+
+use super::LoadDuration;
+use super::OrderOutcome;
+use super::ReplicaAction;
+use super::ReplicaReport;
+use crate::ids::ModelName;
+use crate::ids::VmName;
+use crate::pool::Demand;
+use crate::pool::Moment;
+use crate::pool::Span;
+use crate::serving::decisions::fleet::Residency;
+use crate::serving::decisions::fleet::Versions;
+use crate::serving::path::types::ReplicaInfo;
+use crate::serving::path::types::Target;
+
+/// Maximum concurrent loads at one replica; the replica accepts no more.
+const MAX_LOADING: usize = 4;
+
+/// Half-life of the demand by which adapters are ranked for eviction, in
+/// microseconds: demand shifts within some ten seconds, and an adapter that is
+/// needed again soon loads from the replica's own disk.
+const DEMAND_HALF_LIFE_US: f64 = 8e6;
+
+/// Weight of a run in progress in the demand, where a run that begins counts 1:
+/// it only shows that the adapter is in use.
+const RUNNING_WEIGHT: f64 = 0.01;
+
+/// Default delay after which uses by other VMs are known here, until it is set
+/// for the number of VMs.
+const DEFAULT_REPORT_DELAY: Span = Span::from_millis(900);
+
+/// Lifetime of a VM's report of its runs, in report delays.
+const RUNS_TTL_DELAYS: u64 = 3;
+
+/// Lifetime of a load request that is not renewed.
+const REQUEST_TTL: Span = Span::from_millis(700);
+
+/// Delay before the first poll of an adapter that the replica held before: it
+/// loads from the replica's own memory, ten times as fast.
+const CACHED_POLL: Span = Span::from_millis(25);
+
+/// Interval between polls of an adapter that is still loading.
+const POLL_INTERVAL: Span = Span::from_millis(40);
+
+/// Unloaded adapters that a replica is expected to keep in its own memory; they
+/// load without the weight store.
+const MAX_CACHED: usize = 40;
+
+/// An accepted load that takes longer than this has failed.
+const LOAD_TIMEOUT: Span = Span::from_millis(20_000);
+
+/// Interval between polls of a loading model.
+const MODEL_POLL: Span = Span::from_millis(200);
+
+/// Delay before an unload that waits for runs is polled.
+const UNLOAD_POLL: Span = Span::from_millis(300);
+
+/// Consecutive unanswered orders after which an owner reads the replica's
+/// report: the replica is unresponsive, or the orders were carried out.
+const MAX_UNANSWERED: u32 = 4;
+
+/// Delay after a failed order before the report is read: reports lag by some
+/// hundred milliseconds.
+const RESYNC_DELAY: Span = Span::from_millis(250);
+
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+enum Phase {
+    Loaded,
+    /// Being loaded, or replaced by a newer version.
+    Loading(Loading),
+    /// Being unloaded once its runs have ended; polled next at this time.
+    Unloading(Moment),
+}
+
+/// A load in progress.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+struct Loading {
+    since: Moment,
+    /// When it was last known not to be complete.
+    not_loaded_at: Moment,
+    /// When it is polled next.
+    next_poll: Moment,
+}
+
+impl Loading {
+    /// A load that begins now and is first polled after `time`.
+    fn new(now: Moment, time: Span) -> Self {
+        Self {
+            since: now,
+            not_loaded_at: now,
+            next_poll: now.after(time),
+        }
+    }
+
+    /// Returns the duration of a load that is complete now.
+    fn duration(&self, now: Moment) -> LoadDuration {
+        LoadDuration {
+            min: self.not_loaded_at.since(self.since),
+            max: now.since(self.since),
+        }
+    }
+}
+
+#[derive(Debug)]
+struct Slot {
+    version: u32,
+    phase: Phase,
+}
+
+#[derive(Debug)]
+struct Use {
+    demand: Demand,
+    running: BTreeMap<VmName, (Moment, u32)>,
+}
+
+/// The state and load requests of one owned replica.
+#[derive(Debug)]
+pub(super) struct ReplicaPlan {
+    pub(super) max_adapters: usize,
+    /// Start time of the incarnation that this plan is for.
+    pub(super) started_ms: u64,
+    /// Start time in its last entry in the store.
+    pub(super) listed: u64,
+    /// Number of orders that it has accepted, if known.
+    accepted: Option<u64>,
+    /// When its report may be read next.
+    inspect_from: Moment,
+    slots: BTreeMap<Target, Slot>,
+    uses: BTreeMap<Target, Use>,
+    /// Load requests: when first made, and when last renewed.
+    requests: BTreeMap<Target, (Moment, Moment)>,
+    pub(super) busy: bool,
+    pub(super) changed: bool,
+    /// Consecutive orders without a response.
+    pub(super) unanswered: u32,
+    /// Adapters that it held recently, the latest last.
+    cached: VecDeque<Target>,
+    /// Whether the model weights are in the replica's own memory or on its disk,
+    /// so that it loads them without the weight store.
+    pub(super) weights_near: bool,
+    /// Since when this VM owns this incarnation.
+    owned_since: Moment,
+    /// Maximum delay after which uses by other VMs are known here.
+    pub(super) report_delay: Span,
+}
+
+impl Slot {
+    fn here(version: u32) -> Self {
+        Self {
+            version,
+            phase: Phase::Loaded,
+        }
+    }
+}
+
+impl ReplicaPlan {
+    pub(super) fn new(now: Moment, listing: &ReplicaInfo) -> Self {
+        let here = listing.adapters.iter();
+        let here = here.map(|(t, v)| (t.clone(), Slot::here(*v)));
+        let models = listing.models.iter().map(|m| (m.target(), Slot::here(0)));
+        Self {
+            max_adapters: 0,
+            started_ms: listing.started_ms,
+            listed: listing.started_ms,
+            accepted: None,
+            inspect_from: now,
+            slots: here.chain(models).collect(),
+            uses: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            busy: false,
+            changed: true,
+            unanswered: 0,
+            cached: VecDeque::new(),
+            weights_near: false,
+            owned_since: now,
+            report_delay: DEFAULT_REPORT_DELAY,
+        }
+    }
+
+    pub(super) fn request_load(&mut self, now: Moment, target: &Target) {
+        let request_load = self.requests.entry(target.clone()).or_insert((now, now));
+        request_load.1 = now;
+    }
+
+    pub(super) fn record_use(
+        &mut self,
+        now: Moment,
+        vm: &VmName,
+        t: &Target,
+        running: u32,
+        begun: u32,
+    ) {
+        let entry = self.use_of(t);
+        if begun > 0 || running > 0 {
+            let weight = f64::from(begun) + RUNNING_WEIGHT;
+            entry.demand.record(now, DEMAND_HALF_LIFE_US, weight);
+        }
+        entry.running.insert(vm.clone(), (now, running));
+    }
+
+    pub(super) fn held(&self) -> Residency {
+        let here = self.slots.iter().filter(|(_, s)| s.phase == Phase::Loaded);
+        let coming = self.slots.iter();
+        let coming = coming.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
+        Residency {
+            loaded: here.map(|(t, s)| (t.clone(), s.version)).collect(),
+            loading: coming.map(|(t, _)| t.clone()).collect(),
+        }
+    }
+
+    pub(super) fn apply_inspection(&mut self, now: Moment, report: Option<ReplicaReport>) {
+        let Some(report) = report else {
+            self.inspect_from = now.after(RESYNC_DELAY);
+            return;
+        };
+        if report.started_ms != self.started_ms {
+            self.reset(now, report.started_ms);
+        }
+        self.accepted = Some(report.accepted);
+        self.take_report(now, &report);
+    }
+
+    /// Resets the plan for a restarted replica: it is empty and has no runs.
+    fn reset(&mut self, now: Moment, started_ms: u64) {
+        self.started_ms = started_ms;
+        self.owned_since = now;
+        self.slots.clear();
+        self.cached.clear();
+        self.weights_near = false;
+        self.uses.values_mut().for_each(|u| u.running.clear());
+    }
+
+    fn use_of(&mut self, target: &Target) -> &mut Use {
+        let new = || Use {
+            demand: Demand::NONE,
+            running: BTreeMap::new(),
+        };
+        self.uses.entry(target.clone()).or_insert_with(new)
+    }
+
+    pub(super) fn coming(&self) -> usize {
+        let adapters = self.slots.iter().filter(|(t, _)| t.adapter.is_some());
+        let coming = adapters.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
+        coming.count()
+    }
+
+    /// Returns whether it holds no model and is loading none.
+    pub(super) fn needs_model(&self) -> bool {
+        self.accepted.is_some() && self.slots.keys().all(|t| t.adapter.is_some())
+    }
+
+    pub(super) fn load_model(&self, model: &ModelName) -> Option<ReplicaAction> {
+        let expected = self.accepted?;
+        Some(ReplicaAction::Load {
+            target: model.target(),
+            version: None,
+            expected,
+        })
+    }
+
+    /// Returns whether adapters of a model can be loaded.
+    fn has_model(&self, model: &ModelName) -> bool {
+        let slot = self.slots.get(&model.target());
+        slot.is_some_and(|s| s.phase == Phase::Loaded)
+    }
+
+    /// Returns how many adapters it holds, loads or unloads.
+    fn adapters(&self) -> usize {
+        self.slots.keys().filter(|t| t.adapter.is_some()).count()
+    }
+
+    /// Returns whether an adapter loads from the replica's own memory; `None` for
+    /// a model.
+    pub(super) fn is_cached(&self, target: &Target) -> Option<bool> {
+        target.adapter.as_ref()?;
+        Some(self.cached.contains(target))
+    }
+
+    /// Returns whether a load would be a new fetch from the weight store.
+    pub(super) fn is_fetch(&self, target: &Target) -> bool {
+        let new = self
+            .slots
+            .get(target)
+            .is_none_or(|s| s.phase == Phase::Loaded);
+        new && self.is_cached(target) == Some(false)
+    }
+
+    /// Records an adapter that the replica caches after it is unloaded.
+    fn record_cached(&mut self, target: &Target) {
+        self.cached.retain(|t| t != target);
+        self.cached.push_back(target.clone());
+        if self.cached.len() > MAX_CACHED {
+            self.cached.pop_front();
+        }
+    }
+
+    /// Returns the next action; `fetch` says whether the weight store can serve
+    /// another fetch.
+    pub(super) fn next(
+        &mut self,
+        now: Moment,
+        versions: &Versions,
+        fetch: bool,
+    ) -> Option<ReplicaAction> {
+        let Some(expected) = self.accepted else {
+            return (now >= self.inspect_from).then_some(ReplicaAction::Inspect);
+        };
+        self.requests
+            .retain(|_, (_, renewed)| now.since(*renewed) < REQUEST_TTL);
+        if self.has_lost_load(now) {
+            self.accepted = None;
+            return Some(ReplicaAction::Inspect);
+        }
+        let load = |target: Target| {
+            let version = versions.newest(&target);
+            ReplicaAction::Load {
+                target,
+                version,
+                expected,
+            }
+        };
+        if let Some((target, loading)) = self.overdue(now) {
+            return Some(match loading {
+                true => load(target),
+                false => ReplicaAction::Unload { target, expected },
+            });
+        }
+        // The replica refuses all other orders while an unload waits for runs.
+        if self
+            .slots
+            .values()
+            .any(|s| matches!(s.phase, Phase::Unloading(_)))
+        {
+            return None;
+        }
+        if let Some(target) = self.outdated(versions) {
+            return Some(load(target));
+        }
+        let target = self.next_request(versions, fetch)?;
+        if self.coming() >= MAX_LOADING {
+            return None;
+        }
+        if self.adapters() < self.max_adapters {
+            return Some(load(target));
+        }
+        let target = self.eviction_candidate(now)?;
+        Some(ReplicaAction::Unload { target, expected })
+    }
+
+    /// Returns whether a load was accepted longer than `LOAD_TIMEOUT` ago.
+    fn has_lost_load(&self, now: Moment) -> bool {
+        let over =
+            |s: &Slot| matches!(s.phase, Phase::Loading(c) if now.since(c.since) > LOAD_TIMEOUT);
+        self.slots.values().any(over)
+    }
+
+    /// Returns a target to poll now, and whether it is being loaded.
+    fn overdue(&self, now: Moment) -> Option<(Target, bool)> {
+        self.slots.iter().find_map(|(t, s)| match s.phase {
+            Phase::Loading(c) if c.next_poll <= now => Some((t.clone(), true)),
+            Phase::Unloading(at) if at <= now => Some((t.clone(), false)),
+            _ => None,
+        })
+    }
+
+    /// Returns an adapter of which a newer version was announced.
+    fn outdated(&self, versions: &Versions) -> Option<Target> {
+        let here = self.adapters_here();
+        let mut old = here.filter(|(t, s)| versions.newest(t).is_some_and(|v| v > s.version));
+        old.next().map(|(t, _)| t.clone())
+    }
+
+    fn adapters_here(&self) -> impl Iterator<Item = (&Target, &Slot)> {
+        let adapters = self.slots.iter().filter(|(t, _)| t.adapter.is_some());
+        adapters.filter(|(_, s)| s.phase == Phase::Loaded)
+    }
+
+    fn next_request(&mut self, versions: &Versions, fetch: bool) -> Option<Target> {
+        let slots = &self.slots;
+        let met = |t: &Target| {
+            let newest = versions.newest(t).unwrap_or(0);
+            let slot = slots.get(t);
+            slot.is_some_and(|s| s.phase != Phase::Loaded || s.version >= newest)
+        };
+        self.requests.retain(|t, _| !met(t));
+        let possible = |t: &Target| {
+            let free = fetch || self.is_cached(t) == Some(true);
+            free && self.has_model(&t.model)
+        };
+        let fit = self.requests.iter().filter(|(t, _)| possible(t));
+        let first = fit.min_by_key(|(_, (since, _))| *since);
+        first.map(|(t, _)| t.clone())
+    }
+
+    /// Returns the adapter to evict. None that may be in use is evicted, as its
+    /// unload would wait for its runs. A new owner evicts nothing until it has
+    /// learned from the other VMs' beacons what is in use.
+    fn eviction_candidate(&self, now: Moment) -> Option<Target> {
+        if now.since(self.owned_since) < self.report_delay {
+            return None;
+        }
+        let here = self.adapters_here();
+        let idle = here.filter(|(t, _)| !self.requests.contains_key(*t) && self.idle(now, t));
+        let least = idle.min_by_key(|(t, _)| {
+            self.uses
+                .get(*t)
+                .map_or(i64::MIN, |u| u.demand.order_key(1))
+        });
+        least.map(|(t, _)| t.clone())
+    }
+
+    fn idle(&self, now: Moment, target: &Target) -> bool {
+        let Some(uses) = self.uses.get(target) else {
+            return true;
+        };
+        let kept = Span(self.report_delay.0 * RUNS_TTL_DELAYS);
+        let running = uses.running.values();
+        let mut running = running.filter(|(heard, n)| *n > 0 && now.since(*heard) < kept);
+        running.next().is_none() && now.since(uses.demand.last_request) >= self.report_delay
+    }
+
+    pub(super) fn next_wake(&self, now: Moment) -> Option<Moment> {
+        if self.accepted.is_none() {
+            return Some(self.inspect_from);
+        }
+        let slots = self.slots.values().filter_map(|s| match s.phase {
+            Phase::Loading(c) => Some(c.next_poll),
+            Phase::Unloading(at) => Some(at),
+            Phase::Loaded => None,
+        });
+        let wished = (!self.requests.is_empty()).then(|| now.after(POLL_INTERVAL));
+        slots.chain(wished).min()
+    }
+
+    fn take_report(&mut self, now: Moment, report: &ReplicaReport) {
+        let slots = &mut self.slots;
+        slots.retain(|t, s| {
+            let told = report.loaded.contains_key(t) || report.loading.contains(t);
+            // A recent order is not in the report yet.
+            let new = matches!(s.phase, Phase::Loading(c) if now.since(c.since) < RESYNC_DELAY);
+            told || new
+        });
+        for (t, version) in &report.loaded {
+            let slot = slots.entry(t.clone()).or_insert(Slot::here(*version));
+            if slot.phase == Phase::Loaded {
+                slot.version = *version;
+            }
+        }
+        for t in &report.loading {
+            let slot = slots.entry(t.clone()).or_insert(Slot::here(0));
+            if slot.phase == Phase::Loaded {
+                slot.phase = Phase::Loading(Loading::new(now, POLL_INTERVAL));
+            }
+        }
+        self.weights_near = report.weights_cached;
+        self.changed = true;
+    }
+
+    pub(super) fn apply_outcome(
+        &mut self,
+        now: Moment,
+        action: &ReplicaAction,
+        outcome: OrderOutcome,
+        time: Span,
+    ) -> Option<LoadDuration> {
+        if outcome != OrderOutcome::Unknown {
+            self.unanswered = 0;
+        }
+        match outcome {
+            OrderOutcome::Accepted => {
+                // A poll of an order in progress is not a new order.
+                let in_progress = self.is_in_progress(action);
+                self.accepted = self.accepted.map(|n| n + u64::from(!in_progress));
+                self.apply_accepted(now, action, time);
+                None
+            }
+            OrderOutcome::InEffect => self.apply_in_effect(now, action),
+            // The order may or may not be carried out. The next one expects the
+            // same count, so at most one of them is.
+            OrderOutcome::Unknown if self.unanswered < MAX_UNANSWERED => {
+                self.unanswered += 1;
+                None
+            }
+            OrderOutcome::Conflict | OrderOutcome::Unknown | OrderOutcome::Refused => {
+                self.accepted = None;
+                self.inspect_from = now.after(RESYNC_DELAY);
+                None
+            }
+            OrderOutcome::Fenced | OrderOutcome::Gone => {
+                self.inspect_from = now.after(Span(RESYNC_DELAY.0 * 4));
+                self.accepted = None;
+                None
+            }
+        }
+    }
+
+    fn is_in_progress(&self, action: &ReplicaAction) -> bool {
+        let target = match action {
+            ReplicaAction::Load { target, .. } | ReplicaAction::Unload { target, .. } => target,
+            ReplicaAction::Inspect => return false,
+        };
+        let slot = self.slots.get(target);
+        matches!(
+            (slot.map(|s| s.phase), action),
+            (Some(Phase::Loading(_)), ReplicaAction::Load { .. })
+                | (Some(Phase::Unloading(_)), ReplicaAction::Unload { .. })
+        )
+    }
+
+    fn apply_accepted(&mut self, now: Moment, action: &ReplicaAction, time: Span) {
+        self.changed = true;
+        match action {
+            ReplicaAction::Load { target, .. } => {
+                // A model takes seconds to load and is polled less often.
+                let (time, again) = match self.is_cached(target) {
+                    Some(true) => (CACHED_POLL, POLL_INTERVAL),
+                    Some(false) => (time, POLL_INTERVAL),
+                    None => (MODEL_POLL, MODEL_POLL),
+                };
+                let slot = self.slots.entry(target.clone());
+                let slot = slot.or_insert(Slot::here(0));
+                slot.phase = Phase::Loading(match slot.phase {
+                    Phase::Loading(c) => Loading {
+                        not_loaded_at: now,
+                        next_poll: now.after(again),
+                        ..c
+                    },
+                    _ => Loading::new(now, time),
+                });
+            }
+            ReplicaAction::Unload { target, .. } => {
+                if let Some(slot) = self.slots.get_mut(target) {
+                    slot.phase = Phase::Unloading(now.after(UNLOAD_POLL));
+                }
+            }
+            ReplicaAction::Inspect => {}
+        }
+    }
+
+    fn apply_in_effect(&mut self, now: Moment, action: &ReplicaAction) -> Option<LoadDuration> {
+        self.changed = true;
+        match action {
+            ReplicaAction::Load {
+                target, version, ..
+            } => {
+                self.requests.remove(target);
+                let slot = self.slots.entry(target.clone()).or_insert(Slot::here(0));
+                let duration = match slot.phase {
+                    Phase::Loading(c) => Some(c.duration(now)),
+                    _ => None,
+                };
+                slot.phase = Phase::Loaded;
+                slot.version = version.unwrap_or(slot.version);
+                self.use_of(target)
+                    .demand
+                    .record(now, DEMAND_HALF_LIFE_US, 1.0);
+                if target.adapter.is_some() {
+                    self.record_cached(target);
+                }
+                duration
+            }
+            ReplicaAction::Unload { target, .. } => {
+                let slot = self.slots.remove(target);
+                // An immediate unload counts as an order; one that waited for
+                // runs was counted when it was accepted.
+                if slot.is_some_and(|s| s.phase == Phase::Loaded) {
+                    self.accepted = self.accepted.map(|n| n + 1);
+                }
+                None
+            }
+            ReplicaAction::Inspect => None,
+        }
+    }
+}
--- a/lib/src/serving/decisions/mod.rs
+++ b/lib/src/serving/decisions/mod.rs
@@ -1,13 +1,13 @@
-//! What is decided, on plain state with time as an argument: no I/O, no clock.
+//! Decision logic on plain state: no I/O, and time is passed in as an argument.
 
 pub mod access;
-pub(super) mod books;
-pub(super) mod budget;
-pub mod decide;
+pub(super) mod adapter_planner;
+pub(super) mod crash_tracker;
+pub(super) mod fetch_limiter;
 pub(super) mod fleet;
-pub(super) mod pace;
+pub(super) mod prefill_turns;
 pub mod quota;
-pub(super) mod reserved;
-pub(super) mod strain;
-pub(super) mod strikes;
-pub(super) mod turns;
+pub(super) mod reservations;
+pub mod retry;
+pub(super) mod retry_budget;
+pub(super) mod stall_detector;
--- /dev/null
+++ b/lib/src/serving/decisions/prefill_turns.rs
@@ -0,0 +1,134 @@
+//! Serialises the prefill of long prompts at a replica.
+
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+
+use crate::ids::ReplicaName;
+use crate::ids::VmName;
+use crate::pool::Moment;
+use crate::pool::Span;
+
+/// Minimum tokens of a prompt that waits for its turn: an engine prefills
+/// shorter ones within a few steps.
+pub(in crate::serving) const LONG_PROMPT_TOKENS: u64 = 3_000;
+
+/// Maximum tokens that are prefilled at a time, unless one prompt is longer.
+const MAX_CONCURRENT_TOKENS: u64 = 6_000;
+
+/// Gap after a prefill, in which the streams of the replica get their next
+/// events: some eight engine steps.
+const GAP: Span = Span::from_millis(30);
+
+/// Maximum time that a prompt waits for its turn. After it the prompt is sent
+/// without one, as it would miss its objective.
+pub const MAX_TURN_WAIT: Span = Span::from_millis(600);
+
+/// Per-token part of the time after which a turn whose end message was lost is
+/// over, in microseconds: twice what an engine takes.
+const TIMEOUT_PER_TOKEN_US: u64 = 50;
+
+/// Constant part of that time, in microseconds.
+const TIMEOUT_BASE_US: u64 = 150_000;
+
+/// Identifies a request for a turn.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct TurnId {
+    /// The VM that asks.
+    pub vm: VmName,
+    /// The VM's number for the run.
+    pub number: u64,
+}
+
+#[derive(Debug)]
+struct Turn {
+    id: TurnId,
+    tokens: u64,
+    /// While it waits: when it is dropped; during prefill: when it times out.
+    until: Moment,
+}
+
+#[derive(Debug, Default)]
+struct ReplicaQueue {
+    active: Vec<Turn>,
+    waiting: VecDeque<Turn>,
+    free_from: Moment,
+}
+
+/// Prefill turns at the replicas that this VM owns.
+///
+/// Streams share an engine with long prompts. One prefill stalls them for less
+/// than their callers allow, two in a row for longer; a short gap between two
+/// prompts gives every stream its next event. Turns are granted by the replica's
+/// owner, as load reports are older than a prefill takes; without an owner
+/// prompts are sent as they come.
+#[derive(Debug, Default)]
+pub struct PrefillTurns {
+    queues: BTreeMap<ReplicaName, ReplicaQueue>,
+}
+
+impl PrefillTurns {
+    /// Queues a prompt of `tokens` tokens.
+    pub fn request(&mut self, now: Moment, replica: &ReplicaName, id: TurnId, tokens: u64) {
+        let queue = self.queues.entry(replica.clone()).or_default();
+        queue.waiting.push_back(Turn {
+            id,
+            tokens,
+            until: now.after(MAX_TURN_WAIT),
+        });
+    }
+
+    /// Ends a turn or a wait: the prompt was prefilled, or the request is gone.
+    pub fn finish(&mut self, now: Moment, replica: &ReplicaName, id: &TurnId) {
+        let Some(queue) = self.queues.get_mut(replica) else {
+            return;
+        };
+        queue.waiting.retain(|t| t.id != *id);
+        let before = queue.active.len();
+        queue.active.retain(|t| t.id != *id);
+        if queue.active.len() < before {
+            queue.free_from = now.after(GAP);
+        }
+    }
+
+    /// Returns the turns that begin now; each is returned once.
+    pub fn take_grants(&mut self, now: Moment) -> Vec<(ReplicaName, TurnId)> {
+        let mut grants = Vec::new();
+        for (name, queue) in &mut self.queues {
+            queue.active.retain(|t| t.until > now);
+            queue.waiting.retain(|t| t.until > now);
+            while let Some(turn) = queue.next(now) {
+                grants.push((name.clone(), turn));
+            }
+        }
+        self.queues
+            .retain(|_, d| !d.active.is_empty() || !d.waiting.is_empty() || d.free_from > now);
+        grants
+    }
+
+    /// Returns when [`PrefillTurns::take_grants`] should be called again if
+    /// nothing else happens.
+    pub fn next_wake(&self) -> Option<Moment> {
+        let queues = self.queues.values().filter(|d| !d.waiting.is_empty());
+        let timeout = |d: &ReplicaQueue| d.active.iter().map(|t| t.until).min();
+        queues.map(|d| timeout(d).unwrap_or(d.free_from)).min()
+    }
+}
+
+impl ReplicaQueue {
+    fn next(&mut self, now: Moment) -> Option<TurnId> {
+        let first = self.waiting.front()?;
+        let active: u64 = self.active.iter().map(|t| t.tokens).sum();
+        let room = match self.active.is_empty() {
+            true => self.free_from <= now,
+            false => active + first.tokens <= MAX_CONCURRENT_TOKENS,
+        };
+        if !room {
+            return None;
+        }
+        let mut turn = self.waiting.pop_front()?;
+        turn.until = now.after(Span(TIMEOUT_BASE_US + turn.tokens * TIMEOUT_PER_TOKEN_US));
+        let id = turn.id.clone();
+        self.active.push(turn);
+        Some(id)
+    }
+}
--- /dev/null
+++ b/lib/src/serving/decisions/retry.rs
@@ -0,0 +1,178 @@
+//! Decides what follows a failed attempt: a retry, or the final response.
+//!
+//! Replicas may crash, refuse or fail under many requests at once. A request
+//! that is not idempotent must not run twice, and a response must not claim that
+//! a request did not run if it may have.
+
+use std::time::Duration;
+
+use hyper::StatusCode;
+
+use crate::serving::decisions::access::Denial;
+use crate::serving::path::codec::NotRun;
+
+/// Maximum sends of one request: the view of the replicas is wrong about at
+/// most a few of them at a time.
+const MAX_SENDS: u32 = 4;
+
+/// `Retry-After` while there is no configuration or no replica: about the time
+/// it takes to renew a watch or to list a replica.
+pub const RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// Reason why an attempt gave no response to pass on.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum AttemptFailure {
+    /// No byte was sent.
+    NotSent,
+    /// The replica refused the request.
+    NotRun(NotRun),
+    /// The connection broke before a response.
+    Broken,
+    /// The response is malformed or belongs to another request.
+    InvalidReply(&'static str),
+    /// The replica responded with an error of its own.
+    Failed,
+    /// No response came in time.
+    TimedOut,
+    /// Not sent: the API key was revoked, or may have been.
+    Denied(Denial),
+}
+
+impl AttemptFailure {
+    /// Returns whether the request may have run.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Self::NotSent | Self::NotRun(_) | Self::Denied(_))
+    }
+
+    /// Returns whether the replica received the request, so that another send
+    /// counts as a retry.
+    pub fn reached_replica(self) -> bool {
+        !matches!(self, Self::NotSent | Self::Denied(_))
+    }
+
+    /// Name used in logs, metrics and error replies.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NotSent => "not_sent",
+            Self::NotRun(NotRun::Gone) => "replica_gone",
+            Self::NotRun(NotRun::NotLoaded) => "not_loaded",
+            Self::NotRun(NotRun::Full) => "replica_full",
+            Self::Broken => "broken",
+            Self::InvalidReply(_) => "spoilt",
+            Self::Failed => "failed",
+            Self::TimedOut => "overdue",
+            Self::Denied(denial) => denial.as_str(),
+        }
+    }
+}
+
+/// The attempts made for one request.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Attempts {
+    /// Number of sends so far.
+    pub sends: u32,
+    /// Number of sends in which it may have run.
+    pub runs: u32,
+    /// Maximum number of replicas that may run it.
+    pub max_runs: u32,
+    /// Whether it may run more than once.
+    pub idempotent: bool,
+    /// Whether the response head was already sent to the caller.
+    pub answered: bool,
+}
+
+impl Attempts {
+    /// Records the end of a send.
+    pub fn record(&mut self, failure: AttemptFailure) {
+        self.sends += 1;
+        self.runs += u32::from(failure.may_have_run());
+    }
+
+    /// Returns whether another replica may be tried after this failure, which
+    /// must already be recorded. The retry budget is checked separately.
+    ///
+    /// ```
+    /// use banyangauge::serving::retry::{AttemptFailure, Attempts};
+    /// let mut t = Attempts { max_runs: 2, ..Attempts::default() };
+    /// t.record(AttemptFailure::NotSent);
+    /// assert!(t.may_retry(AttemptFailure::NotSent));
+    /// t.record(AttemptFailure::Broken);
+    /// assert!(!t.may_retry(AttemptFailure::Broken)); // may have run, and is not idempotent
+    /// ```
+    pub fn may_retry(&self, failure: AttemptFailure) -> bool {
+        let allowed = self.idempotent || self.runs == 0;
+        allowed
+            && failure != AttemptFailure::TimedOut
+            && !matches!(failure, AttemptFailure::Denied(_))
+            && self.sends < MAX_SENDS
+            && self.runs < self.max_runs.max(1)
+    }
+}
+
+/// The final response to a request that was not served.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct Refusal {
+    /// HTTP status; 429 and 503 guarantee that the request did not run.
+    pub status: StatusCode,
+    /// Delay before the caller should retry.
+    pub retry_after: Option<Duration>,
+    /// Reason code.
+    pub reason: &'static str,
+}
+
+impl Refusal {
+    /// The request did not run and may be retried after `after`.
+    pub fn not_run(reason: &'static str, after: Duration) -> Self {
+        Self {
+            status: StatusCode::SERVICE_UNAVAILABLE,
+            retry_after: Some(after),
+            reason,
+        }
+    }
+
+    /// The request is not allowed.
+    pub fn denied(status: StatusCode, reason: &'static str) -> Self {
+        Self {
+            status,
+            retry_after: None,
+            reason,
+        }
+    }
+
+    /// The API key is unknown, or may have been revoked.
+    pub fn of_denial(denial: Denial) -> Self {
+        match denial {
+            Denial::UnknownKey => Self::denied(StatusCode::UNAUTHORIZED, denial.as_str()),
+            Denial::StaleConfig => Self::not_run(denial.as_str(), RETRY_DELAY),
+        }
+    }
+
+    /// The organisation's limit is exhausted for `after`.
+    pub fn over_limit(after: Duration) -> Self {
+        Self {
+            status: StatusCode::TOO_MANY_REQUESTS,
+            retry_after: Some(after),
+            reason: "over_limit",
+        }
+    }
+
+    /// The final response after `attempts`, the last of which ended with `failure`.
+    pub fn after(attempts: &Attempts, failure: AttemptFailure) -> Self {
+        let reason = failure.as_str();
+        if let (0, AttemptFailure::Denied(denial)) = (attempts.runs, failure) {
+            return Self::of_denial(denial);
+        }
+        if attempts.runs == 0 && !failure.may_have_run() {
+            return Self::not_run(reason, RETRY_DELAY);
+        }
+        let status = match failure {
+            AttemptFailure::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            _ => StatusCode::BAD_GATEWAY,
+        };
+        Self {
+            status,
+            retry_after: None,
+            reason,
+        }
+    }
+}
--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -1,16 +1,16 @@
-//! The request path of a VM that decides and sends for itself.
+//! The request path of a VM, which routes and dispatches requests by itself.
 //!
-//! | folder | what is in it |
+//! | folder | contents |
 //! |---|---|
-//! | `path` | the path of a request; start at `path/serve.rs` |
-//! | `decisions` | what is decided, without I/O: [`Fleet`] (where a request runs), [`decide`] (what follows a failed try), [`Budget`] (how often), [`Books`] (what a replica loads next), [`Strikes`] (which request crashes its upstream), [`access`] (whose request it is), [`quota`] (whether its organisation may use more) |
-//! | `cluster` | what is believed: [`Feed`] (of the store), [`Members`] (of the VMs), [`Ownership`] (of who may order what) |
-//! | `peers` | what VMs tell each other |
-//! | `store` | the store's port, and who follows it |
+//! | `path` | the path of a request, starting at `path/serve.rs` |
+//! | `decisions` | decisions without I/O: [`Fleet`] (where a request runs), [`retry`] (what follows a failed attempt), [`RetryBudget`] (how many retries are allowed), [`AdapterPlanner`] (what a replica loads next), [`CrashTracker`] (which request crashes its upstream), [`access`] (who the caller is), [`quota`] (whether its organisation may use more) |
+//! | `cluster` | what the VM knows: [`Feed`] (of the stored objects), [`Members`] (of the VMs), [`Ownership`] (of who may give orders to which replica) |
+//! | `peers` | messages between VMs |
+//! | `store` | the interface of the store, and the tasks that follow it |
 //! | `program` | settings, start and stop |
 //!
-//! How requests, replicas and the store speak is a [`Codec`]'s and a
-//! [`Store`]'s matter.
+//! A [`Codec`] and a [`Store`] adapt it to the protocols of requests, replicas
+//! and the store.
 
 mod cluster;
 mod decisions;
@@ -39,33 +39,33 @@
 pub use cluster::update::TopicChange;
 pub use cluster::update::TopicUpdate;
 pub use decisions::access;
-pub use decisions::books::Books;
-pub use decisions::books::OrderEnd;
-pub use decisions::books::Report;
-pub use decisions::books::Step;
-pub use decisions::books::Took;
-pub use decisions::budget::Budget;
-pub use decisions::budget::BudgetLimits;
-pub use decisions::decide;
+pub use decisions::adapter_planner::AdapterPlanner;
+pub use decisions::adapter_planner::LoadDuration;
+pub use decisions::adapter_planner::OrderOutcome;
+pub use decisions::adapter_planner::ReplicaAction;
+pub use decisions::adapter_planner::ReplicaReport;
+pub use decisions::crash_tracker::CrashTracker;
+pub use decisions::fetch_limiter::FetchLimiter;
 pub use decisions::fleet::*;
-pub use decisions::pace::Pace;
+pub use decisions::prefill_turns::MAX_TURN_WAIT;
+pub use decisions::prefill_turns::PrefillTurns;
+pub use decisions::prefill_turns::TurnId;
 pub use decisions::quota;
-pub use decisions::reserved::Reserved;
-pub use decisions::strain::Strain;
-pub use decisions::strikes::Strikes;
-pub use decisions::turns::LONGEST_WAIT;
-pub use decisions::turns::TurnId;
-pub use decisions::turns::Turns;
-pub use path::border::BadRecord;
-pub use path::border::Codec;
-pub use path::border::ForwardHeaders;
-pub use path::border::NotRun;
-pub use path::border::ObjectKinds;
-pub use path::border::Order;
-pub use path::border::Reply;
-pub use path::model::*;
+pub use decisions::reservations::Reservations;
+pub use decisions::retry;
+pub use decisions::retry_budget::RetryBudget;
+pub use decisions::retry_budget::RetryLimits;
+pub use decisions::stall_detector::StallDetector;
+pub use path::codec::BadRecord;
+pub use path::codec::Codec;
+pub use path::codec::ForwardHeaders;
+pub use path::codec::NotRun;
+pub use path::codec::ObjectKinds;
+pub use path::codec::Order;
+pub use path::codec::Reply;
 pub use path::routes::Routes;
 pub use path::routes::pick_service;
+pub use path::types::*;
 pub use peers::compression::compress;
 pub use peers::compression::decompress;
 pub use program::experiment::BadExperiment;
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -1,4 +1,4 @@
-//! Charges requests to the limits of their organisations.
+//! Charges requests against the rate limits of their organisations.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,210 +12,228 @@
 use crate::ids::VmName;
 use crate::pool::Span;
 use crate::serving::cluster::state::lender_seed;
-use crate::serving::decisions::decide::COME_BACK;
-use crate::serving::decisions::decide::Refusal;
-use crate::serving::decisions::quota::Answer;
-use crate::serving::decisions::quota::Ask as LeaseAsk;
+use crate::serving::decisions::quota::LendReply;
+use crate::serving::decisions::quota::LendRequest;
 use crate::serving::decisions::quota::Spend;
-use crate::serving::path::model::Organisation;
-use crate::serving::path::model::RateLimit;
-use crate::serving::path::model::RequestInfo;
+use crate::serving::decisions::retry::RETRY_DELAY;
+use crate::serving::decisions::retry::Refusal;
+use crate::serving::path::types::Organisation;
+use crate::serving::path::types::RateLimit;
+use crate::serving::path::types::RequestInfo;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// How long the answer of a VM that lends is waited for: it is a millisecond or
-/// two away, and callers of plain services wait for a tenth of a second.
-const ANSWER_WAIT: Duration = Duration::from_millis(40);
+/// Timeout for a lender's answer: it is a millisecond or two away, and callers of services
+/// without models wait for a tenth of a second only.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// The pause before the next question where no VM is known to lend: all that
-/// start at the same moment know each other within a few of these.
-const LENDER_WAIT: Duration = Duration::from_millis(100);
+/// Pause before the next attempt when no lender is known: VMs that start at the same time
+/// know each other after a few of these.
+const NO_LENDER_PAUSE: Duration = Duration::from_millis(100);
 
-/// Questions for one request: the first VM in the order, again as a datagram may
-/// be lost, and the one after it.
-const QUESTIONS: [usize; 3] = [0, 0, 1];
+/// Ranks of the lenders that are asked for one request: the first one twice, because a
+/// datagram may be lost, then the second one.
+const LENDER_RANKS: [usize; 3] = [0, 0, 1];
 
-/// What a request took of its organisation's limit; if it did not run, that is
-/// given back when this is dropped.
+/// A request's charge against its organisation's rate limit. Dropping it refunds the charge
+/// if the request did not run.
 pub(in crate::serving) struct Charge {
     node: Rc<Node>,
     organisation: OrganisationName,
     weight: f64,
-    ran: Cell<bool>,
+    may_have_run: Cell<bool>,
 }
 
 impl Charge {
-    /// The request is sent, and may run from now on.
-    pub(in crate::serving) fn begin(&self) -> Sent<'_> {
-        let before = self.ran.replace(true);
-        Sent {
+    /// Records that the request is about to be sent, so that it may run from now on.
+    pub(in crate::serving) fn mark_sent(&self) -> ChargedSend<'_> {
+        let ran_before = self.may_have_run.replace(true);
+        ChargedSend {
             charge: self,
-            before,
+            ran_before,
         }
     }
 }
 
-/// A send of a charged request.
-pub(in crate::serving) struct Sent<'a> {
+/// One send of a charged request.
+pub(in crate::serving) struct ChargedSend<'a> {
     charge: &'a Charge,
-    before: bool,
+    ran_before: bool,
 }
 
-impl Sent<'_> {
-    /// It did not run by this send.
-    pub(in crate::serving) fn undo(&self) {
-        self.charge.ran.set(self.before);
+impl ChargedSend<'_> {
+    /// Records that this send did not run the request.
+    pub(in crate::serving) fn revert(&self) {
+        self.charge.may_have_run.set(self.ran_before);
     }
 }
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        let outcome = if self.ran.get() { "ran" } else { "not_run" };
-        count(&self.organisation, outcome, self.weight);
-        if !self.ran.get() {
-            let mut b = self.node.state();
-            b.borrower.give_back(now(), &self.organisation, self.weight);
+        let outcome = if self.may_have_run.get() {
+            "ran"
+        } else {
+            "not_run"
+        };
+        count_usage(&self.organisation, outcome, self.weight);
+        if !self.may_have_run.get() {
+            let mut state = self.node.state();
+            state
+                .borrower
+                .refund(now(), &self.organisation, self.weight);
         }
     }
 }
 
-fn count(organisation: &OrganisationName, outcome: &'static str, weight: f64) {
+/// Counts a request's charge by its outcome.
+fn count_usage(organisation: &OrganisationName, outcome: &'static str, weight: f64) {
     let organisation = organisation.to_string();
     metrics::counter!("serve_organisation_use_total",
         "organisation" => organisation, "outcome" => outcome)
     .increment(weight as u64);
 }
 
-/// Takes what a request weighs out of its organisation's limit.
-pub(in crate::serving) async fn take(
+/// Charges a request against its organisation's rate limit; returns `None` if the
+/// organisation has no limit.
+pub(in crate::serving) async fn acquire(
     node: &Rc<Node>,
     organisation: &Organisation,
-    ask: &RequestInfo,
+    request: &RequestInfo,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(limit) = &organisation.limit else {
         return Ok(None);
     };
     let name = &organisation.name;
-    let weight = limit.weight.of(ask);
+    let weight = limit.weight.of(request);
     let charge = || Charge {
         node: node.clone(),
         organisation: name.clone(),
         weight,
-        ran: Cell::new(false),
+        may_have_run: Cell::new(false),
     };
-    let over = |after: Span, why: &'static str| {
-        count(name, "over_limit", weight);
-        slog::info!(node.log, "over limit"; "id" => &ask.id, "organisation" => name.as_str(),
-            "weight" => weight, "rate" => limit.rate, "burst" => limit.burst,
-            "after_ms" => after.as_millis(), "by" => why);
+    let over = |after: Span, source: &'static str| {
+        count_usage(name, "over_limit", weight);
+        slog::info!(node.log, "organisation is over its rate limit"; "id" => &request.id,
+            "organisation" => name.as_str(), "weight" => weight,
+            "rate" => limit.rate, "burst" => limit.burst,
+            "after_ms" => after.as_millis(), "by" => source);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
-    let lenders = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
-    for place in QUESTIONS.into_iter().filter(|_| lenders) {
+    let lending = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
+    for rank in LENDER_RANKS.into_iter().filter(|_| lending) {
         let spend = node.state().borrower.spend(now(), name, weight);
-        let question = match spend {
+        let lend_request = match spend {
             Spend::Spent => return Ok(Some(charge())),
-            Spend::Short(after) => return Err(over(after, "told")),
-            Spend::Ask(question) => question,
+            Spend::Exhausted(after) => return Err(over(after, "told")),
+            Spend::Ask(lend_request) => lend_request,
         };
-        let answer = match ask_lender(node, name, limit, place, question).await {
-            Asked::Answer(answer) => answer,
-            Asked::Unanswered => continue,
-            Asked::Nobody => {
-                tokio::time::sleep(LENDER_WAIT).await;
+        let answer = match ask_lender(node, name, limit, rank, lend_request).await {
+            LenderReply::Answer(answer) => answer,
+            LenderReply::Unanswered => continue,
+            LenderReply::NoLender => {
+                tokio::time::sleep(NO_LENDER_PAUSE).await;
                 continue;
             }
         };
-        let mut b = node.state();
-        if b.borrower.answered(now(), name, weight, answer) {
+        let mut state = node.state();
+        if state.borrower.apply_reply(now(), name, weight, answer) {
             return Ok(Some(charge()));
         }
-        drop(b);
-        if let Answer::Short(after) = answer {
+        drop(state);
+        if let LendReply::Exhausted(after) = answer {
             return Err(over(after, "asked"));
         }
     }
-    let own = {
-        let mut b = node.state();
-        let vms = b.members.count();
-        b.borrower.spend_own(now(), name, limit, vms, weight)
+    let covered = {
+        let mut state = node.state();
+        let vm_count = state.members.count();
+        state
+            .borrower
+            .spend_local(now(), name, limit, vm_count, weight)
     };
-    if own {
+    if covered {
         return Ok(Some(charge()));
     }
-    slog::info!(node.log, "no lender"; "id" => &ask.id, "organisation" => name.as_str(),
-        "weight" => weight, "heard_part" => node.state().members.reachable_fraction(now()));
-    Err(Refusal::not_run("no_lender", COME_BACK))
+    slog::info!(node.log, "no lender answered and the local share is used up";
+        "id" => &request.id, "organisation" => name.as_str(), "weight" => weight,
+        "heard_part" => node.state().members.reachable_fraction(now()));
+    Err(Refusal::not_run("no_lender", RETRY_DELAY))
 }
 
-/// What came of a question to a VM that lends.
-enum Asked {
-    Answer(Answer),
+/// Result of asking a lender.
+enum LenderReply {
+    Answer(LendReply),
     Unanswered,
-    /// No VM is known to lend.
-    Nobody,
+    /// No lender is known.
+    NoLender,
 }
 
-/// Asks the VM at this place in the order of those that lend.
+/// Asks the lender of this rank for a part of the organisation's limit, or asks the local
+/// lender if that is this VM.
 async fn ask_lender(
     node: &Node,
     name: &OrganisationName,
     limit: &RateLimit,
-    place: usize,
-    mut question: LeaseAsk,
-) -> Asked {
+    rank: usize,
+    mut lend_request: LendRequest,
+) -> LenderReply {
     if !node.settings.experiment.is_enabled(Mechanism::LimitsAhead) {
-        question.ahead = 0.0;
+        lend_request.ahead = 0.0;
     }
     let address = {
-        let mut b = node.state();
-        let b = &mut *b;
-        let lenders = b.members.lenders(now(), lender_seed(name));
-        let Some(lender) = lenders.get(place).or(lenders.first()).copied() else {
-            return Asked::Nobody;
+        let mut state = node.state();
+        let state = &mut *state;
+        let lenders = state.members.lenders(now(), lender_seed(name));
+        let Some(lender) = lenders.get(rank).or(lenders.first()).copied() else {
+            return LenderReply::NoLender;
         };
         if *lender == node.settings.vm {
-            let part = b.members.reachable_fraction(now());
+            let reachable = state.members.reachable_fraction(now());
             let first = lenders.first() == Some(&lender);
-            let answer = b.lender.ask(now(), name, limit, part, first, question);
-            return Asked::Answer(answer);
+            let answer = state
+                .lender
+                .lend(now(), name, limit, reachable, first, lend_request);
+            return LenderReply::Answer(answer);
         }
-        b.members.address(lender)
+        state.members.address(lender)
     };
     let Some(address) = address else {
-        return Asked::Unanswered;
+        return LenderReply::Unanswered;
     };
-    let number = node.next_id();
-    let waiting = node.lease_calls.register(number);
+    let id = node.next_id();
+    let call = node.lease_calls.register(id);
     let ask = wire::LeaseAsk {
         vm: node.settings.vm.to_string(),
-        number,
+        number: id,
         organisation: name.to_string(),
-        need: question.need,
-        ahead: question.ahead,
+        need: lend_request.need,
+        ahead: lend_request.ahead,
     };
-    tell(node, Body::LeaseAsk(ask), address).await;
-    let (outcome, asked) = match waiting.wait(ANSWER_WAIT).await {
-        Some(answer) if answer.declined => ("declined", Asked::Unanswered),
-        Some(answer) if answer.lent > 0.0 => ("lent", Asked::Answer(Answer::Lent(answer.lent))),
+    send_message(node, Body::LeaseAsk(ask), address).await;
+    let (outcome, reply) = match call.wait(ANSWER_TIMEOUT).await {
+        Some(answer) if answer.declined => ("declined", LenderReply::Unanswered),
+        Some(answer) if answer.lent > 0.0 => {
+            ("lent", LenderReply::Answer(LendReply::Lent(answer.lent)))
+        }
         Some(answer) => {
             let after = Span(answer.after_us);
-            ("short", Asked::Answer(Answer::Short(after)))
+            ("short", LenderReply::Answer(LendReply::Exhausted(after)))
         }
-        None => ("unanswered", Asked::Unanswered),
+        None => ("unanswered", LenderReply::Unanswered),
     };
     metrics::counter!("serve_lease_asks_total", "outcome" => outcome).increment(1);
-    asked
+    reply
 }
 
-async fn tell(node: &Node, body: Body, address: std::net::SocketAddr) {
+/// Sends a message to another VM.
+async fn send_message(node: &Node, body: Body, address: std::net::SocketAddr) {
     let datagram = wire::Datagram { body: Some(body) };
     send(node, &datagram.encode_to_vec(), address).await;
 }
 
-/// A VM asks for a part of an organisation's limit.
+/// Answers another VM that asks for a part of an organisation's limit.
 pub(in crate::serving) async fn handle_lease_ask(node: &Node, ask: &wire::LeaseAsk) {
     let (Ok(name), Ok(vm)) = (
         ask.organisation.parse::<OrganisationName>(),
@@ -227,7 +245,7 @@
     let Some(address) = address else {
         return;
     };
-    let question = LeaseAsk {
+    let lend_request = LendRequest {
         need: ask.need.max(0.0),
         ahead: ask.ahead.max(0.0),
     };
@@ -235,22 +253,27 @@
         number: ask.number,
         ..wire::LeaseAnswer::default()
     };
-    match lend(node, &name, question) {
-        Some(Answer::Lent(lent)) => answer.lent = lent,
-        Some(Answer::Short(after)) => answer.after_us = after.0,
+    match lend(node, &name, lend_request) {
+        Some(LendReply::Lent(lent)) => answer.lent = lent,
+        Some(LendReply::Exhausted(after)) => answer.after_us = after.0,
         None => answer.declined = true,
     }
-    tell(node, Body::LeaseAnswer(answer), address).await;
+    send_message(node, Body::LeaseAnswer(answer), address).await;
 }
 
-/// `None` where this VM does not lend for the organisation.
-fn lend(node: &Node, name: &OrganisationName, question: LeaseAsk) -> Option<Answer> {
-    let mut b = node.state();
-    let b = &mut *b;
+/// Lends a part of an organisation's limit; returns `None` if this VM is not among the
+/// organisation's lenders.
+fn lend(node: &Node, name: &OrganisationName, lend_request: LendRequest) -> Option<LendReply> {
+    let mut state = node.state();
+    let state = &mut *state;
     let at = now();
-    let limit = *b.active.as_ref()?.use_limits.get(name)?;
-    let lenders = b.members.lenders(at, lender_seed(name));
-    let place = lenders.iter().position(|vm| **vm == node.settings.vm)?;
-    let part = b.members.reachable_fraction(at);
-    Some(b.lender.ask(at, name, &limit, part, place == 0, question))
+    let limit = *state.active.as_ref()?.use_limits.get(name)?;
+    let lenders = state.members.lenders(at, lender_seed(name));
+    let rank = lenders.iter().position(|vm| **vm == node.settings.vm)?;
+    let reachable = state.members.reachable_fraction(at);
+    Some(
+        state
+            .lender
+            .lend(at, name, &limit, reachable, rank == 0, lend_request),
+    )
 }
