--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one replica.
+//! Sends a request to a replica and classifies the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,270 +20,289 @@
 use crate::ids::OrganisationName;
 use crate::ids::ReplicaName;
 use crate::pool::Moment;
-use crate::serving::decisions::decide::Ended;
-use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
-use crate::serving::decisions::turns::LONG_PROMPT;
-use crate::serving::path::border::ForwardHeaders;
-use crate::serving::path::border::Reply;
+use crate::serving::decisions::fleet::RunOutcome;
+use crate::serving::decisions::prefill_turns::LONG_PROMPT_TOKENS;
+use crate::serving::decisions::retry::AttemptFailure;
 use crate::serving::path::charge::Charge;
-use crate::serving::path::model::Instance;
-use crate::serving::path::model::KeyDigest;
-use crate::serving::path::model::SharedPrefix;
-use crate::serving::path::model::Target;
-use crate::serving::path::reading::Turn;
-use crate::serving::path::reading::take_turn;
+use crate::serving::path::codec::ForwardHeaders;
+use crate::serving::path::codec::Reply;
+use crate::serving::path::prefill::PrefillTurn;
+use crate::serving::path::prefill::wait_for_turn;
+use crate::serving::path::types::Instance;
+use crate::serving::path::types::KeyDigest;
+use crate::serving::path::types::SharedPrefix;
+use crate::serving::path::types::Target;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
-use crate::upstream::Answer;
-use crate::upstream::Parts;
+use crate::upstream::BodyChunks;
 use crate::upstream::SendError;
+use crate::upstream::UpstreamResponse;
 
-/// A caller's request, kept until its answer is whole.
-pub(in crate::serving) struct Held {
+/// A caller's request, buffered until its response is complete so that it can be retried.
+pub(in crate::serving) struct BufferedRequest {
     pub(in crate::serving) method: Method,
     pub(in crate::serving) path: Uri,
     pub(in crate::serving) headers: HeaderMap,
     pub(in crate::serving) body: Vec<Bytes>,
-    /// The caller's id of the attempt.
+    /// The caller's ID for this attempt.
     pub(in crate::serving) id: String,
     pub(in crate::serving) target: Option<Target>,
-    /// What it is expected to hold at a replica.
+    /// The load that it is expected to cause on a replica.
     pub(in crate::serving) cost: Load,
-    pub(in crate::serving) shared: Option<SharedPrefix>,
+    pub(in crate::serving) shared_prefix: Option<SharedPrefix>,
     pub(in crate::serving) fingerprint: Fingerprint,
-    /// On whose behalf it runs.
+    /// The organisation and API key that it is admitted under.
     pub(in crate::serving) caller: Caller,
-    /// When the final answer is due.
-    pub(in crate::serving) limit: Moment,
+    /// Time by which the response must be complete.
+    pub(in crate::serving) deadline: Moment,
 }
 
-/// Who calls, and what that was charged to.
+/// Identity of a request's caller, and the charge for the request.
 #[derive(Default)]
 pub(in crate::serving) struct Caller {
-    /// The organisation that holds the key.
+    /// The organisation that the API key belongs to.
     pub(in crate::serving) organisation: Option<OrganisationName>,
-    /// The key, where the route needs one.
+    /// Digest of the API key, if the route needs one.
     pub(in crate::serving) key: Option<KeyDigest>,
     pub(in crate::serving) charge: Option<Charge>,
 }
 
-/// A run at a replica; when it is dropped, it counts no more.
+/// Guard for a run on a replica; the run's load is counted until the guard is dropped.
 pub(in crate::serving) struct Run {
     node: Rc<Node>,
     pub(in crate::serving) replica: ReplicaName,
-    born: u64,
+    started_ms: u64,
     target: Option<Target>,
     cost: Load,
-    number: u64,
-    heard: bool,
-    /// While its prompt is read.
-    turn: Option<Turn>,
+    id: u64,
+    responded: bool,
+    /// Held until the replica has read the prompt.
+    prefill_turn: Option<PrefillTurn>,
 }
 
 impl Run {
-    fn begin(node: &Rc<Node>, held: &Held, replica: &ReplicaName) -> Self {
-        let number = node.next_id();
-        let mut b = node.state();
-        b.begin_run(replica, held.target.as_ref(), held.cost);
-        let born = b.fleet.born(replica).unwrap_or_default();
+    fn begin(node: &Rc<Node>, req: &BufferedRequest, replica: &ReplicaName) -> Self {
+        let id = node.next_id();
+        let mut state = node.state();
+        state.begin_run(replica, req.target.as_ref(), req.cost);
+        let started_ms = state.fleet.started_ms(replica).unwrap_or_default();
         Self {
             node: node.clone(),
             replica: replica.clone(),
-            born,
-            target: held.target.clone(),
-            cost: held.cost,
-            number,
-            heard: false,
-            turn: None,
+            started_ms,
+            target: req.target.clone(),
+            cost: req.cost,
+            id,
+            responded: false,
+            prefill_turn: None,
         }
     }
 
-    /// Waits until the replica can read the prompt; it is sent next.
-    async fn ready(&mut self, limit: Moment) {
-        if self.cost.unread >= LONG_PROMPT {
+    /// Waits for the turn of a long prompt, and starts to expect the first byte of the response.
+    /// The request must be sent right after it.
+    async fn wait_for_turn(&mut self, deadline: Moment) {
+        if self.cost.prefill >= LONG_PROMPT_TOKENS {
             let node = self.node.clone();
-            let turn = take_turn(&node, &self.replica, self.number, self.cost.unread, limit);
-            self.turn = turn.await;
+            let turn = wait_for_turn(&node, &self.replica, self.id, self.cost.prefill, deadline);
+            self.prefill_turn = turn.await;
         }
-        let mut b = self.node.state();
-        b.fleet.await_first(now(), &self.replica, self.number);
+        let mut state = self.node.state();
+        state.fleet.await_first_byte(now(), &self.replica, self.id);
     }
 
-    /// Bytes of the answer came.
-    pub(in crate::serving) fn heard(&mut self) {
-        self.heard = true;
-        self.turn = None;
-        let mut b = self.node.state();
-        if b.fleet.is_current(&self.instance()) {
-            b.fleet.read(&self.replica, self.cost.unread);
-            b.fleet.heard(now(), &self.replica, self.number, true);
+    /// Records that data of the response arrived, which also means that the prompt was read.
+    pub(in crate::serving) fn on_data(&mut self) {
+        self.responded = true;
+        self.prefill_turn = None;
+        let mut state = self.node.state();
+        if state.fleet.is_current(&self.instance()) {
+            state.fleet.finish_prefill(&self.replica, self.cost.prefill);
+            state
+                .fleet
+                .record_progress(now(), &self.replica, self.id, true);
         }
-        self.cost.unread = 0;
+        self.cost.prefill = 0;
     }
 
-    /// The run ended so.
-    pub(in crate::serving) fn learn(&self, end: End) {
-        let mut b = self.node.state();
-        if b.fleet.is_current(&self.instance()) {
-            b.fleet.learn(now(), &self.replica, end);
+    /// Records how the run ended, which counts towards the replica's health.
+    pub(in crate::serving) fn record_end(&self, end: RunOutcome) {
+        let mut state = self.node.state();
+        if state.fleet.is_current(&self.instance()) {
+            state.fleet.record_outcome(now(), &self.replica, end);
         }
     }
 
-    /// The start of the replica that runs it.
+    /// Returns the incarnation of the replica that executes the run.
     pub(in crate::serving) fn instance(&self) -> Instance {
         Instance {
             name: self.replica.clone(),
-            started_ms: self.born,
+            started_ms: self.started_ms,
         }
     }
 }
 
 impl Drop for Run {
     fn drop(&mut self) {
-        let mut b = self.node.state();
-        b.end_run(&self.instance(), self.target.as_ref(), self.cost);
-        if !self.heard {
-            b.fleet.heard(now(), &self.replica, self.number, false);
+        let mut state = self.node.state();
+        state.end_run(&self.instance(), self.target.as_ref(), self.cost);
+        if !self.responded {
+            state
+                .fleet
+                .record_progress(now(), &self.replica, self.id, false);
         }
-        drop(b);
+        drop(state);
         self.node.placement_wake.notify_waiters();
     }
 }
 
-/// An answer that may be passed on.
-pub(in crate::serving) struct Begun {
-    pub(in crate::serving) answer: Answer,
+/// A response that may be forwarded to the caller.
+pub(in crate::serving) struct StartedResponse {
+    pub(in crate::serving) answer: UpstreamResponse,
     pub(in crate::serving) run: Run,
-    /// Whether the replica says that it failed.
+    /// Whether the response says that the replica failed.
     pub(in crate::serving) failed: bool,
 }
 
-/// Sends a request to a replica and waits for the head of its answer.
+/// Sends a request to a replica and waits for the headers of the response.
+///
+/// With `resume_after`, the stream is resumed after that event; the API key is then not
+/// checked again.
 pub(in crate::serving) async fn forward(
     node: &Rc<Node>,
-    held: &Held,
+    req: &BufferedRequest,
     replica: &ReplicaName,
-    resume_at: Option<u64>,
-) -> Result<Begun, Ended> {
+    resume_after: Option<u64>,
+) -> Result<StartedResponse, AttemptFailure> {
     let address = {
-        let b = node.state();
-        let listing = b.fleet.listing(replica).ok_or(Ended::NotSent)?;
+        let state = node.state();
+        let listing = state
+            .fleet
+            .listing(replica)
+            .ok_or(AttemptFailure::NotSent)?;
         listing.address
     };
-    let mut run = Run::begin(node, held, replica);
-    run.ready(held.limit).await;
-    if resume_at.is_none() {
-        check_key(node, held)?;
+    let mut run = Run::begin(node, req, replica);
+    run.wait_for_turn(req.deadline).await;
+    if resume_after.is_none() {
+        check_key(node, req)?;
     }
-    let request = message(node, held, replica, resume_at);
-    let sending = held.caller.charge.as_ref().map(Charge::begin);
-    let left = Duration::from_micros(held.limit.since(now()).0);
-    let sent = tokio::time::timeout(left, node.upstreams.send(address, request)).await;
+    let request = build_request(node, req, replica, resume_after);
+    let send = req.caller.charge.as_ref().map(Charge::mark_sent);
+    let timeout = Duration::from_micros(req.deadline.since(now()).0);
+    let sent = tokio::time::timeout(timeout, node.upstreams.send(address, request)).await;
     let answer = match sent {
-        Err(_) => return Err(Ended::Overdue),
+        Err(_) => return Err(AttemptFailure::TimedOut),
         Ok(Err(SendError::NotSent(_))) => {
-            run.learn(End::Unreached);
-            sending.inspect(|s| s.undo());
-            return Err(Ended::NotSent);
+            run.record_end(RunOutcome::Unreached);
+            send.inspect(|s| s.revert());
+            return Err(AttemptFailure::NotSent);
         }
         Ok(Err(SendError::Broken(_))) => {
-            run.learn(End::Broken);
-            strike(node, held, &run.instance());
-            return Err(Ended::Broken);
+            run.record_end(RunOutcome::Broken);
+            record_strike(node, req, &run.instance());
+            return Err(AttemptFailure::Broken);
         }
         Ok(Ok(answer)) => answer,
     };
-    run.heard();
-    let read = node.border.classify_response;
-    match read(answer.head.status, &answer.head.headers, &held.id, replica) {
-        Reply::Answer => Ok(Begun {
+    run.on_data();
+    let classify = node.codec.classify_response;
+    match classify(answer.head.status, &answer.head.headers, &req.id, replica) {
+        Reply::Answer => Ok(StartedResponse {
             answer,
             run,
             failed: false,
         }),
-        Reply::Failed => Ok(Begun {
+        Reply::Failed => Ok(StartedResponse {
             answer,
             run,
             failed: true,
         }),
-        Reply::NotRun(why) => {
-            sending.inspect(|s| s.undo());
-            refused(node, held, &run, why);
-            Err(Ended::NotRun(why))
+        Reply::NotRun(reason) => {
+            send.inspect(|s| s.revert());
+            record_refusal(node, req, &run, reason);
+            Err(AttemptFailure::NotRun(reason))
         }
-        Reply::Invalid(what) => {
-            run.learn(End::Broken);
-            Err(Ended::Spoilt(what))
+        Reply::Invalid(reason) => {
+            run.record_end(RunOutcome::Broken);
+            Err(AttemptFailure::InvalidReply(reason))
         }
     }
 }
 
-/// Whether the key of a request still holds: it may have waited for a place for
-/// long, or this VM may have been suspended meanwhile.
-fn check_key(node: &Node, held: &Held) -> Result<(), Ended> {
-    let Some(key) = &held.caller.key else {
+/// Checks that the API key of a request is still valid: it may have been revoked while the
+/// request waited for a replica or this VM was suspended.
+fn check_key(node: &Node, req: &BufferedRequest) -> Result<(), AttemptFailure> {
+    let Some(key) = &req.caller.key else {
         return Ok(());
     };
-    let mut b = node.state();
-    let freshness = b.key_freshness(now());
-    let keys = b.active.as_ref().and_then(|a| a.keys.as_ref());
-    let admitted = b.key_bounds.admit(keys, false, Some(key), &freshness);
-    admitted.map(|_| ()).map_err(Ended::Denied)
+    let mut state = node.state();
+    let config_age = state.key_freshness(now());
+    let keys = state.active.as_ref().and_then(|a| a.keys.as_ref());
+    let admitted = state.key_bounds.admit(keys, false, Some(key), &config_age);
+    admitted.map(|_| ()).map_err(AttemptFailure::Denied)
 }
 
-fn refused(node: &Node, held: &Held, run: &Run, why: crate::serving::path::border::NotRun) {
-    use crate::serving::path::border::NotRun;
-    match why {
-        NotRun::Gone => run.learn(End::Gone),
-        NotRun::Full => run.learn(End::Full),
+/// Records that a replica did not run the request, and why.
+fn record_refusal(
+    node: &Node,
+    req: &BufferedRequest,
+    run: &Run,
+    reason: crate::serving::path::codec::NotRun,
+) {
+    use crate::serving::path::codec::NotRun;
+    match reason {
+        NotRun::Gone => run.record_end(RunOutcome::Gone),
+        NotRun::Full => run.record_end(RunOutcome::Full),
         NotRun::NotLoaded => {
-            if let Some(target) = &held.target {
-                let mut b = node.state();
-                b.fleet.lacks(now(), &run.replica, target);
+            if let Some(target) = &req.target {
+                let mut state = node.state();
+                state.fleet.mark_missing(now(), &run.replica, target);
             }
         }
     }
 }
 
-/// Notes that an upstream broke while it ran this request.
-pub(in crate::serving) fn strike(node: &Node, held: &Held, replica: &Instance) {
-    let news = node.state().strikes.note(now(), held.fingerprint, replica);
-    if news {
+/// Records that an upstream failed while it ran this request. If the other VMs do not know
+/// that yet, the next beacon is sent at once.
+pub(in crate::serving) fn record_strike(node: &Node, req: &BufferedRequest, replica: &Instance) {
+    let is_new = node.state().strikes.record(now(), req.fingerprint, replica);
+    if is_new {
         node.beacon_wake.notify_one();
     }
 }
 
-fn message(
+/// Builds the request to a replica from the caller's request.
+fn build_request(
     node: &Node,
-    held: &Held,
+    req: &BufferedRequest,
     replica: &ReplicaName,
-    resume_at: Option<u64>,
-) -> Request<Parts> {
-    let mut request = Request::new(Parts::new(held.body.iter().cloned()));
-    *request.method_mut() = held.method.clone();
-    *request.uri_mut() = held.path.clone();
+    resume_after: Option<u64>,
+) -> Request<BodyChunks> {
+    let mut request = Request::new(BodyChunks::new(req.body.iter().cloned()));
+    *request.method_mut() = req.method.clone();
+    *request.uri_mut() = req.path.clone();
     let now = now();
     let version = {
-        let b = node.state();
-        let target = held.target.as_ref();
-        target.and_then(|t| b.fleet.expected_version(now, replica, t))
+        let state = node.state();
+        let target = req.target.as_ref();
+        target.and_then(|t| state.fleet.expected_version(now, replica, t))
     };
     let headers = request.headers_mut();
-    *headers = held.headers.clone();
-    let sending = ForwardHeaders {
-        timeout: Duration::from_micros(held.limit.since(now).0),
+    *headers = req.headers.clone();
+    let values = ForwardHeaders {
+        timeout: Duration::from_micros(req.deadline.since(now).0),
         replica,
         version,
-        resume_after: resume_at,
-        organisation: held.caller.organisation.as_ref(),
+        resume_after,
+        organisation: req.caller.organisation.as_ref(),
     };
-    (node.border.set_headers)(headers, &sending);
+    (node.codec.set_headers)(headers, &values);
     request
 }
 
-/// Takes out the headers that concern only one connection.
-pub(in crate::serving) fn strip_hop(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those that `Connection` names.
+pub(in crate::serving) fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -307,9 +326,9 @@
     }
 }
 
-/// Takes out what the connection to a replica sets by itself.
-pub(in crate::serving) fn strip_request(headers: &mut HeaderMap) {
-    strip_hop(headers);
+/// Removes hop-by-hop headers and those that the connection to the replica sets itself.
+pub(in crate::serving) fn strip_request_headers(headers: &mut HeaderMap) {
+    strip_hop_headers(headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove("expect");
 }
--- a/lib/src/serving/path/mod.rs
+++ b/lib/src/serving/path/mod.rs
@@ -1,13 +1,13 @@
-//! The path of a request: from its connection to the last byte of its answer.
+//! The request path: from a caller's connection to the last byte of the response.
 
-pub(super) mod border;
 pub(super) mod charge;
+pub(super) mod codec;
 pub(super) mod forward;
-pub(super) mod model;
-pub(super) mod pass;
-pub(super) mod places;
-pub(super) mod reading;
+pub(super) mod owner_check;
+pub(super) mod placement;
+pub(super) mod prefill;
+pub(super) mod response;
 pub(super) mod routes;
 pub(super) mod serve;
 pub(super) mod server;
-pub(super) mod waiting;
+pub(super) mod types;
--- a/lib/src/serving/path/reading.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -1,4 +1,4 @@
-//! Turns in which replicas read long prompts: asked for, given, ended.
+//! Turns for the prefill of long prompts: requesting, granting and ending them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,49 +10,52 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 use crate::pool::Moment;
-use crate::serving::decisions::turns::LONGEST_WAIT;
-use crate::serving::decisions::turns::TurnId;
+use crate::serving::decisions::prefill_turns::MAX_TURN_WAIT;
+use crate::serving::decisions::prefill_turns::TurnId;
 use crate::serving::peers::beacons;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::program::node::time_until;
 
-/// How long the task that gives turns sleeps without any to give.
-const IDLE: Duration = Duration::from_secs(1);
+/// How often the task that grants turns runs when no turn is due.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A turn that was asked for; its owner hears of its end when it is dropped.
-pub(in crate::serving) struct Turn {
+/// Guard for a requested turn; dropping it notifies the replica's owner that the turn has
+/// ended.
+pub(in crate::serving) struct PrefillTurn {
     node: Rc<Node>,
     replica: ReplicaName,
     number: u64,
 }
 
-/// Asks for a turn and waits for it, where prompts take turns and the replica
-/// has an owner that lives. After the longest wait the prompt is sent anyway.
-pub(in crate::serving) async fn take_turn(
+/// Requests a turn from the replica's owner and waits for it.
+///
+/// Returns `None` if prompts need no turns at present or the replica has no live owner.
+/// After `MAX_TURN_WAIT` the prompt is sent without a grant.
+pub(in crate::serving) async fn wait_for_turn(
     node: &Rc<Node>,
     replica: &ReplicaName,
     number: u64,
     tokens: u64,
-    limit: Moment,
-) -> Option<Turn> {
+    deadline: Moment,
+) -> Option<PrefillTurn> {
     let at = now();
     let owner = {
-        let b = node.state();
-        let turns = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
-        let owner = b.ownership.owner(replica).cloned().filter(|_| turns);
-        owner.filter(|vm| b.strain.active(at) && b.members.is_live(at, vm))?
+        let state = node.state();
+        let enabled = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
+        let owner = state.ownership.owner(replica).cloned().filter(|_| enabled);
+        owner.filter(|vm| state.strain.is_active(at) && state.members.is_live(at, vm))?
     };
-    let granted = node.turn_calls.register(number);
-    let turn = Turn {
+    let call = node.turn_calls.register(number);
+    let turn = PrefillTurn {
         node: node.clone(),
         replica: replica.clone(),
         number,
     };
     if owner == node.settings.vm {
         let id = TurnId { vm: owner, number };
-        node.state().turns.ask(at, replica, id, tokens);
+        node.state().turns.request(at, replica, id, tokens);
         node.turns_wake.notify_one();
     } else {
         let ask = wire::TurnAsk {
@@ -61,16 +64,17 @@
             replica: replica.to_string(),
             tokens,
         };
-        tell(node, &owner, Body::TurnAsk(ask)).await;
+        send_message(node, &owner, Body::TurnAsk(ask)).await;
     }
-    let end = at.after(LONGEST_WAIT).min(limit);
-    if granted.wait(time_until(end)).await.is_none() {
-        slog::debug!(node.log, "no turn in time"; "replica" => replica.as_str());
+    let end = at.after(MAX_TURN_WAIT).min(deadline);
+    if call.wait(time_until(end)).await.is_none() {
+        slog::debug!(node.log, "no prefill turn granted in time; sending the prompt";
+            "replica" => replica.as_str());
     }
     Some(turn)
 }
 
-impl Drop for Turn {
+impl Drop for PrefillTurn {
     fn drop(&mut self) {
         let vm = self.node.settings.vm.clone();
         let owner = self.node.state().ownership.owner(&self.replica).cloned();
@@ -80,9 +84,9 @@
         let number = self.number;
         if owner == vm {
             let id = TurnId { vm, number };
-            let mut b = self.node.state();
-            b.turns.end(now(), &self.replica, &id);
-            drop(b);
+            let mut state = self.node.state();
+            state.turns.finish(now(), &self.replica, &id);
+            drop(state);
             self.node.turns_wake.notify_one();
             return;
         }
@@ -92,11 +96,14 @@
             replica: self.replica.to_string(),
         };
         let node = self.node.clone();
-        tokio::task::spawn_local(async move { tell(&node, &owner, Body::TurnEnd(end)).await });
+        tokio::task::spawn_local(
+            async move { send_message(&node, &owner, Body::TurnEnd(end)).await },
+        );
     }
 }
 
-async fn tell(node: &Node, vm: &VmName, body: Body) {
+/// Sends a message to another VM, if its address is known.
+async fn send_message(node: &Node, vm: &VmName, body: Body) {
     let Some(address) = node.state().members.address(vm) else {
         return;
     };
@@ -104,12 +111,12 @@
     beacons::send(node, &datagram.encode_to_vec(), address).await;
 }
 
-/// Gives turns at our replicas until the process ends.
-pub(in crate::serving) async fn keep(node: Rc<Node>) {
+/// Grants turns at the replicas that this VM owns, until the process ends.
+pub(in crate::serving) async fn grant_turns(node: Rc<Node>) {
     loop {
         let (grants, wake) = {
-            let mut b = node.state();
-            (b.turns.grants(now()), b.turns.next_wake())
+            let mut state = node.state();
+            (state.turns.take_grants(now()), state.turns.next_wake())
         };
         for (_, id) in grants {
             if id.vm == node.settings.vm {
@@ -117,17 +124,19 @@
                 continue;
             }
             let grant = wire::TurnGrant { number: id.number };
-            tell(&node, &id.vm, Body::TurnGrant(grant)).await;
+            send_message(&node, &id.vm, Body::TurnGrant(grant)).await;
         }
-        let wait = wake.map_or(IDLE, |w| time_until(w).max(Duration::from_millis(1)));
-        // Woken by news or by time, the turns are looked through anew.
+        let wait = wake.map_or(IDLE_INTERVAL, |w| {
+            time_until(w).max(Duration::from_millis(1))
+        });
+        // A wake-up and a time-out both lead to another pass.
         tokio::time::timeout(wait, node.turns_wake.notified())
             .await
             .ok();
     }
 }
 
-/// A VM asks for a turn at one of our replicas.
+/// Records another VM's request for a turn at a replica that this VM owns.
 pub(in crate::serving) fn handle_turn_ask(node: &Node, ask: &wire::TurnAsk) {
     let (Ok(vm), Ok(replica)) = (ask.vm.parse(), ask.replica.parse()) else {
         return;
@@ -136,11 +145,11 @@
         vm,
         number: ask.number,
     };
-    node.state().turns.ask(now(), &replica, id, ask.tokens);
+    node.state().turns.request(now(), &replica, id, ask.tokens);
     node.turns_wake.notify_one();
 }
 
-/// A VM's prompt was read.
+/// Ends the turn of another VM, whose prompt was read.
 pub(in crate::serving) fn handle_turn_end(node: &Node, end: &wire::TurnEnd) {
     let (Ok(vm), Ok(replica)) = (end.vm.parse(), end.replica.parse()) else {
         return;
@@ -149,6 +158,6 @@
         vm,
         number: end.number,
     };
-    node.state().turns.end(now(), &replica, &id);
+    node.state().turns.finish(now(), &replica, &id);
     node.turns_wake.notify_one();
 }
--- /dev/null
+++ b/lib/src/serving/path/response.rs
@@ -0,0 +1,365 @@
+//! Streams a response to the caller and resumes it on another replica if it breaks off.
+
+use std::collections::BTreeSet;
+use std::collections::VecDeque;
+use std::convert::Infallible;
+use std::fmt;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures_util::stream::unfold;
+use http_body_util::BodyExt;
+use http_body_util::Full;
+use http_body_util::StreamBody;
+use hyper::body::Body;
+use hyper::body::Frame;
+
+use crate::ids::ReplicaName;
+use crate::pool::Moment;
+use crate::pool::Span;
+use crate::serving::decisions::fleet::RunOutcome;
+use crate::serving::decisions::retry::AttemptFailure;
+use crate::serving::decisions::retry::Attempts;
+use crate::serving::path::forward::BufferedRequest;
+use crate::serving::path::forward::StartedResponse;
+use crate::serving::path::forward::record_strike;
+use crate::serving::path::placement::has_other_replica;
+use crate::serving::path::serve::RoutedRequest;
+use crate::serving::path::serve::count_outcome;
+use crate::serving::path::serve::retry;
+use crate::serving::program::node::InFlight;
+use crate::serving::program::node::Node;
+use crate::serving::program::node::now;
+use crate::serving::program::node::to_instant;
+use crate::upstream::EventSplitter;
+
+/// A resumable stream is checked after a silence of this many times the route's maximum gap;
+/// callers disconnect after eight times.
+const GAPS_BEFORE_CHECK: u32 = 4;
+
+/// Error that aborts a response and closes the caller's connection; holds the reason.
+#[derive(Debug)]
+pub(in crate::serving) struct ResponseAborted(&'static str);
+
+impl fmt::Display for ResponseAborted {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "response aborted: {}", self.0)
+    }
+}
+
+impl std::error::Error for ResponseAborted {}
+
+/// Body of a response to a caller.
+pub(in crate::serving) type ResponseBody =
+    Pin<Box<dyn Body<Data = Bytes, Error = ResponseAborted>>>;
+
+/// Returns a body that is complete.
+pub(in crate::serving) fn full_body(bytes: Bytes) -> ResponseBody {
+    Box::pin(Full::new(bytes).map_err(|e: Infallible| match e {}))
+}
+
+/// Returns a body that forwards a response as it arrives.
+pub(in crate::serving) fn stream_body(stream: ResponseStream) -> ResponseBody {
+    let chunks = unfold(stream, |mut s| async move {
+        let chunk = s.next().await?;
+        Some((chunk.map(Frame::data), s))
+    });
+    Box::pin(StreamBody::new(chunks))
+}
+
+/// A response that is forwarded chunk by chunk.
+pub(in crate::serving) struct ResponseStream {
+    pub(in crate::serving) node: Rc<Node>,
+    pub(in crate::serving) routed: Rc<RoutedRequest>,
+    pub(in crate::serving) request: BufferedRequest,
+    pub(in crate::serving) response: Option<StartedResponse>,
+    /// Chunks that were read ahead.
+    pub(in crate::serving) buffered: VecDeque<Bytes>,
+    pub(in crate::serving) attempts: Attempts,
+    pub(in crate::serving) avoid: BTreeSet<ReplicaName>,
+    /// Splits a stream into complete events; `None` for other bodies.
+    pub(in crate::serving) events: Option<EventTracker>,
+    pub(in crate::serving) timing: Timing,
+    pub(in crate::serving) _open: InFlight,
+}
+
+/// Arrival times of a response's data.
+pub(in crate::serving) struct Timing {
+    pub(in crate::serving) arrived: Moment,
+    last_data: Option<Moment>,
+    first_byte: Span,
+    longest_gap: Span,
+}
+
+impl Timing {
+    pub(in crate::serving) fn new(arrived: Moment) -> Self {
+        Self {
+            arrived,
+            last_data: None,
+            first_byte: Span(0),
+            longest_gap: Span(0),
+        }
+    }
+
+    fn record_data(&mut self, now: Moment) {
+        match self.last_data {
+            None => self.first_byte = now.since(self.arrived),
+            Some(last) => self.longest_gap = self.longest_gap.max(now.since(last)),
+        }
+        self.last_data = Some(now);
+    }
+}
+
+/// Position in an event stream.
+#[derive(Default)]
+pub(in crate::serving) struct EventTracker {
+    scanner: EventSplitter,
+    /// ID of the last event that was forwarded.
+    last_id: Option<u64>,
+}
+
+impl ResponseStream {
+    /// Returns the next chunk, or `None` at the regular end. An error closes the caller's
+    /// connection, so that the caller cannot mistake the response for a complete one.
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
+        if let Some(chunk) = self.buffered.pop_front() {
+            return Some(Ok(chunk));
+        }
+        loop {
+            let started = self.response.as_mut()?;
+            let chunk = match self.events {
+                Some(_) if self.attempts.idempotent => {
+                    let gap = self
+                        .routed
+                        .route
+                        .max_gap
+                        .unwrap_or(self.routed.route.objective);
+                    let check_at = tokio::time::Instant::now() + gap * GAPS_BEFORE_CHECK;
+                    let wake_at = to_instant(self.request.deadline).min(check_at);
+                    tokio::time::timeout_at(wake_at, started.answer.data()).await
+                }
+                _ => {
+                    tokio::time::timeout_at(
+                        to_instant(self.request.deadline),
+                        started.answer.data(),
+                    )
+                    .await
+                }
+            };
+            let ended = match chunk {
+                Err(_) if now() >= self.request.deadline => {
+                    self.log_broken("overdue");
+                    count_outcome("broken_off");
+                    self.response = None;
+                    return Some(Err(ResponseAborted("deadline exceeded")));
+                }
+                Err(_) if !self.should_move() => continue,
+                Err(_) => {
+                    self.log_broken("silent");
+                    AttemptFailure::Broken
+                }
+                Ok(Some(Ok(bytes))) => match self.accept_data(bytes) {
+                    Ok(bytes) if bytes.is_empty() => continue,
+                    Ok(bytes) => return Some(Ok(bytes)),
+                    Err(reason) => AttemptFailure::InvalidReply(reason),
+                },
+                Ok(Some(Err(_))) => AttemptFailure::Broken,
+                Ok(None) => match self.finish() {
+                    Ok(rest) => return rest.map(Ok),
+                    Err(reason) => AttemptFailure::InvalidReply(reason),
+                },
+            };
+            if let Err(e) = self.resume(ended).await {
+                return Some(Err(e));
+            }
+        }
+    }
+
+    /// Returns whether a silent stream should move to another replica: only if its replica is
+    /// silent in all its runs and another one can take over at once. A replica that is merely
+    /// busy finishes sooner than one that starts the run again.
+    fn should_move(&self) -> bool {
+        let Some(started) = &self.response else {
+            return false;
+        };
+        let replica = &started.run.replica;
+        if !self.node.state().fleet.is_silent(now(), replica) {
+            return false;
+        }
+        let mut avoid = self.avoid.clone();
+        avoid.insert(replica.clone());
+        self.attempts.runs + 1 < self.attempts.max_runs
+            && has_other_replica(&self.node, &self.routed, &self.request, &avoid)
+    }
+
+    /// Records data of the response; returns the complete events in it, or all of it if the
+    /// response is no event stream.
+    fn accept_data(&mut self, bytes: Bytes) -> Result<Bytes, &'static str> {
+        if let Some(started) = &mut self.response {
+            started.run.on_data();
+        }
+        self.timing.record_data(now());
+        let Some(events) = &mut self.events else {
+            return Ok(bytes);
+        };
+        let complete = events
+            .scanner
+            .push(bytes)
+            .map_err(|_| "event exceeds the maximum size")?;
+        events.check_ids(&complete)?;
+        Ok(complete)
+    }
+
+    /// Records the end of a response that was read ahead completely. hyper does not poll for
+    /// the end of a body whose length it knows, so `next` may not see it.
+    pub(in crate::serving) fn finish_buffered(&mut self) {
+        if self.events.is_none() && self.finish().is_err() {
+            slog::error!(self.node.log, "response that was read ahead could not be finished";
+                "id" => &self.request.id);
+        }
+    }
+
+    /// Records the regular end of the response; fails if the end cuts off an event.
+    fn finish(&mut self) -> Result<Option<Bytes>, &'static str> {
+        let rest = match &mut self.events {
+            Some(events) if !events.scanner.is_empty() => {
+                return Err("stream ended inside an event");
+            }
+            _ => None,
+        };
+        self.log_slow();
+        let outcome = match &self.response {
+            Some(started) if started.failed => "upstream_failed",
+            _ => "answered",
+        };
+        count_outcome(outcome);
+        let first = self.timing.first_byte.0 as f64 / 1e6;
+        metrics::histogram!("serve_first_byte_seconds").record(first);
+        if let Some(started) = self.response.take() {
+            let end = match started.failed {
+                true => RunOutcome::Failed,
+                false => RunOutcome::Answered,
+            };
+            started.run.record_end(end);
+            let mut state = self.node.state();
+            state.strikes.clear(self.request.fingerprint);
+        }
+        Ok(rest)
+    }
+
+    /// Resumes the response on another replica if it is an event stream and may be retried.
+    async fn resume(&mut self, ended: AttemptFailure) -> Result<(), ResponseAborted> {
+        let Some(started) = self.response.take() else {
+            return Err(ResponseAborted("no response in progress"));
+        };
+        started.run.record_end(RunOutcome::Broken);
+        record_strike(&self.node, &self.request, &started.run.instance());
+        self.avoid.insert(started.run.replica.clone());
+        // This closes the connection, which makes the replica cancel the run.
+        drop(started);
+        self.log_broken(ended.as_str());
+        let Some(events) = &mut self.events else {
+            count_outcome("broken_off");
+            return Err(ResponseAborted(
+                "upstream broke off and the response could not be resumed",
+            ));
+        };
+        events.scanner.reset();
+        self.attempts.record(ended);
+        let resume_after = events.last_id;
+        let next = retry(
+            &self.node,
+            &self.routed,
+            &self.request,
+            &mut self.attempts,
+            &mut self.avoid,
+            ended,
+            resume_after,
+        );
+        match next.await {
+            Ok(started) => {
+                self.response = Some(started);
+                Ok(())
+            }
+            Err(_) => {
+                count_outcome("broken_off");
+                Err(ResponseAborted(
+                    "upstream broke off and the response could not be resumed",
+                ))
+            }
+        }
+    }
+
+    /// Logs a complete stream that missed an objective, and records stalls so that long
+    /// prompts take turns.
+    fn log_slow(&self) {
+        let route = &self.routed.route;
+        let exceeds = |span: Span, max: Duration| u128::from(span.0) > max.as_micros();
+        let stalled = route
+            .max_gap
+            .is_some_and(|p| exceeds(self.timing.longest_gap, p));
+        if self.events.is_some() {
+            let mut state = self.node.state();
+            let steps = state.fleet.steps_per_event(&self.routed.service);
+            let turns_begin = state.strain.record_stream(now(), steps, stalled);
+            drop(state);
+            if turns_begin {
+                slog::info!(self.node.log, "stream stalled; long prompts take turns";
+                    "id" => &self.request.id, "pause_ms" => self.timing.longest_gap.as_millis());
+            }
+        }
+        if self.events.is_some() && (stalled || exceeds(self.timing.first_byte, route.objective)) {
+            let replica = self.response.as_ref().map(|r| r.run.replica.as_str());
+            slog::info!(self.node.log, "stream missed its latency objective";
+                "id" => &self.request.id, "replica" => replica,
+                "route" => &route.name, "first_ms" => self.timing.first_byte.as_millis(),
+                "pause_ms" => self.timing.longest_gap.as_millis(),
+                "prompt" => self.request.cost.tokens);
+        }
+    }
+
+    /// Logs a response that broke off or was overdue.
+    fn log_broken(&self, reason: &'static str) {
+        let last = self.events.as_ref().and_then(|e| e.last_id);
+        let replica = self.response.as_ref().map(|r| r.run.replica.to_string());
+        slog::info!(self.node.log, "response broke off"; "id" => &self.request.id, "why" => reason,
+            "last" => last, "replica" => replica, "route" => &self.routed.route.name);
+    }
+}
+
+impl Drop for ResponseStream {
+    fn drop(&mut self) {
+        // A response that ended or broke off has been logged already.
+        if let Some(started) = &self.response {
+            let last = self.events.as_ref().and_then(|e| e.last_id);
+            slog::info!(self.node.log, "caller disconnected during the response";
+                "id" => &self.request.id, "replica" => started.run.replica.as_str(), "last" => last,
+                "route" => &self.routed.route.name,
+                "first_ms" => self.timing.first_byte.as_millis(),
+                "held_ms" => now().since(self.timing.arrived).as_millis());
+            count_outcome("caller_left");
+        }
+    }
+}
+
+impl EventTracker {
+    /// Checks that the IDs of complete events continue from the last event without a gap.
+    fn check_ids(&mut self, events: &[u8]) -> Result<(), &'static str> {
+        for line in events.split(|b| *b == b'\n') {
+            let Some(id) = line.strip_prefix(b"id:") else {
+                continue;
+            };
+            let id = std::str::from_utf8(id)
+                .ok()
+                .and_then(|t| t.trim().parse().ok());
+            let id: u64 = id.ok_or("event without a numeric ID")?;
+            if self.last_id.is_some_and(|last| id != last + 1) {
+                return Err("event IDs are not consecutive");
+            }
+            self.last_id = Some(id);
+        }
+        Ok(())
+    }
+}
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the head of its answer.
+//! Handles a caller's request until the headers of the response are sent.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -29,32 +29,32 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::cluster::state::ActiveConfig;
-use crate::serving::decisions::decide::COME_BACK;
-use crate::serving::decisions::decide::Ended;
-use crate::serving::decisions::decide::Refusal;
-use crate::serving::decisions::decide::Tries;
-use crate::serving::decisions::fleet::End;
 use crate::serving::decisions::fleet::Load;
+use crate::serving::decisions::fleet::RunOutcome;
+use crate::serving::decisions::retry::AttemptFailure;
+use crate::serving::decisions::retry::Attempts;
+use crate::serving::decisions::retry::RETRY_DELAY;
+use crate::serving::decisions::retry::Refusal;
 use crate::serving::path::charge;
-use crate::serving::path::forward::Begun;
+use crate::serving::path::forward::BufferedRequest;
 use crate::serving::path::forward::Caller;
-use crate::serving::path::forward::Held;
+use crate::serving::path::forward::StartedResponse;
 use crate::serving::path::forward::forward;
-use crate::serving::path::forward::strip_hop;
-use crate::serving::path::forward::strip_request;
-use crate::serving::path::model::Instance;
-use crate::serving::path::model::Organisation;
-use crate::serving::path::model::RequestInfo;
-use crate::serving::path::model::Route;
-use crate::serving::path::model::RouteKind;
-use crate::serving::path::pass::AnswerBody;
-use crate::serving::path::pass::Events;
-use crate::serving::path::pass::Passing;
-use crate::serving::path::pass::Timing;
-use crate::serving::path::pass::passing;
-use crate::serving::path::pass::whole;
+use crate::serving::path::forward::strip_hop_headers;
+use crate::serving::path::forward::strip_request_headers;
+use crate::serving::path::placement::wait_for_replica;
+use crate::serving::path::response::EventTracker;
+use crate::serving::path::response::ResponseBody;
+use crate::serving::path::response::ResponseStream;
+use crate::serving::path::response::Timing;
+use crate::serving::path::response::full_body;
+use crate::serving::path::response::stream_body;
 use crate::serving::path::routes::pick_service;
-use crate::serving::path::waiting::find_place;
+use crate::serving::path::types::Instance;
+use crate::serving::path::types::Organisation;
+use crate::serving::path::types::RequestInfo;
+use crate::serving::path::types::Route;
+use crate::serving::path::types::RouteKind;
 use crate::serving::program::node::InFlight;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
@@ -62,201 +62,214 @@
 use crate::serving::program::node::to_instant;
 use crate::serving::program::node::to_span;
 
-/// The longest time that a caller waits who names none.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a request whose caller states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of an answer that are read before its head is passed on: a short one
-/// is then whole, and can be asked for again where it breaks off.
-const READ_AHEAD: usize = 64 << 10;
+/// Bytes of a response that are read before its headers are forwarded, so that a short
+/// response is complete by then and can still be retried if it breaks off.
+const READ_AHEAD_BYTES: usize = 64 << 10;
 
-/// When a request that crashes its upstreams may come back.
-const CONVICTED_COME_BACK: Duration = Duration::from_secs(30);
+/// `Retry-After` for a request that is blocked because it crashes its upstreams.
+const BLOCKED_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// The part of the most tokens that an answer takes on average.
-const OUTPUT_PART: f64 = 0.6;
+/// Mean ratio of generated tokens to the maximum that the request allows.
+const MEAN_OUTPUT_RATIO: f64 = 0.6;
 
-/// A request with its route.
-pub(in crate::serving) struct Asked {
+/// The route and the service that were selected for a request.
+pub(in crate::serving) struct RoutedRequest {
     pub(in crate::serving) route: Rc<Route>,
     pub(in crate::serving) service: ServiceName,
 }
 
-/// Answers one request; refusals become answers too.
+/// Handles one request; a refusal is turned into a response as well.
 pub(in crate::serving) async fn serve(
     node: Rc<Node>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    let open = node.track_request();
+) -> Response<ResponseBody> {
+    let in_flight = node.track_request();
     let arrived = now();
-    let ask = (node.border.parse_request)(request.headers());
-    let mut waiting = Waiting {
+    let info = (node.codec.parse_request)(request.headers());
+    let mut disconnect_log = DisconnectLog {
         node: node.clone(),
-        id: ask.id.clone(),
+        id: info.id.clone(),
         arrived,
-        ended: false,
+        answered: false,
     };
-    let mut answer = match answer(&node, request, ask, arrived, open).await {
-        Ok(answer) => answer,
-        Err(refusal) => refuse(&node, &waiting.id, arrived, &refusal),
+    let mut response = match handle(&node, request, info, arrived, in_flight).await {
+        Ok(response) => response,
+        Err(refusal) => refusal_response(&node, &disconnect_log.id, arrived, &refusal),
     };
-    waiting.ended = true;
+    disconnect_log.answered = true;
     if node.phase() != Phase::Serving {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
-/// A request without an answer yet; when it is dropped before it has one, its
-/// caller has left.
-struct Waiting {
+/// Logs the disconnect of a caller: hyper drops the handler, and this guard with it, if the
+/// connection closes before there is a response.
+struct DisconnectLog {
     node: Rc<Node>,
     id: String,
     arrived: Moment,
-    ended: bool,
+    answered: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectLog {
     fn drop(&mut self) {
-        if !self.ended {
-            slog::info!(self.node.log, "caller left"; "id" => &self.id,
+        if !self.answered {
+            slog::info!(self.node.log, "caller disconnected before the response"; "id" => &self.id,
                 "held_ms" => now().since(self.arrived).as_millis());
-            count("caller_left");
+            count_outcome("caller_left");
         }
     }
 }
 
-fn refuse(node: &Node, id: &str, arrived: Moment, refusal: &Refusal) -> Response<AnswerBody> {
+/// Logs a refusal and builds the response for it.
+fn refusal_response(
+    node: &Node,
+    id: &str,
+    arrived: Moment,
+    refusal: &Refusal,
+) -> Response<ResponseBody> {
     let config = node.state().active.as_ref().map(|a| a.config.version);
     let after = refusal.retry_after.map(|after| after.as_millis());
     slog::info!(node.log, "refused"; "id" => id, "why" => refusal.reason,
         "status" => refusal.status.as_u16(), "retry_after_ms" => after,
         "held_ms" => now().since(arrived).as_millis(), "config" => config);
-    count(refusal.reason);
-    let mut answer = Response::new(whole(Bytes::new()));
-    *answer.status_mut() = refusal.status;
+    count_outcome(refusal.reason);
+    let mut response = Response::new(full_body(Bytes::new()));
+    *response.status_mut() = refusal.status;
     if let Some(after) = refusal.retry_after {
         let text = format!("{:.2}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&text) {
-            answer.headers_mut().insert(RETRY_AFTER, value);
+            response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
-async fn answer(
+/// Admits a request, reads its body and runs it.
+async fn handle(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    ask: RequestInfo,
+    info: RequestInfo,
     arrived: Moment,
-    open: InFlight,
-) -> Result<Response<AnswerBody>, Refusal> {
+    in_flight: InFlight,
+) -> Result<Response<ResponseBody>, Refusal> {
     if node.phase() == Phase::Draining {
         return Err(Refusal::not_run("stopping", Duration::ZERO));
     }
     let active = {
-        let b = node.state();
-        b.active.clone().filter(|_| b.replicas_listed)
+        let state = node.state();
+        state.active.clone().filter(|_| state.replicas_listed)
     };
-    let active = active.ok_or(Refusal::not_run("no_configuration", COME_BACK))?;
+    let active = active.ok_or(Refusal::not_run("no_configuration", RETRY_DELAY))?;
     let (head, body) = request.into_parts();
-    let asked = find_route(&active, &head.uri, &head.headers, &ask)?;
-    let organisation = find_caller(node, &active, &asked, &ask)?;
-    let patience = ask.timeout.unwrap_or(DEFAULT_PATIENCE);
-    let time = patience.min(asked.route.timeout);
-    let limit = arrived.after(to_span(time));
+    let routed = find_route(&active, &head.uri, &head.headers, &info)?;
+    let organisation = authorize(node, &active, &routed, &info)?;
+    let wait = info.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = wait.min(routed.route.timeout);
+    let deadline = arrived.after(to_span(timeout));
     let charge = match &organisation {
-        Some(organisation) => charge::take(node, organisation, &ask).await?,
+        Some(organisation) => charge::acquire(node, organisation, &info).await?,
         None => None,
     };
-    let body = read_body(body, active.config.limits.body_bytes, limit).await?;
+    let body = read_body(body, active.config.limits.body_bytes, deadline).await?;
     let mut headers = head.headers;
-    strip_request(&mut headers);
-    let held = Held {
+    strip_request_headers(&mut headers);
+    let req = BufferedRequest {
         method: head.method,
         fingerprint: fingerprint(&head.uri, &body),
         path: origin_form(&head.uri),
         headers,
-        cost: cost(&active, &asked.service, &ask),
-        shared: ask.shared,
+        cost: estimate_load(&active, &routed.service, &info),
+        shared_prefix: info.shared_prefix,
         caller: Caller {
-            key: ask
+            key: info
                 .key
-                .filter(|_| !asked.route.public && organisation.is_some()),
+                .filter(|_| !routed.route.public && organisation.is_some()),
             organisation: organisation.map(|o| o.name.clone()),
             charge,
         },
         body,
-        id: ask.id,
-        target: ask.target,
-        limit,
+        id: info.id,
+        target: info.target,
+        deadline,
     };
-    check_convicted(node, &held)?;
-    run(node, Rc::new(asked), held, arrived, open).await
+    check_blocked(node, &req)?;
+    run_request(node, Rc::new(routed), req, arrived, in_flight).await
 }
 
-/// The route of a request and the service that it goes to.
+/// Finds the route of a request and picks one of its services.
 fn find_route(
     active: &ActiveConfig,
     uri: &Uri,
     headers: &HeaderMap,
-    ask: &RequestInfo,
-) -> Result<Asked, Refusal> {
+    info: &RequestInfo,
+) -> Result<RoutedRequest, Refusal> {
     let host = headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(uri.host()).unwrap_or_default();
     let route = active.routes.find(host, uri.path());
     let unknown = Refusal::denied(StatusCode::NOT_FOUND, "no_route");
     let route = route.ok_or(unknown)?;
-    let service = pick_service(route, &ask.id).ok_or(unknown)?;
-    Ok(Asked {
+    let service = pick_service(route, &info.id).ok_or(unknown)?;
+    Ok(RoutedRequest {
         route: route.clone(),
         service: service.clone(),
     })
 }
 
-/// The organisation on whose behalf a request runs.
-fn find_caller(
+/// Returns the organisation whose API key the request has, or `None` if no key is needed.
+fn authorize(
     node: &Node,
     active: &ActiveConfig,
-    asked: &Asked,
-    ask: &RequestInfo,
+    routed: &RoutedRequest,
+    info: &RequestInfo,
 ) -> Result<Option<Rc<Organisation>>, Refusal> {
-    let (freshness, bounds) = {
-        let mut b = node.state();
-        (b.key_freshness(now()), b.key_bounds)
+    let (config_age, bounds) = {
+        let mut state = node.state();
+        (state.key_freshness(now()), state.key_bounds)
     };
-    let (keys, public) = (active.keys.as_ref(), asked.route.public);
-    let found = bounds.admit(keys, public, ask.key.as_ref(), &freshness);
+    let (keys, public) = (active.keys.as_ref(), routed.route.public);
+    let found = bounds.admit(keys, public, info.key.as_ref(), &config_age);
     found.map_err(|denial| {
-        slog::info!(node.log, "key refused"; "id" => &ask.id, "why" => denial.word(),
-            "borne" => ask.key.is_some(), "config" => active.config.version,
-            "proven_ms" => freshness.proven.map(Span::as_millis),
-            "believed_ms" => freshness.believed.map(Span::as_millis));
+        slog::info!(node.log, "API key refused"; "id" => &info.id, "why" => denial.as_str(),
+            "borne" => info.key.is_some(), "config" => active.config.version,
+            "proven_ms" => config_age.confirmed.map(Span::as_millis),
+            "believed_ms" => config_age.estimated.map(Span::as_millis));
         Refusal::of_denial(denial)
     })
 }
 
-async fn read_body(body: Incoming, most: usize, limit: Moment) -> Result<Vec<Bytes>, Refusal> {
+/// Reads the complete body of a request, up to a size and a deadline.
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    deadline: Moment,
+) -> Result<Vec<Bytes>, Refusal> {
     let too_large = Refusal::denied(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large");
-    // A length that is told is judged before a byte is read.
-    if body.size_hint().lower() > most as u64 {
+    // A stated length is checked before any byte is read.
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large);
     }
-    let mut body = Limited::new(body, most);
+    let mut body = Limited::new(body, max_bytes);
     let mut pieces = Vec::new();
     loop {
-        let frame = tokio::time::timeout_at(to_instant(limit), body.frame()).await;
+        let frame = tokio::time::timeout_at(to_instant(deadline), body.frame()).await;
         match frame {
             Err(_) => return Err(Refusal::denied(StatusCode::REQUEST_TIMEOUT, "slow_body")),
             Ok(None) => return Ok(pieces),
             Ok(Some(Err(e))) if e.is::<LengthLimitError>() => return Err(too_large),
             Ok(Some(Err(_))) => return Err(Refusal::denied(StatusCode::BAD_REQUEST, "bad_body")),
-            // Trailers concern the connection only.
+            // Trailers are hop-by-hop here and are dropped.
             Ok(Some(Ok(frame))) => pieces.extend(frame.into_data()),
         }
     }
 }
 
+/// Hashes the path, query and body, to recognise a request that is sent again.
 fn fingerprint(uri: &Uri, body: &[Bytes]) -> Fingerprint {
     let mut hash = Xxh3::new();
     hash.update(uri.path().as_bytes());
@@ -265,230 +278,249 @@
     Fingerprint(hash.digest())
 }
 
+/// Reduces a URI to its path and query.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map(Uri::from).unwrap_or_default()
 }
 
-/// What a request is expected to hold of an engine's memory.
-fn cost(active: &ActiveConfig, service: &ServiceName, ask: &RequestInfo) -> Load {
+/// Estimates the load of a request, with its tokens in the engine's KV cache.
+fn estimate_load(active: &ActiveConfig, service: &ServiceName, info: &RequestInfo) -> Load {
     let service = active.config.services.get(service);
     let tokens = match service.and_then(|s| s.engine.as_ref()) {
-        Some(_) => u64::from(ask.prompt_tokens) + (f64::from(ask.max_tokens) * OUTPUT_PART) as u64,
+        Some(_) => {
+            u64::from(info.prompt_tokens) + (f64::from(info.max_tokens) * MEAN_OUTPUT_RATIO) as u64
+        }
         None => 0,
     };
     Load {
         requests: 1,
         tokens,
-        unread: if tokens > 0 {
-            u64::from(ask.prompt_tokens)
+        prefill: if tokens > 0 {
+            u64::from(info.prompt_tokens)
         } else {
             0
         },
     }
 }
 
-fn check_convicted(node: &Node, held: &Held) -> Result<(), Refusal> {
-    let b = node.state();
+/// Refuses a request that has been blocked because it crashed several upstreams.
+fn check_blocked(node: &Node, req: &BufferedRequest) -> Result<(), Refusal> {
+    let state = node.state();
     let now = now();
-    let down = |r: &Instance| !b.fleet.is_current(r) || b.fleet.standing(now, &r.name) != "live";
-    match b.strikes.convicted(now, held.fingerprint, down) {
-        true => Err(Refusal::not_run("crashes_upstreams", CONVICTED_COME_BACK)),
+    let down =
+        |r: &Instance| !state.fleet.is_current(r) || state.fleet.status(now, &r.name) != "live";
+    match state.strikes.is_poison(now, req.fingerprint, down) {
+        true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
     }
 }
 
-async fn run(
+/// Runs a request, with retries, and builds the response to the caller.
+async fn run_request(
     node: &Rc<Node>,
-    asked: Rc<Asked>,
-    held: Held,
+    routed: Rc<RoutedRequest>,
+    req: BufferedRequest,
     arrived: Moment,
-    open: InFlight,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let mut tries = Tries {
-        most_runs: asked.route.max_attempts,
-        idempotent: asked.route.idempotent(),
-        ..Tries::default()
+    in_flight: InFlight,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let mut attempts = Attempts {
+        max_runs: routed.route.max_attempts,
+        idempotent: routed.route.idempotent(),
+        ..Attempts::default()
     };
     let mut avoid = BTreeSet::new();
-    node.state().budget.first(now(), &asked.service);
-    let mut begun = first(node, &asked, &held, &mut tries, &mut avoid).await?;
-    let mut ahead = VecDeque::new();
-    let mut whole = false;
-    let stream = asked.route.kind == RouteKind::Stream;
-    while !stream || begun.failed {
-        match read_ahead(&mut begun, &held, &mut ahead).await {
-            Ok(read) if begun.failed && tries.idempotent => {
-                whole = read;
-                begun.run.learn(End::Failed);
-                tries.note(Ended::Failed);
-                let pieces = std::mem::take(&mut ahead);
-                avoid.insert(begun.run.replica.clone());
-                let next = again(
+    node.state()
+        .budget
+        .record_first_send(now(), &routed.service);
+    let mut started = first_attempt(node, &routed, &req, &mut attempts, &mut avoid).await?;
+    let mut buffered = VecDeque::new();
+    let mut complete = false;
+    let stream = routed.route.kind == RouteKind::Stream;
+    while !stream || started.failed {
+        match read_ahead(&mut started, &req, &mut buffered).await {
+            Ok(read) if started.failed && attempts.idempotent => {
+                complete = read;
+                started.run.record_end(RunOutcome::Failed);
+                attempts.record(AttemptFailure::Failed);
+                let pieces = std::mem::take(&mut buffered);
+                avoid.insert(started.run.replica.clone());
+                let next = retry(
                     node,
-                    &asked,
-                    &held,
-                    &mut tries,
+                    &routed,
+                    &req,
+                    &mut attempts,
                     &mut avoid,
-                    Ended::Failed,
+                    AttemptFailure::Failed,
                     None,
                 );
                 match next.await {
-                    Ok(next) => (begun, whole) = (next, false),
-                    // The replica's own failure is the answer.
+                    Ok(next) => (started, complete) = (next, false),
+                    // No retry succeeded: the replica's error response is forwarded.
                     Err(_) => {
-                        ahead = pieces;
+                        buffered = pieces;
                         break;
                     }
                 }
-                if stream && !begun.failed {
+                if stream && !started.failed {
                     break;
                 }
             }
             Ok(read) => {
-                whole = read;
+                complete = read;
                 break;
             }
             Err(ended) => {
-                begun.run.learn(End::Broken);
-                crate::serving::path::forward::strike(node, &held, &begun.run.instance());
-                tries.note(ended);
-                avoid.insert(begun.run.replica.clone());
-                drop(begun);
-                ahead.clear();
-                begun = again(node, &asked, &held, &mut tries, &mut avoid, ended, None).await?;
+                started.run.record_end(RunOutcome::Broken);
+                crate::serving::path::forward::record_strike(node, &req, &started.run.instance());
+                attempts.record(ended);
+                avoid.insert(started.run.replica.clone());
+                drop(started);
+                buffered.clear();
+                started =
+                    retry(node, &routed, &req, &mut attempts, &mut avoid, ended, None).await?;
             }
         }
     }
     let mut response = Response::new(());
-    *response.status_mut() = begun.answer.head.status;
-    let mut headers = std::mem::take(&mut begun.answer.head.headers);
-    strip_hop(&mut headers);
+    *response.status_mut() = started.answer.head.status;
+    let mut headers = std::mem::take(&mut started.answer.head.headers);
+    strip_hop_headers(&mut headers);
     *response.headers_mut() = headers;
-    let events = (stream && has_events(response.headers())).then(Events::default);
-    tries.answered = true;
-    let mut passed = Passing {
+    let events = (stream && is_event_stream(response.headers())).then(EventTracker::default);
+    attempts.answered = true;
+    let mut body = ResponseStream {
         node: node.clone(),
-        asked,
-        held,
-        begun: Some(begun),
-        ahead,
-        tries,
+        routed,
+        request: req,
+        response: Some(started),
+        buffered,
+        attempts,
         avoid,
         events,
         timing: Timing::new(arrived),
-        _open: open,
+        _open: in_flight,
     };
-    if whole {
-        passed.finish_read();
+    if complete {
+        body.finish_buffered();
     }
-    Ok(response.map(|()| passing(passed)))
+    Ok(response.map(|()| stream_body(body)))
 }
 
-fn has_events(headers: &HeaderMap) -> bool {
+/// Returns whether the response is a stream of server-sent events.
+fn is_event_stream(headers: &HeaderMap) -> bool {
     let kind = headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
     kind.is_some_and(|k| k.starts_with("text/event-stream"))
 }
 
-/// Reads a short answer whole; of a longer one, the beginning. Gives whether
-/// it came to its end.
+/// Buffers the first `READ_AHEAD_BYTES` of a response. Returns whether the response is
+/// complete.
 async fn read_ahead(
-    begun: &mut Begun,
-    held: &Held,
-    ahead: &mut VecDeque<Bytes>,
-) -> Result<bool, Ended> {
+    started: &mut StartedResponse,
+    req: &BufferedRequest,
+    buffered: &mut VecDeque<Bytes>,
+) -> Result<bool, AttemptFailure> {
     let mut read = 0;
-    while read < READ_AHEAD {
-        match tokio::time::timeout_at(to_instant(held.limit), begun.answer.data()).await {
-            Err(_) => return Err(Ended::Overdue),
+    while read < READ_AHEAD_BYTES {
+        match tokio::time::timeout_at(to_instant(req.deadline), started.answer.data()).await {
+            Err(_) => return Err(AttemptFailure::TimedOut),
             Ok(None) => return Ok(true),
-            Ok(Some(Err(_))) => return Err(Ended::Broken),
+            Ok(Some(Err(_))) => return Err(AttemptFailure::Broken),
             Ok(Some(Ok(piece))) => {
                 read += piece.len();
-                ahead.push_back(piece);
+                buffered.push_back(piece);
             }
         }
     }
     Ok(false)
 }
 
-/// The first try, and those that follow it until an answer begins.
-async fn first(
+/// Makes the first attempt, and retries until a response starts.
+async fn first_attempt(
     node: &Rc<Node>,
-    asked: &Asked,
-    held: &Held,
-    tries: &mut Tries,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
+    attempts: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
-) -> Result<Begun, Refusal> {
-    let at = find_place(node, asked, held, avoid).await?;
-    match forward(node, held, &at, None).await {
-        Ok(begun) => Ok(begun),
+) -> Result<StartedResponse, Refusal> {
+    let at = wait_for_replica(node, routed, req, avoid).await?;
+    match forward(node, req, &at, None).await {
+        Ok(started) => Ok(started),
         Err(ended) => {
-            tries.note(ended);
-            log_try(node, held, &at, tries, ended);
+            attempts.record(ended);
+            log_attempt(node, req, &at, attempts, ended);
             avoid.insert(at);
-            again(node, asked, held, tries, avoid, ended, None).await
+            retry(node, routed, req, attempts, avoid, ended, None).await
         }
     }
 }
 
-/// Tries other replicas after a try that ended so, and is noted already.
-pub(in crate::serving) async fn again(
+/// Retries on other replicas after an attempt that ended with `ended` and is already
+/// recorded in `attempts`.
+pub(in crate::serving) async fn retry(
     node: &Rc<Node>,
-    asked: &Asked,
-    held: &Held,
-    tries: &mut Tries,
+    routed: &RoutedRequest,
+    req: &BufferedRequest,
+    attempts: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
-    ended: Ended,
-    resume_at: Option<u64>,
-) -> Result<Begun, Refusal> {
+    ended: AttemptFailure,
+    resume_after: Option<u64>,
+) -> Result<StartedResponse, Refusal> {
     let mut ended = ended;
     loop {
-        if !tries.again(ended) {
-            return Err(Refusal::after(tries, ended));
+        if !attempts.may_retry(ended) {
+            return Err(Refusal::after(attempts, ended));
         }
-        if ended == Ended::NotRun(crate::serving::path::border::NotRun::NotLoaded) {
-            // Only a replica's word on an adapter was wrong, not the replica.
+        if ended == AttemptFailure::NotRun(crate::serving::path::codec::NotRun::NotLoaded) {
+            // The view of the loaded adapters was wrong; the replicas themselves work.
             avoid.clear();
         }
-        let at = match find_place(node, asked, held, avoid).await {
+        let at = match wait_for_replica(node, routed, req, avoid).await {
             Ok(at) => at,
-            Err(refusal) if tries.runs == 0 => return Err(refusal),
-            Err(_) => return Err(Refusal::after(tries, ended)),
+            Err(refusal) if attempts.runs == 0 => return Err(refusal),
+            Err(_) => return Err(Refusal::after(attempts, ended)),
         };
-        if ended.arrived() && !spend(node, asked) {
-            return Err(Refusal::after(tries, ended));
+        if ended.reached_replica() && !spend_retry(node, routed) {
+            return Err(Refusal::after(attempts, ended));
         }
-        ended = match forward(node, held, &at, resume_at).await {
-            // A failure cannot go on an answer that has begun.
-            Ok(begun) if tries.answered && !begun.answer.head.status.is_success() => {
-                begun.run.learn(End::Failed);
-                Ended::Failed
+        ended = match forward(node, req, &at, resume_after).await {
+            // An error response cannot continue a response that has started.
+            Ok(started) if attempts.answered && !started.answer.head.status.is_success() => {
+                started.run.record_end(RunOutcome::Failed);
+                AttemptFailure::Failed
             }
-            Ok(begun) => return Ok(begun),
+            Ok(started) => return Ok(started),
             Err(next) => next,
         };
-        tries.note(ended);
-        log_try(node, held, &at, tries, ended);
+        attempts.record(ended);
+        log_attempt(node, req, &at, attempts, ended);
         avoid.insert(at);
     }
 }
 
-fn spend(node: &Node, asked: &Asked) -> bool {
-    let mut b = node.state();
-    let vms = b.members.count();
-    b.budget.spend(now(), &asked.service, vms)
+/// Takes one retry from the service's retry budget; returns whether there was one.
+fn spend_retry(node: &Node, routed: &RoutedRequest) -> bool {
+    let mut state = node.state();
+    let vm_count = state.members.count();
+    state.budget.try_retry(now(), &routed.service, vm_count)
 }
 
-fn log_try(node: &Node, held: &Held, at: &ReplicaName, tries: &Tries, ended: Ended) {
-    let standing = node.state().fleet.standing(now(), at);
-    slog::info!(node.log, "try ended"; "id" => &held.id, "replica" => at.as_str(),
-        "why" => ended.word(), "standing" => standing, "sends" => tries.sends,
-        "runs" => tries.runs, "left_ms" => held.limit.since(now()).as_millis());
-    metrics::counter!("serve_tries_total", "end" => ended.word()).increment(1);
+/// Logs and counts an attempt that gave no response to forward.
+fn log_attempt(
+    node: &Node,
+    req: &BufferedRequest,
+    at: &ReplicaName,
+    attempts: &Attempts,
+    ended: AttemptFailure,
+) {
+    let standing = node.state().fleet.status(now(), at);
+    slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
+        "why" => ended.as_str(), "standing" => standing, "sends" => attempts.sends,
+        "runs" => attempts.runs, "left_ms" => req.deadline.since(now()).as_millis());
+    metrics::counter!("serve_tries_total", "end" => ended.as_str()).increment(1);
 }
 
-/// Counts the end of a request.
-pub(in crate::serving) fn count(outcome: &'static str) {
+/// Counts a finished request by its outcome.
+pub(in crate::serving) fn count_outcome(outcome: &'static str) {
     metrics::counter!("serve_requests_total", "outcome" => outcome).increment(1);
 }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -1,5 +1,5 @@
-//! Datagrams between the VMs: beacons and wishes; [`crate::serving::peers::load_reports`] has what
-//! they say of requests under way.
+//! Sends and receives the datagrams between VMs;
+//! [`crate::serving::peers::load_reports`] has the reports of load in them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,12 +17,12 @@
 use crate::pool::Span;
 use crate::serving::cluster::members::BeaconStamp;
 use crate::serving::cluster::state::NodeState;
-use crate::serving::decisions::fleet::Held;
+use crate::serving::decisions::fleet::Residency;
 use crate::serving::path::charge;
-use crate::serving::path::model::Instance;
-use crate::serving::path::model::Target;
-use crate::serving::path::places;
-use crate::serving::path::reading;
+use crate::serving::path::owner_check;
+use crate::serving::path::prefill;
+use crate::serving::path::types::Instance;
+use crate::serving::path::types::Target;
 use crate::serving::peers::load_reports;
 use crate::serving::peers::relay;
 use crate::serving::peers::renewal;
@@ -32,75 +32,78 @@
 use crate::serving::program::node::now;
 use crate::serving::store::follow;
 
-/// The least time between two beacons that carry news.
-const NEWS_PAUSE: Duration = Duration::from_millis(30);
+/// The minimum interval between two beacons that carry changes.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(30);
 
-/// For how long a strike is told again: lost datagrams are made good.
-const STRIKES_TOLD: Span = Span::from_millis(5_000);
+/// How long a strike is repeated in beacons, to make up for lost datagrams.
+const STRIKE_TTL: Span = Span::from_millis(5_000);
 
-/// The longest datagram that is read.
-const MOST_BYTES: usize = 64 << 10;
+/// The largest datagram accepted.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Tells all others what this VM owns and has seen break, and the owners of
-/// replicas what it has under way there.
+/// Sends beacons until the process ends: the state of the replicas that this VM
+/// owns to all VMs, and its load on replicas to their owners.
 pub(in crate::serving) async fn send_beacons(node: Rc<Node>) {
     let mut number = 0;
     let mut phase = node.phase();
     loop {
         number += 1;
-        let (sendings, beat) = {
-            let mut b = node.state();
-            let beat = Duration::from_micros(b.members.beacon_interval().0);
-            (complete(&node, &mut b, number), beat)
+        let (datagrams, interval) = {
+            let mut state = node.state();
+            let interval = Duration::from_micros(state.members.beacon_interval().0);
+            (full_beacons(&node, &mut state, number), interval)
         };
-        for (bytes, address) in sendings {
+        for (bytes, address) in datagrams {
             send(&node, &bytes, address).await;
         }
-        let next = tokio::time::Instant::now() + beat;
+        let next = tokio::time::Instant::now() + interval;
         while tokio::time::timeout_at(next, node.beacon_wake.notified())
             .await
             .is_ok()
         {
-            let stops = std::mem::replace(&mut phase, node.phase()) != node.phase();
-            tell_news(&node, &mut number, stops).await;
-            tokio::time::sleep(NEWS_PAUSE).await;
+            let stopping = std::mem::replace(&mut phase, node.phase()) != node.phase();
+            send_updates(&node, &mut number, stopping).await;
+            tokio::time::sleep(MIN_UPDATE_INTERVAL).await;
         }
     }
 }
 
-/// Tells the VMs that wait what our replicas hold, and all which are leaving,
-/// or that this VM begins to stop.
-async fn tell_news(node: &Node, number: &mut u64, stops: bool) {
-    let mut sendings = Vec::new();
+/// Sends the contents of changed replicas to the subscribed VMs, and to all VMs
+/// which replicas are leaving and that this VM stops.
+async fn send_updates(node: &Node, number: &mut u64, stopping: bool) {
+    let mut datagrams = Vec::new();
     {
-        let mut b = node.state();
-        let b = &mut *b;
+        let mut state = node.state();
+        let state = &mut *state;
         let now = now();
-        for name in b.books.take_changed() {
-            b.subscriptions.record_change(now, &name);
-            // This VM believes it as well.
-            if let Some(held) = b.books.held(&name) {
-                b.fleet.hear_book(now, &name, held);
+        for name in state.planner.take_changed() {
+            state.subscriptions.record_change(now, &name);
+            // Also apply it here.
+            if let Some(held) = state.planner.residency(&name) {
+                state.fleet.apply_residency(now, &name, held);
             }
         }
-        for (vm, names) in b.subscriptions.take_pending() {
-            if let Some(address) = b.members.address(&vm) {
+        for (vm, names) in state.subscriptions.take_pending() {
+            if let Some(address) = state.members.address(&vm) {
                 *number += 1;
-                let mut told = beacon(node, b, *number);
-                told.books = names.iter().filter_map(|n| book(b, now, n)).collect();
-                sendings.push((told, vec![address]));
+                let mut beacon = new_beacon(node, state, *number);
+                beacon.books = names
+                    .iter()
+                    .filter_map(|n| encode_residency(state, now, n))
+                    .collect();
+                datagrams.push((beacon, vec![address]));
             }
         }
-        let leaving = std::mem::take(&mut b.leaving);
-        if !leaving.is_empty() || stops {
+        let leaving = std::mem::take(&mut state.leaving);
+        if !leaving.is_empty() || stopping {
             *number += 1;
-            let mut told = beacon(node, b, *number);
-            told.leaving = leaving.iter().map(write_leaving).collect();
-            sendings.push((told, b.members.peers().map(|(_, at)| at).collect()));
+            let mut beacon = new_beacon(node, state, *number);
+            beacon.leaving = leaving.iter().map(encode_leaving).collect();
+            datagrams.push((beacon, state.members.peers().map(|(_, at)| at).collect()));
         }
     }
-    for (told, addresses) in sendings {
-        send_all(node, told, &addresses).await;
+    for (beacon, addresses) in datagrams {
+        send_all(node, beacon, &addresses).await;
     }
 }
 
@@ -113,12 +116,12 @@
 
 pub(in crate::serving) async fn send(node: &Node, bytes: &[u8], address: SocketAddr) {
     if let Err(e) = node.socket.send_to(bytes, address).await {
-        // The next one makes it good.
+        // The next beacon makes up for it.
         slog::debug!(node.log, "datagram not sent"; "to" => %address, "error" => %e);
     }
 }
 
-fn beacon(node: &Node, b: &NodeState, number: u64) -> wire::Beacon {
+fn new_beacon(node: &Node, state: &NodeState, number: u64) -> wire::Beacon {
     let now = now();
     wire::Beacon {
         vm: node.settings.vm.to_string(),
@@ -126,33 +129,36 @@
         number,
         stopping: node.phase() != Phase::Serving,
         sent_us: now.0,
-        lends: b.members.lends(now),
+        lends: state.members.lends(now),
         zone: node.settings.zone.to_string(),
         address: node.settings.peer_address.to_string(),
         ..wire::Beacon::default()
     }
 }
 
-/// What every VM is told in one beat.
-fn common(node: &Node, b: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
-    let names: Vec<_> = b.books.names().cloned().collect();
-    b.books.take_changed();
-    let mut told = beacon(node, b, number);
-    told.owners = b.ownership.revision;
-    told.turns_ms = b.strain.left(now).as_millis();
-    told.books = names.iter().filter_map(|n| book(b, now, n)).collect();
+/// Builds the part of a beacon that is the same for all VMs.
+fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
+    let names: Vec<_> = state.planner.replicas().cloned().collect();
+    state.planner.take_changed();
+    let mut beacon = new_beacon(node, state, number);
+    beacon.owners = state.ownership.revision;
+    beacon.turns_ms = state.strain.remaining(now).as_millis();
+    beacon.books = names
+        .iter()
+        .filter_map(|n| encode_residency(state, now, n))
+        .collect();
     for name in &names {
-        if let Some(held) = b.books.held(name) {
-            b.fleet.hear_book(now, name, held);
+        if let Some(held) = state.planner.residency(name) {
+            state.fleet.apply_residency(now, name, held);
         }
     }
-    let owned = b.ownership.owned();
-    told.loads = owned
-        .filter_map(|n| load_reports::total_load(b, now, n))
+    let owned = state.ownership.owned();
+    beacon.loads = owned
+        .filter_map(|n| load_reports::total_load(state, now, n))
         .collect();
-    told.store = follow::outgoing_updates(node, b, now);
-    let strikes = b.strikes.recent(now, STRIKES_TOLD);
-    told.strikes = strikes
+    beacon.store = follow::outgoing_updates(node, state, now);
+    let strikes = state.strikes.recent(now, STRIKE_TTL);
+    beacon.strikes = strikes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
             fingerprint: f.0,
@@ -160,39 +166,39 @@
             born: replica.started_ms,
         })
         .collect();
-    told
+    beacon
 }
 
-/// The datagrams of one beat.
-fn complete(node: &Node, b: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
+/// Builds the datagrams for one beacon interval.
+fn full_beacons(node: &Node, state: &mut NodeState, number: u64) -> Vec<(Vec<u8>, SocketAddr)> {
     let now = now();
-    let told = common(node, b, now, number);
-    if b.members.uses_relays() {
-        let mut sendings = relay::relay_datagrams(b, now, told);
-        sendings.extend(load_reports::full_reports(node, b, now));
-        return sendings;
+    let beacon = common_beacon(node, state, now, number);
+    if state.members.uses_relays() {
+        let mut datagrams = relay::relay_datagrams(state, now, beacon);
+        datagrams.extend(load_reports::full_reports(node, state, now));
+        return datagrams;
     }
-    let mut told = told;
-    told.complete = true;
-    let peers = b.members.peers();
+    let mut beacon = beacon;
+    beacon.complete = true;
+    let peers = state.members.peers();
     let peers: Vec<_> = peers.map(|(vm, at)| (vm.clone(), at)).collect();
-    let names = b.local_uses.keys().chain(b.fleet.to_report());
+    let names = state.local_uses.keys().chain(state.fleet.reportable());
     let names = names.cloned().collect();
-    let mut flights = load_reports::flights_by_owner(node, b, now, names);
-    // What is the same for all is encoded once; each receiver's own part
-    // follows it, as messages can be joined.
-    let common = encode(told);
-    let mut sendings = Vec::new();
+    let mut flights = load_reports::flights_by_owner(node, state, now, names);
+    // The common part is encoded once. Protobuf messages are merged when
+    // concatenated, so each receiver's own part follows it.
+    let common = encode(beacon);
+    let mut datagrams = Vec::new();
     for (vm, address) in peers {
         let mut bytes = common.clone();
         bytes.extend(encode(wire::Beacon {
             flights: flights.remove(&vm).unwrap_or_default(),
-            echo: renewal::echo_for(node, b, &vm),
+            echo: renewal::echo_for(node, state, &vm),
             ..wire::Beacon::default()
         }));
-        sendings.push((bytes, address));
+        datagrams.push((bytes, address));
     }
-    sendings
+    datagrams
 }
 
 pub(in crate::serving) fn encode(beacon: wire::Beacon) -> Vec<u8> {
@@ -202,12 +208,16 @@
     datagram.encode_to_vec()
 }
 
-/// What a replica of ours holds.
-fn book(b: &NodeState, now: Moment, name: &ReplicaName) -> Option<wire::ReplicaBook> {
-    let held = b.books.held(name)?;
-    let token = b.ownership.token(now, name)?;
-    let here = held.here.iter().map(|(t, v)| (t, *v, false));
-    let coming = held.coming.iter().map(|t| (t, 0, true));
+/// Encodes the contents of a replica owned by this VM.
+fn encode_residency(
+    state: &NodeState,
+    now: Moment,
+    name: &ReplicaName,
+) -> Option<wire::ReplicaBook> {
+    let held = state.planner.residency(name)?;
+    let token = state.ownership.token(now, name)?;
+    let here = held.loaded.iter().map(|(t, v)| (t, *v, false));
+    let coming = held.loading.iter().map(|t| (t, 0, true));
     let slots = here
         .chain(coming)
         .map(|(t, version, coming)| wire::AdapterSlot {
@@ -219,93 +229,100 @@
         replica: name.to_string(),
         token: token.0,
         slots: slots.collect(),
-        born: b.books.born(name)?,
+        born: state.planner.started_ms(name)?,
     })
 }
 
-/// Takes in datagrams until the process ends.
+/// Receives datagrams until the process ends.
 pub(in crate::serving) async fn receive(node: Rc<Node>) {
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match node.socket.recv_from(&mut buffer).await {
             Ok(read) => read,
             Err(e) => {
-                slog::debug!(node.log, "datagram not read"; "error" => %e);
-                tokio::time::sleep(NEWS_PAUSE).await;
+                slog::debug!(node.log, "datagram not received"; "error" => %e);
+                tokio::time::sleep(MIN_UPDATE_INTERVAL).await;
                 continue;
             }
         };
         let datagram = wire::Datagram::decode(&buffer[..length]);
         match datagram.map(|d| d.body) {
-            Ok(Some(Body::Beacon(beacon))) => take_beacon(&node, *beacon, from),
+            Ok(Some(Body::Beacon(beacon))) => handle_beacon(&node, *beacon, from),
             Ok(Some(Body::Bundle(bundle))) => {
                 let beacons = bundle.beacons.into_iter();
-                beacons.for_each(|beacon| take_beacon(&node, beacon, from));
+                beacons.for_each(|beacon| handle_beacon(&node, beacon, from));
             }
-            Ok(Some(Body::Wish(wish))) => take_wish(&node, &wish),
+            Ok(Some(Body::Wish(wish))) => handle_load_request(&node, &wish),
             Ok(Some(Body::Report(report))) => load_reports::handle_report(&node, &report),
-            Ok(Some(Body::PlaceAsk(ask))) => places::handle_place_ask(&node, &ask).await,
+            Ok(Some(Body::PlaceAsk(ask))) => owner_check::handle_place_ask(&node, &ask).await,
             Ok(Some(Body::PlaceAnswer(answer))) => node.place_calls.complete(answer.number, answer),
             Ok(Some(Body::LeaseAsk(ask))) => charge::handle_lease_ask(&node, &ask).await,
             Ok(Some(Body::LeaseAnswer(answer))) => node.lease_calls.complete(answer.number, answer),
-            Ok(Some(Body::TurnAsk(ask))) => reading::handle_turn_ask(&node, &ask),
+            Ok(Some(Body::TurnAsk(ask))) => prefill::handle_turn_ask(&node, &ask),
             Ok(Some(Body::TurnGrant(grant))) => node.turn_calls.complete(grant.number, ()),
-            Ok(Some(Body::TurnEnd(end))) => reading::handle_turn_end(&node, &end),
-            Ok(None) | Err(_) => slog::debug!(node.log, "unknown datagram"; "from" => %from),
+            Ok(Some(Body::TurnEnd(end))) => prefill::handle_turn_end(&node, &end),
+            Ok(None) | Err(_) => {
+                slog::debug!(node.log, "unknown datagram ignored"; "from" => %from)
+            }
         }
     }
 }
 
-fn take_beacon(node: &Node, beacon: wire::Beacon, from: SocketAddr) {
+fn handle_beacon(node: &Node, beacon: wire::Beacon, from: SocketAddr) {
     let Ok(vm) = beacon.vm.parse::<VmName>() else {
         return;
     };
     let now = now();
-    let mut b = node.state();
-    let kept = b.members.failure_timeout();
-    b.fleet.set_word_kept(kept);
+    let mut state = node.state();
+    let timeout = state.members.failure_timeout();
+    state.fleet.set_report_ttl(timeout);
     let stamp = BeaconStamp {
         incarnation: Incarnation(beacon.incarnation),
         number: beacon.number,
         sent: Moment(beacon.sent_us),
     };
-    if !b.members.record_beacon(now, &vm, stamp, beacon.stopping) {
+    if !state
+        .members
+        .record_beacon(now, &vm, stamp, beacon.stopping)
+    {
         return;
     }
-    // One that was passed on comes from another VM's address.
+    // A relayed beacon arrives from the address of the relay.
     let address = beacon.address.parse().unwrap_or(from);
-    b.members.set_address(vm.clone(), address);
+    state.members.set_address(vm.clone(), address);
     if let Ok(zone) = beacon.zone.parse() {
-        b.members.set_zone(&vm, zone);
+        state.members.set_zone(&vm, zone);
     }
-    b.members.set_lends(&vm, beacon.lends);
-    renewal::handle_beacon(node, &mut b, now, &vm, &beacon);
+    state.members.set_lends(&vm, beacon.lends);
+    renewal::handle_beacon(node, &mut state, now, &vm, &beacon);
     for book in &beacon.books {
-        take_book(&mut b, now, &vm, book);
+        apply_residency(&mut state, now, &vm, book);
     }
     for l in &beacon.leaving {
         if let Some(replica) = parse_instance(&l.replica, l.born)
-            && b.fleet.leave(&replica)
+            && state.fleet.mark_draining(&replica)
         {
-            slog::info!(node.log, "replica"; "replica" => &l.replica, "draining" => true,
+            slog::info!(node.log, "replica changed"; "replica" => &l.replica, "draining" => true,
                 "told_by" => vm.as_str());
         }
     }
     if beacon.turns_ms > 0 {
-        b.strain.told(now, Span::from_millis(beacon.turns_ms));
+        state.strain.extend(now, Span::from_millis(beacon.turns_ms));
     }
     for note in &beacon.strikes {
         if let Some(replica) = parse_instance(&note.replica, note.born) {
-            b.strikes.hear(now, Fingerprint(note.fingerprint), &replica);
+            state
+                .strikes
+                .record_remote(now, Fingerprint(note.fingerprint), &replica);
         }
     }
     if beacon.complete {
-        load_reports::apply_counts(&mut b, now, &vm, &beacon.flights);
+        load_reports::apply_counts(&mut state, now, &vm, &beacon.flights);
     }
     for load in &beacon.loads {
-        load_reports::handle_load(&mut b, now, &vm, load);
+        load_reports::handle_load(&mut state, now, &vm, load);
     }
-    drop(b);
+    drop(state);
     follow::apply_updates(node, now, &beacon.store, &vm);
     if !beacon.books.is_empty() {
         node.placement_wake.notify_waiters();
@@ -315,70 +332,72 @@
     }
 }
 
-fn write_leaving(replica: &Instance) -> wire::Leaving {
+fn encode_leaving(replica: &Instance) -> wire::Leaving {
     wire::Leaving {
         replica: replica.name.to_string(),
         born: replica.started_ms,
     }
 }
 
-/// A start of a replica by its parts; `None` if that is no name.
-pub(in crate::serving) fn parse_instance(name: &str, born: u64) -> Option<Instance> {
+/// Parses an instance of a replica; `None` if the name is invalid.
+pub(in crate::serving) fn parse_instance(name: &str, started_ms: u64) -> Option<Instance> {
     let name = name.parse().ok()?;
-    Some(Instance {
-        name,
-        started_ms: born,
-    })
+    Some(Instance { name, started_ms })
 }
 
-/// The replica that a word is about, if it has not started anew since.
+/// Returns the name of a replica unless it has restarted since `started_ms`.
 pub(in crate::serving) fn current_replica(
-    b: &NodeState,
+    state: &NodeState,
     name: &str,
-    born: u64,
+    started_ms: u64,
 ) -> Option<ReplicaName> {
-    let replica = parse_instance(name, born)?;
-    b.fleet.is_current(&replica).then_some(replica.name)
+    let replica = parse_instance(name, started_ms)?;
+    state.fleet.is_current(&replica).then_some(replica.name)
 }
 
-fn take_book(b: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
-    let Some(name) = current_replica(b, &book.replica, book.born) else {
+fn apply_residency(state: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
+    let Some(name) = current_replica(state, &book.replica, book.born) else {
         return;
     };
-    // One that lost the replica and has not heard of it speaks no more for it.
-    if b.ownership.owner(&name).is_some_and(|owner| owner != vm) {
+    // A former owner that does not know of its loss no longer speaks for the
+    // replica.
+    if state
+        .ownership
+        .owner(&name)
+        .is_some_and(|owner| owner != vm)
+    {
         return;
     }
-    let mut held = Held::default();
+    let mut held = Residency::default();
     for slot in &book.slots {
         let Some(target) = Target::parse(&slot.target) else {
             continue;
         };
         match slot.coming {
             true => {
-                held.coming.insert(target);
+                held.loading.insert(target);
             }
             false => {
-                held.here.insert(target, slot.version);
+                held.loaded.insert(target, slot.version);
             }
         }
     }
-    b.fleet.hear_book(now, &name, held);
+    state.fleet.apply_residency(now, &name, held);
 }
 
-/// Asks the owner of a replica to load an adapter there.
+/// Requests a load of an adapter from the owner of a replica.
 pub(in crate::serving) async fn request_load(node: &Node, replica: &ReplicaName, target: &Target) {
     let address = {
-        let mut b = node.state();
-        let Some(owner) = b.ownership.owner(replica).cloned() else {
+        let mut state = node.state();
+        let Some(owner) = state.ownership.owner(replica).cloned() else {
             return;
         };
         if owner == node.settings.vm {
-            b.books.wish(now(), replica, target);
+            state.planner.request_load(now(), replica, target);
             node.orders_wake.notify_one();
             return;
         }
-        b.members.address(&owner)
+        state.members.address(&owner)
     };
     let Some(address) = address else {
         return;
@@ -394,7 +413,7 @@
     send(node, &datagram.encode_to_vec(), address).await;
 }
 
-fn take_wish(node: &Node, wish: &wire::Wish) {
+fn handle_load_request(node: &Node, wish: &wire::Wish) {
     let Ok(name) = wish.replica.parse::<ReplicaName>() else {
         return;
     };
@@ -405,16 +424,16 @@
         return;
     };
     let now = now();
-    let mut b = node.state();
-    if !b.books.wish(now, &name, &target) {
+    let mut state = node.state();
+    if !state.planner.request_load(now, &name, &target) {
         return;
     }
-    let held = b.books.held(&name).unwrap_or_default();
-    let known = held.here.contains_key(&target) || held.coming.contains(&target);
+    let held = state.planner.residency(&name).unwrap_or_default();
+    let known = held.loaded.contains_key(&target) || held.loading.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
-        b.subscriptions.subscribe(now, &vm, &name, known);
+        state.subscriptions.subscribe(now, &vm, &name, known);
     }
-    drop(b);
+    drop(state);
     node.orders_wake.notify_one();
     if known {
         node.beacon_wake.notify_one();
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -1,5 +1,5 @@
-//! What VMs have under way at which replica: reported to the owners, summed
-//! by them, told to all.
+//! Reports the load that each VM puts on replicas. Owners add up the reports
+//! and send the totals to all VMs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,45 +18,45 @@
 use crate::serving::cluster::state::LocalUse;
 use crate::serving::cluster::state::NodeState;
 use crate::serving::decisions::fleet::Load;
-use crate::serving::path::model::Target;
+use crate::serving::path::types::Target;
 use crate::serving::peers::beacons::current_replica;
 use crate::serving::peers::beacons::send;
 use crate::serving::program::experiment::Mechanism;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// The pause between two reports to the owners of replicas: a few engine steps,
-/// so that what is sent in one moment is told at once.
-const REPORT_PAUSE: Duration = Duration::from_millis(60);
+/// The interval between reports to owners: a few engine steps, so that requests
+/// sent together are reported together.
+const REPORT_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Tells the owners of replicas soon what changed there of this VM's requests,
-/// until the process ends. What an owner tells all others is then older by its
-/// own beat only, and a burst at one VM is not added to by the others.
+/// Reports changes of this VM's load to the owners of replicas until the
+/// process ends. The totals that an owner sends are then only as old as its own
+/// beacon interval, and other VMs do not add to a burst from one VM.
 pub(in crate::serving) async fn send_reports(node: Rc<Node>) {
     if !node.settings.experiment.is_enabled(Mechanism::EarlyReports) {
         return;
     }
     loop {
-        tokio::time::sleep(REPORT_PAUSE).await;
-        let mut sendings = Vec::new();
+        tokio::time::sleep(REPORT_INTERVAL).await;
+        let mut datagrams = Vec::new();
         {
-            let mut b = node.state();
-            let b = &mut *b;
-            let names: BTreeSet<_> = b.fleet.unreported().cloned().collect();
-            for (vm, flights) in flights_by_owner(&node, b, now(), names) {
-                if let Some(address) = b.members.address(&vm) {
-                    sendings.push((write_report(&node, flights, false), address));
+            let mut state = node.state();
+            let state = &mut *state;
+            let names: BTreeSet<_> = state.fleet.unreported().cloned().collect();
+            for (vm, flights) in flights_by_owner(&node, state, now(), names) {
+                if let Some(address) = state.members.address(&vm) {
+                    datagrams.push((encode_report(&node, flights, false), address));
                 }
             }
         }
-        for (bytes, address) in sendings {
+        for (bytes, address) in datagrams {
             send(&node, &bytes, address).await;
         }
     }
 }
 
-/// A report to the owner of these replicas.
-fn write_report(node: &Node, flights: Vec<wire::Flight>, complete: bool) -> Vec<u8> {
+/// Encodes a report to one owner.
+fn encode_report(node: &Node, flights: Vec<wire::Flight>, complete: bool) -> Vec<u8> {
     let report = wire::FlightReport {
         vm: node.settings.vm.to_string(),
         incarnation: node.incarnation.0,
@@ -70,41 +70,43 @@
     datagram.encode_to_vec()
 }
 
-/// All that this VM has under way, for each owner that it concerns; the counts
-/// of others lapse there.
+/// Builds the complete reports of this VM, one for each owner concerned. An
+/// owner drops the counts that a complete report leaves out.
 pub(in crate::serving) fn full_reports(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let names = b.local_uses.keys().chain(b.fleet.to_report());
+    let names = state.local_uses.keys().chain(state.fleet.reportable());
     let names = names.cloned().collect();
-    let flights = flights_by_owner(node, b, now, names);
+    let flights = flights_by_owner(node, state, now, names);
     let reports = flights.into_iter().filter_map(|(vm, flights)| {
-        let address = b.members.address(&vm)?;
-        Some((write_report(node, flights, true), address))
+        let address = state.members.address(&vm)?;
+        Some((encode_report(node, flights, true), address))
     });
     reports.collect()
 }
 
-/// What this VM has under way at some replicas, by their owners.
+/// Returns this VM's load on the named replicas by owner.
 pub(in crate::serving) fn flights_by_owner(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     names: BTreeSet<ReplicaName>,
 ) -> BTreeMap<VmName, Vec<wire::Flight>> {
     let own = &node.settings.vm;
     let mut flights: BTreeMap<VmName, Vec<wire::Flight>> = BTreeMap::new();
     for name in names {
-        let Some(owner) = b.ownership.owner(&name).cloned() else {
+        let Some(owner) = state.ownership.owner(&name).cloned() else {
             continue;
         };
-        let uses = b.take_uses(&name);
-        let load = b.fleet.report(&name);
+        let uses = state.take_uses(&name);
+        let load = state.fleet.take_report(&name);
         if owner == *own {
             for (target, u) in uses {
-                b.books.used(now, &name, own, &target, u.running, u.started);
+                state
+                    .planner
+                    .record_use(now, &name, own, &target, u.running, u.started);
             }
             continue;
         }
@@ -112,27 +114,27 @@
             replica: name.to_string(),
             requests: load.requests,
             tokens: load.tokens,
-            unread: load.unread,
-            uses: adapter_uses(&uses),
-            born: b.fleet.born(&name).unwrap_or_default(),
+            unread: load.prefill,
+            uses: encode_uses(&uses),
+            born: state.fleet.started_ms(&name).unwrap_or_default(),
         });
     }
     flights
 }
 
-/// What all VMs have under way at a replica of ours.
+/// Returns the load of all VMs on a replica that this VM owns.
 pub(in crate::serving) fn total_load(
-    b: &NodeState,
+    state: &NodeState,
     now: Moment,
     name: &ReplicaName,
 ) -> Option<wire::ReplicaLoad> {
-    let load = b.fleet.total(now, name)?;
-    encode_load(b, name, load)
+    let load = state.fleet.total_load(now, name)?;
+    encode_load(state, name, load)
 }
 
-/// A load at a replica, for other VMs.
+/// Encodes the load on a replica for other VMs.
 pub(in crate::serving) fn encode_load(
-    b: &NodeState,
+    state: &NodeState,
     name: &ReplicaName,
     load: Load,
 ) -> Option<wire::ReplicaLoad> {
@@ -140,12 +142,12 @@
         replica: name.to_string(),
         requests: load.requests,
         tokens: load.tokens,
-        unread: load.unread,
-        born: b.fleet.born(name)?,
+        unread: load.prefill,
+        born: state.fleet.started_ms(name)?,
     })
 }
 
-fn adapter_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
+fn encode_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
     let uses = uses.iter().map(|(t, u)| wire::AdapterUse {
         target: t.to_string(),
         running: u.running,
@@ -154,84 +156,91 @@
     uses.collect()
 }
 
-/// An owner tells what all VMs have under way at its replica.
+/// Applies the total load of a replica sent by `vm` if that is its owner.
 pub(in crate::serving) fn handle_load(
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     vm: &VmName,
     load: &wire::ReplicaLoad,
 ) {
     let name = load.replica.parse::<ReplicaName>();
-    if name.is_ok_and(|name| b.ownership.owner(&name) == Some(vm)) {
-        apply_total(b, now, load);
+    if name.is_ok_and(|name| state.ownership.owner(&name) == Some(vm)) {
+        apply_total(state, now, load);
     }
 }
 
-/// The owner of a replica says what all VMs have under way there.
-pub(in crate::serving) fn apply_total(b: &mut NodeState, now: Moment, load: &wire::ReplicaLoad) {
-    if let Some(name) = current_replica(b, &load.replica, load.born) {
+/// Applies the total load of a replica.
+pub(in crate::serving) fn apply_total(
+    state: &mut NodeState,
+    now: Moment,
+    load: &wire::ReplicaLoad,
+) {
+    if let Some(name) = current_replica(state, &load.replica, load.born) {
         let total = Load {
             requests: load.requests,
             tokens: load.tokens,
-            unread: load.unread,
+            prefill: load.unread,
         };
-        b.fleet.hear_total(now, &name, total);
+        state.fleet.apply_owner_load(now, &name, total);
     }
 }
 
-/// A VM tells what changed of its requests at replicas of ours.
+/// Handles a report from a VM on its load on our replicas.
 pub(in crate::serving) fn handle_report(node: &Node, report: &wire::FlightReport) {
     let Ok(vm) = report.vm.parse::<VmName>() else {
         return;
     };
     let now = now();
-    let mut b = node.state();
+    let mut state = node.state();
     let stamp = (Incarnation(report.incarnation), report.number);
-    if b.last_reports.get(&vm).is_some_and(|old| *old >= stamp) {
+    if state.last_reports.get(&vm).is_some_and(|old| *old >= stamp) {
         return;
     }
-    b.last_reports.insert(vm.clone(), stamp);
+    state.last_reports.insert(vm.clone(), stamp);
     if report.complete {
-        apply_counts(&mut b, now, &vm, &report.flights);
+        apply_counts(&mut state, now, &vm, &report.flights);
         return;
     }
-    for (name, load) in read_flights(&mut b, now, &vm, &report.flights) {
-        b.fleet.hear_count(now, &vm, &name, load);
+    for (name, load) in apply_flights(&mut state, now, &vm, &report.flights) {
+        state.fleet.apply_peer_load(now, &vm, &name, load);
     }
 }
 
-/// A VM tells all that it has under way at replicas of ours.
+/// Applies the complete load of a VM on our replicas.
 pub(in crate::serving) fn apply_counts(
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
 ) {
-    let counts = read_flights(b, now, vm, flights);
-    b.fleet.hear_counts(now, vm, &counts);
+    let counts = apply_flights(state, now, vm, flights);
+    state.fleet.apply_peer_loads(now, vm, &counts);
 }
 
-/// A VM's loads at replicas of ours; the books learn of its uses.
-fn read_flights(
-    b: &mut NodeState,
+/// Records the adapter uses in the adapter planner and returns the VM's load on
+/// each of our replicas.
+fn apply_flights(
+    state: &mut NodeState,
     now: Moment,
     vm: &VmName,
     flights: &[wire::Flight],
 ) -> BTreeMap<ReplicaName, Load> {
     let mut counts = BTreeMap::new();
     for flight in flights {
-        let Some(name) = current_replica(b, &flight.replica, flight.born) else {
+        let Some(name) = current_replica(state, &flight.replica, flight.born) else {
             continue;
         };
         for u in &flight.uses {
             if let Some(target) = Target::parse(&u.target) {
-                b.books.used(now, &name, vm, &target, u.running, u.begun);
+                state
+                    .planner
+                    .record_use(now, &name, vm, &target, u.running, u.begun);
             }
         }
         let load = Load {
             requests: flight.requests,
             tokens: flight.tokens,
-            unread: flight.unread,
+            prefill: flight.unread,
         };
         counts.insert(name, load);
     }
--- a/lib/src/serving/peers/relay.rs
+++ b/lib/src/serving/peers/relay.rs
@@ -1,4 +1,4 @@
-//! Beacons that cross between availability zones once, and are passed on there.
+//! Relays beacons, which cross to each other availability zone only once.
 
 use std::net::SocketAddr;
 
@@ -11,33 +11,37 @@
 use crate::serving::cluster::state::NodeState;
 use crate::serving::peers::beacons::encode;
 
-/// The datagrams of a beat: what this VM tells goes to each VM of its zone,
-/// with what is to be passed on there, and to one VM in each other zone.
+/// Builds the datagrams for one beacon interval: a bundle of our beacon and
+/// those to pass on for each VM of our zone, and our beacon for one VM in each
+/// other zone.
 pub(in crate::serving) fn relay_datagrams(
-    b: &mut NodeState,
+    state: &mut NodeState,
     now: Moment,
-    told: wire::Beacon,
+    beacon: wire::Beacon,
 ) -> Vec<(Vec<u8>, SocketAddr)> {
-    let number = told.number;
-    let mut crossing = told.clone();
+    let number = beacon.number;
+    let mut crossing = beacon.clone();
     crossing.pass_on = true;
     let crossing = encode(crossing);
-    let passed = std::mem::take(&mut b.relay_queue).into_values();
+    let queued = std::mem::take(&mut state.relay_queue).into_values();
     let bundle = wire::Bundle {
-        beacons: std::iter::once(told).chain(passed).collect(),
+        beacons: std::iter::once(beacon).chain(queued).collect(),
     };
     let bundle = wire::Datagram {
         body: Some(Body::Bundle(bundle)),
     };
     let bundle = bundle.encode_to_vec();
-    let near = b.members.direct_peers().map(|(_, at)| (bundle.clone(), at));
-    let far = b.members.relay_targets(now, number).into_iter();
+    let near = state
+        .members
+        .direct_peers()
+        .map(|(_, at)| (bundle.clone(), at));
+    let far = state.members.relay_targets(now, number).into_iter();
     near.chain(far.map(|at| (crossing.clone(), at))).collect()
 }
 
-/// A beacon is to be passed on with our next beat; a newer one of the same VM
-/// takes its place.
-pub(in crate::serving) fn enqueue(b: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
+/// Queues a beacon to be passed on with our next one. It replaces an older one
+/// of the same VM.
+pub(in crate::serving) fn enqueue(state: &mut NodeState, vm: VmName, mut beacon: wire::Beacon) {
     beacon.pass_on = false;
-    b.relay_queue.insert(vm, beacon);
+    state.relay_queue.insert(vm, beacon);
 }
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -1,5 +1,6 @@
-//! Keeps this VM in office where replicas check no fences: asks the store
-//! whether the owner table is still the newest, and tells the others.
+//! Keeps the ownerships of this VM valid where replicas check no fencing
+//! tokens: confirms with the store that the owner table is the newest and
+//! informs the other VMs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,55 +20,54 @@
 use crate::serving::store::follow::with_timeout;
 use crate::serving::store::port::Consistency;
 
-/// How often it is looked whether to ask.
-const LOOK: Duration = Duration::from_millis(100);
+/// The interval between checks whether a confirmation is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after a question that had no answer.
-const FAILED_PAUSE: Duration = Duration::from_millis(300);
+/// The pause after a failed confirmation.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long the store waits for news before it answers: it is only asked for
-/// what is there.
-const NO_WAIT: Duration = Duration::from_millis(1);
+/// The wait of a watch that only asks for existing changes.
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
 
-/// Asks the store as long as the process lives.
+/// Confirms the owner table until the process ends.
 pub(in crate::serving) async fn renew(node: Rc<Node>) {
     if node.settings.fencing {
         return;
     }
-    let mut office = Office::default();
+    let mut validity = ValidityLog::default();
     let mut since = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
-        office.look(&node);
-        if !due(&node) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        validity.update(&node);
+        if !is_due(&node) {
             continue;
         }
-        if let Err(e) = ask(&node, &mut since).await {
-            slog::info!(node.log, "owners not confirmed"; "error" => %e);
-            tokio::time::sleep(FAILED_PAUSE).await;
+        if let Err(e) = confirm_table(&node, &mut since).await {
+            slog::info!(node.log, "owner table not confirmed"; "error" => %e);
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether the confirmation is so old that this VM asks itself.
-fn due(node: &Node) -> bool {
-    let b = node.state();
+/// Whether this VM should confirm the table itself.
+fn is_due(node: &Node) -> bool {
+    let state = node.state();
     let at = now();
-    let live = b.members.live_vms(at);
+    let live = state.members.live_vms(at);
     let rank = live.iter().position(|vm| *vm == node.settings.vm);
-    b.ownership.should_confirm(at, rank.unwrap_or(0))
+    state.ownership.should_confirm(at, rank.unwrap_or(0))
 }
 
-/// Asks for what changed since the last answer.
-async fn ask(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
-    let kind = node.border.kinds.internal;
+/// Reads the changes since the last answer and records the confirmation.
+async fn confirm_table(node: &Node, since: &mut u64) -> Result<(), PlatformError> {
+    let kind = node.codec.kinds.internal;
     let asked = now();
     if *since == 0 {
         let (items, revision) = follow::list(node, kind, Consistency::Latest).await?;
         apply_cluster(node, &StoreUpdate::List(&items));
         *since = revision;
     } else {
-        let call = (node.store.watch)(kind, *since, NO_WAIT);
+        let call = (node.store.watch)(kind, *since, MIN_WATCH_WAIT);
         let answer = with_timeout(follow::CALL_TIMEOUT, call).await;
         follow::count_call(kind, answer.is_ok());
         if answer.is_err() {
@@ -76,8 +76,8 @@
         let answer = answer?;
         let revision = answer.revision;
         for c in answer.changes {
-            let told = TopicChange::new(c.item, c.removed, false);
-            apply_cluster(node, &StoreUpdate::Change(&told));
+            let change = TopicChange::new(c.item, c.removed, false);
+            apply_cluster(node, &StoreUpdate::Change(&change));
         }
         *since = revision.max(*since);
     }
@@ -85,50 +85,57 @@
     Ok(())
 }
 
-/// Whether the VM was in office when it was last looked; a change is worth a
-/// line.
+/// Whether the ownerships were valid at the last check, to log changes.
 #[derive(Default)]
-struct Office(bool);
+struct ValidityLog(bool);
 
-impl Office {
-    fn look(&mut self, node: &Node) {
-        let mut b = node.state();
+impl ValidityLog {
+    fn update(&mut self, node: &Node) {
+        let mut state = node.state();
         let at = now();
-        let vouched = b.members.acknowledged_until(&b.ownership.table.members);
-        b.ownership.set_acknowledged_until(at, vouched);
-        let holds = b.ownership.is_valid(at);
-        if std::mem::replace(&mut self.0, holds) != holds {
-            let age = b.ownership.confirmed().map(|c| at.since(c).as_millis());
-            let vouched = vouched.map(|until| until.since(at).as_millis());
-            slog::info!(node.log, "office"; "holds" => holds, "confirmed_ms" => age,
-                "vouched_ms" => vouched, "revision" => b.ownership.revision);
+        let acknowledged = state
+            .members
+            .acknowledged_until(&state.ownership.table.members);
+        state.ownership.set_acknowledged_until(at, acknowledged);
+        let valid = state.ownership.is_valid(at);
+        if std::mem::replace(&mut self.0, valid) != valid {
+            let age = state.ownership.confirmed().map(|c| at.since(c).as_millis());
+            let acknowledged = acknowledged.map(|until| until.since(at).as_millis());
+            slog::info!(node.log, "ownership validity changed";
+                "holds" => valid, "confirmed_ms" => age,
+                "vouched_ms" => acknowledged, "revision" => state.ownership.revision);
         }
     }
 }
 
-/// What is told a VM of its last beacon.
-pub(in crate::serving) fn echo_for(node: &Node, b: &NodeState, vm: &VmName) -> Option<wire::Echo> {
+/// Returns the acknowledgement of the last beacon of a VM.
+pub(in crate::serving) fn echo_for(
+    node: &Node,
+    state: &NodeState,
+    vm: &VmName,
+) -> Option<wire::Echo> {
     if node.settings.fencing {
         return None;
     }
-    let (incarnation, sent, heard) = b.members.last_beacon(vm)?;
+    let (incarnation, sent, received_at) = state.members.last_beacon(vm)?;
     Some(wire::Echo {
         incarnation: incarnation.0,
         sent_us: sent.0,
-        confirmed_us: b.ownership.confirmation_offset(heard),
+        confirmed_us: state.ownership.confirmation_offset(received_at),
     })
 }
 
-/// Takes what a beacon says of the owner table and of our own beacons.
+/// Handles the owner table revision and the acknowledgement in a beacon.
 pub(in crate::serving) fn handle_beacon(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     at: Moment,
     vm: &VmName,
     beacon: &wire::Beacon,
 ) {
-    let newer = beacon.owners > 0 && b.ownership.record_peer_revision(at, vm, beacon.owners);
-    // Where replicas check fences the news of the store is soon enough.
+    let newer = beacon.owners > 0 && state.ownership.record_peer_revision(at, vm, beacon.owners);
+    // Where replicas check fencing tokens, the next update of the store is soon
+    // enough.
     if newer && !node.settings.fencing {
         node.owners_wake.notify_one();
     }
@@ -139,8 +146,10 @@
         return;
     }
     let sent = Moment(echo.sent_us);
-    b.members.record_echo(vm, sent);
+    state.members.record_echo(vm, sent);
     if let Some(after) = echo.confirmed_us {
-        b.ownership.confirm_from_peer(beacon.owners, sent, after);
+        state
+            .ownership
+            .confirm_from_peer(beacon.owners, sent, after);
     }
 }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -13,8 +13,8 @@
 use crate::platform::PlatformError;
 use crate::pool::Span;
 use crate::serving::cluster::topic::Topic;
-use crate::serving::path::border::Codec;
-use crate::serving::path::reading;
+use crate::serving::path::codec::Codec;
+use crate::serving::path::prefill;
 use crate::serving::path::server;
 use crate::serving::peers::beacons;
 use crate::serving::peers::load_reports;
@@ -23,7 +23,7 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::Phase;
 use crate::serving::program::node::now;
-use crate::serving::program::ordering;
+use crate::serving::program::orders;
 use crate::serving::program::settings::ServeSettings;
 use crate::serving::store::apply::OWNER_TABLE;
 use crate::serving::store::apply::StoreUpdate;
@@ -36,32 +36,32 @@
 use crate::serving::store::port::Consistency;
 use crate::serving::store::port::Store;
 
-/// How often the owner table is looked through.
-const UPKEEP: Duration = Duration::from_millis(300);
+/// Interval of the maintenance task, and pause before a failed write or read is retried.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long after its start a VM proposes owners: all VMs of a first start
-/// know each other by then.
-const SETTLED: Span = Span::from_millis(2_000);
+/// Time after its start from which a VM proposes owners: VMs that start together know each
+/// other by then.
+const PROPOSE_DELAY: Span = Span::from_millis(2_000);
 
-/// How long a VM is silent until its entry is removed.
-const VM_GONE: Span = Span::from_millis(30_000);
+/// Time without a beacon after which a VM's entry is removed.
+const VM_EXPIRY: Span = Span::from_millis(30_000);
 
-/// How long a stopping process takes new connections: the balancer asks once a
-/// second and believes the second refusal.
-const LEAVE_TIME: Duration = Duration::from_millis(3_000);
+/// Time for which a stopping process still accepts connections: the load balancer checks
+/// once a second and removes a VM after two failed checks.
+const UNREADY_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// The part of the grace that is kept for the end of the process.
-const END_TIME: Duration = Duration::from_millis(500);
+/// Part of the grace period that is reserved for the exit of the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(500);
 
-/// How often a stopping process looks whether all requests have ended.
-const END_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a stopping process checks whether all requests have ended.
+const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// Why the process could not run.
+/// Error that prevents the process from running.
 #[derive(Debug)]
 pub enum ServeError {
-    /// An address cannot be listened on.
+    /// An address could not be bound.
     Listen(SocketAddr, std::io::Error),
-    /// Signals cannot be set up.
+    /// Signal handlers could not be installed.
     Signals(std::io::Error),
 }
 
@@ -69,27 +69,27 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Listen(address, e) => write!(f, "cannot listen on {address}: {e}"),
-            Self::Signals(e) => write!(f, "cannot take signals: {e}"),
+            Self::Signals(e) => write!(f, "cannot install signal handlers: {e}"),
         }
     }
 }
 
 impl std::error::Error for ServeError {}
 
-/// A serving process inside this one.
+/// A running server, all of whose tasks are on the current thread.
 pub struct Server {
     node: Rc<Node>,
 }
 
 impl Server {
-    /// Listens and serves; must be called within a `LocalSet`.
+    /// Binds the addresses and spawns all tasks; must be called within a `LocalSet`.
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on.
+    /// If an address cannot be bound.
     pub async fn start(
         settings: ServeSettings,
-        border: Codec,
+        codec: Codec,
         store: Store,
         log: slog::Logger,
     ) -> Result<Self, ServeError> {
@@ -100,112 +100,115 @@
             server::listen(settings.readiness_address).map_err(at(settings.readiness_address))?;
         let socket = UdpSocket::bind(settings.peer_address).await;
         let socket = socket.map_err(at(settings.peer_address))?;
-        slog::info!(log, "started"; "zone" => settings.zone.as_str(), "callers" => %settings.caller_address,
+        slog::info!(log, "started"; "zone" => settings.zone.as_str(),
+            "callers" => %settings.caller_address,
             "version" => env!("CARGO_PKG_VERSION"));
         if settings.experiment != Experiment::default() {
             slog::warn!(log, "experiment"; "off" => ?settings.experiment.off);
         }
-        let node = Rc::new(Node::new(settings, border, store, log, socket));
+        let node = Rc::new(Node::new(settings, codec, store, log, socket));
         spawn_followers(&node);
-        tokio::task::spawn_local(server::callers(node.clone(), callers));
-        tokio::task::spawn_local(server::readiness(node.clone(), readiness));
+        tokio::task::spawn_local(server::serve_callers(node.clone(), callers));
+        tokio::task::spawn_local(server::serve_readiness(node.clone(), readiness));
         tokio::task::spawn_local(beacons::send_beacons(node.clone()));
         tokio::task::spawn_local(load_reports::send_reports(node.clone()));
         tokio::task::spawn_local(beacons::receive(node.clone()));
-        tokio::task::spawn_local(reading::keep(node.clone()));
-        tokio::task::spawn_local(ordering::order(node.clone()));
+        tokio::task::spawn_local(prefill::grant_turns(node.clone()));
+        tokio::task::spawn_local(orders::issue_orders(node.clone()));
         tokio::task::spawn_local(register(node.clone()));
-        tokio::task::spawn_local(reread(node.clone()));
+        tokio::task::spawn_local(reload_owners(node.clone()));
         tokio::task::spawn_local(renewal::renew(node.clone()));
-        tokio::task::spawn_local(upkeep(node.clone()));
+        tokio::task::spawn_local(maintain(node.clone()));
         Ok(Self { node })
     }
 
-    /// Says that it is not ready, sees requests through, and ends within the
-    /// grace of the settings.
+    /// Reports that it is not ready, drains the requests in flight, and returns within the
+    /// grace period of the settings.
     pub async fn stop(&self) {
         let node = &self.node;
         slog::info!(node.log, "stopping"; "open" => node.in_flight());
-        let began = tokio::time::Instant::now();
-        let end = began + node.settings.grace.saturating_sub(END_TIME);
+        let start = tokio::time::Instant::now();
+        let end = start + node.settings.grace.saturating_sub(EXIT_RESERVE);
         node.phase.send_replace(Phase::Unready);
         node.beacon_wake.notify_one();
-        tokio::time::sleep(LEAVE_TIME).await;
+        tokio::time::sleep(UNREADY_PERIOD).await;
         node.phase.send_replace(Phase::Draining);
-        // Connections that are idle are closed first.
-        tokio::time::sleep(END_POLL).await;
+        // Gives idle connections time to close.
+        tokio::time::sleep(DRAIN_POLL).await;
         while node.in_flight() > 0 && tokio::time::Instant::now() < end {
-            tokio::time::sleep(END_POLL).await;
+            tokio::time::sleep(DRAIN_POLL).await;
         }
-        let name = vm_name(node);
+        let name = vm_entry_name(node);
         let removed = with_timeout(
-            END_TIME / 2,
-            (node.store.delete)(node.border.kinds.internal, &name),
+            EXIT_RESERVE / 2,
+            (node.store.delete)(node.codec.kinds.internal, &name),
         );
         if let Err(e) = removed.await {
-            slog::info!(node.log, "entry not removed"; "error" => %e);
+            slog::info!(node.log, "could not remove this VM's entry"; "error" => %e);
         }
         slog::info!(node.log, "stopped"; "open" => node.in_flight());
     }
 }
 
-/// Runs a serving process until SIGTERM or SIGINT; a second one ends it at
-/// once. `reload` is called at SIGHUP.
+/// Runs the server until SIGTERM or SIGINT; a SIGINT during the shutdown ends it at once.
+/// SIGHUP calls `reload`.
 ///
 /// # Errors
 ///
-/// When it cannot start.
+/// If an address cannot be bound or a signal handler cannot be installed.
 pub async fn run(
     settings: ServeSettings,
-    border: Codec,
+    codec: Codec,
     store: Store,
     log: slog::Logger,
     reload: impl Fn() -> Result<ServeSettings, String>,
 ) -> Result<(), ServeError> {
-    let take = |kind| signal(kind).map_err(ServeError::Signals);
-    let mut term = take(SignalKind::terminate())?;
-    let mut interrupt = take(SignalKind::interrupt())?;
-    let mut hangup = take(SignalKind::hangup())?;
+    let install = |kind| signal(kind).map_err(ServeError::Signals);
+    let mut terminate = install(SignalKind::terminate())?;
+    let mut interrupt = install(SignalKind::interrupt())?;
+    let mut hangup = install(SignalKind::hangup())?;
     let old = settings.clone();
     let log = log.new(slog::o!("vm" => settings.vm.to_string()));
-    let program = Server::start(settings, border, store, log.clone()).await?;
+    let program = Server::start(settings, codec, store, log.clone()).await?;
     loop {
         tokio::select! {
-            _ = term.recv() => break,
+            _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => log_reload(&log, &old, reload()),
         }
     }
     tokio::select! {
         () = program.stop() => {}
-        _ = interrupt.recv() => slog::warn!(log, "stopped at once"),
+        _ = interrupt.recv() => slog::warn!(log, "stopped by a second interrupt without draining"),
     }
     Ok(())
 }
 
-/// Addresses and names hold until the process is started again; what else
-/// changed is said.
+/// Logs the result of reading the settings again. Addresses and names only change with a
+/// restart, so the log says whether the caller address and the VM are the same.
 fn log_reload(log: &slog::Logger, old: &ServeSettings, new: Result<ServeSettings, String>) {
     match new {
         Ok(new) => {
             let same = new.caller_address == old.caller_address && new.vm == old.vm;
             slog::info!(log, "settings read again"; "addresses_kept" => same);
         }
-        Err(e) => slog::warn!(log, "settings refused"; "error" => e),
+        Err(e) => slog::warn!(log, "could not read the settings again"; "error" => e),
     }
 }
 
+/// Spawns a task for each topic that follows the store.
 fn spawn_followers(node: &Rc<Node>) {
     for topic in Topic::ALL {
         tokio::task::spawn_local(follow(node.clone(), topic));
     }
 }
 
-fn vm_name(node: &Node) -> String {
+/// Returns the name of this VM's entry in the store.
+fn vm_entry_name(node: &Node) -> String {
     format!("{VM_PREFIX}{}", node.settings.vm)
 }
 
-/// Writes this VM's entry, as often as it takes.
+/// Writes this VM's entry to the store, and retries until it is there.
 async fn register(node: Rc<Node>) {
     let entry = VmEntry {
         vm: node.settings.vm.clone(),
@@ -215,74 +218,76 @@
     let Ok(spec) = to_raw_value(&entry) else {
         return;
     };
-    let name = vm_name(&node);
+    let name = vm_entry_name(&node);
     loop {
-        let call = (node.store.create)(node.border.kinds.internal, &name, &spec);
+        let call = (node.store.create)(node.codec.kinds.internal, &name, &spec);
         match with_timeout(follow::CALL_TIMEOUT, call).await {
-            // An earlier start wrote the same.
+            // A conflict means that an earlier start of this VM wrote the entry.
             Ok(_) | Err(PlatformError::Conflict) => return,
-            Err(e) => slog::warn!(node.log, "entry not written"; "error" => %e),
+            Err(e) => slog::warn!(node.log, "could not write this VM's entry"; "error" => %e),
         }
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
     }
 }
 
-/// Reads the owner table anew after a suspension.
-async fn reread(node: Rc<Node>) {
+/// Reloads the owner table when it is woken, such as after a suspension.
+async fn reload_owners(node: Rc<Node>) {
     loop {
         node.owners_wake.notified().await;
         loop {
             let asked = now();
-            match follow::list(&node, node.border.kinds.internal, Consistency::Latest).await {
+            match follow::list(&node, node.codec.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
                     apply_cluster(&node, &StoreUpdate::List(&items));
                     node.state().ownership.confirm(asked);
                     break;
                 }
-                Err(e) => slog::warn!(node.log, "owners not read"; "error" => %e),
+                Err(e) => slog::warn!(node.log, "could not read the owner table"; "error" => %e),
             }
-            tokio::time::sleep(UPKEEP).await;
+            tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         }
     }
 }
 
-/// Repairs the owner table and forgets what is over.
-async fn upkeep(node: Rc<Node>) {
-    let began = now();
+/// Maintains the owner table and drops what has expired, until the process ends.
+async fn maintain(node: Rc<Node>) {
+    let start = now();
     loop {
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         follow::drop_lapsed(&node);
         node.state().update_lender(now());
-        if now().since(began) >= SETTLED && node.phase() == Phase::Serving {
-            repair(&node).await;
+        if now().since(start) >= PROPOSE_DELAY && node.phase() == Phase::Serving {
+            repair_owners(&node).await;
         }
     }
 }
 
-async fn repair(node: &Node) {
+/// Writes a new owner table if this VM should propose one now, and then removes the entries
+/// of expired VMs.
+async fn repair_owners(node: &Node) {
     let at = now();
     let (table, revision, live) = {
-        let mut b = node.state();
-        let b = &mut *b;
-        if !b.is_ready() || !b.members.can_detect_failures(at) {
+        let mut state = node.state();
+        let state = &mut *state;
+        if !state.is_ready() || !state.members.can_detect_failures(at) {
             return;
         }
-        let live = b.members.live_vms(at);
-        let usable = b
+        let live = state.members.live_vms(at);
+        let usable = state
             .fleet
             .listings()
-            .filter(|l| !l.draining && b.fleet.is_configured(l));
+            .filter(|l| !l.draining && state.fleet.is_configured(l));
         let replicas = usable.map(|l| l.name.clone()).collect();
-        let Some(table) = b.ownership.proposal(at, &live, &replicas) else {
+        let Some(table) = state.ownership.proposal(at, &live, &replicas) else {
             return;
         };
-        b.ownership.record_proposal(at);
-        (table, b.ownership.revision, live.len())
+        state.ownership.record_proposal(at);
+        (table, state.ownership.revision, live.len())
     };
     let Ok(spec) = to_raw_value(&table) else {
         return;
     };
-    let kind = node.border.kinds.internal;
+    let kind = node.codec.kinds.internal;
     let asked = now();
     let call = match revision {
         0 => (node.store.create)(kind, OWNER_TABLE, &spec),
@@ -291,31 +296,32 @@
     match with_timeout(follow::CALL_TIMEOUT, call).await {
         Ok(revision) => {
             let term = table.term.0;
-            let mut b = node.state();
-            let moved = table.count_moved(&b.ownership.table);
-            b.apply_owner_table(now(), table, revision);
-            b.ownership.confirm(asked);
-            drop(b);
-            slog::info!(node.log, "owners changed"; "term" => term, "revision" => revision,
+            let mut state = node.state();
+            let moved = table.count_moved(&state.ownership.table);
+            state.apply_owner_table(now(), table, revision);
+            state.ownership.confirm(asked);
+            drop(state);
+            slog::info!(node.log, "owner table changed"; "term" => term, "revision" => revision,
                 "moved" => moved, "live" => live);
             node.orders_wake.notify_one();
         }
-        // Another VM was first; the watch brings its table.
+        // Another VM wrote first; the watch delivers its table.
         Err(PlatformError::Conflict) => {}
-        Err(e) => slog::warn!(node.log, "owners not changed"; "error" => %e),
+        Err(e) => slog::warn!(node.log, "could not write the owner table"; "error" => %e),
     }
     let gone = {
-        let b = node.state();
-        let first = b.members.live_vms(at).first() == Some(&node.settings.vm);
+        let state = node.state();
+        let first = state.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
-            true => b.members.silent_for(at, VM_GONE),
+            true => state.members.silent_for(at, VM_EXPIRY),
             false => Vec::new(),
         }
     };
     for vm in gone {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
         if let Err(e) = with_timeout(follow::CALL_TIMEOUT, call).await {
-            slog::info!(node.log, "entry not removed"; "vm" => vm.as_str(), "error" => %e);
+            slog::info!(node.log, "could not remove the entry of an expired VM";
+                "vm" => vm.as_str(), "error" => %e);
         }
     }
 }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -1,4 +1,4 @@
-//! What news from the store changes in a VM's beliefs.
+//! Applies objects that were read from the store to the state of a VM.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 use crate::ids::ZoneName;
 use crate::serving::cluster::owner_table::OwnerTable;
 use crate::serving::cluster::update::TopicChange;
-use crate::serving::path::model::Instance;
-use crate::serving::path::model::ReplicaInfo;
+use crate::serving::path::types::Instance;
+use crate::serving::path::types::ReplicaInfo;
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 use crate::serving::store::port::Item;
@@ -19,7 +19,7 @@
 /// The name of the owner table in the store.
 pub(in crate::serving) const OWNER_TABLE: &str = "owners";
 
-/// What the names of VMs' entries begin with.
+/// The prefix of the names of VM entries.
 pub(in crate::serving) const VM_PREFIX: &str = "vm.";
 
 /// A VM's entry in the store.
@@ -27,174 +27,180 @@
 pub(in crate::serving) struct VmEntry {
     pub(in crate::serving) vm: VmName,
     pub(in crate::serving) address: SocketAddr,
-    /// Its availability zone; entries of before had none.
+    /// The availability zone of the VM; entries of earlier releases have none.
     #[serde(default)]
     pub(in crate::serving) zone: Option<ZoneName>,
 }
 
-/// What a follower hears of the store.
+/// An update of a topic.
 pub(in crate::serving) enum StoreUpdate<'a> {
-    /// All objects of a topic.
+    /// All objects of the topic.
     List(&'a [Item]),
-    /// One object changed, or was removed.
+    /// One object that changed or was removed.
     Change(&'a TopicChange),
 }
 
 impl StoreUpdate<'_> {
-    /// The objects that are there, as far as this tells.
+    /// Returns the objects that exist according to the update.
     fn items(&self) -> &[Item] {
         match self {
             Self::List(items) => items,
-            Self::Change(told) if told.removed => &[],
-            Self::Change(told) => std::slice::from_ref(&told.item),
+            Self::Change(change) if change.removed => &[],
+            Self::Change(change) => std::slice::from_ref(&change.item),
         }
     }
 }
 
-/// Takes a configuration; the operator replaces it and never takes it away.
-pub(in crate::serving) fn apply_config(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    for item in news.items() {
-        match (node.border.parse_config)(item) {
+/// Applies a configuration. The operator replaces it and never removes it.
+pub(in crate::serving) fn apply_config(node: &Node, update: &StoreUpdate<'_>) -> bool {
+    for item in update.items() {
+        match (node.codec.parse_config)(item) {
             Ok(config) => {
                 let version = config.version;
-                let mut b = node.state();
-                b.recency.set_readable(true);
-                let taken = b.apply_config(config);
-                drop(b);
+                let mut state = node.state();
+                state.recency.set_readable(true);
+                let taken = state.apply_config(config);
+                drop(state);
                 slog::info!(node.log, "configuration"; "version" => version,
                     "bytes" => item.spec.get().len(),
                     "revision" => item.revision, "in_force" => taken);
             }
             Err(e) => {
-                // Keys that it takes away are not known.
+                // It may revoke keys that this VM still accepts.
                 node.state().recency.set_readable(false);
-                slog::error!(node.log, "bad configuration"; "error" => %e);
+                slog::error!(node.log, "configuration not decoded"; "error" => %e);
             }
         }
     }
-    !news.items().is_empty()
+    !update.items().is_empty()
 }
 
-/// Takes entries of replicas; gives whether one says more than which adapters
-/// it holds.
-pub(in crate::serving) fn apply_replicas(node: &Node, news: &StoreUpdate<'_>) -> bool {
+/// Applies replica entries. Returns whether one changed in more than the
+/// adapters that it holds.
+pub(in crate::serving) fn apply_replicas(node: &Node, update: &StoreUpdate<'_>) -> bool {
     let at = now();
-    let read = |item: &Item| {
-        let listing = (node.border.parse_replica)(item);
+    let parse = |item: &Item| {
+        let listing = (node.codec.parse_replica)(item);
         listing.map_err(|e| {
-            slog::error!(node.log, "bad replica"; "name" => &item.name, "error" => %e);
+            slog::error!(node.log, "replica entry not decoded";
+                "name" => &item.name, "error" => %e);
         })
     };
-    match news {
+    match update {
         StoreUpdate::List(items) => {
-            let all: Vec<_> = items.iter().filter_map(|i| read(i).ok()).collect();
-            slog::info!(node.log, "replicas"; "count" => all.len());
-            let mut b = node.state();
-            b.apply_listings(at, all);
-            b.replicas_listed = true;
+            let all: Vec<_> = items.iter().filter_map(|i| parse(i).ok()).collect();
+            slog::info!(node.log, "replicas listed"; "count" => all.len());
+            let mut state = node.state();
+            state.apply_listings(at, all);
+            state.replicas_listed = true;
             true
         }
-        StoreUpdate::Change(told) if told.lapsed => {
-            if let Ok(name) = told.item.name.parse::<ReplicaName>() {
-                node.state().fleet.lapse(at, &name);
-                slog::info!(node.log, "replica lapsed"; "replica" => name.as_str(),
-                    "revision" => told.item.revision);
+        StoreUpdate::Change(change) if change.lapsed => {
+            if let Ok(name) = change.item.name.parse::<ReplicaName>() {
+                node.state().fleet.mark_expired(at, &name);
+                slog::info!(node.log, "replica entry missing after a store outage";
+                    "replica" => name.as_str(),
+                    "revision" => change.item.revision);
             }
             true
         }
-        StoreUpdate::Change(told) if told.removed => {
-            unlist(node, &told.item, "removed");
+        StoreUpdate::Change(change) if change.removed => {
+            remove_replica(node, &change.item, "removed");
             true
         }
-        StoreUpdate::Change(told) => match read(&told.item) {
-            Ok(listing) => take_replica(node, &told.item, listing),
-            // It names no replica to use, whatever it named before.
+        StoreUpdate::Change(change) => match parse(&change.item) {
+            Ok(listing) => apply_replica(node, &change.item, listing),
+            // An entry that cannot be decoded names no usable replica.
             Err(()) => {
-                unlist(node, &told.item, "unreadable");
+                remove_replica(node, &change.item, "unreadable");
                 true
             }
         },
     }
 }
 
-fn take_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
+fn apply_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
-    let born = listing.started_ms;
-    let news = node.state().fleet.is_news(&listing);
+    let started_ms = listing.started_ms;
+    let significant = node.state().fleet.is_update(&listing);
     let changed = node.state().apply_listing(listing);
     if changed {
-        slog::info!(node.log, "replica"; "replica" => name.as_str(),
-                        "draining" => draining, "born" => born, "revision" => item.revision);
+        slog::info!(node.log, "replica changed"; "replica" => name.as_str(),
+                        "draining" => draining, "born" => started_ms, "revision" => item.revision);
     }
-    news
+    significant
 }
 
-fn unlist(node: &Node, item: &Item, why: &'static str) {
+fn remove_replica(node: &Node, item: &Item, why: &'static str) {
     let Ok(name) = item.name.parse::<ReplicaName>() else {
         return;
     };
-    if node.state().fleet.unlist(&name) {
+    if node.state().fleet.remove_listing(&name) {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(),
             "why" => why, "revision" => item.revision);
     }
 }
 
-/// The other VMs hear at once of a replica that this VM read to be leaving.
-pub(in crate::serving) fn announce_leaving(node: &Node, told: &TopicChange) {
-    let Ok(name) = told.item.name.parse::<ReplicaName>() else {
+/// Announces to the other VMs at once that a replica is leaving, as this VM read
+/// from the store.
+pub(in crate::serving) fn announce_leaving(node: &Node, change: &TopicChange) {
+    let Ok(name) = change.item.name.parse::<ReplicaName>() else {
         return;
     };
-    let mut b = node.state();
-    let drains = b.fleet.listing(&name).is_some_and(|l| l.draining);
-    let leaves = told.removed || drains;
-    let Some(born) = b.fleet.born(&name).filter(|_| leaves) else {
+    let mut state = node.state();
+    let draining = state.fleet.listing(&name).is_some_and(|l| l.draining);
+    let leaving = change.removed || draining;
+    let Some(started_ms) = state.fleet.started_ms(&name).filter(|_| leaving) else {
         return;
     };
-    b.leaving.insert(Instance {
-        name,
-        started_ms: born,
-    });
-    drop(b);
+    state.leaving.insert(Instance { name, started_ms });
+    drop(state);
     node.beacon_wake.notify_one();
 }
 
-/// Takes announced versions.
-pub(in crate::serving) fn apply_versions(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    for item in news.items() {
-        match (node.border.parse_version)(item) {
+/// Applies announced versions.
+pub(in crate::serving) fn apply_versions(node: &Node, update: &StoreUpdate<'_>) -> bool {
+    for item in update.items() {
+        match (node.codec.parse_version)(item) {
             Ok(a) => {
                 if node.state().fleet.versions.announce(now(), &a) {
                     slog::info!(node.log, "version announced"; "target" => %a.target,
                         "version" => a.version, "revision" => item.revision);
                 }
             }
-            Err(e) => slog::error!(node.log, "bad version"; "name" => &item.name, "error" => %e),
+            Err(e) => {
+                slog::error!(node.log, "announced version not decoded";
+                    "name" => &item.name, "error" => %e)
+            }
         }
     }
     node.orders_wake.notify_one();
-    !news.items().is_empty()
+    !update.items().is_empty()
 }
 
-/// Takes our own objects: VMs and the owner table.
-pub(in crate::serving) fn apply_cluster(node: &Node, news: &StoreUpdate<'_>) -> bool {
-    news.items().iter().for_each(|i| take_own_item(node, i));
-    if matches!(news, StoreUpdate::List(_)) {
+/// Applies VM entries and the owner table.
+pub(in crate::serving) fn apply_cluster(node: &Node, update: &StoreUpdate<'_>) -> bool {
+    update
+        .items()
+        .iter()
+        .for_each(|i| apply_cluster_item(node, i));
+    if matches!(update, StoreUpdate::List(_)) {
         node.state().members.mark_listed();
     }
-    if let StoreUpdate::Change(told) = news
-        && told.removed
-        && let Some(vm) = told.item.name.strip_prefix(VM_PREFIX)
+    if let StoreUpdate::Change(change) = update
+        && change.removed
+        && let Some(vm) = change.item.name.strip_prefix(VM_PREFIX)
         && let Ok(vm) = vm.parse::<VmName>()
     {
         node.state().members.remove(&vm);
-        slog::info!(node.log, "vm gone"; "vm" => vm.as_str());
+        slog::info!(node.log, "vm entry removed"; "vm" => vm.as_str());
     }
     true
 }
 
-fn take_own_item(node: &Node, item: &Item) {
-    let bad = |e: serde_json::Error| {
-        slog::error!(node.log, "bad entry"; "name" => &item.name, "error" => %e);
+fn apply_cluster_item(node: &Node, item: &Item) {
+    let log_error = |e: serde_json::Error| {
+        slog::error!(node.log, "entry not decoded"; "name" => &item.name, "error" => %e);
     };
     if item.name == OWNER_TABLE {
         match serde_json::from_str::<OwnerTable>(item.spec.get()) {
@@ -205,18 +211,18 @@
                     node.orders_wake.notify_one();
                 }
             }
-            Err(e) => bad(e),
+            Err(e) => log_error(e),
         }
         return;
     }
     match serde_json::from_str::<VmEntry>(item.spec.get()) {
         Ok(entry) => {
-            let mut b = node.state();
+            let mut state = node.state();
             if let Some(zone) = entry.zone {
-                b.members.set_zone(&entry.vm, zone);
+                state.members.set_zone(&entry.vm, zone);
             }
-            b.members.set_address(entry.vm, entry.address);
+            state.members.set_address(entry.vm, entry.address);
         }
-        Err(e) => bad(e),
+        Err(e) => log_error(e),
     }
 }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the kinds of objects in the store that a VM must know: asks the
-//! store, or hears from the VM that does.
+//! Follows the stored objects that each VM must know, by polling the store or
+//! by updates from the VM that polls it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,35 +32,35 @@
 use crate::serving::store::port::Item;
 use crate::serving::store::port::Page;
 
-/// How often a VM that has nothing to ask looks whether it is its turn.
-const LOOK: Span = Span::from_millis(500);
+/// How often a VM that does not poll checks whether it should.
+const IDLE_CHECK_INTERVAL: Span = Span::from_millis(500);
 
-/// The part of the time that a leaving replica may still get requests, after
-/// which a VM that asks for itself alone reads the entries again at the latest:
-/// some change with each heartbeat.
-const REPLICA_PAUSE_PART: f64 = 0.75;
+/// The fraction of the drain time after which a VM that polls for itself reads
+/// the replicas' entries again at the latest. Some entries change with each
+/// heartbeat, so an answer is rarely without changes.
+const REPLICA_PAUSE_FRACTION: f64 = 0.75;
 
-/// The part of the time within which a version must be used everywhere that
-/// may pass until all know of it: the replicas have yet to load it.
-const VERSION_PART: f64 = 0.5;
+/// The fraction of the time for renewing a version within which all VMs must
+/// know it. The rest is for the replicas to load it.
+const VERSION_FRACTION: f64 = 0.5;
 
-/// Within how long a change of owners is known everywhere: beacons tell who
-/// lives, and until then an adapter is loaded at another replica.
-const OWN_BOUND: Span = Span::from_millis(6_000);
+/// The time within which all VMs must know a change of owners. Beacons show
+/// which VMs are alive, and until the change is known an adapter can be loaded
+/// at another replica.
+const CLUSTER_STALENESS: Span = Span::from_millis(6_000);
 
-/// VMs that were heard so lately are told when the configuration was the newest
-/// after their last beacon.
-const WITNESSED: Span = Span::from_millis(4_000);
+/// How recently a VM must have sent a beacon to be sent a witness.
+const WITNESS_WINDOW: Span = Span::from_millis(4_000);
 
-/// How a topic is asked about.
+/// Returns how a topic is polled.
 pub(in crate::serving) fn poll_policy(settings: &ServeSettings, topic: Topic) -> PollPolicy {
     let millis = Duration::from_millis;
     match topic {
         Topic::Config => PollPolicy {
             max_staleness: to_span(settings.config_apply),
             max_solo_wait: millis(4_500),
-            // Less than versions may take to be in force, and more than the
-            // pause between them in a storm.
+            // Less than the time for a version to take effect, and more than
+            // the pause between changes in a burst.
             solo_pause: millis(250),
             shared_pause: millis(150),
             has_removals: false,
@@ -68,20 +68,20 @@
         Topic::Replicas => PollPolicy {
             max_staleness: to_span(settings.drain),
             max_solo_wait: millis(4_000),
-            solo_pause: settings.drain.mul_f64(REPLICA_PAUSE_PART),
+            solo_pause: settings.drain.mul_f64(REPLICA_PAUSE_FRACTION),
             shared_pause: millis(400),
             has_removals: true,
         },
         Topic::Versions => PollPolicy {
-            max_staleness: to_span(settings.version_apply.mul_f64(VERSION_PART)),
+            max_staleness: to_span(settings.version_apply.mul_f64(VERSION_FRACTION)),
             max_solo_wait: millis(8_000),
-            // They come by the dozen.
+            // Versions are announced by the dozen.
             solo_pause: millis(1_000),
             shared_pause: millis(250),
             has_removals: false,
         },
         Topic::Cluster => PollPolicy {
-            max_staleness: OWN_BOUND,
+            max_staleness: CLUSTER_STALENESS,
             max_solo_wait: millis(15_000),
             solo_pause: millis(600),
             shared_pause: millis(300),
@@ -90,9 +90,9 @@
     }
 }
 
-/// The store's name for a topic.
-fn kind(node: &Node, topic: Topic) -> &'static str {
-    let kinds = node.border.kinds;
+/// Returns the name of a topic's kind in the store.
+fn store_kind(node: &Node, topic: Topic) -> &'static str {
+    let kinds = node.codec.kinds;
     match topic {
         Topic::Config => kinds.config,
         Topic::Replicas => kinds.replicas,
@@ -101,13 +101,13 @@
     }
 }
 
-/// What news of a topic changes; gives whether others should hear of it.
-fn take(node: &Node, topic: Topic, news: &StoreUpdate<'_>) -> bool {
+/// Applies an update of a topic. Returns whether to share it with other VMs.
+fn apply_update(node: &Node, topic: Topic, update: &StoreUpdate<'_>) -> bool {
     match topic {
-        Topic::Config => apply::apply_config(node, news),
-        Topic::Replicas => apply::apply_replicas(node, news),
-        Topic::Versions => apply::apply_versions(node, news),
-        Topic::Cluster => apply::apply_cluster(node, news),
+        Topic::Config => apply::apply_config(node, update),
+        Topic::Replicas => apply::apply_replicas(node, update),
+        Topic::Versions => apply::apply_versions(node, update),
+        Topic::Cluster => apply::apply_cluster(node, update),
     }
 }
 
@@ -116,24 +116,24 @@
     loop {
         let at = now();
         let (next, rank) = {
-            let mut b = node.state();
-            let rank = b.poll_rank(at, &node.settings, topic);
-            let proof = topic == Topic::Config && b.proof_due(at, rank);
-            match b.feeds.get(topic).next_action(at, rank) {
+            let mut state = node.state();
+            let rank = state.poll_rank(at, &node.settings, topic);
+            let proof = topic == Topic::Config && state.proof_due(at, rank);
+            match state.feeds.get(topic).next_action(at, rank) {
                 FeedAction::Wait(_) if proof => (FeedAction::List, rank),
                 next => (next, rank),
             }
         };
         let outcome = match next {
             FeedAction::Wait(until) => {
-                let until = until.min(at.after(LOOK));
-                let asked =
+                let until = until.min(at.after(IDLE_CHECK_INTERVAL));
+                let woken =
                     tokio::time::timeout_at(to_instant(until), node.catch_up_wake.notified());
-                asked.await.ok();
+                woken.await.ok();
                 continue;
             }
-            FeedAction::List => list_all(&node, topic).await.map(|()| false),
-            FeedAction::Watch(wait) => watch(&node, topic, rank, wait).await,
+            FeedAction::List => sync_by_list(&node, topic).await.map(|()| false),
+            FeedAction::Watch(wait) => sync_by_watch(&node, topic, rank, wait).await,
         };
         match outcome {
             Ok(true) => {
@@ -141,69 +141,72 @@
                 tokio::time::sleep(pause).await;
             }
             Ok(false) => {}
-            Err(e) => log_lost(&node, topic, rank, &e),
+            Err(e) => log_failure(&node, topic, rank, &e),
         }
     }
 }
 
-fn log_lost(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
-    let mut b = node.state();
-    let feed = b.feeds.get(topic);
+fn log_failure(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
+    let mut state = node.state();
+    let feed = state.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
         feed.mark_expired();
-        slog::info!(node.log, "history gone"; "kind" => kind(node, topic),
+        slog::info!(node.log, "store history expired, listing again";
+            "kind" => store_kind(node, topic),
             "revision" => feed.revision());
         return;
     }
     if !feed.is_failing() {
-        slog::warn!(node.log, "store lost"; "kind" => kind(node, topic), "error" => %e,
+        slog::warn!(node.log, "store lost"; "kind" => store_kind(node, topic), "error" => %e,
             "revision" => feed.revision(), "rank" => rank);
     }
     feed.record_failure(now(), rank);
 }
 
-fn log_regained(node: &Node, topic: Topic, out: bool, revision: u64) {
-    if out {
-        slog::info!(node.log, "store regained"; "kind" => kind(node, topic),
+fn log_recovery(node: &Node, topic: Topic, was_failing: bool, revision: u64) {
+    if was_failing {
+        slog::info!(node.log, "store regained"; "kind" => store_kind(node, topic),
             "revision" => revision);
     }
 }
 
-/// Reads a topic whole.
-async fn list_all(node: &Node, topic: Topic) -> Result<(), PlatformError> {
+/// Lists all objects of a topic and applies the changes.
+async fn sync_by_list(node: &Node, topic: Topic) -> Result<(), PlatformError> {
     let asked = now();
     let first = node.state().feeds.get(topic).age(asked).is_none();
-    // What came since is read, or heard, next. Where replicas check no fences,
-    // nobody is in office before the owner table is known to be the newest:
-    // after a power loss of all that stopped all loads for 3 s. Keys that may
-    // have been taken away serve nobody.
-    let proves = match topic {
+    // A first list may be stale, as the changes since then follow by watch or
+    // from other VMs. There are two exceptions: without fencing, no ownership
+    // is valid before the owner table is known to be the newest, and a stale
+    // list stopped all loads for 3 s after all VMs lost power; and keys that
+    // may have been revoked admit no callers.
+    let must_prove = match topic {
         Topic::Cluster => !node.settings.fencing,
         Topic::Config => node.settings.key_revocation.is_some(),
         Topic::Replicas | Topic::Versions => false,
     };
-    let may_be_old = first && !proves;
-    let freshness = match may_be_old {
+    let may_be_old = first && !must_prove;
+    let consistency = match may_be_old {
         true => Consistency::BoundedStale,
         false => Consistency::Latest,
     };
-    let (items, revision) = list(node, kind(node, topic), freshness).await?;
-    let (out, changes) = {
-        let mut b = node.state();
-        let feed = b.feeds.get(topic);
-        let out = feed.is_failing();
-        (out, feed.apply_list(now(), asked, revision, &items))
+    let (items, revision) = list(node, store_kind(node, topic), consistency).await?;
+    let (was_failing, changes) = {
+        let mut state = node.state();
+        let feed = state.feeds.get(topic);
+        let was_failing = feed.is_failing();
+        (was_failing, feed.apply_list(now(), asked, revision, &items))
     };
     let newest = items.iter().map(|i| i.revision).max();
-    slog::info!(node.log, "listed"; "kind" => kind(node, topic), "count" => items.len(),
+    slog::info!(node.log, "store objects listed";
+        "kind" => store_kind(node, topic), "count" => items.len(),
         "revision" => revision, "newest" => newest, "first" => first);
-    log_regained(node, topic, out, revision);
+    log_recovery(node, topic, was_failing, revision);
     if first {
-        take(node, topic, &StoreUpdate::List(&items));
+        apply_update(node, topic, &StoreUpdate::List(&items));
     }
-    take_changes(node, topic, changes);
-    if freshness == Consistency::Latest {
-        confirm(node, topic, asked);
+    apply_changes(node, topic, changes);
+    if consistency == Consistency::Latest {
+        confirm_ownership(node, topic, asked);
         if topic == Topic::Config {
             node.state().recency.confirm_list(asked);
         }
@@ -212,67 +215,68 @@
     Ok(())
 }
 
-/// Asks what changed; gives whether something did.
-async fn watch(
+/// Watches a topic and applies the changes. Returns whether there were any.
+async fn sync_by_watch(
     node: &Node,
     topic: Topic,
     rank: Option<u64>,
     wait: Duration,
 ) -> Result<bool, PlatformError> {
     let asked = now();
-    let kind = kind(node, topic);
+    let kind = store_kind(node, topic);
     let revision = {
-        let mut b = node.state();
-        let feed = b.feeds.get(topic);
+        let mut state = node.state();
+        let feed = state.feeds.get(topic);
         if rank.is_some_and(|rank| rank > 0) {
-            slog::info!(node.log, "news overdue"; "kind" => kind, "revision" => feed.revision(),
+            slog::info!(node.log, "store updates overdue, polling the store";
+                "kind" => kind, "revision" => feed.revision(),
                 "age_ms" => feed.age(asked).map(Span::as_millis), "missed" => feed.has_gap(),
                 "rank" => rank);
         }
         feed.revision()
     };
-    // The store waits a whole number of milliseconds, and at least one.
+    // The store accepts whole milliseconds, at least one.
     let wait = Duration::from_millis(wait.as_millis().max(1) as u64);
     let call = (node.store.watch)(kind, revision, wait);
     let answer = with_timeout(wait + CALL_MARGIN, call).await;
     count_call(kind, answer.is_ok());
     let answer = answer?;
-    log_unread(node, kind, answer.unreadable);
+    log_unreadable(node, kind, answer.unreadable);
     let changes = answer.changes.into_iter().map(|c| (c.item, c.removed));
     let changes: Vec<_> = changes.collect();
-    let some = !changes.is_empty();
-    let (out, changes) = {
-        let mut b = node.state();
-        let feed = b.feeds.get(topic);
-        let out = feed.is_failing();
+    let has_changes = !changes.is_empty();
+    let (was_failing, changes) = {
+        let mut state = node.state();
+        let feed = state.feeds.get(topic);
+        let was_failing = feed.is_failing();
         let revision = answer.revision;
         (
-            out,
+            was_failing,
             feed.apply_changes(now(), asked, wait, revision, changes),
         )
     };
-    log_regained(node, topic, out, answer.revision);
-    take_changes(node, topic, changes);
-    confirm(node, topic, asked);
+    log_recovery(node, topic, was_failing, answer.revision);
+    apply_changes(node, topic, changes);
+    confirm_ownership(node, topic, asked);
     if topic == Topic::Config {
-        let waited = if some { Duration::ZERO } else { wait };
+        let waited = if has_changes { Duration::ZERO } else { wait };
         node.state().recency.confirm_watch(asked, to_span(waited));
     }
-    if some {
+    if has_changes {
         node.placement_wake.notify_waiters();
     }
-    Ok(some)
+    Ok(has_changes)
 }
 
-/// Takes changes that this VM read itself, and keeps those that others should
-/// hear of.
-fn take_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
+/// Applies changes that this VM read from the store, and shares those that
+/// other VMs need.
+fn apply_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
         if change.removed && !change.lapsed && topic == Topic::Replicas {
             apply::announce_leaving(node, &change);
         }
-        let news = StoreUpdate::Change(&change);
-        if take(node, topic, &news) {
+        let update = StoreUpdate::Change(&change);
+        if apply_update(node, topic, &update) {
             if !change.removed && topic == Topic::Replicas {
                 apply::announce_leaving(node, &change);
             }
@@ -281,52 +285,53 @@
     }
 }
 
-/// Takes what another VM tells of the store in its beacon.
+/// Applies the updates in another VM's beacon.
 pub(in crate::serving) fn apply_updates(
     node: &Node,
     at: Moment,
-    told: &[wire::StoreNews],
+    messages: &[wire::StoreNews],
     vm: &VmName,
 ) {
-    for news in told {
-        let Some(topic) = Topic::from_number(news.topic) else {
+    for message in messages {
+        let Some(topic) = Topic::from_number(message.topic) else {
             continue;
         };
         let changes = {
-            let mut b = node.state();
-            // Without a measure of its way it may be of any age.
-            let delay = b.members.beacon_delay(vm);
-            let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(news.age_us));
-            let changes: Option<Vec<_>> = news.changes.iter().map(read_change).collect();
-            let said = TopicUpdate {
-                revision: news.revision,
+            let mut state = node.state();
+            // With an unknown delay the update may be of any age.
+            let delay = state.members.beacon_delay(vm);
+            let age = delay.map_or(u64::MAX, |d| d.0.saturating_add(message.age_us));
+            let changes: Option<Vec<_>> = message.changes.iter().map(decode_change).collect();
+            let update = TopicUpdate {
+                revision: message.revision,
                 as_of: Moment(at.0.saturating_sub(age)),
-                // What cannot be read was missed.
-                since: changes.as_ref().map_or(news.revision, |_| news.since),
+                // Changes that cannot be decoded count as missed.
+                since: changes.as_ref().map_or(message.revision, |_| message.since),
                 changes: changes.unwrap_or_default(),
             };
-            let feed = b.feeds.get(topic);
+            let feed = state.feeds.get(topic);
             let before = feed.has_gap();
-            let blind = SkippedRange {
-                from: news.blind_from,
-                to: news.blind_to,
+            let skipped = SkippedRange {
+                from: message.blind_from,
+                to: message.blind_to,
             };
-            let changes = match news.blind_to {
-                0 => feed.apply_update(at, said),
-                _ => feed.apply_update_over(at, said, blind),
+            let changes = match message.blind_to {
+                0 => feed.apply_update(at, update),
+                _ => feed.apply_update_over(at, update, skipped),
             };
             if feed.has_gap() && !before {
-                slog::info!(node.log, "news missed"; "kind" => kind(node, topic),
-                    "revision" => feed.revision(), "since" => news.since, "told_by" => vm.as_str());
+                slog::info!(node.log, "store updates missed"; "kind" => store_kind(node, topic),
+                    "revision" => feed.revision(), "since" => message.since,
+                    "told_by" => vm.as_str());
                 node.catch_up_wake.notify_waiters();
             }
             changes
         };
         for change in &changes {
-            take(node, topic, &StoreUpdate::Change(change));
+            apply_update(node, topic, &StoreUpdate::Change(change));
         }
         if topic == Topic::Config {
-            take_witnesses(node, &mut node.state(), at, news);
+            apply_witnesses(node, &mut node.state(), at, message);
         }
         if !changes.is_empty() {
             node.placement_wake.notify_waiters();
@@ -334,7 +339,7 @@
     }
 }
 
-fn read_change(change: &wire::StoreChange) -> Option<TopicChange> {
+fn decode_change(change: &wire::StoreChange) -> Option<TopicChange> {
     let spec = RawValue::from_string(decompress(&change.spec)?).ok()?;
     Some(TopicChange {
         item: Item {
@@ -348,18 +353,18 @@
     })
 }
 
-/// What this VM tells the others of the store.
+/// Returns the updates to send to other VMs.
 pub(in crate::serving) fn outgoing_updates(
     node: &Node,
-    b: &mut NodeState,
+    state: &mut NodeState,
     at: Moment,
 ) -> Vec<wire::StoreNews> {
-    let said = |topic: Topic| {
-        let rank = b.poll_rank(at, &node.settings, topic);
-        let feed = b.feeds.get(topic);
-        let said = feed.outgoing_update(at, rank)?;
-        let blind = feed.skipped();
-        let changes = said.changes.into_iter().map(|c| wire::StoreChange {
+    let update = |topic: Topic| {
+        let rank = state.poll_rank(at, &node.settings, topic);
+        let feed = state.feeds.get(topic);
+        let update = feed.outgoing_update(at, rank)?;
+        let skipped = feed.skipped();
+        let changes = update.changes.into_iter().map(|c| wire::StoreChange {
             name: c.item.name,
             revision: c.item.revision,
             spec: c.compressed.into(),
@@ -368,68 +373,75 @@
         });
         Some(wire::StoreNews {
             topic: topic.number(),
-            revision: said.revision,
-            age_us: at.since(said.as_of).0,
-            since: said.since,
+            revision: update.revision,
+            age_us: at.since(update.as_of).0,
+            since: update.since,
             changes: changes.collect(),
-            blind_from: blind.map_or(0, |b| b.from),
-            blind_to: blind.map_or(0, |b| b.to),
+            blind_from: skipped.map_or(0, |r| r.from),
+            blind_to: skipped.map_or(0, |r| r.to),
             witnesses: Vec::new(),
         })
     };
-    let mut all: Vec<_> = Topic::ALL.into_iter().filter_map(said).collect();
+    let mut all: Vec<_> = Topic::ALL.into_iter().filter_map(update).collect();
     let config = all.iter_mut().find(|n| n.topic == Topic::Config.number());
-    if let Some(news) = config
+    if let Some(message) = config
         && node.settings.key_revocation.is_some()
         && node.settings.experiment.is_enabled(Mechanism::KeyWitnesses)
     {
-        news.witnesses = witnesses(b, at);
+        message.witnesses = witnesses(state, at);
     }
     all
 }
 
-/// What this VM tells the others of when the configuration was the newest.
-fn witnesses(b: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
-    let heard = b.members.recent_beacons(at, WITNESSED);
-    let told = b.witnesses.next_batch(&b.recency, heard).into_iter();
-    told.map(|w| wire::Witness {
-        reader: w.reader,
-        sent_us: w.sent.0,
-        after_us: w.after_us,
-    })
-    .collect()
+/// Returns the witnesses to send to other VMs.
+fn witnesses(state: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
+    let beacons = state.members.recent_beacons(at, WITNESS_WINDOW);
+    let chosen = state
+        .witnesses
+        .next_batch(&state.recency, beacons)
+        .into_iter();
+    chosen
+        .map(|w| wire::Witness {
+            reader: w.reader,
+            sent_us: w.sent.0,
+            after_us: w.after_us,
+        })
+        .collect()
 }
 
-/// Takes when another VM knew our configuration to be the newest. It must know
-/// no revision that we do not know.
-fn take_witnesses(node: &Node, b: &mut NodeState, at: Moment, news: &wire::StoreNews) {
-    if b.feeds.get(Topic::Config).revision() < news.revision {
+/// Applies the witnesses from another VM. That VM must not know a newer
+/// revision than this one does.
+fn apply_witnesses(node: &Node, state: &mut NodeState, at: Moment, message: &wire::StoreNews) {
+    if state.feeds.get(Topic::Config).revision() < message.revision {
         return;
     }
-    for w in &news.witnesses {
+    for w in &message.witnesses {
         if w.reader == node.reader_id && w.sent_us <= at.0 {
-            b.recency.confirm_witness(at, Moment(w.sent_us), w.after_us);
+            state
+                .recency
+                .confirm_witness(at, Moment(w.sent_us), w.after_us);
         }
     }
 }
 
-/// All that was in the store of a topic when it was asked is known now.
-fn confirm(node: &Node, topic: Topic, asked: Moment) {
+/// Records that the objects of a topic were confirmed to be the newest as of
+/// `asked`.
+fn confirm_ownership(node: &Node, topic: Topic, asked: Moment) {
     if topic == Topic::Cluster {
         node.state().ownership.confirm(asked);
     }
 }
 
-/// Reads a kind whole.
+/// Lists all objects of a kind.
 pub(in crate::serving) async fn list(
     node: &Node,
     kind: &'static str,
-    freshness: Consistency,
+    consistency: Consistency,
 ) -> Result<(Vec<Item>, u64), PlatformError> {
-    let mut list = list_page(node, kind, None, freshness).await?;
+    let mut list = list_page(node, kind, None, consistency).await?;
     while list.more {
         let after = list.items.last().map(|i| i.name.clone());
-        let page = list_page(node, kind, after.as_deref(), freshness).await?;
+        let page = list_page(node, kind, after.as_deref(), consistency).await?;
         let empty = page.items.is_empty();
         list.append(page);
         if empty {
@@ -443,19 +455,20 @@
     node: &Node,
     kind: &'static str,
     after: Option<&str>,
-    freshness: Consistency,
+    consistency: Consistency,
 ) -> Result<Page, PlatformError> {
-    let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, freshness)).await;
+    let page = with_timeout(CALL_MARGIN, (node.store.list)(kind, after, consistency)).await;
     count_call(kind, page.is_ok());
     let page = page?;
-    log_unread(node, kind, page.unreadable);
+    log_unreadable(node, kind, page.unreadable);
     Ok(page)
 }
 
-/// What is no object names nothing; the others hold.
-fn log_unread(node: &Node, kind: &str, count: usize) {
+/// Logs objects that could not be decoded. They are skipped, and the others
+/// apply.
+fn log_unreadable(node: &Node, kind: &str, count: usize) {
     if count > 0 {
-        slog::warn!(node.log, "objects not read"; "kind" => kind, "count" => count);
+        slog::warn!(node.log, "store objects not decoded"; "kind" => kind, "count" => count);
     }
 }
 
@@ -464,21 +477,24 @@
     metrics::counter!("serve_store_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// A call with a time limit; what it did is not known after it.
+/// Limits the duration of a call. After a timeout its effect is unknown.
 pub(in crate::serving) async fn with_timeout<T>(
-    time: Duration,
+    timeout: Duration,
     call: impl Future<Output = Result<T, PlatformError>>,
 ) -> Result<T, PlatformError> {
-    let lost = || PlatformError::Lost("no answer in time".to_owned());
-    tokio::time::timeout(time, call).await.map_err(|_| lost())?
+    let timed_out = || PlatformError::Lost(format!("no answer within {} ms", timeout.as_millis()));
+    tokio::time::timeout(timeout, call)
+        .await
+        .map_err(|_| timed_out())?
 }
 
-/// The time limit of a short call.
+/// The timeout of a call that does not wait for changes.
 pub(in crate::serving) const CALL_TIMEOUT: Duration = CALL_MARGIN;
 
-/// Drops replicas that did not come back after an outage.
+/// Removes the replicas whose entries did not come back after an outage of the
+/// store.
 pub(in crate::serving) fn drop_lapsed(node: &Node) {
-    let gone = node.state().fleet.drop_lapsed(now());
+    let gone = node.state().fleet.remove_expired(now());
     for name in gone {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(), "why" => "lapsed");
     }
--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -25,7 +25,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::Parts;
+use super::BodyChunks;
 
 /// The longest wait for a connection; upstreams are about a millisecond away.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -51,7 +51,7 @@
 }
 
 struct Idle {
-    sender: SendRequest<Parts>,
+    sender: SendRequest<BodyChunks>,
     until: Instant,
 }
 
@@ -67,7 +67,7 @@
 
 impl Default for Upstreams {
     fn default() -> Self {
-        Self::with(CONNECT_TIMEOUT, IDLE_TIMEOUT)
+        Self::with_timeouts(CONNECT_TIMEOUT, IDLE_TIMEOUT)
     }
 }
 
@@ -79,7 +79,7 @@
 
     /// No connections yet; one is waited for as long as `connect`, and kept
     /// unused as long as the upstream says, or `keep` where it says nothing.
-    pub fn with(connect: Duration, keep: Duration) -> Self {
+    pub fn with_timeouts(connect: Duration, keep: Duration) -> Self {
         Self {
             idle: Shelf::default(),
             connect,
@@ -95,8 +95,8 @@
     pub async fn send(
         &self,
         address: SocketAddr,
-        mut request: Request<Parts>,
-    ) -> Result<Answer, SendError> {
+        mut request: Request<BodyChunks>,
+    ) -> Result<UpstreamResponse, SendError> {
         while let Some(sender) = self.take(address) {
             match self.send_on(address, sender, request).await {
                 Ok(answer) => return Ok(answer),
@@ -118,9 +118,9 @@
     async fn send_on(
         &self,
         address: SocketAddr,
-        mut sender: SendRequest<Parts>,
-        request: Request<Parts>,
-    ) -> Result<Answer, (Option<Request<Parts>>, String)> {
+        mut sender: SendRequest<BodyChunks>,
+        request: Request<BodyChunks>,
+    ) -> Result<UpstreamResponse, (Option<Request<BodyChunks>>, String)> {
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, body) = response.into_parts();
@@ -130,7 +130,7 @@
                     shelf: self.idle.clone(),
                     time: idle_time(&head).unwrap_or(self.keep),
                 };
-                Ok(Answer {
+                Ok(UpstreamResponse {
                     head,
                     body,
                     kept: Some(kept),
@@ -144,7 +144,7 @@
     }
 
     /// The connection that was used last; the others age, and go.
-    fn take(&self, address: SocketAddr) -> Option<SendRequest<Parts>> {
+    fn take(&self, address: SocketAddr) -> Option<SendRequest<BodyChunks>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = idle.get_mut(&address)?;
         let now = Instant::now();
@@ -165,7 +165,10 @@
     Some(time.saturating_sub(CLOSE_MARGIN))
 }
 
-async fn connect(address: SocketAddr, longest: Duration) -> Result<SendRequest<Parts>, String> {
+async fn connect(
+    address: SocketAddr,
+    longest: Duration,
+) -> Result<SendRequest<BodyChunks>, String> {
     let work = async {
         let stream = TcpStream::connect(address).await.map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
@@ -187,7 +190,7 @@
 
 /// The head of an answer, with its body still to come. Dropping it before its
 /// end closes the connection.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status and headers.
     pub head: response::Parts,
     body: Incoming,
@@ -196,13 +199,13 @@
 
 /// A connection that goes back to the shelf after the answer's end.
 struct Kept {
-    sender: SendRequest<Parts>,
+    sender: SendRequest<BodyChunks>,
     address: SocketAddr,
     shelf: Shelf,
     time: Duration,
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// The next piece of the body; `None` at its proper end.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, hyper::Error>>> {
         loop {
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -9,11 +9,11 @@
 use hyper::Request;
 use serde::Deserialize;
 
-use super::Answer;
-use super::Parts;
+use super::BodyChunks;
 use super::RunError;
 use super::SendError;
 use super::Unready;
+use super::UpstreamResponse;
 use super::Upstreams;
 
 /// The longest error body that is read for its code.
@@ -21,7 +21,7 @@
 
 /// What an answer must name to be passed on.
 #[derive(Clone, Debug)]
-pub struct Expected {
+pub struct ExpectedIdentity {
     /// The request's id.
     pub request: String,
     /// `adapter@version`; empty for a plain service.
@@ -32,7 +32,7 @@
 
 /// Tokens by the upstream's own count.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
-pub struct Usage {
+pub struct TokenUsage {
     /// In the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
@@ -61,9 +61,9 @@
 pub async fn run(
     upstreams: &Upstreams,
     address: SocketAddr,
-    request: Request<Parts>,
-    expected: &Expected,
-) -> Result<Answer, RunError> {
+    request: Request<BodyChunks>,
+    expected: &ExpectedIdentity,
+) -> Result<UpstreamResponse, RunError> {
     let answer = upstreams
         .send(address, request)
         .await
@@ -77,7 +77,10 @@
     }
 }
 
-async fn check_engine(answer: Answer, expected: &Expected) -> Result<Answer, RunError> {
+async fn check_engine(
+    answer: UpstreamResponse,
+    expected: &ExpectedIdentity,
+) -> Result<UpstreamResponse, RunError> {
     let status = answer.head.status.as_u16();
     if status != 200 {
         return Err(refused(status, answer).await);
@@ -86,7 +89,10 @@
     Ok(answer)
 }
 
-async fn check_service(answer: Answer, expected: &Expected) -> Result<Answer, RunError> {
+async fn check_service(
+    answer: UpstreamResponse,
+    expected: &ExpectedIdentity,
+) -> Result<UpstreamResponse, RunError> {
     // A leaving service says so with the code; any other failure is its answer.
     let status = answer.head.status.as_u16();
     if status == 503 && answer.header("x-request-id").is_none() {
@@ -97,14 +103,14 @@
 }
 
 /// The engine's incarnation by its answer; 0 when it tells none.
-pub fn incarnation(answer: &Answer) -> u64 {
+pub fn incarnation(answer: &UpstreamResponse) -> u64 {
     answer
         .header("x-engine-incarnation")
         .and_then(|v| v.parse().ok())
         .unwrap_or(0)
 }
 
-fn check_head(answer: &Answer, expected: &Expected) -> Result<(), RunError> {
+fn check_head(answer: &UpstreamResponse, expected: &ExpectedIdentity) -> Result<(), RunError> {
     let seen = incarnation(answer);
     check_request(answer, expected, seen)?;
     let wrong = |what| Err(RunError::WrongIdentity { what, seen });
@@ -117,7 +123,11 @@
     Ok(())
 }
 
-fn check_request(answer: &Answer, expected: &Expected, seen: u64) -> Result<(), RunError> {
+fn check_request(
+    answer: &UpstreamResponse,
+    expected: &ExpectedIdentity,
+    seen: u64,
+) -> Result<(), RunError> {
     match answer.header("x-request-id") == Some(expected.request.as_str()) {
         true => Ok(()),
         false => Err(RunError::WrongIdentity {
@@ -127,8 +137,8 @@
     }
 }
 
-async fn refused(status: u16, mut answer: Answer) -> RunError {
-    let body = collect(&mut answer, MAX_ERROR).await.unwrap_or_default();
+async fn refused(status: u16, mut answer: UpstreamResponse) -> RunError {
+    let body = read_body(&mut answer, MAX_ERROR).await.unwrap_or_default();
     let code = serde_json::from_slice::<ErrorBody<'_>>(&body)
         .map(|b| b.error.code.into_owned())
         .unwrap_or_default();
@@ -149,7 +159,7 @@
 ///
 /// [`RunError::BrokenEarly`] or [`RunError::BrokenLate`] when it broke off or
 /// is longer.
-pub async fn collect(answer: &mut Answer, most: usize) -> Result<Bytes, RunError> {
+pub async fn read_body(answer: &mut UpstreamResponse, most: usize) -> Result<Bytes, RunError> {
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(piece) = answer.data().await {
@@ -186,7 +196,7 @@
     #[serde(borrow)]
     model: Cow<'a, str>,
     choices: Vec<Choice>,
-    usage: Usage,
+    usage: TokenUsage,
 }
 
 #[derive(Deserialize)]
@@ -197,19 +207,19 @@
 /// Checks that a whole answer of an engine is complete and the expected one.
 ///
 /// ```
-/// use banyangauge::upstream::{Expected, check_whole};
-/// let want = Expected { request: "r".into(), model: "a@1".into(), incarnation: 1 };
+/// use banyangauge::upstream::{ExpectedIdentity, check_completion};
+/// let want = ExpectedIdentity { request: "r".into(), model: "a@1".into(), incarnation: 1 };
 /// let body = br#"{"id":"r","model":"a@1","choices":[{"finish_reason":"stop"}],
 ///     "usage":{"prompt_tokens":2,"completion_tokens":3}}"#;
-/// assert_eq!(check_whole(body, &want).unwrap().completion_tokens, 3);
-/// assert!(check_whole(&body[..40], &want).is_err());
+/// assert_eq!(check_completion(body, &want).unwrap().completion_tokens, 3);
+/// assert!(check_completion(&body[..40], &want).is_err());
 /// ```
 ///
 /// # Errors
 ///
 /// [`RunError::BrokenLate`] when it is not complete JSON of the published
 /// form, [`RunError::WrongIdentity`] when it is another's.
-pub fn check_whole(body: &[u8], expected: &Expected) -> Result<Usage, RunError> {
+pub fn check_completion(body: &[u8], expected: &ExpectedIdentity) -> Result<TokenUsage, RunError> {
     let whole: Whole<'_> =
         serde_json::from_slice(body).map_err(|e| RunError::BrokenLate(e.to_string()))?;
     let seen = expected.incarnation;
@@ -242,14 +252,14 @@
         .method(Method::DELETE)
         .uri(format!("/v1/requests/{request}"))
         .header("host", address.to_string())
-        .body(Parts::default())
+        .body(BodyChunks::default())
     else {
         return;
     };
     let work = async {
         if let Ok(mut answer) = upstreams.send(address, message).await {
             // Reading to the end lets the connection be used again.
-            collect(&mut answer, MAX_ERROR).await.ok();
+            read_body(&mut answer, MAX_ERROR).await.ok();
         }
     };
     tokio::time::timeout(CANCEL_TIMEOUT, work).await.ok();
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -6,15 +6,15 @@
 use bytes::BytesMut;
 use serde::Deserialize;
 
-use super::Expected;
-use super::Usage;
+use super::ExpectedIdentity;
+use super::TokenUsage;
 
 /// The longest event; a token with its frame is some hundred bytes.
 const MAX_EVENT: usize = 256 << 10;
 
 /// What is wrong with a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum StreamFault {
     /// An event is another request's or model's, or its index is not the next.
     Identity(&'static str),
     /// An event is not of the published form.
@@ -24,16 +24,16 @@
 /// Cuts pieces of a body into runs of whole events, without copying events
 /// that came in one piece.
 #[derive(Debug, Default)]
-pub struct Scanner {
+pub struct EventSplitter {
     rest: BytesMut,
 }
 
-impl Scanner {
+impl EventSplitter {
     /// Takes the next piece; gives all whole events up to its end.
     ///
     /// ```
-    /// use banyangauge::upstream::Scanner;
-    /// let mut s = Scanner::default();
+    /// use banyangauge::upstream::EventSplitter;
+    /// let mut s = EventSplitter::default();
     /// assert_eq!(s.push("data: 1\n\ndata".into()).unwrap(), "data: 1\n\n");
     /// assert_eq!(s.push(": 2\n\n".into()).unwrap(), "data: 2\n\n");
     /// ```
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// When an event is longer than 256 KiB.
-    pub fn push(&mut self, mut piece: Bytes) -> Result<Bytes, Fault> {
+    pub fn push(&mut self, mut piece: Bytes) -> Result<Bytes, StreamFault> {
         if self.rest.is_empty() {
             let whole = piece.split_to(last_end(&piece));
             self.keep(&piece)?;
@@ -62,9 +62,9 @@
         self.rest.clear();
     }
 
-    fn keep(&mut self, piece: &[u8]) -> Result<(), Fault> {
+    fn keep(&mut self, piece: &[u8]) -> Result<(), StreamFault> {
         if self.rest.len() + piece.len() > MAX_EVENT {
-            return Err(Fault::Malformed("an event is too long".to_owned()));
+            return Err(StreamFault::Malformed("an event is too long".to_owned()));
         }
         self.rest.extend_from_slice(piece);
         Ok(())
@@ -86,7 +86,7 @@
     model: Cow<'a, str>,
     token_index: u64,
     choices: Vec<Choice>,
-    usage: Option<Usage>,
+    usage: Option<TokenUsage>,
 }
 
 #[derive(Deserialize)]
@@ -100,19 +100,19 @@
     /// Tokens in it.
     pub tokens: u64,
     /// The upstream's own count, with the last token.
-    pub usage: Option<Usage>,
+    pub usage: Option<TokenUsage>,
     /// Whether the stream is complete.
     pub done: bool,
 }
 
 /// Checks the events of one stream, over resumed connections too.
 #[derive(Debug, Default)]
-pub struct Checker {
+pub struct StreamChecker {
     next: u64,
     finished: bool,
 }
 
-impl Checker {
+impl StreamChecker {
     /// The index of the next token, at which a broken stream is resumed.
     pub fn next(&self) -> u64 {
         self.next
@@ -124,7 +124,11 @@
     ///
     /// The first event that is not the expected next one; nothing of the run
     /// may be passed on then.
-    pub fn check(&mut self, run: &[u8], expected: &Expected) -> Result<Progress, Fault> {
+    pub fn check(
+        &mut self,
+        run: &[u8],
+        expected: &ExpectedIdentity,
+    ) -> Result<Progress, StreamFault> {
         let mut progress = Progress::default();
         let mut rest = run;
         while let Some(end) = rest.windows(2).position(|w| w == b"\n\n") {
@@ -137,27 +141,29 @@
     fn check_one(
         &mut self,
         event: &[u8],
-        expected: &Expected,
+        expected: &ExpectedIdentity,
         progress: &mut Progress,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StreamFault> {
         if event.is_empty() || event.starts_with(b":") {
             return Ok(());
         }
         if progress.done {
-            return Err(Fault::Malformed("an event after [DONE]".to_owned()));
+            return Err(StreamFault::Malformed("an event after [DONE]".to_owned()));
         }
         let data = event
             .strip_prefix(b"data: ")
-            .ok_or_else(|| Fault::Malformed("an event without data".to_owned()))?;
+            .ok_or_else(|| StreamFault::Malformed("an event without data".to_owned()))?;
         if data == b"[DONE]" {
             progress.done = true;
             return match self.finished {
                 true => Ok(()),
-                false => Err(Fault::Malformed("[DONE] before the last token".to_owned())),
+                false => Err(StreamFault::Malformed(
+                    "[DONE] before the last token".to_owned(),
+                )),
             };
         }
         let token: Token<'_> =
-            serde_json::from_slice(data).map_err(|e| Fault::Malformed(e.to_string()))?;
+            serde_json::from_slice(data).map_err(|e| StreamFault::Malformed(e.to_string()))?;
         self.check_token(&token, expected)?;
         self.next += 1;
         self.finished = token
@@ -169,15 +175,19 @@
         Ok(())
     }
 
-    fn check_token(&self, token: &Token<'_>, expected: &Expected) -> Result<(), Fault> {
+    fn check_token(
+        &self,
+        token: &Token<'_>,
+        expected: &ExpectedIdentity,
+    ) -> Result<(), StreamFault> {
         if token.id != expected.request {
-            return Err(Fault::Identity("request"));
+            return Err(StreamFault::Identity("request"));
         }
         if token.model != expected.model {
-            return Err(Fault::Identity("model"));
+            return Err(StreamFault::Identity("model"));
         }
         if token.token_index != self.next || self.finished {
-            return Err(Fault::Identity("token index"));
+            return Err(StreamFault::Identity("token index"));
         }
         Ok(())
     }
--- a/lib/tests/test_catalog_ledger.rs
+++ b/lib/tests/test_catalog_ledger.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use banyangauge::catalog::Catalog;
+use banyangauge::catalog::CatalogStore;
 use banyangauge::catalog::ConfirmError;
-use banyangauge::catalog::LOG_ENTRIES;
-use banyangauge::catalog::Ledger;
+use banyangauge::catalog::MAX_LOG_ENTRIES;
 use banyangauge::catalog::Plan;
 use banyangauge::catalog::PlanError;
 use banyangauge::catalog::Shard;
@@ -26,14 +26,14 @@
 
 use crate::rig;
 
-async fn with_basics(platform: &Platform) -> (Ledger, Catalog) {
-    let ledger = Ledger::new(platform.clone());
+async fn with_basics(platform: &Platform) -> (CatalogStore, Catalog) {
+    let ledger = CatalogStore::new(platform.clone());
     let first = rig::plan(&Catalog::default(), rig::basics());
     let made = ledger.confirm(&first, "ana", &Catalog::default()).await;
-    (ledger, made.unwrap().made.unwrap().1)
+    (ledger, made.unwrap().applied.unwrap().1)
 }
 
-async fn read(ledger: &Ledger) -> Catalog {
+async fn read(ledger: &CatalogStore) -> Catalog {
     let root = ledger.read_root().await.unwrap().root;
     ledger.read_catalog(&root).await.unwrap()
 }
@@ -64,12 +64,12 @@
     let (running, platform) = rig::platform().await;
     let (ledger, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
-    let lossy = Ledger::new(Platform::new(losing_front(running.address).await));
+    let lossy = CatalogStore::new(Platform::new(losing_front(running.address).await));
     let end = lossy.confirm(&plan, "ana", &catalog).await;
     assert!(matches!(end, Err(ConfirmError::Unknown(_))), "{end:?}");
     let settled = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
     assert_eq!(settled.revision, Revision(2));
-    assert!(settled.made.is_none(), "the first try had taken effect");
+    assert!(settled.applied.is_none(), "the first try had taken effect");
     assert_eq!(read(&ledger).await.revision, Revision(2));
 }
 
@@ -139,7 +139,10 @@
     let other = rig::plan(&next, back(1));
     ledger.confirm(&other, "ben", &next).await.unwrap();
     let again = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
-    assert_eq!((again.revision, again.made.is_none()), (Revision(2), true));
+    assert_eq!(
+        (again.revision, again.applied.is_none()),
+        (Revision(2), true)
+    );
     let serving = &read(&ledger).await.adapters["rosters"].serving;
     assert_eq!(serving["laundry"], 1);
 }
@@ -152,14 +155,14 @@
     let (ledger, mut catalog) = with_basics(&platform).await;
     for version in 4..14 {
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
-        let other = Ledger::new(platform.clone());
+        let other = CatalogStore::new(platform.clone());
         let (one, two) = tokio::join!(
             ledger.confirm(&plan, "ana", &catalog),
             other.confirm(&plan, "ana", &catalog)
         );
         let (one, two) = (one.unwrap(), two.unwrap());
         assert_eq!(one.revision, two.revision);
-        assert!(one.made.is_some() != two.made.is_some());
+        assert!(one.applied.is_some() != two.applied.is_some());
         catalog = read(&ledger).await;
         assert_eq!(catalog.revision, one.revision);
     }
@@ -182,7 +185,11 @@
     while catalog.revision.0 < 256 {
         let version = catalog.revision.0 as u32 + 3;
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().made;
+        let made = ledger
+            .confirm(&plan, "ana", &catalog)
+            .await
+            .unwrap()
+            .applied;
         catalog = made.unwrap().1;
     }
     let list = platform.list::<Shard>("shards").await.unwrap();
@@ -209,14 +216,18 @@
         adapter: "rosters".parse().unwrap(),
     };
     let mut changes = vec![old.changes.clone(), vec![undo]];
-    changes.extend((1..=LOG_ENTRIES as u32).map(|n| vec![rig::add("dryers", n + 3)]));
+    changes.extend((1..=MAX_LOG_ENTRIES as u32).map(|n| vec![rig::add("dryers", n + 3)]));
     for (n, set) in changes.into_iter().enumerate() {
         let plan = if n == 0 {
             old.clone()
         } else {
             rig::plan(&catalog, set)
         };
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().made;
+        let made = ledger
+            .confirm(&plan, "ana", &catalog)
+            .await
+            .unwrap()
+            .applied;
         catalog = made.unwrap().1;
     }
     assert!(old.changed_reads(&catalog).is_empty());
@@ -274,7 +285,11 @@
     for version in 4..20 {
         let set = vec![rig::add("rosters", version), rig::add("dryers", version)];
         let plan = rig::plan(&catalog, set);
-        let made = ledger.confirm(&plan, "ana", &catalog).await.unwrap().made;
+        let made = ledger
+            .confirm(&plan, "ana", &catalog)
+            .await
+            .unwrap()
+            .applied;
         catalog = made.unwrap().1;
     }
     let root = ledger.read_root().await.unwrap().root;
@@ -327,13 +342,13 @@
     let (running, platform) = rig::platform().await;
     let (_, catalog) = with_basics(&platform).await;
     let versions: Vec<_> = (4..40).map(|v| rig::add("rosters", v)).collect();
-    let ledger = Ledger::new(platform.clone());
+    let ledger = CatalogStore::new(platform.clone());
     let more = rig::plan(&catalog, versions);
     ledger.confirm(&more, "ana", &catalog).await.unwrap();
     let actions = Mutex::new(Vec::new());
     let note = |who: usize, action| actions.lock().unwrap().push((who, action));
     let operator = async |who: usize| {
-        let ledger = Ledger::new(platform.clone());
+        let ledger = CatalogStore::new(platform.clone());
         for turn in 0..5_u32 {
             note(who, Action::Call(Operation::Read(None)));
             let catalog = read(&ledger).await;
@@ -347,7 +362,7 @@
             note(who, Action::Call(Operation::Swap(from, to, None)));
             let took = match ledger.confirm(&plan, &format!("o{who}"), &catalog).await {
                 Ok(_) => true,
-                Err(ConfirmError::Overtaken(_)) => false,
+                Err(ConfirmError::ReadConflict(_)) => false,
                 Err(e) => panic!("{e:?}"),
             };
             note(who, Action::Response(Operation::Swap(from, to, Some(took))));
@@ -390,7 +405,7 @@
         rig::fault(&running, json!({"lose_after_write": 0, "down": false})).await;
     };
     let operator = async |who: u32| {
-        let ledger = Ledger::new(platform.clone());
+        let ledger = CatalogStore::new(platform.clone());
         let mut told = Vec::new();
         for turn in 0..8 {
             let known = match ledger.read_root().await {
@@ -442,7 +457,7 @@
         revisions.iter().copied().eq(1..=made.len() as u64),
         "{revisions:?}"
     );
-    let ledger = Ledger::new(platform.clone());
+    let ledger = CatalogStore::new(platform.clone());
     let root = ledger.read_root().await.unwrap().root;
     let mut replayed = Catalog::default();
     if let Some(next) = banyangauge::catalog::replay(&replayed, &root) {
