--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -1,56 +1,56 @@
-//! Whose request it is, by its key and by how old the configuration is.
+//! Admission by API key and by the age of the configuration.
 
 use banyangauge::pool::Span;
 use banyangauge::serving::KeyDigest;
 use banyangauge::serving::Organisation;
-use banyangauge::serving::access::Bounds;
+use banyangauge::serving::access::ApiKeys;
+use banyangauge::serving::access::ConfigAge;
 use banyangauge::serving::access::Denial;
-use banyangauge::serving::access::Freshness;
-use banyangauge::serving::access::Keys;
+use banyangauge::serving::access::KeyBounds;
 use rstest::rstest;
 
 const REVOKE: Span = Span::from_millis(5_000);
 
-fn keys() -> Keys {
-    Keys::new(&[Organisation {
+fn keys() -> ApiKeys {
+    ApiKeys::new(&[Organisation {
         name: "halls".parse().unwrap(),
         keys: [KeyDigest::of(b"one"), KeyDigest::of(b"two")].into(),
         limit: None,
     }])
 }
 
-fn bounds(strict: bool) -> Bounds {
-    Bounds {
+fn bounds(strict: bool) -> KeyBounds {
+    KeyBounds {
         revoke: strict.then_some(REVOKE),
         apply: Span::from_millis(3_000),
     }
 }
 
-fn aged(proven: Option<u64>, believed: u64) -> Freshness {
-    Freshness {
-        proven: proven.map(Span::from_millis),
-        believed: Some(Span::from_millis(believed)),
+fn aged(confirmed: Option<u64>, estimated: u64) -> ConfigAge {
+    ConfigAge {
+        confirmed: confirmed.map(Span::from_millis),
+        estimated: Some(Span::from_millis(estimated)),
     }
 }
 
 #[rstest]
 #[case::known("two", false, Some(100), 100, Ok(Some("halls")))]
 #[case::unknown("three", false, Some(100), 100, Err(Denial::UnknownKey))]
-#[case::unknown_to_an_old_vm("three", false, Some(4_000), 3_500, Err(Denial::ConfigOld))]
-#[case::known_and_not_proven("two", false, None, 100, Err(Denial::ConfigOld))]
-#[case::known_and_proven_too_long_ago("two", false, Some(5_000), 100, Err(Denial::ConfigOld))]
+#[case::unknown_to_an_old_vm("three", false, Some(4_000), 3_500, Err(Denial::StaleConfig))]
+#[case::known_and_not_proven("two", false, None, 100, Err(Denial::StaleConfig))]
+#[case::known_and_proven_too_long_ago("two", false, Some(5_000), 100, Err(Denial::StaleConfig))]
 #[case::public("two", true, Some(100), 100, Ok(Some("halls")))]
 #[case::public_without_a_holder("three", true, Some(100), 100, Ok(None))]
 #[case::public_and_not_proven("two", true, None, 100, Ok(None))]
 fn admit_by_age(
     #[case] key: &str,
     #[case] public: bool,
-    #[case] proven: Option<u64>,
-    #[case] believed: u64,
+    #[case] confirmed: Option<u64>,
+    #[case] estimated: u64,
     #[case] expected: Result<Option<&str>, Denial>,
 ) {
     let key = KeyDigest::of(key.as_bytes());
-    let freshness = aged(proven, believed);
+    let freshness = aged(confirmed, estimated);
     let admitted = bounds(true).admit(Some(&keys()), public, Some(&key), &freshness);
     let admitted = admitted.map(|o| o.map(|o| o.name.to_string()));
     assert_eq!(admitted, expected.map(|o| o.map(str::to_owned)));
@@ -64,12 +64,12 @@
 
 #[test]
 fn admit_where_nobody_needs_keys() {
-    let admitted = bounds(true).admit(None, false, None, &Freshness::default());
+    let admitted = bounds(true).admit(None, false, None, &ConfigAge::default());
     assert_eq!(admitted, Ok(None));
 }
 
-/// Where only VMs that reach the store must heed a key that was taken away, the
-/// others go on.
+/// If only VMs that can reach the store must enforce revocations, the others keep
+/// admitting requests.
 #[test]
 fn admit_where_revocation_is_not_strict() {
     let key = KeyDigest::of(b"one");
--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -1,13 +1,13 @@
-//! Mechanisms that are switched off to measure them.
+//! Switching off mechanisms for measurements.
 
 use banyangauge::pool::Span;
 use banyangauge::serving::Experiment;
+use banyangauge::serving::FetchLimiter;
+use banyangauge::serving::LoadDuration;
 use banyangauge::serving::Mechanism;
-use banyangauge::serving::Pace;
-use banyangauge::serving::Took;
 use rstest::rstest;
 
-/// Nothing is off unless it is named, and only that.
+/// A mechanism runs unless it is named, and naming it switches off no other.
 #[rstest]
 #[case(Mechanism::CopyWaits, "copy_waits")]
 #[case(Mechanism::SecondCopies, "second_copies")]
@@ -45,15 +45,15 @@
 #[case::no_pace(&[Mechanism::FetchPace], usize::MAX)]
 #[case::no_width(&[Mechanism::FetchWidth], 8)]
 fn pace_without(#[case] off: &[Mechanism], #[case] capacity: usize) {
-    let mut pace = Pace::default();
+    let mut pace = FetchLimiter::default();
     pace.set_experiment(&Experiment {
         off: off.iter().copied().collect(),
     });
-    let took = |ms| Took {
-        least: Span::from_millis(ms),
-        most: Span::from_millis(ms),
+    let took = |ms| LoadDuration {
+        min: Span::from_millis(ms),
+        max: Span::from_millis(ms),
     };
-    // A store that serves one at a time: eight share its speed.
-    pace.learn(took(2_000), 8);
+    // The weight store serves one load at a time, so eight loads share its speed.
+    pace.observe(took(2_000), 8);
     assert_eq!(pace.capacity(), capacity);
 }
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -1,19 +1,19 @@
-//! A replica that starts again under its name is another one: nothing that was
-//! said of its last start holds for it.
+//! A replica that restarts under its name is a new instance: no state of the
+//! earlier instance applies to it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::Books;
-use banyangauge::serving::End;
+use banyangauge::serving::AdapterPlanner;
 use banyangauge::serving::Fleet;
 use banyangauge::serving::Instance;
 use banyangauge::serving::Load;
+use banyangauge::serving::ReplicaAction;
 use banyangauge::serving::ReplicaInfo;
-use banyangauge::serving::Report;
-use banyangauge::serving::Step;
+use banyangauge::serving::ReplicaReport;
+use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
 
@@ -38,113 +38,119 @@
 }
 
 #[test]
-fn draining_ends_with_its_start() {
+fn draining_ends_with_instance() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
-    fleet.list(ReplicaInfo {
+    fleet.apply_listing(ReplicaInfo {
         draining: true,
         ..started(1, &["base"])
     });
-    fleet.list(started(1, &["base"]));
+    fleet.apply_listing(started(1, &["base"]));
     let name = "i-1".parse().unwrap();
     assert!(
         fleet.listing(&name).unwrap().draining,
-        "it does not stay after all"
+        "the replica is no longer draining"
     );
     assert!(
-        fleet.list(started(2, &["base"])),
-        "that is news for requests"
+        fleet.apply_listing(started(2, &["base"])),
+        "a restart must change what requests may use"
     );
     assert!(!fleet.listing(&name).unwrap().draining);
     assert!(
-        !fleet.leave(&instance(1)),
-        "that was said of its last start"
+        !fleet.mark_draining(&instance(1)),
+        "the message is about the earlier instance"
     );
     assert!(!fleet.listing(&name).unwrap().draining);
-    assert!(fleet.leave(&instance(2)));
+    assert!(fleet.mark_draining(&instance(2)));
 }
 
 #[test]
-fn standing_and_counts_end_with_its_start() {
+fn health_and_counts_end_with_instance() {
     let mut fleet = Fleet::new("z-a".parse().unwrap());
-    fleet.list(started(1, &["base"]));
+    fleet.apply_listing(started(1, &["base"]));
     let name = "i-1".parse().unwrap();
     let load = Load {
         requests: 3,
         tokens: 30,
-        unread: 3,
+        prefill: 3,
     };
-    fleet.begin(&name, load);
-    fleet.hear_counts(
+    fleet.begin_run(&name, load);
+    fleet.apply_peer_loads(
         at(0),
         &"vm".parse().unwrap(),
         &BTreeMap::from([(name.clone(), load)]),
     );
-    fleet.learn(at(0), &name, End::Broken);
-    assert_eq!(fleet.standing(at(10), &name), "paused");
-    fleet.list(started(2, &[]));
-    assert_eq!(fleet.standing(at(10), &name), "live");
-    assert_eq!(fleet.total(at(10), &name), Some(Load::default()));
+    fleet.record_outcome(at(0), &name, RunOutcome::Broken);
+    assert_eq!(fleet.status(at(10), &name), "paused");
+    fleet.apply_listing(started(2, &[]));
+    assert_eq!(fleet.status(at(10), &name), "live");
+    assert_eq!(fleet.total_load(at(10), &name), Some(Load::default()));
     assert!(!fleet.is_current(&instance(1)));
 }
 
-fn report(born: u64, accepted: u64, held: &[&str]) -> Report {
+fn report(born: u64, accepted: u64, held: &[&str]) -> ReplicaReport {
     let here = held.iter().map(|t| (Target::parse(t).unwrap(), 1));
-    Report {
-        born,
+    ReplicaReport {
+        started_ms: born,
         accepted,
-        here: here.collect(),
-        coming: BTreeSet::new(),
-        weights_near: true,
+        loaded: here.collect(),
+        loading: BTreeSet::new(),
+        weights_cached: true,
     }
 }
 
-/// The next order expects the count that the new start has.
+/// The next order expects the order count of the new instance.
 #[test]
-fn book_ends_with_its_start() {
-    let mut books = Books::default();
+fn book_ends_with_instance() {
+    let mut books = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
     let held = ["base", "base/a1"];
-    books.open(at(0), &started(1, &held), 2);
-    assert_eq!(books.next(at(0), &name, &versions, None), Some(Step::Look));
-    books.looked(at(0), &name, Some(report(1, 9, &held)));
-    books.open(at(10), &started(2, &[]), 2);
-    let here = books.held(&name).unwrap().here;
+    books.track(at(0), &started(1, &held), 2);
+    assert_eq!(
+        books.next_action(at(0), &name, &versions, None),
+        Some(ReplicaAction::Inspect)
+    );
+    books.finish_inspection(at(0), &name, Some(report(1, 9, &held)));
+    books.track(at(10), &started(2, &[]), 2);
+    let here = books.residency(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
-    assert_eq!(books.next(at(10), &name, &versions, None), Some(Step::Look));
-    books.looked(at(10), &name, Some(report(2, 0, &["base"])));
-    books.wish(at(20), &name, &Target::parse("base/a2").unwrap());
-    let next = books.next(at(20), &name, &versions, None);
+    assert_eq!(
+        books.next_action(at(10), &name, &versions, None),
+        Some(ReplicaAction::Inspect)
+    );
+    books.finish_inspection(at(10), &name, Some(report(2, 0, &["base"])));
+    books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
+    let next = books.next_action(at(20), &name, &versions, None);
     assert!(
-        matches!(next, Some(Step::Load { expected: 0, .. })),
+        matches!(next, Some(ReplicaAction::Load { expected: 0, .. })),
         "{next:?}"
     );
 }
 
-/// Its report may come before its entry in the store, and that entry then ends
-/// nothing.
+/// A report of the new instance may arrive before its entry in the store. The
+/// older entry then must not close the book.
 #[test]
-fn book_learns_of_a_start_from_a_report() {
-    let mut books = Books::default();
+fn book_detects_restart_from_report() {
+    let mut books = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
-    books.open(at(0), &started(1, &["base", "base/a1"]), 2);
-    books.next(at(0), &name, &versions, None);
-    books.looked(at(0), &name, Some(report(2, 4, &["base"])));
-    assert_eq!(books.born(&name), Some(2));
+    books.track(at(0), &started(1, &["base", "base/a1"]), 2);
+    books.next_action(at(0), &name, &versions, None);
+    books.finish_inspection(at(0), &name, Some(report(2, 4, &["base"])));
+    assert_eq!(books.started_ms(&name), Some(2));
     assert!(
         !books
-            .held(&name)
+            .residency(&name)
             .unwrap()
-            .here
+            .loaded
             .contains_key(&Target::parse("base/a1").unwrap())
     );
-    books.open(at(10), &started(1, &["base", "base/a1"]), 2);
-    books.open(at(20), &started(2, &["base"]), 2);
-    books.wish(at(30), &name, &Target::parse("base/a2").unwrap());
-    let next = books.next(at(30), &name, &versions, None);
+    books.track(at(10), &started(1, &["base", "base/a1"]), 2);
+    books.track(at(20), &started(2, &["base"]), 2);
+    books.request_load(at(30), &name, &Target::parse("base/a2").unwrap());
+    let next = books.next_action(at(30), &name, &versions, None);
     assert!(
-        matches!(next, Some(Step::Load { expected: 4, .. })),
+        matches!(next, Some(ReplicaAction::Load { expected: 4, .. })),
         "{next:?}"
     );
 }
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -1,4 +1,4 @@
-//! Where a request runs: affinity, load, failures, versions.
+//! Placement of requests: affinity, load, failures and versions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,7 +12,6 @@
 use banyangauge::pool::Span;
 use banyangauge::serving::AnnouncedVersion;
 use banyangauge::serving::Config;
-use banyangauge::serving::End;
 use banyangauge::serving::Engine;
 use banyangauge::serving::Experiment;
 use banyangauge::serving::Fleet;
@@ -20,16 +19,17 @@
 use banyangauge::serving::Limits;
 use banyangauge::serving::Load;
 use banyangauge::serving::Mechanism;
-use banyangauge::serving::Place;
+use banyangauge::serving::Placement;
+use banyangauge::serving::PlacementRequest;
 use banyangauge::serving::ReplicaInfo;
+use banyangauge::serving::RunOutcome;
 use banyangauge::serving::Service;
 use banyangauge::serving::SharedPrefix;
 use banyangauge::serving::Target;
 use banyangauge::serving::Versions;
-use banyangauge::serving::Want;
 use rstest::rstest;
 
-/// A replica's entry that holds models and adapters in version 1.
+/// Entry of a replica that holds models, and adapters in version 1.
 pub(crate) fn listing(name: &str, service: &str, zone: &str, held: &[&str]) -> ReplicaInfo {
     let held: Vec<Target> = held.iter().map(|t| Target::parse(t).unwrap()).collect();
     let number = name
@@ -101,7 +101,7 @@
         fleet.configure(&config());
         let mut loadable = BTreeSet::new();
         for l in listings {
-            fleet.list(l.clone());
+            fleet.apply_listing(l.clone());
             loadable.insert(l.name.clone());
         }
         Self {
@@ -112,14 +112,14 @@
         }
     }
 
-    fn place(&self, now: Moment, service: &str, target: Option<&str>) -> Place {
+    fn place(&self, now: Moment, service: &str, target: Option<&str>) -> Placement {
         let service = service.parse().unwrap();
         let target = target.map(|t| Target::parse(t).unwrap());
-        let want = Want {
+        let want = PlacementRequest {
             service: &service,
             target: target.as_ref(),
             cost: COST,
-            shared: None,
+            shared_prefix: None,
             body_kb: 1.0,
             objective_ms: 1_000.0,
             waited: self.waited,
@@ -130,7 +130,7 @@
 
     fn sent(&self, now: Moment, service: &str, target: Option<&str>) -> String {
         match self.place(now, service, target) {
-            Place::Send { at, .. } => at.to_string(),
+            Placement::Send { at, .. } => at.to_string(),
             other => format!("{other:?}"),
         }
     }
@@ -139,7 +139,7 @@
 const COST: Load = Load {
     requests: 1,
     tokens: 1_000,
-    unread: 0,
+    prefill: 0,
 };
 
 #[test]
@@ -150,8 +150,8 @@
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
 }
 
-/// All VMs load an adapter at the same place, whichever replicas they see
-/// first, and hardly any adapter moves when a replica comes.
+/// All VMs choose the same home for an adapter, in whichever order they learn of
+/// the replicas, and few homes change when a replica is added.
 #[test]
 fn adapter_has_one_home() {
     let all: Vec<_> = (0..6)
@@ -167,14 +167,14 @@
     for n in 0..60 {
         let adapter = format!("base/a{n}");
         let home = one.place(at(0), "llm", Some(&adapter));
-        assert!(matches!(home, Place::Load { .. }));
+        assert!(matches!(home, Placement::Load { .. }));
         assert_eq!(home, other.place(at(0), "llm", Some(&adapter)));
         moved += usize::from(home != fewer.place(at(0), "llm", Some(&adapter)));
     }
     assert!(moved <= 20, "{moved} of 60 moved");
 }
 
-/// A replica whose owner cannot order, or that holds no model, is no home.
+/// A replica whose owner cannot order loads, or that holds no model, is no home.
 #[rstest]
 #[case::no_owner(&["base"], false)]
 #[case::no_model(&[], true)]
@@ -188,13 +188,13 @@
     for n in 0..20 {
         let place = scene.place(at(0), "llm", Some(&format!("base/a{n}")));
         let at = "i-b".parse().unwrap();
-        assert_eq!(place, Place::Load { at });
+        assert_eq!(place, Placement::Load { at });
     }
 }
 
-/// Many requests for rare adapters: at a replica that runs as many requests as it
-/// holds adapters none of them can give way, and a load there waits. A request
-/// that has waited for longer than a load takes looks elsewhere.
+/// A replica that runs as many requests as it holds adapters cannot evict one,
+/// and a load there waits. A request that has waited for longer than a load takes
+/// goes to another replica.
 #[test]
 fn home_moves_to_where_an_adapter_is_idle() {
     let all: Vec<_> = (0..4)
@@ -202,25 +202,25 @@
         .collect();
     let mut scene = Scene::new(&all);
     for busy in ["i-0", "i-1", "i-2"] {
-        // Two adapters fit, and this is far from making it the busiest.
-        scene.fleet.begin(&busy.parse().unwrap(), COST);
-        scene.fleet.begin(&busy.parse().unwrap(), COST);
+        // Two adapters fit, and two requests do not make it the busiest.
+        scene.fleet.begin_run(&busy.parse().unwrap(), COST);
+        scene.fleet.begin_run(&busy.parse().unwrap(), COST);
     }
     let home = |scene: &Scene, n: u32| scene.place(at(0), "llm", Some(&format!("base/a{n}")));
-    let idle = Place::Load {
+    let idle = Placement::Load {
         at: "i-3".parse().unwrap(),
     };
     scene.waited = Some(Span::from_millis(100));
     assert!((0..20).any(|n| home(&scene, n) != idle));
     scene.waited = Some(Span::from_millis(500));
     assert!((0..20).all(|n| home(&scene, n) == idle));
-    // Where none is idle, one of them is the home all the same.
-    scene.fleet.begin(&"i-3".parse().unwrap(), COST);
-    scene.fleet.begin(&"i-3".parse().unwrap(), COST);
-    assert!(matches!(home(&scene, 1), Place::Load { .. }));
+    // If no adapter is idle anywhere, a replica is still chosen.
+    scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
+    scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
+    assert!(matches!(home(&scene, 1), Placement::Load { .. }));
 }
 
-/// A burst within one beacon: what this VM has sent itself counts at once.
+/// A burst within one beacon interval: requests that this VM sends count at once.
 #[test]
 fn burst_spreads_by_own_count() {
     let held: Vec<_> = ["i-a", "i-b", "i-c"]
@@ -231,14 +231,14 @@
     let mut counts = BTreeMap::<String, u32>::new();
     for _ in 0..12 {
         let name = scene.sent(at(0), "app", None);
-        scene.fleet.begin(&name.parse().unwrap(), COST);
+        scene.fleet.begin_run(&name.parse().unwrap(), COST);
         *counts.entry(name).or_default() += 1;
     }
     assert!(counts.values().all(|n| *n == 4), "{counts:?}");
 }
 
 #[test]
-fn peers_counts_are_seen_and_lapse() {
+fn peer_loads_count_and_expire() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-a", &[]);
     let mut scene = Scene::new(&[a, b]);
@@ -246,24 +246,24 @@
     let load = Load {
         requests: 5,
         tokens: 0,
-        unread: 0,
+        prefill: 0,
     };
     let counts = BTreeMap::from([("i-a".parse().unwrap(), load)]);
-    scene.fleet.hear_counts(at(0), &vm, &counts);
+    scene.fleet.apply_peer_loads(at(0), &vm, &counts);
     assert_eq!(scene.sent(at(100), "app", None), "i-b");
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
 }
 
-/// Saturation: full replicas get nothing that would only wait there.
+/// Full replicas get no requests that would only wait there.
 #[test]
 fn full_replicas_are_full() {
     let a = listing("i-a", "app", "z-a", &[]);
     let mut scene = Scene::new(&[a]);
     for _ in 0..16 {
         assert_eq!(scene.sent(at(0), "app", None), "i-a");
-        scene.fleet.begin(&"i-a".parse().unwrap(), COST);
+        scene.fleet.begin_run(&"i-a".parse().unwrap(), COST);
     }
-    assert_eq!(scene.place(at(0), "app", None), Place::Full);
+    assert_eq!(scene.place(at(0), "app", None), Placement::Full);
 }
 
 #[test]
@@ -273,13 +273,13 @@
     let large = Load {
         requests: 1,
         tokens: 89_500,
-        unread: 0,
+        prefill: 0,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), large);
-    assert_eq!(scene.place(at(0), "llm", Some("base")), Place::Full);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), large);
+    assert_eq!(scene.place(at(0), "llm", Some("base")), Placement::Full);
 }
 
-/// What an engine has yet to read holds up those who come next.
+/// Pending prefill delays the next requests at an engine.
 #[test]
 fn unread_prompts_weigh_more_than_runs() {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
@@ -288,20 +288,19 @@
     let unread = Load {
         requests: 1,
         tokens: 9_000,
-        unread: 9_000,
+        prefill: 9_000,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), unread);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), unread);
     for _ in 0..5 {
-        scene.fleet.begin(&"i-b".parse().unwrap(), COST);
+        scene.fleet.begin_run(&"i-b".parse().unwrap(), COST);
     }
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
-    scene.fleet.read(&"i-a".parse().unwrap(), 9_000);
+    scene.fleet.finish_prefill(&"i-a".parse().unwrap(), 9_000);
     assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-a");
 }
 
-/// A hot adapter's only holder asks for help when its queue takes up most of
-/// the time within which an answer should begin, and not before: a copy takes
-/// the place of another adapter.
+/// A second copy of a hot adapter is requested only when the queue of its single
+/// holder takes up most of the latency objective: a copy evicts another adapter.
 #[rstest]
 #[case::in_time(24_000, None)]
 #[case::late(36_000, Some("i-b"))]
@@ -310,41 +309,41 @@
     let b = listing("i-b", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a, b]);
     let copy = |s: &Scene| match s.place(at(0), "llm", Some("base/x")) {
-        Place::Send { copy, .. } => copy.map(|n| n.to_string()),
+        Placement::Send { copy, .. } => copy.map(|n| n.to_string()),
         other => panic!("{other:?}"),
     };
     assert_eq!(copy(&scene), None);
     let unread = Load {
         requests: 2,
         tokens: unread,
-        unread,
+        prefill: unread,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), unread);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), unread);
     assert_eq!(copy(&scene).as_deref(), expected);
 }
 
-/// A burst on one adapter while its only holder reads long prompts: who has the
-/// time waits for the copy, as whoever is sent there is late and makes the
-/// others late; who has not is sent there all the same.
+/// A burst on one adapter while its single holder prefills long prompts. A request
+/// with time left waits for the copy, as it would be late at the holder and delay
+/// the others; one without time left is sent to the holder.
 #[rstest]
-#[case::has_time(Some(0), 36_000, Place::Load { at: "i-b".parse().unwrap() })]
-#[case::has_none(None, 36_000, Place::Send {
+#[case::has_time(Some(0), 36_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::has_none(None, 36_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::waited_for_a_load(Some(460), 34_000, Place::Send {
+#[case::waited_for_a_load(Some(460), 34_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::behind_seconds(Some(460), 60_000, Place::Load { at: "i-b".parse().unwrap() })]
-#[case::holder_soon_free(Some(0), 24_000, Place::Send {
+#[case::behind_seconds(Some(460), 60_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::holder_soon_free(Some(0), 24_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
-fn overloaded_holder_is_worth_a_wait(
+fn request_waits_for_copy_of_overloaded_holder(
     #[case] waited: Option<u64>,
     #[case] unread: u64,
-    #[case] expected: Place,
+    #[case] expected: Placement,
 ) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
@@ -353,16 +352,16 @@
     let prompts = Load {
         requests: 2,
         tokens: unread,
-        unread,
+        prefill: unread,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     let place = scene.place(at(0), "llm", Some("base/x"));
     assert_eq!(place, expected);
 }
 
-/// Requests that begin alike meet where the beginning is kept.
+/// Requests with the same prompt prefix go where it is cached.
 #[test]
-fn shared_beginnings_meet() {
+fn shared_prefixes_are_placed_together() {
     let all: Vec<_> = (0..4)
         .map(|n| listing(&format!("i-{n}"), "llm", "z-a", &["base", "base/x"]))
         .collect();
@@ -370,11 +369,11 @@
     let target = Target::parse("base/x").unwrap();
     let service = "llm".parse().unwrap();
     let at_key = |key: u64| {
-        let want = Want {
+        let want = PlacementRequest {
             service: &service,
             target: Some(&target),
             cost: COST,
-            shared: Some(SharedPrefix { key, tokens: 6_000 }),
+            shared_prefix: Some(SharedPrefix { key, tokens: 6_000 }),
             body_kb: 1.0,
             objective_ms: 1_000.0,
             waited: None,
@@ -388,44 +387,50 @@
     assert!(first < 25, "{first} of 40 beginnings at one replica");
 }
 
-/// A crashed replica refuses at once and would seem the least loaded.
+/// A crashed replica refuses at once and would appear the least loaded.
 #[rstest]
-#[case::unreached(End::Unreached)]
-#[case::broken(End::Broken)]
-#[case::gone(End::Gone)]
-fn failing_replica_is_left_alone(#[case] end: End) {
+#[case::unreached(RunOutcome::Unreached)]
+#[case::broken(RunOutcome::Broken)]
+#[case::gone(RunOutcome::Gone)]
+fn failing_replica_is_avoided(#[case] end: RunOutcome) {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
     assert_eq!(scene.sent(at(0), "app", None), "i-a");
-    scene.fleet.learn(at(0), &name, end);
+    scene.fleet.record_outcome(at(0), &name, end);
     assert_eq!(scene.sent(at(100), "app", None), "i-b");
 }
 
-/// After its pause one request at a time tries it.
+/// After its back-off a failed replica gets one request at a time.
 #[test]
 fn failed_replica_is_tried_by_one() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
-    scene.fleet.learn(at(0), &name, End::Unreached);
+    scene
+        .fleet
+        .record_outcome(at(0), &name, RunOutcome::Unreached);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
-    scene.fleet.begin(&name, COST);
+    scene.fleet.begin_run(&name, COST);
     assert_eq!(scene.sent(at(5_000), "app", None), "i-b");
-    scene.fleet.learn(at(5_010), &name, End::Answered);
-    scene.fleet.end(&name, COST);
+    scene
+        .fleet
+        .record_outcome(at(5_010), &name, RunOutcome::Answered);
+    scene.fleet.end_run(&name, COST);
     assert_eq!(scene.sent(at(5_010), "app", None), "i-a");
 }
 
-/// A replica that takes requests and says nothing more to anybody.
+/// A replica that accepts requests and sends nothing is not used.
 #[test]
-fn dark_replica_is_left_alone() {
+fn unresponsive_replica_is_avoided() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
     let mut scene = Scene::new(&[a, b]);
-    scene.fleet.await_first(at(0), &"i-a".parse().unwrap(), 1);
+    scene
+        .fleet
+        .await_first_byte(at(0), &"i-a".parse().unwrap(), 1);
     assert_eq!(scene.sent(at(1_000), "app", None), "i-a");
     assert_eq!(scene.sent(at(1_700), "app", None), "i-b");
 }
@@ -448,7 +453,7 @@
     );
 }
 
-/// Entries that lapsed while the store was away may come back for two seconds.
+/// Entries that expired during a store outage may reappear within two seconds.
 #[rstest]
 #[case::after_outage(true, 1_000, true)]
 #[case::too_late(true, 2_100, false)]
@@ -456,15 +461,15 @@
 fn missing_replica_is_kept(#[case] outage: bool, #[case] ms: u64, #[case] kept: bool) {
     let a = listing("i-a", "app", "z-a", &[]);
     let mut scene = Scene::new(&[a]);
-    scene.fleet.relist(at(0), Vec::new(), outage);
-    scene.fleet.drop_lapsed(at(ms));
+    scene.fleet.replace_listings(at(0), Vec::new(), outage);
+    scene.fleet.remove_expired(at(ms));
     assert_eq!(scene.sent(at(ms), "app", None) == "i-a", kept);
 }
 
-/// An owner's count holds what it was told of this VM's requests; those are
-/// known better here, and are not counted twice.
+/// The owner's load of a replica includes this VM's requests as last reported;
+/// they must not be counted twice.
 #[test]
-fn owners_count_holds_our_own_once() {
+fn own_load_is_counted_once() {
     let mut scene = Scene::new(&[
         listing("i-1", "app", "z-a", &[]),
         listing("i-2", "app", "z-a", &[]),
@@ -473,27 +478,27 @@
     let requests = |requests| Load {
         requests,
         tokens: 0,
-        unread: 0,
+        prefill: 0,
     };
-    scene.fleet.begin(&one, requests(14));
-    assert_eq!(scene.fleet.report(&one), requests(14));
-    scene.fleet.hear_total(at(0), &one, requests(14));
-    // Fourteen of sixteen places: one more fits.
+    scene.fleet.begin_run(&one, requests(14));
+    assert_eq!(scene.fleet.take_report(&one), requests(14));
+    scene.fleet.apply_owner_load(at(0), &one, requests(14));
+    // The owner's load consists of this VM's requests only.
     let only = |scene: &Scene, now| {
-        let total = scene.fleet.total(now, &one).unwrap();
+        let total = scene.fleet.total_load(now, &one).unwrap();
         total.requests
     };
     assert_eq!(only(&scene, at(10)), 14);
-    scene.fleet.end(&one, requests(4));
+    scene.fleet.end_run(&one, requests(4));
     assert_eq!(only(&scene, at(10)), 10);
-    scene.fleet.hear_total(at(20), &one, requests(20));
+    scene.fleet.apply_owner_load(at(20), &one, requests(20));
     assert_eq!(only(&scene, at(20)), 16);
-    // Without its owner's word only our own are known.
+    // After the owner's report expired only this VM's own load is known.
     assert_eq!(only(&scene, at(9_000)), 10);
 }
 
-/// Each version counts from its own news: one that is announced again and
-/// again would otherwise serve its first version for ever.
+/// The period of the previous version starts with each announcement: an adapter
+/// with frequent announcements would otherwise serve its first version for ever.
 #[test]
 fn required_while_versions_follow_each_other() {
     let mut versions = Versions::default();
@@ -516,8 +521,8 @@
     }
 }
 
-/// A replica that has the newest one already must not be asked for the one
-/// that is required.
+/// A replica that already holds a newer version must not be asked for the
+/// required one.
 #[test]
 fn expected_version_is_the_one_that_is_held() {
     let mut scene = Scene::new(&[]);
@@ -533,24 +538,24 @@
     let mut entry = listing("i-1", "llm", "z-a", &["base", "base/a1"]);
     for (held, expected) in [(1, 2), (2, 2), (3, 3)] {
         entry.adapters.insert(target.clone(), held);
-        scene.fleet.list(entry.clone());
+        scene.fleet.apply_listing(entry.clone());
         let version = scene.fleet.expected_version(at(2_100), &name, &target);
         assert_eq!(version, Some(expected));
     }
 }
 
-/// What a mechanism decides is decided otherwise without it.
+/// Placement with mechanisms switched off.
 #[rstest]
-#[case::whole(&[], Place::Load { at: "i-b".parse().unwrap() })]
-#[case::copy_waits(&[Mechanism::CopyWaits], Place::Send {
+#[case::whole(&[], Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::copy_waits(&[Mechanism::CopyWaits], Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::second_copies(&[Mechanism::SecondCopies], Place::Send {
+#[case::second_copies(&[Mechanism::SecondCopies], Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
-fn place_without(#[case] off: &[Mechanism], #[case] expected: Place) {
+fn place_without(#[case] off: &[Mechanism], #[case] expected: Placement) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a, b]);
@@ -561,9 +566,9 @@
     let prompts = Load {
         requests: 2,
         tokens: 36_000,
-        unread: 36_000,
+        prefill: 36_000,
     };
-    scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
+    scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     assert_eq!(scene.place(at(0), "llm", Some("base/x")), expected);
 }
 
@@ -581,8 +586,8 @@
     assert_eq!(scene.sent(at(0), "app", None), expected);
 }
 
-/// A request that waits in the queue of a crowded engine begins later than it
-/// is sent: on an old version it would begin when that may serve no more.
+/// A request that waits in the queue of a busy engine begins later than it is
+/// sent, when the old version may no longer serve.
 #[rstest]
 #[case::free(0, "i-a")]
 #[case::crowded(4_000, "Load { at: ReplicaName(\"i-b\") }")]
@@ -598,54 +603,54 @@
     let prompts = Load {
         requests: 1,
         tokens: 0,
-        unread: wait_ms * 40,
+        prefill: wait_ms * 40,
     };
     if wait_ms > 0 {
-        scene.fleet.begin(&"i-a".parse().unwrap(), prompts);
+        scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     }
     assert_eq!(scene.sent(at(1_500), "llm", Some("base/x")), expected);
 }
 
-/// A VM that was told that a replica is leaving, before it reads so itself,
-/// tells all others all the same: not all have been told.
+/// A VM that learned from another VM that a replica is draining still announces
+/// the entry when it reads it: not all VMs know it.
 #[rstest]
 #[case::told(true)]
 #[case::not_told(false)]
-fn leaving_is_news_to_the_others(#[case] told: bool) {
+fn draining_entry_is_always_an_update(#[case] told: bool) {
     let mut a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(&[a.clone()]);
-    assert!(!scene.fleet.is_news(&a));
+    assert!(!scene.fleet.is_update(&a));
     let replica = Instance {
         name: a.name.clone(),
         started_ms: a.started_ms,
     };
     if told {
-        assert!(scene.fleet.leave(&replica));
+        assert!(scene.fleet.mark_draining(&replica));
     }
     a.draining = true;
-    assert!(scene.fleet.is_news(&a));
+    assert!(scene.fleet.is_update(&a));
 }
 
-/// What a replica holds is told by its owner, and is no news of the store.
+/// A change of the adapters alone is not announced: the owner reports those.
 #[test]
-fn adapters_are_no_news_of_the_store() {
+fn adapters_alone_are_no_update() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let scene = Scene::new(&[a]);
     let loaded = listing("i-a", "llm", "z-a", &["base", "base/x"]);
-    assert!(!scene.fleet.is_news(&loaded));
+    assert!(!scene.fleet.is_update(&loaded));
     let moved = listing("i-a", "llm", "z-b", &["base"]);
-    assert!(scene.fleet.is_news(&moved));
+    assert!(scene.fleet.is_update(&moved));
 }
 
-/// An entry that lapsed with an outage of the store is there again, unchanged:
-/// the others, who heard that it lapsed, would drop the replica two seconds
+/// An entry that expired in a store outage reappears unchanged. It must be
+/// announced: the VMs that know of the expiry would drop the replica two seconds
 /// later.
 #[test]
-fn return_of_a_lapsed_entry_is_news() {
+fn reappearance_of_an_expired_entry_is_an_update() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let mut scene = Scene::new(std::slice::from_ref(&a));
-    scene.fleet.lapse(at(0), &a.name);
-    assert!(scene.fleet.is_news(&a));
-    scene.fleet.list(a.clone());
-    assert!(!scene.fleet.is_news(&a));
+    scene.fleet.mark_expired(at(0), &a.name);
+    assert!(scene.fleet.is_update(&a));
+    scene.fleet.apply_listing(a.clone());
+    assert!(!scene.fleet.is_update(&a));
 }
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -13,11 +13,11 @@
 use banyangauge::serving::Members;
 use banyangauge::serving::RateLimit;
 use banyangauge::serving::Weight;
-use banyangauge::serving::quota::Allowance;
-use banyangauge::serving::quota::Answer;
-use banyangauge::serving::quota::Ask;
 use banyangauge::serving::quota::Borrower;
+use banyangauge::serving::quota::LendReply;
+use banyangauge::serving::quota::LendRequest;
 use banyangauge::serving::quota::Lender;
+use banyangauge::serving::quota::Overshoot;
 use banyangauge::serving::quota::Spend;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -39,21 +39,21 @@
 };
 
 /// What may be used beyond a limit: a tenth, and what three large requests take.
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: Overshoot = Overshoot {
     window: 8.0,
     over: 0.1,
     slack: 300.0,
 };
 
-fn ask(need: f64, ahead: f64) -> Ask {
-    Ask { need, ahead }
+fn ask(need: f64, ahead: f64) -> LendRequest {
+    LendRequest { need, ahead }
 }
 
 /// A lender that has been the first in the order for long.
 fn lender(until: u64) -> Lender {
     let mut lender = Lender::new(ALLOWANCE);
     for ms in (0..=until).step_by(300) {
-        lender.keep(at(ms), 1.0, [(&name(), &LIMIT)].into_iter());
+        lender.renew(at(ms), 1.0, [(&name(), &LIMIT)].into_iter());
     }
     lender
 }
@@ -61,40 +61,40 @@
 #[test]
 fn lender_lends_the_burst_and_then_the_rate() {
     let mut lender = lender(9_000);
-    let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
-    assert_eq!(lent(9_000, 1_000.0), Answer::Lent(1_000.0));
+    let mut lent = |ms, need| lender.lend(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    assert_eq!(lent(9_000, 1_000.0), LendReply::Lent(1_000.0));
     assert_eq!(
         lent(9_000, 500.0),
-        Answer::Short(Span::from_millis(500)),
+        LendReply::Exhausted(Span::from_millis(500)),
         "the time at which it fits"
     );
-    assert_eq!(lent(9_500, 500.0), Answer::Lent(500.0));
+    assert_eq!(lent(9_500, 500.0), LendReply::Lent(500.0));
 }
 
 /// Those who are told to come back do not all come at the same moment.
 #[test]
 fn lender_spreads_those_who_come_back() {
     let mut lender = lender(9_000);
-    let mut told = |need| lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    let mut told = |need| lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     told(1_000.0);
-    assert_eq!(told(200.0), Answer::Short(Span::from_millis(200)));
-    assert_eq!(told(200.0), Answer::Short(Span::from_millis(400)));
+    assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(200)));
+    assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(400)));
 }
 
 #[test]
 fn lender_request_larger_than_the_bucket_runs_on_debt() {
     let mut lender = lender(9_000);
-    let mut lent = |ms, need| lender.ask(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
-    assert_eq!(lent(9_000, 1_500.0), Answer::Lent(1_500.0));
-    assert!(matches!(lent(9_400, 1.0), Answer::Short(_)));
-    assert_eq!(lent(9_502, 1.0), Answer::Lent(1.0));
+    let mut lent = |ms, need| lender.lend(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    assert_eq!(lent(9_000, 1_500.0), LendReply::Lent(1_500.0));
+    assert!(matches!(lent(9_400, 1.0), LendReply::Exhausted(_)));
+    assert_eq!(lent(9_502, 1.0), LendReply::Lent(1.0));
 }
 
 #[test]
 fn lender_keeps_half_of_the_bucket_for_requests_at_hand() {
     let mut lender = lender(9_000);
-    let answer = lender.ask(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
-    assert_eq!(answer, Answer::Lent(500.0));
+    let answer = lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
+    assert_eq!(answer, LendReply::Lent(500.0));
 }
 
 #[test]
@@ -105,10 +105,10 @@
         burst: 100.0,
         ..LIMIT
     };
-    let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert_eq!(answer, Answer::Lent(100.0));
-    let answer = lender.ask(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert!(matches!(answer, Answer::Short(_)));
+    let answer = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
+    assert_eq!(answer, LendReply::Lent(100.0));
+    let answer = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
+    assert!(matches!(answer, LendReply::Exhausted(_)));
 }
 
 #[test]
@@ -117,8 +117,8 @@
     for i in 0..50 {
         let now = at(i * 20);
         if let Spend::Ask(need) = borrower.spend(now, &name(), 10.0) {
-            let lent = Answer::Lent(need.need + need.ahead);
-            assert!(borrower.answered(now, &name(), 10.0, lent));
+            let lent = LendReply::Lent(need.need + need.ahead);
+            assert!(borrower.apply_reply(now, &name(), 10.0, lent));
         }
     }
     let Spend::Spent = borrower.spend(at(1_000), &name(), 10.0) else {
@@ -129,7 +129,7 @@
 #[test]
 fn borrower_what_was_lent_ends() {
     let mut borrower = Borrower::default();
-    borrower.answered(at(0), &name(), 10.0, Answer::Lent(30.0));
+    borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(30.0));
     assert!(matches!(
         borrower.spend(at(100), &name(), 10.0),
         Spend::Spent
@@ -143,8 +143,8 @@
 #[test]
 fn borrower_what_did_not_run_is_used_by_another() {
     let mut borrower = Borrower::default();
-    assert!(borrower.answered(at(0), &name(), 10.0, Answer::Lent(10.0)));
-    borrower.give_back(at(50), &name(), 10.0);
+    assert!(borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(10.0)));
+    borrower.refund(at(50), &name(), 10.0);
     assert!(matches!(
         borrower.spend(at(60), &name(), 10.0),
         Spend::Spent
@@ -155,8 +155,8 @@
 fn borrower_goes_by_the_lenders_word_for_a_moment() {
     let mut borrower = Borrower::default();
     let after = Span::from_millis(700);
-    borrower.answered(at(0), &name(), 10.0, Answer::Short(after));
-    let Spend::Short(told) = borrower.spend(at(50), &name(), 10.0) else {
+    borrower.apply_reply(at(0), &name(), 10.0, LendReply::Exhausted(after));
+    let Spend::Exhausted(told) = borrower.spend(at(50), &name(), 10.0) else {
         panic!("it asks again at once");
     };
     assert_eq!(told, after);
@@ -356,7 +356,7 @@
         let first = lenders.first() == Some(&i) || self.guard == Guard::Standby;
         let kept = [(&name(), &LIMIT)];
         let kept = kept.into_iter().filter(|_| first);
-        self.vms[i].lender.keep(at(ms), part, kept);
+        self.vms[i].lender.renew(at(ms), part, kept);
     }
 
     fn request(&mut self, ms: u64, i: usize, weight: f64) {
@@ -364,7 +364,7 @@
         for place in [0, 0, 1] {
             let need = match self.vms[i].borrower.spend(now, &name(), weight) {
                 Spend::Spent => return self.used.push((ms, weight)),
-                Spend::Short(_) => return self.refused += weight,
+                Spend::Exhausted(_) => return self.refused += weight,
                 Spend::Ask(need) => need,
             };
             let Some(lender) = self.lenders(ms, i).get(place).copied() else {
@@ -379,11 +379,14 @@
             let part = self.part(ms, lender);
             let first = its_place == 0 || self.guard == Guard::Standby;
             let lent = &mut self.vms[lender].lender;
-            let answer = lent.ask(now, &name(), &LIMIT, part, first, need);
-            if self.vms[i].borrower.answered(now, &name(), weight, answer) {
+            let answer = lent.lend(now, &name(), &LIMIT, part, first, need);
+            if self.vms[i]
+                .borrower
+                .apply_reply(now, &name(), weight, answer)
+            {
                 return self.used.push((ms, weight));
             }
-            if matches!(answer, Answer::Short(_)) {
+            if matches!(answer, LendReply::Exhausted(_)) {
                 return self.refused += weight;
             }
         }
@@ -393,7 +396,7 @@
         };
         match self.vms[i]
             .borrower
-            .spend_own(now, &name(), &LIMIT, vms, weight)
+            .spend_local(now, &name(), &LIMIT, vms, weight)
         {
             true => self.used.push((ms, weight)),
             false => self.refused += weight,
--- a/lib/tests/test_serving_turns.rs
+++ b/lib/tests/test_serving_turns.rs
@@ -1,12 +1,12 @@
-//! Turns in which replicas read long prompts.
+//! Prefill turns for long prompts, and the stall detection that enables them.
 
 use banyangauge::ids::ReplicaName;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
-use banyangauge::serving::LONGEST_WAIT;
-use banyangauge::serving::Strain;
+use banyangauge::serving::MAX_TURN_WAIT;
+use banyangauge::serving::PrefillTurns;
+use banyangauge::serving::StallDetector;
 use banyangauge::serving::TurnId;
-use banyangauge::serving::Turns;
 
 fn at(ms: u64) -> Moment {
     Moment(10_000_000).after(Span::from_millis(ms))
@@ -19,9 +19,9 @@
     }
 }
 
-fn numbers(turns: &mut Turns, ms: u64) -> Vec<u64> {
+fn numbers(turns: &mut PrefillTurns, ms: u64) -> Vec<u64> {
     turns
-        .grants(at(ms))
+        .take_grants(at(ms))
         .iter()
         .map(|(_, id)| id.number)
         .collect()
@@ -30,32 +30,32 @@
 /// Between two prompts every stream of the replica gets its next event.
 #[test]
 fn prompts_are_read_one_by_one_with_a_pause() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
-    turns.ask(at(0), &r, id(1), 9_000);
-    turns.ask(at(1), &r, id(2), 9_000);
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
+    turns.request(at(0), &r, id(1), 9_000);
+    turns.request(at(1), &r, id(2), 9_000);
     assert_eq!(numbers(&mut turns, 1), [1]);
     assert!(numbers(&mut turns, 150).is_empty());
-    turns.end(at(200), &r, &id(1));
+    turns.finish(at(200), &r, &id(1));
     assert!(numbers(&mut turns, 201).is_empty());
     assert_eq!(numbers(&mut turns, 230), [2]);
 }
 
 #[test]
 fn small_prompts_share_a_turn() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     for n in 1..=3 {
-        turns.ask(at(0), &r, id(n), 3_000);
+        turns.request(at(0), &r, id(n), 3_000);
     }
     assert_eq!(numbers(&mut turns, 0), [1, 2]);
 }
 
-/// A VM died, or its word was lost: the others do not wait for ever.
+/// If a VM died or its end message was lost, the turn times out.
 #[test]
 fn turn_whose_end_was_lost_is_over() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
-    turns.ask(at(0), &r, id(1), 4_000);
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
+    turns.request(at(0), &r, id(1), 4_000);
     assert_eq!(numbers(&mut turns, 0), [1]);
-    turns.ask(at(300), &r, id(2), 4_000);
+    turns.request(at(300), &r, id(2), 4_000);
     assert!(numbers(&mut turns, 320).is_empty());
     assert_eq!(turns.next_wake(), Some(at(350)));
     assert_eq!(numbers(&mut turns, 350), [2]);
@@ -63,30 +63,31 @@
 
 #[test]
 fn prompt_that_waits_no_more_is_passed_over() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
-    turns.ask(at(0), &r, id(1), 90_000);
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
+    turns.request(at(0), &r, id(1), 90_000);
     assert_eq!(numbers(&mut turns, 0), [1]);
-    turns.ask(at(1), &r, id(2), 9_000);
-    turns.ask(at(500), &r, id(3), 9_000);
-    turns.end(at(900), &r, &id(1));
-    assert!(LONGEST_WAIT < Span::from_millis(900));
+    turns.request(at(1), &r, id(2), 9_000);
+    turns.request(at(500), &r, id(3), 9_000);
+    turns.finish(at(900), &r, &id(1));
+    assert!(MAX_TURN_WAIT < Span::from_millis(900));
     assert_eq!(numbers(&mut turns, 930), [3]);
 }
 
-/// Saturation: prompts come half as fast again as they are read. Each is sent
-/// after a bounded wait, and streams get a pause between prompts.
+/// Prompts arrive faster than they are prefilled: one every 150 ms, at 200 ms
+/// each. Their order is kept, each is sent after a bounded wait, and streams get a
+/// gap between prompts.
 #[test]
 fn saturation_keeps_the_order_and_the_pause() {
-    let (mut turns, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     let (mut reading, mut order, mut next) = (None, Vec::new(), 0);
     for ms in 0..6_000 {
         if ms % 150 == 0 {
             next += 1;
-            turns.ask(at(ms), &r, id(next), 9_000);
+            turns.request(at(ms), &r, id(next), 9_000);
         }
         if reading.is_some_and(|(_, end)| end <= ms) {
             let (number, _) = reading.take().unwrap();
-            turns.end(at(ms), &r, &id(number));
+            turns.finish(at(ms), &r, &id(number));
         }
         for number in numbers(&mut turns, ms) {
             assert!(reading.is_none(), "two prompts at a time");
@@ -99,38 +100,42 @@
 }
 
 #[test]
-fn strain_shows_in_streams_that_pause() {
-    let mut strain = Strain::default();
+fn stalled_streams_activate_turns() {
+    let mut detector = StallDetector::default();
     for n in 0..200 {
-        // One in fifty is no reason.
-        assert!(!strain.ended(at(n), 8, n % 50 == 0));
+        // One stalled stream in fifty does not activate turns.
+        assert!(!detector.record_stream(at(n), 8, n % 50 == 0));
     }
-    let reason = (0..20).any(|n| strain.ended(at(300 + n), 8, true));
-    assert!(reason && strain.active(at(400)));
-    assert!(!strain.active(at(300_000)));
+    let reason = (0..20).any(|n| detector.record_stream(at(300 + n), 8, true));
+    assert!(reason && detector.is_active(at(400)));
+    assert!(!detector.is_active(at(300_000)));
 }
 
-/// The longest event of a stream, in milliseconds, on an engine to which six
-/// prompts of 9,200 tokens come at once. A step reads up to 4,096 tokens of those
-/// that wait, 35 in a millisecond, and takes 6 ms besides; an event takes `steps`.
+/// Returns the longest gap between stream events, in milliseconds, on an engine
+/// that gets six prompts of 9,200 tokens at once. A step prefills up to 4,096
+/// pending tokens at 35 per millisecond, plus 6 ms; an event takes `steps` steps.
 fn longest_event(steps: usize, turns: bool) -> u64 {
-    let (mut desk, r): (_, ReplicaName) = (Turns::default(), "i-1".parse().unwrap());
+    let (mut turns_queue, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     let mut queue: Vec<(u64, u64)> = Vec::new();
     for number in 0..6 {
         match turns {
-            true => desk.ask(at(0), &r, id(number), 9_200),
+            true => turns_queue.request(at(0), &r, id(number), 9_200),
             false => queue.push((number, 9_200)),
         }
     }
     let (mut now, mut took) = (0, Vec::new());
     while now < 6_000 {
-        queue.extend(numbers(&mut desk, now).into_iter().map(|n| (n, 9_200)));
+        queue.extend(
+            numbers(&mut turns_queue, now)
+                .into_iter()
+                .map(|n| (n, 9_200)),
+        );
         let mut room = 4_096;
         while let Some((number, left)) = queue.first_mut().filter(|_| room > 0) {
             let read = (*left).min(room);
             (*left, room) = (*left - read, room - read);
             if *left == 0 {
-                desk.end(at(now), &r, &id(*number));
+                turns_queue.finish(at(now), &r, &id(*number));
                 queue.remove(0);
             }
         }
@@ -141,11 +146,11 @@
     took.windows(steps).map(|w| w.iter().sum()).max().unwrap()
 }
 
-/// A burst of long prompts at one engine: without turns it fills all steps of an
-/// event, and one of five takes longer than the 600 ms that callers allow. Events
-/// of four steps are in time without.
+/// Without turns a burst of long prompts fills all steps of a stream event. Events
+/// of five steps then exceed the 600 ms that callers allow; events of four steps
+/// do not.
 #[test]
-fn burst_of_prompts_pauses_streams() {
+fn burst_of_prompts_stalls_streams() {
     assert!(longest_event(5, false) > 600, "{}", longest_event(5, false));
     assert!(longest_event(5, true) <= 600, "{}", longest_event(5, true));
     assert!(
@@ -155,17 +160,17 @@
     );
 }
 
-/// Streams with events of five steps that pause are a reason for turns.
+/// Stalled streams with events of five steps activate turns.
 #[test]
-fn strain_shows_in_events_of_five_steps() {
-    let mut strain = Strain::default();
-    assert!((0..20).any(|n| strain.ended(at(n), 5, true)));
+fn events_of_five_steps_activate_turns() {
+    let mut detector = StallDetector::default();
+    assert!((0..20).any(|n| detector.record_stream(at(n), 5, true)));
 }
 
-/// All steps of such an event are no longer than callers allow, whatever is read:
-/// no order of prompts mends what pauses the stream.
+/// Events of fewer than five steps are within the gap that callers allow whatever
+/// is prefilled, so turns cannot help and are not activated.
 #[test]
-fn short_events_are_no_reason() {
-    let mut strain = Strain::default();
-    assert!(!(0..100).any(|n| strain.ended(at(n), 4, true)));
+fn short_events_do_not_activate_turns() {
+    let mut detector = StallDetector::default();
+    assert!(!(0..100).any(|n| detector.record_stream(at(n), 4, true)));
 }
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -1,15 +1,15 @@
 //! Events of a stream: cut and checked.
 
-use banyangauge::upstream::Checker;
-use banyangauge::upstream::Expected;
-use banyangauge::upstream::Fault;
-use banyangauge::upstream::Scanner;
+use banyangauge::upstream::EventSplitter;
+use banyangauge::upstream::ExpectedIdentity;
+use banyangauge::upstream::StreamChecker;
+use banyangauge::upstream::StreamFault;
 use bytes::Bytes;
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn expected() -> Expected {
-    Expected {
+fn expected() -> ExpectedIdentity {
+    ExpectedIdentity {
         request: "r".into(),
         model: "a@1".into(),
         incarnation: 1,
@@ -25,7 +25,7 @@
 
 #[test]
 fn check_whole_stream() {
-    let mut checker = Checker::default();
+    let mut checker = StreamChecker::default();
     let text = event(0, "null") + ": comment\n\n" + &event(1, "\"stop\"") + "data: [DONE]\n\n";
     let progress = checker.check(text.as_bytes(), &expected()).unwrap();
     assert_eq!(
@@ -40,8 +40,8 @@
 #[case::model(event(0, "null").replace("a@1", "a@2"))]
 #[case::after_last(event(0, "\"stop\"") + &event(1, "null"))]
 fn check_identity(#[case] text: String) {
-    let fault = Checker::default().check(text.as_bytes(), &expected());
-    assert!(matches!(fault, Err(Fault::Identity(_))), "{fault:?}");
+    let fault = StreamChecker::default().check(text.as_bytes(), &expected());
+    assert!(matches!(fault, Err(StreamFault::Identity(_))), "{fault:?}");
 }
 
 #[rstest]
@@ -51,13 +51,13 @@
 #[case::no_json("data: {\n\n".to_owned())]
 #[case::no_index(event(0, "null").replace("token_index", "index"))]
 fn check_malformed(#[case] text: String) {
-    let fault = Checker::default().check(text.as_bytes(), &expected());
-    assert!(matches!(fault, Err(Fault::Malformed(_))), "{fault:?}");
+    let fault = StreamChecker::default().check(text.as_bytes(), &expected());
+    assert!(matches!(fault, Err(StreamFault::Malformed(_))), "{fault:?}");
 }
 
 #[test]
 fn scanner_endless_event() {
-    let mut scanner = Scanner::default();
+    let mut scanner = EventSplitter::default();
     let piece = Bytes::from(vec![b'x'; 64 << 10]);
     let ends = (0..8).map(|_| scanner.push(piece.clone()).is_err());
     assert!(ends.last().unwrap());
@@ -72,8 +72,8 @@
         let text = event(0, "null") + &event(1, "null") + &event(2, "\"stop\"") + "data: [DONE]\n\n";
         cuts.push(text.len());
         cuts.sort_unstable();
-        let mut scanner = Scanner::default();
-        let mut checker = Checker::default();
+        let mut scanner = EventSplitter::default();
+        let mut checker = StreamChecker::default();
         let (mut out, mut from) = (Vec::new(), 0);
         for cut in cuts {
             let cut = cut.min(text.len());
