--- a/bench/src/capacity/costs.rs
+++ b/bench/src/capacity/costs.rs
@@ -14,8 +14,8 @@
 use banyangauge::claims::Segment;
 use banyangauge::claims::State;
 use banyangauge::control::Members;
+use banyangauge::ids::FencingToken;
 use banyangauge::ids::Revision;
-use banyangauge::ids::Token;
 use banyangauge::lease::Record;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Objective;
@@ -210,7 +210,7 @@
 
 pub(super) fn claim_bytes(claims: usize) -> f64 {
     let segment = Segment {
-        token: Token(7),
+        token: FencingToken(7),
         number: 3,
         operation: "0123456789abcdef".to_owned(),
         claims: (0..claims)
@@ -230,7 +230,7 @@
         holder,
         address,
         incarnation: banyangauge::ids::Incarnation(1_700_000_000_000_000),
-        token: Token(7),
+        token: FencingToken(7),
         ttl_ms: 3_000,
         released: false,
         granted_ttl: 10_000,
--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -12,7 +12,7 @@
 use crate::claims::State;
 use crate::claims::Write;
 use crate::claims::WriteOutcome;
-use crate::ids::Token;
+use crate::ids::FencingToken;
 use crate::pool::Moment;
 
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Journal {
     limits: Limits,
-    token: Token,
+    token: FencingToken,
     claims: BTreeMap<ClaimKey, Claim>,
     segments: BTreeMap<u64, SegmentState>,
     // The segment that takes new claims.
@@ -56,7 +56,7 @@
 
 impl Journal {
     /// Creates a journal that has not been read yet and admits no claims.
-    pub fn new(token: Token, limits: Limits) -> Self {
+    pub fn new(token: FencingToken, limits: Limits) -> Self {
         Self {
             limits,
             token,
--- a/lib/src/claims/segment.rs
+++ b/lib/src/claims/segment.rs
@@ -8,7 +8,7 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-use crate::ids::Token;
+use crate::ids::FencingToken;
 
 /// Bytes of a key's hash: 128 bits, so that collisions among the journal's
 /// thousands of keys are negligible.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
     /// The fencing token of the owner that wrote it last.
-    pub token: Token,
+    pub token: FencingToken,
     /// Its position in the journal.
     pub number: u64,
     /// Identifies the write that stored this content, so that a writer that
--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -22,11 +22,11 @@
 use crate::control::members::WARM_UP;
 use crate::control::ownership::OwnershipState;
 use crate::control::uptime_ms;
+use crate::ids::FencingToken;
 use crate::ids::Fingerprint;
 use crate::ids::IdError;
 use crate::ids::PoolName;
 use crate::ids::Revision;
-use crate::ids::Token;
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
@@ -57,7 +57,7 @@
 struct State {
     members: Members,
     // When each pool's owner was last seen to change.
-    changed: BTreeMap<PoolName, (Token, Moment)>,
+    changed: BTreeMap<PoolName, (FencingToken, Moment)>,
     // Leaving upstreams by a peer's word, and when it was last given.
     heard: BTreeMap<SocketAddr, Moment>,
 }
@@ -318,7 +318,7 @@
     let owner = Owner {
         vm: VmName::new(&owner.vm).ok()?,
         address: owner.address.parse().ok()?,
-        token: Token(owner.token),
+        token: FencingToken(owner.token),
     };
     Some((pool, owner))
 }
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -28,11 +28,11 @@
 use crate::control::owner::maintenance::FREEZE_AHEAD;
 use crate::control::owner::sessions::message;
 use crate::control::ownership::OwnershipState;
+use crate::ids::FencingToken;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::lease::HeldLease;
 use crate::platform::PlatformError;
 use crate::pool::Health;
@@ -267,7 +267,7 @@
         self.next_tick.subscribe()
     }
 
-    pub(super) fn token(&self) -> Token {
+    pub(super) fn token(&self) -> FencingToken {
         self.safety.lease().token
     }
 
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -13,10 +13,10 @@
 use crate::control::owner::OwnerActor;
 use crate::control::ownership::OwnershipState;
 use crate::ids::AdapterVersion;
+use crate::ids::FencingToken;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::pool::Command;
 use crate::pool::Moment;
 use crate::pool::OrderEnd;
@@ -33,7 +33,7 @@
     local: Arc<OwnershipState>,
     orders: OrderClient,
     pool: PoolName,
-    token: Token,
+    token: FencingToken,
     honours_token: bool,
     address: SocketAddr,
     adapter: AdapterVersion,
--- a/lib/src/control/owner/polling.rs
+++ b/lib/src/control/owner/polling.rs
@@ -8,8 +8,8 @@
 use crate::control::clock;
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
+use crate::ids::FencingToken;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::upstream::OrderClient;
 use crate::upstream::OrderError;
 use crate::upstream::read_report;
@@ -45,7 +45,7 @@
     orders: OrderClient,
     replica: ReplicaName,
     address: SocketAddr,
-    token: Token,
+    token: FencingToken,
     report: crate::upstream::EngineReport,
 ) {
     let asked = clock::now();
--- a/lib/src/control/owner/requests.rs
+++ b/lib/src/control/owner/requests.rs
@@ -6,7 +6,7 @@
 use banyangauge_proto as wire;
 
 use crate::claims::ClaimKey;
-use crate::ids::Token;
+use crate::ids::FencingToken;
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::pool::Ticket;
@@ -62,7 +62,7 @@
 
 impl RequestTable {
     /// Creates an empty table for an owner with this token.
-    pub fn new(token: Token) -> Self {
+    pub fn new(token: FencingToken) -> Self {
         Self {
             next_ticket: token.0 << TICKET_BITS,
             sessions: BTreeMap::new(),
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -15,8 +15,8 @@
 use crate::control::owner::Event;
 use crate::control::owner::OwnerActor;
 use crate::control::ownership::OwnershipState;
+use crate::ids::FencingToken;
 use crate::ids::PoolName;
-use crate::ids::Token;
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
@@ -27,7 +27,7 @@
 /// The owners that run in this process.
 #[derive(Default)]
 pub struct Registry {
-    owners: Mutex<BTreeMap<PoolName, (Token, Address<OwnerActor>)>>,
+    owners: Mutex<BTreeMap<PoolName, (FencingToken, Address<OwnerActor>)>>,
 }
 
 impl Registry {
@@ -36,7 +36,9 @@
         self.lock().get(pool).map(|(_, a)| a.clone())
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<PoolName, (Token, Address<OwnerActor>)>> {
+    fn lock(
+        &self,
+    ) -> std::sync::MutexGuard<'_, BTreeMap<PoolName, (FencingToken, Address<OwnerActor>)>> {
         self.owners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 
 use crate::control::ControlSettings;
+use crate::ids::FencingToken;
 use crate::ids::PoolName;
-use crate::ids::Token;
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
@@ -28,9 +28,9 @@
     pub drained: watch::Sender<BTreeMap<PoolName, GrantHolders>>,
     /// Pools whose slots may be changed, by token: no earlier owner's grant is
     /// in use any more; written by the owners.
-    pub settled: watch::Sender<BTreeMap<PoolName, Token>>,
+    pub settled: watch::Sender<BTreeMap<PoolName, FencingToken>>,
     /// Pools whose owner found a successor, by token; written by the owners.
-    pub deposed: watch::Sender<BTreeMap<PoolName, Token>>,
+    pub deposed: watch::Sender<BTreeMap<PoolName, FencingToken>>,
     /// True when every lease was released; written by the election.
     pub released: watch::Sender<bool>,
     /// When the last answered exchange with each configured peer began;
--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -13,10 +13,10 @@
 use super::config::History;
 use super::usage;
 use crate::catalog::Catalog;
+use crate::ids::FencingToken;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
 use crate::ids::PoolName;
-use crate::ids::Token;
 use crate::ids::VmName;
 use crate::ids::ZoneName;
 use crate::link::Link;
@@ -31,7 +31,7 @@
     /// Where its control process listens.
     pub address: SocketAddr,
     /// Its fencing token.
-    pub token: Token,
+    pub token: FencingToken,
 }
 
 /// Values that one duty sets and others follow. Each sender has one duty that
--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -18,8 +18,8 @@
 use crate::catalog::ChangeSet;
 use crate::catalog::MAX_SNAPSHOT_BYTES;
 use crate::control::Owner;
+use crate::ids::FencingToken;
 use crate::ids::Fingerprint;
-use crate::ids::Token;
 use crate::timeline::About;
 use crate::timeline::Kind;
 
@@ -162,7 +162,7 @@
         let owner = Owner {
             vm: o.vm.parse().ok()?,
             address: o.address.parse().ok()?,
-            token: Token(o.token),
+            token: FencingToken(o.token),
         };
         Some((o.pool.parse().ok()?, owner))
     });
--- a/lib/src/ids/mod.rs
+++ b/lib/src/ids/mod.rs
@@ -200,7 +200,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// A revision of the catalog; it only rises.
 #[derive(
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use crate::ids::Token;
+use crate::ids::FencingToken;
 use crate::lease::Candidate;
 use crate::lease::HeldLease;
 use crate::lease::Predecessor;
@@ -54,7 +54,7 @@
     // observed to have taken effect.
     takeover: Option<(Predecessor, Span)>,
     settled: bool,
-    resigned: Option<Token>,
+    resigned: Option<FencingToken>,
 }
 
 impl Elector {
@@ -133,7 +133,7 @@
 
     /// Records that no grant of an earlier holder can be in use any more; the
     /// next write stores it.
-    pub fn set_settled(&mut self, token: Token) {
+    pub fn set_settled(&mut self, token: FencingToken) {
         if self.held.as_ref().is_some_and(|t| t.token == token) {
             self.settled = true;
         }
@@ -141,7 +141,7 @@
 
     /// Gives up a lease without releasing it, after the owner found that an
     /// engine or a peer knows a higher token; the lease then expires.
-    pub fn resign(&mut self, token: Token) {
+    pub fn resign(&mut self, token: FencingToken) {
         if self.held.as_ref().is_some_and(|t| t.token == token) {
             self.held = None;
             self.resigned = Some(token);
@@ -298,7 +298,7 @@
             return Step::Wait;
         }
         let ttl = Span::from_millis(old.granted_ttl);
-        let record = self.new_record(Token(old.token.0 + 1));
+        let record = self.new_record(FencingToken(old.token.0 + 1));
         self.send(
             now,
             Some(observed.version),
@@ -311,9 +311,9 @@
     // process observed; engines would refuse a lower one.
     fn send_create(&mut self, now: Moment) -> Step {
         let (token, takeover) = match &self.deleted {
-            None => (Token(1), (Predecessor::None, Span(0))),
+            None => (FencingToken(1), (Predecessor::None, Span(0))),
             Some(old) => (
-                Token(old.token.0 + 1),
+                FencingToken(old.token.0 + 1),
                 (
                     Predecessor::Lapsed(old.holder.clone()),
                     Span::from_millis(old.granted_ttl),
@@ -325,7 +325,7 @@
         self.send(now, None, record, Some(takeover))
     }
 
-    fn new_record(&self, token: Token) -> Record {
+    fn new_record(&self, token: FencingToken) -> Record {
         Record {
             holder: self.me.vm.clone(),
             address: self.me.address,
--- a/lib/src/lease/record.rs
+++ b/lib/src/lease/record.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::ids::FencingToken;
 use crate::ids::Incarnation;
-use crate::ids::Token;
 use crate::ids::VmName;
 
 /// A control process that can hold leases.
@@ -31,7 +31,7 @@
     /// Identifies the start of the holder's process.
     pub incarnation: Incarnation,
     /// The fencing token; increases by one at each change of holder.
-    pub token: Token,
+    pub token: FencingToken,
     /// How long the lease is valid after its last write, in milliseconds.
     pub ttl_ms: u64,
     /// Set on a planned stop; any candidate may then acquire the lease at once.
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::ids::Token;
+use crate::ids::FencingToken;
 use crate::ids::VmName;
 use crate::lease::Record;
 use crate::pool::Moment;
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HeldLease {
     /// The fencing token.
-    pub token: Token,
+    pub token: FencingToken,
     /// When it expires, with the margin subtracted. After that there may be a
     /// successor, but none can be elected while the platform is unreachable.
     pub valid_until: Moment,
--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::ids::FencingToken;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::ids::VmName;
 
 /// How many removed replicas keep their last owner in the table. If the entry of
@@ -22,7 +22,7 @@
     /// The owning VM.
     pub vm: VmName,
     /// The fencing token of this ownership.
-    pub token: Token,
+    pub token: FencingToken,
     /// Former owners that may not know of their loss yet. The owner clears this
     /// after its wait, so that it does not wait again after a restart.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OwnerTable {
     /// The highest token granted; it never decreases.
-    pub term: Token,
+    pub term: FencingToken,
     /// The owner of each replica.
     pub owners: BTreeMap<ReplicaName, Owner>,
     /// The VMs that may change owners where replicas check no fencing tokens.
@@ -67,7 +67,7 @@
         if live.is_empty() {
             return None;
         }
-        let token = Token(self.term.0 + 1);
+        let token = FencingToken(self.term.0 + 1);
         let mut owners = self.owners.clone();
         let mut gone = self.gone.clone();
         for (name, owner) in owners.extract_if(.., |name, _| !replicas.contains(name)) {
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
+use crate::ids::FencingToken;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::ids::VmName;
 use crate::pool::Moment;
 use crate::pool::Span;
@@ -55,7 +55,7 @@
 /// Our ownership of one replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct OwnershipGrant {
-    token: Token,
+    token: FencingToken,
     /// When it takes effect.
     usable_from: Moment,
     /// The revision of the table that granted it.
@@ -84,7 +84,7 @@
     pub revision: u64,
     grants: BTreeMap<ReplicaName, OwnershipGrant>,
     /// The tokens that replicas rejected.
-    refused: BTreeMap<ReplicaName, Token>,
+    refused: BTreeMap<ReplicaName, FencingToken>,
     /// Since when a change has been needed.
     proposal_due: Option<Moment>,
     /// When the table was last known to be the newest.
@@ -277,7 +277,7 @@
     }
 
     /// Returns our replicas that may get orders now, with their tokens.
-    pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, Token)> {
+    pub fn usable(&self, now: Moment) -> impl Iterator<Item = (&ReplicaName, FencingToken)> {
         let valid = self.is_valid(now);
         let grants = self.grants.iter().filter(move |_| valid);
         let usable =
@@ -295,7 +295,7 @@
     }
 
     /// Returns our token for a replica if it may get orders now.
-    pub fn token(&self, now: Moment, name: &ReplicaName) -> Option<Token> {
+    pub fn token(&self, now: Moment, name: &ReplicaName) -> Option<FencingToken> {
         let grant = self.grants.get(name)?;
         let usable =
             self.is_valid(now) && grant.usable_from <= now && !self.is_refused(name, grant);
@@ -304,7 +304,7 @@
 
     /// Records that a replica has seen a higher token: ours is not used any
     /// more.
-    pub fn record_refusal(&mut self, name: &ReplicaName, token: Token) {
+    pub fn record_refusal(&mut self, name: &ReplicaName, token: FencingToken) {
         self.refused.insert(name.clone(), token);
     }
 
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -7,9 +7,9 @@
 use hyper::Request;
 use hyper::StatusCode;
 
+use crate::ids::FencingToken;
 use crate::ids::OrganisationName;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::ids::VmName;
 use crate::serving::decisions::adapter_planner::OrderOutcome;
 use crate::serving::decisions::adapter_planner::ReplicaReport;
@@ -101,7 +101,7 @@
     /// The VM that sends the order.
     pub vm: &'a VmName,
     /// Fencing token of that VM's ownership of the replica.
-    pub token: Token,
+    pub token: FencingToken,
     /// The replica that must execute the order.
     pub replica: &'a ReplicaName,
 }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -7,8 +7,8 @@
 use hyper::Request;
 use hyper::StatusCode;
 
+use crate::ids::FencingToken;
 use crate::ids::ReplicaName;
-use crate::ids::Token;
 use crate::pool::Moment;
 use crate::pool::Span;
 use crate::serving::decisions::adapter_planner::LoadDuration;
@@ -82,7 +82,7 @@
 }
 
 /// Returns the next action for each owned replica that has one.
-fn due_actions(node: &Node, at: Moment) -> Vec<(ReplicaName, Token, ReplicaAction)> {
+fn due_actions(node: &Node, at: Moment) -> Vec<(ReplicaName, FencingToken, ReplicaAction)> {
     if node.phase() == Phase::Draining {
         return Vec::new();
     }
@@ -115,7 +115,7 @@
 }
 
 /// Executes an action and records its outcome in the adapter planner.
-async fn execute(node: Rc<Node>, name: ReplicaName, token: Token, action: ReplicaAction) {
+async fn execute(node: Rc<Node>, name: ReplicaName, token: FencingToken, action: ReplicaAction) {
     match &action {
         ReplicaAction::Inspect => {
             let report = fetch_report(&node, &name).await;
@@ -148,7 +148,7 @@
 fn log_order(
     node: &Node,
     name: &ReplicaName,
-    token: Token,
+    token: FencingToken,
     action: &ReplicaAction,
     end: OrderOutcome,
     took: Option<LoadDuration>,
@@ -195,7 +195,7 @@
 async fn send_order(
     node: &Node,
     name: &ReplicaName,
-    token: Token,
+    token: FencingToken,
     action: &ReplicaAction,
 ) -> OrderOutcome {
     let (load, target, version, expected) = match action {
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 use crate::ids::AdapterVersion;
-use crate::ids::Token;
+use crate::ids::FencingToken;
 
 /// The header that carries the owner's fencing token.
 const TOKEN_HEADER: &str = "x-fencing-token";
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceReply {
     /// The highest token that it has seen, this one included.
-    Highest(Token),
+    Highest(FencingToken),
     /// It ignores tokens.
     Unsupported,
 }
@@ -92,7 +92,7 @@
     pub async fn load(
         &self,
         to: SocketAddr,
-        token: Token,
+        token: FencingToken,
         adapter: &AdapterVersion,
     ) -> Result<(), OrderError> {
         let name = adapter.to_string();
@@ -109,7 +109,7 @@
     pub async fn unload(
         &self,
         to: SocketAddr,
-        token: Token,
+        token: FencingToken,
         adapter: &AdapterVersion,
     ) -> Result<(), OrderError> {
         let body = json!({"lora_name": adapter.to_string()});
@@ -124,7 +124,7 @@
     /// # Errors
     ///
     /// Those of [`OrderError`]; `Fenced` when a higher token was seen.
-    pub async fn fence(&self, to: SocketAddr, token: Token) -> Result<FenceReply, OrderError> {
+    pub async fn fence(&self, to: SocketAddr, token: FencingToken) -> Result<FenceReply, OrderError> {
         #[derive(Deserialize)]
         struct Answer {
             token: u64,
@@ -139,7 +139,7 @@
                 let answer: Answer = parse(&body)?;
                 match answer.token > token.0 {
                     true => Err(OrderError::Fenced),
-                    false => Ok(FenceReply::Highest(Token(answer.token))),
+                    false => Ok(FenceReply::Highest(FencingToken(answer.token))),
                 }
             }
         }
@@ -158,7 +158,7 @@
         &self,
         to: SocketAddr,
         path: &str,
-        token: Token,
+        token: FencingToken,
         body: &serde_json::Value,
     ) -> Result<Bytes, OrderError> {
         let request = Request::builder()
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -10,7 +10,7 @@
 use banyangauge::claims::State;
 use banyangauge::claims::Write;
 use banyangauge::claims::WriteOutcome;
-use banyangauge::ids::Token;
+use banyangauge::ids::FencingToken;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use rstest::rstest;
@@ -73,7 +73,7 @@
     }
 
     fn open(&mut self, now: Moment, token: u64, limits: Limits) -> Option<Journal> {
-        let mut journal = Journal::new(Token(token), limits);
+        let mut journal = Journal::new(FencingToken(token), limits);
         journal.recover(now, &self.segments);
         let writes = journal.seal();
         let versions: Option<Vec<_>> = writes.iter().map(|w| self.apply(w)).collect();
@@ -198,7 +198,7 @@
     claim(&mut old, ms(400), 2);
     let rotation = old.next_write(ms(400)).unwrap();
     // The new owner reads before the new segment is created.
-    let mut new = Journal::new(Token(2), limits);
+    let mut new = Journal::new(FencingToken(2), limits);
     new.recover(ms(9_000), &store.segments.clone());
     let seal = new.seal();
     let (_, done) = old.write_done(ms(9_001), store.commit(&rotation));
--- a/lib/tests/test_entry_failures.rs
+++ b/lib/tests/test_entry_failures.rs
@@ -388,7 +388,7 @@
     let owner = banyangauge::control::Owner {
         vm: "vm-2".parse().unwrap(),
         address: second.serve().await,
-        token: banyangauge::ids::Token(2),
+        token: banyangauge::ids::FencingToken(2),
     };
     let pool = "assistant".parse().unwrap();
     world.entry.state.owners.send_modify(|o| {
--- a/lib/tests/test_lease_elector.rs
+++ b/lib/tests/test_lease_elector.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
+use banyangauge::ids::FencingToken;
 use banyangauge::ids::Incarnation;
 use banyangauge::ids::PoolName;
-use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
 use banyangauge::lease::Candidate;
 use banyangauge::lease::Elector;
@@ -163,7 +163,7 @@
     advance(&mut held, &mut object, now);
     advance(&mut held, &mut object, now);
     assert_eq!(token(&held), None);
-    assert_eq!(object.record.unwrap().token, Token(2));
+    assert_eq!(object.record.unwrap().token, FencingToken(2));
 }
 
 #[rstest]
@@ -201,7 +201,7 @@
     other.write_done(ms(3_330), end);
     advance(&mut other, &mut object, ms(3_340));
     let lease = other.lease().unwrap();
-    assert_eq!(lease.token, Token(2));
+    assert_eq!(lease.token, FencingToken(2));
     // Counted from the sending of the write that took effect.
     assert_eq!(lease.valid_until, ms(3_010 + 2_700));
     assert!(matches!(lease.predecessor, Predecessor::Lapsed(_)));
@@ -237,7 +237,7 @@
     other.observe(ms(102), object.read());
     advance(&mut other, &mut object, ms(102));
     let lease = other.lease().unwrap();
-    assert_eq!(lease.token, Token(2));
+    assert_eq!(lease.token, FencingToken(2));
     assert_eq!(lease.predecessor, Predecessor::Released(entries));
 }
 
@@ -251,7 +251,7 @@
     let lease = again.lease().unwrap();
     assert_eq!(
         (lease.token, &lease.predecessor),
-        (Token(2), &Predecessor::Ended)
+        (FencingToken(2), &Predecessor::Ended)
     );
 }
 
@@ -293,7 +293,7 @@
     advance(&mut second, &mut object, ms(3_010));
     // The first holder may be paused; the second releases the lease at once.
     if settled {
-        second.set_settled(Token(2));
+        second.set_settled(FencingToken(2));
     }
     let stop = Some(BTreeSet::new());
     let step = second.step(ms(3_100), || 0, Some(&stop));
@@ -309,7 +309,7 @@
 fn resigned_lease_expires() {
     let mut object = Object::default();
     let mut c = holder(&mut object);
-    c.resign(Token(1));
+    c.resign(FencingToken(1));
     c.observe(ms(100), object.read());
     assert_eq!(token(&c), None);
     assert_eq!(advance(&mut c, &mut object, ms(2_999)), Step::Wait);
@@ -327,7 +327,7 @@
     other.observe(ms(20), None);
     advance(&mut other, &mut object, ms(20));
     let lease = other.lease().unwrap();
-    assert_eq!(lease.token, Token(2));
+    assert_eq!(lease.token, FencingToken(2));
     assert!(matches!(lease.predecessor, Predecessor::Lapsed(_)));
 }
 
@@ -341,7 +341,10 @@
         }
     }
     let lease = c.lease().unwrap();
-    assert_eq!((lease.token, lease.valid_until), (Token(1), ms(2_700)));
+    assert_eq!(
+        (lease.token, lease.valid_until),
+        (FencingToken(1), ms(2_700))
+    );
 }
 
 #[test]
--- a/lib/tests/test_owner_requests.rs
+++ b/lib/tests/test_owner_requests.rs
@@ -4,7 +4,7 @@
 
 use banyangauge::control::owner::RequestTable;
 use banyangauge::control::owner::SessionId;
-use banyangauge::ids::Token;
+use banyangauge::ids::FencingToken;
 use banyangauge::pool::Moment;
 use banyangauge::pool::Span;
 use banyangauge_proto::Acquire;
@@ -34,8 +34,8 @@
 
 #[test]
 fn tickets_differ_between_owners() {
-    let mut first = RequestTable::new(Token(1));
-    let mut second = RequestTable::new(Token(2));
+    let mut first = RequestTable::new(FencingToken(1));
+    let mut second = RequestTable::new(FencingToken(2));
     let a = first.enqueue("vm-1/1", acquire(1), None);
     let b = second.enqueue("vm-1/1", acquire(1), None);
     assert_ne!(a, b);
@@ -43,7 +43,7 @@
 
 #[test]
 fn new_stream_replaces_the_old() {
-    let mut table = RequestTable::new(Token(1));
+    let mut table = RequestTable::new(FencingToken(1));
     table.open(ONE, "vm-1/1", &BTreeSet::new());
     let held = table.enqueue("vm-1/1", acquire(1), None);
     let lost = table.enqueue("vm-1/1", acquire(2), None);
@@ -65,7 +65,7 @@
 
 #[test]
 fn grant_lapses_unless_renewed() {
-    let mut table = RequestTable::new(Token(1));
+    let mut table = RequestTable::new(FencingToken(1));
     table.open(ONE, "vm-1/1", &BTreeSet::new());
     let ticket = table.enqueue("vm-1/1", acquire(1), None);
     table.mark_granted(ticket, grant(ticket.0, 1), ms(10_000));
@@ -80,7 +80,7 @@
 
 #[test]
 fn adopted_grant_outlives_its_stream() {
-    let mut table = RequestTable::new(Token(2));
+    let mut table = RequestTable::new(FencingToken(2));
     table.open(ONE, "vm-1/1", &BTreeSet::from([77]));
     assert!(table.adopt("vm-1/1", &grant(77, 5), ms(10)));
     assert!(!table.adopt("vm-1/1", &grant(77, 5), ms(20)));
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -4,9 +4,9 @@
 
 use banyangauge::control::owner::ExternalState;
 use banyangauge::control::owner::SafetyRules;
+use banyangauge::ids::FencingToken;
 use banyangauge::ids::Incarnation;
 use banyangauge::ids::ReplicaName;
-use banyangauge::ids::Token;
 use banyangauge::ids::VmName;
 use banyangauge::lease::HeldLease;
 use banyangauge::lease::Predecessor;
@@ -31,7 +31,7 @@
 /// Rules for a lease that is acquired at 1,000 ms and valid until 3,700 ms.
 fn safety(honours: bool, predecessor: Predecessor) -> SafetyRules {
     let lease = HeldLease {
-        token: Token(2),
+        token: FencingToken(2),
         valid_until: ms(3_700),
         acquired_at: ms(1_000),
         predecessor,
