--- a/lib/src/ids/mod.rs
+++ b/lib/src/ids/mod.rs
@@ -11,7 +11,7 @@
 /// What is wrong with a name or number.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum IdError {
-    /// The name is empty or longer than [`MAX_NAME`] bytes.
+    /// The name is empty or longer than [`MAX_NAME_BYTES`] bytes.
     Length(usize),
     /// The name holds a character outside `a-z A-Z 0-9 . _ -`.
     Character(char),
@@ -22,7 +22,7 @@
 impl fmt::Display for IdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Length(n) => write!(f, "{n} bytes long, allowed are 1 to {MAX_NAME}"),
+            Self::Length(n) => write!(f, "{n} bytes long, allowed are 1 to {MAX_NAME_BYTES}"),
             Self::Character(c) => write!(f, "holds {c:?}, allowed are a-z A-Z 0-9 . _ -"),
             Self::Version(v) => write!(f, "version {v:?}, allowed are whole numbers from 1"),
         }
@@ -32,10 +32,10 @@
 impl std::error::Error for IdError {}
 
 /// The longest name, in bytes; names travel in headers and object names.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 fn check_name(s: &str) -> Result<(), IdError> {
-    if s.is_empty() || s.len() > MAX_NAME {
+    if s.is_empty() || s.len() > MAX_NAME_BYTES {
         return Err(IdError::Length(s.len()));
     }
     match s
