--- a/cli/tests/test_banyan.rs
+++ b/cli/tests/test_banyan.rs
@@ -14,7 +14,7 @@
 use banyangauge::ids::Incarnation;
 use banyangauge::platform::Platform;
 use banyangauge::timeline::About;
-use banyangauge::timeline::Kind;
+use banyangauge::timeline::EventKind;
 use banyangauge::timeline::Recorder;
 use banyangauge::timeline::TimelineService;
 use banyangauge_proto as wire;
@@ -265,7 +265,7 @@
             detail: "\"&'".to_owned(),
             ..About::default()
         };
-        rig.shared.recorder.record(Kind::Received, about);
+        rig.shared.recorder.record(EventKind::Received, about);
     }
     let page = rig.path("page.html");
     let end = rig.banyan(&["timeline", "--html", text(&page)]).await;
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -17,7 +17,7 @@
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 
 /// `Member.state` of a VM that is live.
 const LIVE: u32 = 0;
@@ -181,7 +181,7 @@
     }
     metrics::gauge!("banyan_platform_up").set(f64::from(u8::from(up)));
     shared.recorder.record(
-        Kind::Platform,
+        EventKind::Platform,
         About {
             detail,
             ..About::default()
--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -15,7 +15,7 @@
 use crate::control::Shared;
 use crate::ids::Revision;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 
 /// Change sets kept for those who follow: an hour at 7,600 a day is 317, a
 /// peer that was cut off for most of it needs no snapshot.
@@ -73,7 +73,7 @@
     drop(deltas);
     metrics::gauge!("banyan_catalog_revision").set(revision.0 as f64);
     shared.recorder.record(
-        Kind::InForce,
+        EventKind::InForce,
         About {
             detail: format!("revision {}", revision.0),
             ..About::default()
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -24,7 +24,7 @@
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 
 /// The kind of lease objects.
 const LEASES: &str = "leases";
@@ -222,8 +222,8 @@
     ) {
         let lost = before.iter().filter(|(p, t)| is_new(after, p, t));
         let gained = after.iter().filter(|(p, t)| is_new(before, p, t));
-        let lost = lost.map(|(p, t)| (Kind::Lost, p, t));
-        for (kind, pool, tenure) in lost.chain(gained.map(|(p, t)| (Kind::Acquired, p, t))) {
+        let lost = lost.map(|(p, t)| (EventKind::Lost, p, t));
+        for (kind, pool, tenure) in lost.chain(gained.map(|(p, t)| (EventKind::Acquired, p, t))) {
             slog::info!(self.shared.log, "lease"; "event" => kind.word(),
                 "pool" => %pool, "token" => tenure.token.0);
             metrics::counter!("lease_changes_total", "event" => kind.word()).increment(1);
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -24,7 +24,7 @@
 use crate::pool::Reason;
 use crate::pool::Ticket;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 use crate::upstream::OrderClient;
 use crate::upstream::OrderError;
 
@@ -78,7 +78,7 @@
             Command::Block { fingerprint, hold } => {
                 slog::warn!(self.shared.log, "blocked a request that crashes its upstream";
                     "pool" => %self.name, "fingerprint" => fingerprint.0);
-                self.record_event(Kind::Convicted, None, "", &fingerprint.0.to_string());
+                self.record_event(EventKind::Convicted, None, "", &fingerprint.0.to_string());
                 Gossip::block(&self.shared, &self.local, fingerprint, hold);
             }
         }
@@ -181,7 +181,7 @@
             evict,
         };
         self.record_event(
-            Kind::LoadOrdered,
+            EventKind::LoadOrdered,
             Some(&load.adapter),
             replica.as_str(),
             &load
@@ -214,7 +214,7 @@
     }
 
     pub(super) fn handle_order_end(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
-        self.record_event(Kind::LoadEnded, None, "", &format!("{end:?}"));
+        self.record_event(EventKind::LoadEnded, None, "", &format!("{end:?}"));
         if end == OrderEnd::Fenced {
             slog::warn!(self.shared.log,
                 "engine refused an order: it has seen a higher fencing token";
@@ -226,7 +226,7 @@
 
     pub(super) fn record_event(
         &self,
-        kind: Kind,
+        kind: EventKind,
         adapter: Option<&AdapterVersion>,
         replica: &str,
         detail: &str,
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -16,7 +16,7 @@
 use crate::pool::Health;
 use crate::pool::Moment;
 use crate::pool::ReplicaSpec;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 use crate::upstream::EngineReport;
 use crate::upstream::FenceReply;
 use crate::upstream::OrderError;
@@ -156,7 +156,7 @@
         if replica.incarnation != incarnation {
             let detail = format!("incarnation {}", incarnation.0);
             replica.incarnation = incarnation;
-            self.record_event(Kind::Health, None, name.as_str(), &detail);
+            self.record_event(EventKind::Health, None, name.as_str(), &detail);
         }
         if let Some(replica) = self.replicas.get_mut(name) {
             replica.leaving = report.leaving;
@@ -199,7 +199,12 @@
         self.pool.set_health(now, name, health);
         slog::info!(self.shared.log, "replica health changed"; "pool" => %self.name,
             "replica" => %name, "health" => ?health);
-        self.record_event(Kind::Health, None, name.as_str(), &format!("{health:?}"));
+        self.record_event(
+            EventKind::Health,
+            None,
+            name.as_str(),
+            &format!("{health:?}"),
+        );
     }
 
     fn publish_leaving(&self) {
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -35,7 +35,7 @@
 use crate::pool::Class;
 use crate::pool::Outcome;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 use crate::upstream;
 use crate::upstream::BodyChunks;
 use crate::upstream::ExpectedIdentity;
@@ -59,7 +59,7 @@
     loop {
         let hold = acquire(&state, &call, &tries).await?;
         let replica = hold.grant.replica.clone();
-        note(&state, Kind::Granted, &call, &replica, String::new);
+        note(&state, EventKind::Granted, &call, &replica, String::new);
         let failure = match attempt(&state, &call, hold).await {
             Ok(Success::Whole(response)) => return Ok(response),
             Ok(Success::Stream(head, passing)) => {
@@ -73,7 +73,7 @@
             Next::GiveUp(e) => return Err(e),
             Next::Again => {
                 let why = || retry::describe(&failure);
-                note(&state, Kind::Retried, &call, &replica, why);
+                note(&state, EventKind::Retried, &call, &replica, why);
                 tries.ran |= retry::may_have_run(&failure);
                 tries.attempt += 1;
                 tries.avoid.push(replica);
@@ -85,7 +85,7 @@
 /// Puts an event of a call on the time line.
 pub(super) fn note(
     state: &State,
-    kind: Kind,
+    kind: EventKind,
     call: &Call,
     upstream: &str,
     detail: impl FnOnce() -> String,
@@ -187,7 +187,7 @@
         incarnation: hold.grant.incarnation,
     };
     let replica = hold.grant.replica.clone();
-    note(state, Kind::Dispatched, call, &replica, String::new);
+    note(state, EventKind::Dispatched, call, &replica, String::new);
     let before = now_us().saturating_sub(call.received);
     metrics::histogram!("entry_before_dispatch_seconds").record(before as f64 / 1e6);
     hold.dispatch(&state.upstreams, address, &call.id, call.adapter.is_some());
@@ -329,7 +329,7 @@
     counter.output(answer.usage.completion_tokens);
     note(
         state,
-        Kind::Answered,
+        EventKind::Answered,
         call,
         &hold.grant.replica,
         String::new,
--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -21,7 +21,7 @@
 use crate::ids::FencingToken;
 use crate::ids::Fingerprint;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 
 /// The pause before the next control process is tried.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -150,7 +150,7 @@
             detail: format!("revision {revision}"),
             ..About::default()
         };
-        state.recorder.record(Kind::InForce, about);
+        state.recorder.record(EventKind::InForce, about);
         metrics::gauge!("entry_revision").set(revision as f64);
     }
 }
--- a/lib/src/entry/program.rs
+++ b/lib/src/entry/program.rs
@@ -20,7 +20,7 @@
 use crate::link::Link;
 use crate::telemetry;
 use crate::timeline::About;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 use crate::timeline::TimelineService;
 
 /// Why the process could not run.
@@ -113,7 +113,7 @@
         detail: detail.to_owned(),
         ..About::default()
     };
-    state.recorder.record(Kind::Process, about);
+    state.recorder.record(EventKind::Process, about);
 }
 
 /// Differs at each start: microseconds of wall time.
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -28,7 +28,7 @@
 use super::dispatch::dispatch;
 use super::dispatch::note;
 use super::state::State;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 
 /// When to come back while there is no catalog, or too much in flight.
 const COME_BACK_MS: u64 = 1_000;
@@ -66,7 +66,7 @@
             return Err(e);
         }
     };
-    note(&state, Kind::Received, &call, "", String::new);
+    note(&state, EventKind::Received, &call, "", String::new);
     let end = End {
         state: &state,
         call: &call,
@@ -160,8 +160,8 @@
             Ok(_) => {}
             Err(e) => {
                 let kind = match e.code.ran() {
-                    Ran::NotRun => Kind::Refused,
-                    Ran::Unknown => Kind::Unknown,
+                    Ran::NotRun => EventKind::Refused,
+                    Ran::Unknown => EventKind::Unknown,
                 };
                 let detail = || format!("{}: {}", e.code.word(), e.message);
                 note(self.state, kind, self.call, "", detail);
@@ -175,7 +175,7 @@
 impl Drop for End<'_> {
     fn drop(&mut self) {
         if !self.told {
-            note(self.state, Kind::Cancelled, self.call, "", String::new);
+            note(self.state, EventKind::Cancelled, self.call, "", String::new);
             count("cancelled");
         }
     }
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -28,7 +28,7 @@
 use super::state::State;
 use super::usage::Counter;
 use crate::pool::Outcome;
-use crate::timeline::Kind;
+use crate::timeline::EventKind;
 use crate::upstream;
 use crate::upstream::EventSplitter;
 use crate::upstream::ExpectedIdentity;
@@ -128,7 +128,7 @@
                 let seen = passing.seen();
                 passing.guard.with(|hold| hold.begun(now_us(), seen));
                 let replica = &passing.grant.replica;
-                note(state, Kind::FirstByte, call, replica, String::new);
+                note(state, EventKind::FirstByte, call, replica, String::new);
                 Ok((passing.head(), passing))
             }
             Err(failure) => {
@@ -218,7 +218,7 @@
             let replica = &self.grant.replica;
             note(
                 &self.state,
-                Kind::Answered,
+                EventKind::Answered,
                 &self.call,
                 replica,
                 String::new,
@@ -233,7 +233,7 @@
         self.phase = Phase::Told;
         let text = retry::describe(failure);
         let replica = &self.grant.replica;
-        note(&self.state, Kind::Unknown, &self.call, replica, || {
+        note(&self.state, EventKind::Unknown, &self.call, replica, || {
             text.clone()
         });
         metrics::counter!("entry_requests_total", "outcome" => "truncated").increment(1);
@@ -346,7 +346,7 @@
         self.scanner.reset();
         self.source = self.open(Some(next));
         let replica = &self.grant.replica;
-        note(&self.state, Kind::Resumed, &self.call, replica, || {
+        note(&self.state, EventKind::Resumed, &self.call, replica, || {
             format!("at token {next}: {fault}")
         });
         true
@@ -361,7 +361,7 @@
         let replica = &self.grant.replica;
         note(
             &self.state,
-            Kind::Cancelled,
+            EventKind::Cancelled,
             &self.call,
             replica,
             String::new,
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -16,7 +16,7 @@
 
 /// What happened.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Kind {
+pub enum EventKind {
     /// A caller's request came in.
     Received,
     /// The owner granted it a replica.
@@ -59,7 +59,7 @@
     Process,
 }
 
-impl Kind {
+impl EventKind {
     /// The word for it on the wire and in output.
     pub const fn word(self) -> &'static str {
         match self {
@@ -119,10 +119,10 @@
     /// A ring of at most `most` events; older ones give way and are counted.
     ///
     /// ```
-    /// use banyangauge::timeline::{About, Kind, Recorder};
+    /// use banyangauge::timeline::{About, EventKind, Recorder};
     /// let r = Recorder::new("entry vm-1", 2);
     /// for _ in 0..3 {
-    ///     r.record(Kind::Received, About::default());
+    ///     r.record(EventKind::Received, About::default());
     /// }
     /// let reply = r.read(&Default::default());
     /// assert_eq!((reply.events.len(), reply.dropped), (2, 1));
@@ -140,7 +140,7 @@
     }
 
     /// Adds an event, stamped now.
-    pub fn record(&self, kind: Kind, about: About) {
+    pub fn record(&self, kind: EventKind, about: About) {
         let now = self.clock.new_timestamp();
         let event = wire::Event {
             stamp: Some(wire::Stamp {
--- a/lib/tests/test_entry_path.rs
+++ b/lib/tests/test_entry_path.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use banyangauge::timeline::Kind;
+use banyangauge::timeline::EventKind;
 use banyangauge_proto as wire;
 
 use crate::test_entry_fakes::*;
@@ -101,13 +101,13 @@
     });
     let kinds: Vec<_> = events.events.iter().map(|e| e.kind.as_str()).collect();
     let want = [
-        Kind::Received,
-        Kind::Granted,
-        Kind::Dispatched,
-        Kind::FirstByte,
-        Kind::Answered,
+        EventKind::Received,
+        EventKind::Granted,
+        EventKind::Dispatched,
+        EventKind::FirstByte,
+        EventKind::Answered,
     ];
-    assert_eq!(kinds, want.map(Kind::word));
+    assert_eq!(kinds, want.map(EventKind::word));
 }
 
 /// An entry stops while its control processes stop or start again, too: the
