--- a/cli/tests/test_banyan.rs
+++ b/cli/tests/test_banyan.rs
@@ -13,7 +13,7 @@
 use banyangauge::control::operator::hash_key;
 use banyangauge::ids::Incarnation;
 use banyangauge::platform::Platform;
-use banyangauge::timeline::About;
+use banyangauge::timeline::EventFields;
 use banyangauge::timeline::EventKind;
 use banyangauge::timeline::Recorder;
 use banyangauge::timeline::TimelineService;
@@ -260,10 +260,10 @@
 async fn timeline_page_escaped() {
     let rig = rig().await;
     for request in ["r-1", "<script>alert(1)</script>"] {
-        let about = About {
+        let about = EventFields {
             request: request.to_owned(),
             detail: "\"&'".to_owned(),
-            ..About::default()
+            ..EventFields::default()
         };
         rig.shared.recorder.record(EventKind::Received, about);
     }
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -16,7 +16,7 @@
 use crate::control::Shared;
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 
 /// `Member.state` of a VM that is live.
@@ -182,9 +182,9 @@
     metrics::gauge!("banyan_platform_up").set(f64::from(u8::from(up)));
     shared.recorder.record(
         EventKind::Platform,
-        About {
+        EventFields {
             detail,
-            ..About::default()
+            ..EventFields::default()
         },
     );
 }
--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -14,7 +14,7 @@
 use crate::catalog::ChangeSet;
 use crate::control::Shared;
 use crate::ids::Revision;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 
 /// Change sets kept for those who follow: an hour at 7,600 a day is 317, a
@@ -74,9 +74,9 @@
     metrics::gauge!("banyan_catalog_revision").set(revision.0 as f64);
     shared.recorder.record(
         EventKind::InForce,
-        About {
+        EventFields {
             detail: format!("revision {}", revision.0),
-            ..About::default()
+            ..EventFields::default()
         },
     );
     info!(shared.log, "configuration in force"; "revision" => revision.0);
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -23,7 +23,7 @@
 use crate::platform::Platform;
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 
 /// The kind of lease objects.
@@ -227,10 +227,10 @@
             slog::info!(self.shared.log, "lease"; "event" => kind.word(),
                 "pool" => %pool, "token" => tenure.token.0);
             metrics::counter!("lease_changes_total", "event" => kind.word()).increment(1);
-            let about = About {
+            let about = EventFields {
                 pool: pool.to_string(),
                 detail: format!("token {}, former {:?}", tenure.token.0, tenure.predecessor),
-                ..About::default()
+                ..EventFields::default()
             };
             self.shared.recorder.record(kind, about);
         }
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -23,7 +23,7 @@
 use crate::pool::OrderId;
 use crate::pool::Reason;
 use crate::pool::Ticket;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 use crate::upstream::OrderClient;
 use crate::upstream::OrderError;
@@ -231,12 +231,12 @@
         replica: &str,
         detail: &str,
     ) {
-        let about = About {
+        let about = EventFields {
             adapter: adapter.map_or(String::new(), ToString::to_string),
             upstream: replica.to_owned(),
             pool: self.name.to_string(),
             detail: detail.to_owned(),
-            ..About::default()
+            ..EventFields::default()
         };
         self.shared.recorder.record(kind, about);
     }
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -41,7 +41,7 @@
 use crate::link::LinkError;
 use crate::platform::Platform;
 use crate::telemetry;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 use crate::timeline::Recorder;
 use crate::timeline::TimelineService;
@@ -119,7 +119,9 @@
     control.duty("metrics", endpoint)?;
     let shared = &control.shared;
     slog::info!(log, "started"; "vm" => %shared.vm, "address" => %shared.address);
-    shared.recorder.record(EventKind::Process, About::default());
+    shared
+        .recorder
+        .record(EventKind::Process, EventFields::default());
     stop_signal(&mut term, &mut int).await;
     slog::info!(log, "stopping"; "vm" => %shared.vm);
     tokio::select! {
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -34,7 +34,7 @@
 use super::stream::Passing;
 use crate::pool::Class;
 use crate::pool::Outcome;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 use crate::upstream;
 use crate::upstream::BodyChunks;
@@ -90,7 +90,7 @@
     upstream: &str,
     detail: impl FnOnce() -> String,
 ) {
-    let about = About {
+    let about = EventFields {
         request: call.id.clone(),
         adapter: call
             .adapter
--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -20,7 +20,7 @@
 use crate::control::Owner;
 use crate::ids::FencingToken;
 use crate::ids::Fingerprint;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 
 /// The pause before the next control process is tried.
@@ -146,9 +146,9 @@
 fn put_in_force(state: &State, view: View) {
     let revision = view.revision().0;
     if state.put_in_force(view) {
-        let about = About {
+        let about = EventFields {
             detail: format!("revision {revision}"),
-            ..About::default()
+            ..EventFields::default()
         };
         state.recorder.record(EventKind::InForce, about);
         metrics::gauge!("entry_revision").set(revision as f64);
--- a/lib/src/entry/program.rs
+++ b/lib/src/entry/program.rs
@@ -19,7 +19,7 @@
 use crate::ids::Incarnation;
 use crate::link::Link;
 use crate::telemetry;
-use crate::timeline::About;
+use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 use crate::timeline::TimelineService;
 
@@ -109,9 +109,9 @@
 }
 
 fn process_event(state: &State, detail: &str) {
-    let about = About {
+    let about = EventFields {
         detail: detail.to_owned(),
-        ..About::default()
+        ..EventFields::default()
     };
     state.recorder.record(EventKind::Process, about);
 }
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -89,7 +89,7 @@
 
 /// What an event is about; empty text where a field does not apply.
 #[derive(Clone, Debug, Default)]
-pub struct About {
+pub struct EventFields {
     /// The request's id.
     pub request: String,
     /// The adapter version.
@@ -119,10 +119,10 @@
     /// A ring of at most `most` events; older ones give way and are counted.
     ///
     /// ```
-    /// use banyangauge::timeline::{About, EventKind, Recorder};
+    /// use banyangauge::timeline::{EventFields, EventKind, Recorder};
     /// let r = Recorder::new("entry vm-1", 2);
     /// for _ in 0..3 {
-    ///     r.record(EventKind::Received, About::default());
+    ///     r.record(EventKind::Received, EventFields::default());
     /// }
     /// let reply = r.read(&Default::default());
     /// assert_eq!((reply.events.len(), reply.dropped), (2, 1));
@@ -140,7 +140,7 @@
     }
 
     /// Adds an event, stamped now.
-    pub fn record(&self, kind: EventKind, about: About) {
+    pub fn record(&self, kind: EventKind, about: EventFields) {
         let now = self.clock.new_timestamp();
         let event = wire::Event {
             stamp: Some(wire::Stamp {
