--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -224,9 +224,9 @@
         let gained = after.iter().filter(|(p, t)| is_new(before, p, t));
         let lost = lost.map(|(p, t)| (EventKind::Lost, p, t));
         for (kind, pool, tenure) in lost.chain(gained.map(|(p, t)| (EventKind::Acquired, p, t))) {
-            slog::info!(self.shared.log, "lease"; "event" => kind.word(),
+            slog::info!(self.shared.log, "lease"; "event" => kind.as_str(),
                 "pool" => %pool, "token" => tenure.token.0);
-            metrics::counter!("lease_changes_total", "event" => kind.word()).increment(1);
+            metrics::counter!("lease_changes_total", "event" => kind.as_str()).increment(1);
             let about = EventFields {
                 pool: pool.to_string(),
                 detail: format!("token {}, former {:?}", tenure.token.0, tenure.predecessor),
--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -61,7 +61,7 @@
 
 impl EventKind {
     /// The word for it on the wire and in output.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Received => "received",
             Self::Granted => "granted",
@@ -148,7 +148,7 @@
                 origin: now.get_id().to_string(),
             }),
             process: self.process.clone(),
-            kind: kind.word().to_owned(),
+            kind: kind.as_str().to_owned(),
             request: about.request,
             adapter: about.adapter,
             upstream: about.upstream,
--- a/lib/tests/test_entry_path.rs
+++ b/lib/tests/test_entry_path.rs
@@ -107,7 +107,7 @@
         EventKind::FirstByte,
         EventKind::Answered,
     ];
-    assert_eq!(kinds, want.map(EventKind::word));
+    assert_eq!(kinds, want.map(EventKind::as_str));
 }
 
 /// An entry stops while its control processes stop or start again, too: the
