--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -11,7 +11,7 @@
 
 use banyangauge_proto as wire;
 
-pub use service::MOST_EVENTS;
+pub use service::MAX_REPLY_EVENTS;
 pub use service::TimelineService;
 
 /// What happened.
--- a/lib/src/timeline/service.rs
+++ b/lib/src/timeline/service.rs
@@ -11,7 +11,7 @@
 
 /// Events in one answer at the most, which keeps it below the 4 MB that the
 /// transport accepts: an event is under 500 bytes unless a detail is long.
-pub const MOST_EVENTS: u32 = 6_000;
+pub const MAX_REPLY_EVENTS: u32 = 6_000;
 
 /// The gRPC service `Timeline`; entry and control processes serve it.
 ///
@@ -41,8 +41,8 @@
         request: Request<wire::TimelineRequest>,
     ) -> Result<Response<wire::TimelineReply>, Status> {
         let mut filter = request.into_inner();
-        if filter.most == 0 || filter.most > MOST_EVENTS {
-            filter.most = MOST_EVENTS;
+        if filter.most == 0 || filter.most > MAX_REPLY_EVENTS {
+            filter.most = MAX_REPLY_EVENTS;
         }
         Ok(Response::new(self.recorder.read(&filter)))
     }
