--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -233,7 +233,7 @@
             // Both end with the process.
             tokio::select! {
                 _ = link.serve(router, listener) => {}
-                () = link.follow(&log) => {}
+                () = link.reload_periodically(&log) => {}
             }
         })?;
         self.last.push(usage);
--- a/lib/src/entry/program.rs
+++ b/lib/src/entry/program.rs
@@ -78,7 +78,7 @@
         let events = link.clone();
         tokio::spawn(async move { events.serve(router, internal).await });
         let keys = state.clone();
-        tokio::spawn(async move { keys.link.follow(&keys.log).await });
+        tokio::spawn(async move { keys.link.reload_periodically(&keys.log).await });
         tokio::spawn(feed::follow(state.clone()));
         tokio::spawn(feed::report(state.clone()));
         let accepting = tokio::spawn(server::accept(state.clone(), listener, stopped));
--- a/lib/src/link/mod.rs
+++ b/lib/src/link/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Reloads whenever the files have changed, for ever.
-    pub async fn follow(&self, log: &slog::Logger) {
+    pub async fn reload_periodically(&self, log: &slog::Logger) {
         loop {
             tokio::time::sleep(RELOAD_EVERY).await;
             match self.reload() {
