--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -361,7 +361,7 @@
         e.connect_timeout(EXCHANGE_TIMEOUT)
             .timeout(EXCHANGE_TIMEOUT)
     };
-    let channel = shared.state.link().open_lazy(target, limits).ok()?;
+    let channel = shared.state.link().connect_lazy(target, limits).ok()?;
     let client = PeersClient::new(channel);
     channels.insert(target, client.clone());
     Some(client)
--- a/lib/src/link/mod.rs
+++ b/lib/src/link/mod.rs
@@ -218,7 +218,7 @@
     /// # Errors
     ///
     /// When the address cannot stand in a URI.
-    pub fn open_lazy(
+    pub fn connect_lazy(
         &self,
         to: SocketAddr,
         set: impl FnOnce(Endpoint) -> Endpoint,
