--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -420,5 +420,7 @@
             .keep_alive_timeout(Duration::from_secs(2))
             .keep_alive_while_idle(true)
     };
-    link.open(address, limits).await.map_err(|e| e.to_string())
+    link.connect_with(address, limits)
+        .await
+        .map_err(|e| e.to_string())
 }
--- a/lib/src/link/mod.rs
+++ b/lib/src/link/mod.rs
@@ -188,7 +188,7 @@
     /// [`LinkError::Connect`] when it does not answer within `limit`, or does
     /// not show a certificate of our authority.
     pub async fn connect(&self, to: SocketAddr, limit: Duration) -> Result<Channel, LinkError> {
-        self.open(to, |e| e.connect_timeout(limit)).await
+        self.connect_with(to, |e| e.connect_timeout(limit)).await
     }
 
     /// Connects to one of our processes, with what `set` adds to the endpoint.
@@ -196,7 +196,7 @@
     /// # Errors
     ///
     /// As [`Self::connect`].
-    pub async fn open(
+    pub async fn connect_with(
         &self,
         to: SocketAddr,
         set: impl FnOnce(Endpoint) -> Endpoint,
