--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -124,7 +124,11 @@
     /// # Errors
     ///
     /// Those of [`OrderError`]; `Fenced` when a higher token was seen.
-    pub async fn fence(&self, to: SocketAddr, token: FencingToken) -> Result<FenceReply, OrderError> {
+    pub async fn fence(
+        &self,
+        to: SocketAddr,
+        token: FencingToken,
+    ) -> Result<FenceReply, OrderError> {
         #[derive(Deserialize)]
         struct Answer {
             token: u64,
