--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -1,6 +1,6 @@
-//! Limits of organisations over all VMs: what one request meets, and a search
-//! over days on which VMs are cut off, killed and suspended while an
-//! organisation sends several times what it may.
+//! Quotas of organisations over all VMs: single requests, and a randomised search
+//! in which VMs are partitioned, killed and suspended while an organisation sends
+//! several times its limit.
 
 use std::collections::BTreeSet;
 
@@ -38,7 +38,7 @@
     weight: Weight::Tokens { default: 1 },
 };
 
-/// What may be used beyond a limit: a tenth, and what three large requests take.
+/// Permitted use beyond the limit: a tenth, plus what three large requests take.
 const ALLOWANCE: Overshoot = Overshoot {
     window: 8.0,
     over: 0.1,
@@ -49,7 +49,7 @@
     LendRequest { need, ahead }
 }
 
-/// A lender that has been the first in the order for long.
+/// Creates a lender that has been first in the order until `until` milliseconds.
 fn lender(until: u64) -> Lender {
     let mut lender = Lender::new(ALLOWANCE);
     for ms in (0..=until).step_by(300) {
@@ -71,7 +71,7 @@
     assert_eq!(lent(9_500, 500.0), LendReply::Lent(500.0));
 }
 
-/// Those who are told to come back do not all come at the same moment.
+/// Retry delays are spread, so that callers do not all retry at the same time.
 #[test]
 fn lender_spreads_those_who_come_back() {
     let mut lender = lender(9_000);
@@ -173,25 +173,27 @@
 
 const VMS: usize = 12;
 
-/// One day of the search, in milliseconds.
-const LENGTH: u64 = 40_000;
+/// Duration of one scenario of the search, in milliseconds.
+const SCENARIO_MS: u64 = 40_000;
 
-const BEAT: u64 = 400;
+/// Interval between the beacons of a VM, in milliseconds.
+const BEACON_MS: u64 = 400;
 
-/// Datagrams in a hundred that are lost on an ordinary day.
+/// Percentage of datagrams lost in an ordinary scenario.
 const LOSS: u32 = 3;
 
-/// What is left out.
+/// The safeguard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
     /// Nothing.
     None,
-    /// A VM lends as much less as it hears fewer VMs, and not without most.
+    /// A VM lends only the fraction of the rate that matches the VMs it can reach,
+    /// and nothing without a majority.
     Part,
-    /// A VM that is asked in place of the first lends no rate.
+    /// A VM that stands in for the first lender lends none of the rate.
     Standby,
-    /// Without a lender each VM has its part alone.
-    OwnPart,
+    /// Without a lender each VM uses its local share only.
+    LocalShare,
 }
 
 struct Vm {
@@ -200,64 +202,64 @@
     members: Members,
     lender: Lender,
     borrower: Borrower,
-    /// Cut off from all others, down or suspended, until then.
-    away: u64,
-    /// Whether it takes callers meanwhile.
+    /// Partitioned from all others, down or suspended, until then.
+    away_until: u64,
+    /// Whether it serves callers meanwhile.
     serves: bool,
-    /// On which side of a cut it is.
+    /// Its side of a partition.
     side: bool,
 }
 
-struct Day {
-    draw: ChaCha8Rng,
+struct Scenario {
+    rng: ChaCha8Rng,
     guard: Guard,
-    /// Datagrams in a hundred that are lost.
+    /// Percentage of datagrams lost.
     loss: u32,
     vms: Vec<Vm>,
-    cut_until: u64,
-    /// What was used: when, how much.
+    partition_until: u64,
+    /// Use by time: milliseconds, and weight.
     used: Vec<(u64, f64)>,
     refused: f64,
 }
 
-impl Day {
+impl Scenario {
     fn new(seed: u64, guard: Guard, loss: u32) -> Self {
         let vms = (0..VMS).map(|i| start(i, 1, 0)).collect();
         Self {
-            draw: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             guard,
             loss,
             vms,
-            cut_until: 0,
+            partition_until: 0,
             used: Vec::new(),
             refused: 0.0,
         }
     }
 
-    /// Plays a day on which `times` the limit is asked for; `calm` if nothing
-    /// happens to VMs.
-    fn play(mut self, times: f64, calm: bool) -> Self {
+    /// Runs a scenario with a demand of `times` the limit; with `calm` no VM
+    /// fails.
+    fn run(mut self, times: f64, calm: bool) -> Self {
         let weight = 40.0;
         let a_ms = times * LIMIT.rate / weight / 1e3;
-        for ms in 0..LENGTH {
+        for ms in 0..SCENARIO_MS {
             if !calm {
-                self.disturb(ms);
+                self.inject_faults(ms);
             }
             for i in 0..VMS {
-                if self.hears(ms, i) && (ms + 31 * i as u64).is_multiple_of(BEAT) {
-                    self.tell(ms, i);
+                if self.is_connected(ms, i) && (ms + 31 * i as u64).is_multiple_of(BEACON_MS) {
+                    self.send_beacons(ms, i);
                 }
                 if ms.is_multiple_of(300) {
                     self.keep(ms, i);
                 }
             }
-            if ms > 4_000 && self.draw.random_bool(a_ms.min(1.0)) {
-                // Callers are not spread evenly.
+            if ms > 4_000 && self.rng.random_bool(a_ms.min(1.0)) {
+                // Callers are spread unevenly over the VMs.
                 let i = self
-                    .draw
+                    .rng
                     .random_range(0..VMS)
-                    .min(self.draw.random_range(0..VMS));
-                if self.vms[i].away <= ms || self.vms[i].serves {
+                    .min(self.rng.random_range(0..VMS));
+                if self.vms[i].away_until <= ms || self.vms[i].serves {
                     self.request(ms, i, weight);
                 }
             }
@@ -265,53 +267,53 @@
         self
     }
 
-    fn disturb(&mut self, ms: u64) {
-        if self.cut_until <= ms && self.draw.random_range(0..6_000) == 0 {
-            // Up to 45 in 100 are on the other side.
+    fn inject_faults(&mut self, ms: u64) {
+        if self.partition_until <= ms && self.rng.random_range(0..6_000) == 0 {
+            // Up to 45 % are on the other side.
             let most = VMS * 45 / 100;
-            let count = self.draw.random_range(1..=most);
+            let count = self.rng.random_range(1..=most);
             let mut there = BTreeSet::new();
             while there.len() < count {
-                there.insert(self.draw.random_range(0..VMS));
+                there.insert(self.rng.random_range(0..VMS));
             }
             for (i, vm) in self.vms.iter_mut().enumerate() {
                 vm.side = there.contains(&i);
             }
-            self.cut_until = ms + self.draw.random_range(500..5_000);
+            self.partition_until = ms + self.rng.random_range(500..5_000);
         }
         for i in 0..VMS {
-            match self.draw.random_range(0..60_000) {
-                // Killed, and back with nothing.
+            match self.rng.random_range(0..60_000) {
+                // Killed, and restarted without state.
                 0 => {
                     let incarnation = self.vms[i].incarnation + 1;
                     self.vms[i] = start(i, incarnation, ms);
-                    self.vms[i].away = ms + self.draw.random_range(500..3_000);
+                    self.vms[i].away_until = ms + self.rng.random_range(500..3_000);
                 }
                 // Suspended.
-                1 => self.vms[i].away = ms + self.draw.random_range(500..5_000),
-                // Cut off from all other VMs, and not from callers.
+                1 => self.vms[i].away_until = ms + self.rng.random_range(500..5_000),
+                // Partitioned from all other VMs, but not from callers.
                 2 => {
-                    self.vms[i].away = ms + self.draw.random_range(500..5_000);
+                    self.vms[i].away_until = ms + self.rng.random_range(500..5_000);
                     self.vms[i].serves = true;
                 }
                 _ => {}
             }
-            if self.vms[i].away <= ms {
+            if self.vms[i].away_until <= ms {
                 self.vms[i].serves = false;
             }
         }
     }
 
-    fn hears(&self, ms: u64, i: usize) -> bool {
-        self.vms[i].away <= ms
+    fn is_connected(&self, ms: u64, i: usize) -> bool {
+        self.vms[i].away_until <= ms
     }
 
     fn reach(&self, ms: u64, a: usize, b: usize) -> bool {
-        let cut = self.cut_until > ms && self.vms[a].side != self.vms[b].side;
-        a == b || self.hears(ms, a) && self.hears(ms, b) && !cut
+        let cut = self.partition_until > ms && self.vms[a].side != self.vms[b].side;
+        a == b || self.is_connected(ms, a) && self.is_connected(ms, b) && !cut
     }
 
-    fn tell(&mut self, ms: u64, from: usize) {
+    fn send_beacons(&mut self, ms: u64, from: usize) {
         let lends = self.vms[from].members.lends(at(ms));
         let stamp = BeaconStamp {
             incarnation: Incarnation(self.vms[from].incarnation),
@@ -320,7 +322,7 @@
         };
         let name = self.vms[from].name.clone();
         for to in 0..VMS {
-            let lost = self.draw.random_range(0..100) < self.loss;
+            let lost = self.rng.random_range(0..100) < self.loss;
             if to != from && self.reach(ms, from, to) && !lost {
                 let members = &mut self.vms[to].members;
                 members.record_beacon(at(ms), &name, stamp, false);
@@ -348,7 +350,7 @@
     }
 
     fn keep(&mut self, ms: u64, i: usize) {
-        if self.vms[i].away > ms && !self.vms[i].serves {
+        if self.vms[i].away_until > ms && !self.vms[i].serves {
             return;
         }
         let part = self.part(ms, i);
@@ -370,7 +372,7 @@
             let Some(lender) = self.lenders(ms, i).get(place).copied() else {
                 continue;
             };
-            let lost = self.draw.random_range(0..100) < self.loss;
+            let lost = self.rng.random_range(0..100) < self.loss;
             let its_place = self.lenders(ms, lender).iter().position(|l| *l == lender);
             let (true, Some(its_place), false) = (self.reach(ms, i, lender), its_place, lost)
             else {
@@ -391,7 +393,7 @@
             }
         }
         let vms = match self.guard {
-            Guard::OwnPart => 1,
+            Guard::LocalShare => 1,
             _ => VMS,
         };
         match self.vms[i]
@@ -403,7 +405,7 @@
         }
     }
 
-    /// The most that was used in any window, less what may be.
+    /// Returns the maximum use in any window minus the permitted use.
     fn excess(&self) -> f64 {
         let a = ALLOWANCE;
         let allowed = (LIMIT.rate * a.window + LIMIT.burst) * (1.0 + a.over) + a.slack;
@@ -433,24 +435,24 @@
         members,
         lender: Lender::new(ALLOWANCE),
         borrower: Borrower::default(),
-        away: 0,
+        away_until: 0,
         serves: false,
         side: false,
     }
 }
 
-/// Days of a search; more by hand, as `SEARCH_SEEDS` says.
+/// Returns the number of scenarios; `SEARCH_SEEDS` sets more for manual runs.
 fn seeds() -> u64 {
     let asked = std::env::var("SEARCH_SEEDS").ok();
     asked.and_then(|n| n.parse().ok()).unwrap_or(40)
 }
 
-/// The most that is used beyond the limit on days of these seeds; with the seed.
+/// Returns the maximum excess over all seeds, and its seed.
 fn worst(seeds: u64, guard: Guard, loss: u32) -> (f64, u64) {
     let excess = |seed: u64| {
         let times = 1.0 + (seed % 8) as f64;
         (
-            Day::new(seed, guard, loss).play(times, false).excess(),
+            Scenario::new(seed, guard, loss).run(times, false).excess(),
             seed,
         )
     };
@@ -469,20 +471,20 @@
 #[rstest]
 #[case::part_heard(Guard::Part, LOSS)]
 #[case::standby(Guard::Standby, 30)]
-#[case::own_part(Guard::OwnPart, LOSS)]
+#[case::own_part(Guard::LocalShare, LOSS)]
 fn quota_search_without_guard(#[case] guard: Guard, #[case] loss: u32) {
-    let breaks = |seed| Day::new(seed, guard, loss).play(8.0, false).excess() > 0.0;
+    let breaks = |seed| Scenario::new(seed, guard, loss).run(8.0, false).excess() > 0.0;
     assert!((0..200).any(breaks), "{guard:?} is not missed");
 }
 
-/// On a calm day an organisation that asks for half of its limit gets all, and
-/// one that asks for several times as much gets nearly all that it may.
+/// Without failures an organisation that uses half of its limit gets everything,
+/// and one that sends several times its limit gets nearly all of the limit.
 #[rstest]
 #[case::below(0.55, 0.0, 0.001)]
 #[case::far_above(4.0, 0.74, 0.80)]
 fn quota_calm_day_refuses(#[case] times: f64, #[case] least: f64, #[case] most: f64) {
-    let day = Day::new(5, Guard::None, LOSS).play(times, true);
-    let used: f64 = day.used.iter().map(|(_, w)| w).sum();
-    let part = day.refused / (used + day.refused);
+    let scenario = Scenario::new(5, Guard::None, LOSS).run(times, true);
+    let used: f64 = scenario.used.iter().map(|(_, w)| w).sum();
+    let part = scenario.refused / (used + scenario.refused);
     assert!((least..=most).contains(&part), "{part} refused");
 }
