--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -32,7 +32,7 @@
 mod test_pool_outcomes;
 mod test_pool_rig;
 mod test_serving_access;
-mod test_serving_books;
+mod test_serving_adapter_planner;
 mod test_serving_budget;
 mod test_serving_experiment;
 mod test_serving_feed;
