--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -46,7 +46,7 @@
 mod test_serving_port;
 mod test_serving_quota;
 mod test_serving_recency;
-mod test_serving_reserved;
+mod test_serving_reservations;
 mod test_serving_routes;
 mod test_serving_subscriptions;
 mod test_serving_table;
