--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -17,7 +17,7 @@
 use super::retry::Failure;
 use crate::pool::Outcome;
 
-enum Held {
+enum GrantState {
     /// The dispatch is under way; the request counts as in flight.
     Running(Box<Hold>, Option<OwnedSemaphorePermit>),
     /// It was ended because of this.
@@ -27,13 +27,13 @@
 }
 
 struct Inner {
-    held: Mutex<Held>,
+    held: Mutex<GrantState>,
     waker: AtomicWaker,
     deadline: u64,
 }
 
 impl Inner {
-    fn lock(&self) -> MutexGuard<'_, Held> {
+    fn lock(&self) -> MutexGuard<'_, GrantState> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -41,7 +41,7 @@
     /// else tells when to look again.
     fn check(&self, now: u64) -> Option<u64> {
         let mut held = self.lock();
-        let Held::Running(hold, _) = &*held else {
+        let GrantState::Running(hold, _) = &*held else {
             return None;
         };
         let until = hold.lease.until();
@@ -51,7 +51,7 @@
             _ => return Some(until.min(self.deadline)),
         };
         // The hold that is dropped here cancels and releases the dispatch.
-        *held = Held::Stopped(failure);
+        *held = GrantState::Stopped(failure);
         self.waker.wake();
         None
     }
@@ -68,7 +68,7 @@
     /// clock.
     pub(super) fn new(hold: Box<Hold>, deadline: u64) -> Self {
         let inner = Arc::new(Inner {
-            held: Mutex::new(Held::Running(hold, None)),
+            held: Mutex::new(GrantState::Running(hold, None)),
             waker: AtomicWaker::new(),
             deadline,
         });
@@ -82,7 +82,7 @@
         self.inner.waker.register(cx.waker());
         self.inner.check(now_us());
         match &*self.inner.lock() {
-            Held::Stopped(failure) => Some(failure.clone()),
+            GrantState::Stopped(failure) => Some(failure.clone()),
             _ => None,
         }
     }
@@ -90,22 +90,22 @@
     /// Reads or changes the grant while the dispatch is under way.
     pub(super) fn with<T>(&self, f: impl FnOnce(&mut Hold) -> T) -> Option<T> {
         match &mut *self.inner.lock() {
-            Held::Running(hold, _) => Some(f(hold)),
+            GrantState::Running(hold, _) => Some(f(hold)),
             _ => None,
         }
     }
 
     /// Keeps the request's place among those in flight until it ends.
     pub(super) fn keep(&self, room: OwnedSemaphorePermit) {
-        if let Held::Running(_, kept) = &mut *self.inner.lock() {
+        if let GrantState::Running(_, kept) = &mut *self.inner.lock() {
             *kept = Some(room);
         }
     }
 
     /// Sends the release, if it has not been sent. False when it had been.
     pub(super) fn settle(&self, outcome: Outcome) -> bool {
-        let held = std::mem::replace(&mut *self.inner.lock(), Held::Settled);
-        let Held::Running(hold, _) = held else {
+        let held = std::mem::replace(&mut *self.inner.lock(), GrantState::Settled);
+        let GrantState::Running(hold, _) = held else {
             return false;
         };
         match outcome {
--- a/lib/src/entry/ledger.rs
+++ b/lib/src/entry/ledger.rs
@@ -52,7 +52,7 @@
     Release(wire::Release),
 }
 
-struct Held {
+struct GrantEntry {
     grant: wire::Grant,
     lease: Arc<Lease>,
     /// Not handed out until the owner confirms it.
@@ -85,7 +85,7 @@
     incarnation: u64,
     commands: mpsc::Sender<Command>,
     waiting: BTreeMap<u64, Waiting>,
-    held: BTreeMap<u64, Held>,
+    held: BTreeMap<u64, GrantEntry>,
     /// Dispatches that ended, until the owner is known to have heard of it. A
     /// grant that a hello leaves out counts as never used, which must not
     /// happen to one whose release was lost.
@@ -232,7 +232,7 @@
     /// Grants that lapsed before they were handed out are given back, and
     /// asked for again.
     fn ask_again(&mut self, now: u64) -> Vec<ToOwner> {
-        let late = |h: &Held| h.parked.is_some() && h.lease.lapsed(now);
+        let late = |h: &GrantEntry| h.parked.is_some() && h.lease.lapsed(now);
         let late: Vec<u64> = self
             .held
             .iter()
@@ -270,7 +270,7 @@
         let until = w.sent.max(self.confirmed) + ttl;
         let lease = Arc::new(Lease::new(until));
         let id = grant.grant;
-        let mut held = Held {
+        let mut held = GrantEntry {
             grant,
             lease,
             parked: Some(w),
@@ -329,7 +329,7 @@
         Some(ToOwner::Acquire(acquire))
     }
 
-    fn hand_out(&self, held: &mut Held) {
+    fn hand_out(&self, held: &mut GrantEntry) {
         let Some(w) = held.parked.take() else { return };
         let mut hold = Hold::new(
             held.grant.clone(),
