--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -24,7 +24,7 @@
 use super::call::travelling;
 use super::clock;
 use super::clock::now_us;
-use super::hold::Hold;
+use super::hold::HeldGrant;
 use super::retry;
 use super::retry::Failure;
 use super::retry::Next;
@@ -109,7 +109,7 @@
 /// bound how many ask.
 const ASK_AGAIN: Duration = Duration::from_millis(200);
 
-async fn acquire(state: &State, call: &Call, tries: &Tries) -> Result<Box<Hold>, CallerError> {
+async fn acquire(state: &State, call: &Call, tries: &Tries) -> Result<Box<HeldGrant>, CallerError> {
     let session = state.session(&call.pool);
     let last = call.deadline.saturating_sub(ASK_AGAIN.as_micros() as u64);
     let error = loop {
@@ -168,7 +168,7 @@
 async fn attempt(
     state: &Arc<State>,
     call: &Arc<Call>,
-    mut hold: Box<Hold>,
+    mut hold: Box<HeldGrant>,
 ) -> Result<Success, Failure> {
     let address = match check_grant(call, &hold) {
         Ok(address) => address,
@@ -203,7 +203,7 @@
 
 /// A grant must be for this adapter version, still in force, and lead
 /// somewhere: anything else is the owner's mistake and nothing is sent.
-fn check_grant(call: &Call, hold: &Hold) -> Result<SocketAddr, &'static str> {
+fn check_grant(call: &Call, hold: &HeldGrant) -> Result<SocketAddr, &'static str> {
     let grant = &hold.grant;
     let fits = match &call.adapter {
         Some(a) => grant.adapter == a.adapter.as_str() && grant.version == a.version,
@@ -270,7 +270,7 @@
 
 /// Waits for `work` until the deadline, and only as long as the grant is
 /// confirmed.
-async fn within<T>(hold: &Hold, deadline: u64, work: impl Future<Output = T>) -> Result<T, Stop> {
+async fn within<T>(hold: &HeldGrant, deadline: u64, work: impl Future<Output = T>) -> Result<T, Stop> {
     tokio::pin!(work);
     loop {
         let until = deadline.min(hold.lease.until());
@@ -300,7 +300,7 @@
 async fn whole(
     state: &Arc<State>,
     call: &Arc<Call>,
-    mut hold: Box<Hold>,
+    mut hold: Box<HeldGrant>,
     address: SocketAddr,
     expected: &ExpectedIdentity,
 ) -> Result<Response<AnswerBody>, Failure> {
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -13,13 +13,13 @@
 
 use super::clock;
 use super::clock::now_us;
-use super::hold::Hold;
+use super::hold::HeldGrant;
 use super::retry::Failure;
 use crate::pool::Outcome;
 
 enum GrantState {
     /// The dispatch is under way; the request counts as in flight.
-    Running(Box<Hold>, Option<OwnedSemaphorePermit>),
+    Running(Box<HeldGrant>, Option<OwnedSemaphorePermit>),
     /// It was ended because of this.
     Stopped(Failure),
     /// Its release has been sent.
@@ -66,7 +66,7 @@
 impl Guard {
     /// Watches a grant from now on; `deadline` is a reading of the entry's
     /// clock.
-    pub(super) fn new(hold: Box<Hold>, deadline: u64) -> Self {
+    pub(super) fn new(hold: Box<HeldGrant>, deadline: u64) -> Self {
         let inner = Arc::new(Inner {
             held: Mutex::new(GrantState::Running(hold, None)),
             waker: AtomicWaker::new(),
@@ -88,7 +88,7 @@
     }
 
     /// Reads or changes the grant while the dispatch is under way.
-    pub(super) fn with<T>(&self, f: impl FnOnce(&mut Hold) -> T) -> Option<T> {
+    pub(super) fn with<T>(&self, f: impl FnOnce(&mut HeldGrant) -> T) -> Option<T> {
         match &mut *self.inner.lock() {
             GrantState::Running(hold, _) => Some(f(hold)),
             _ => None,
--- a/lib/src/entry/hold.rs
+++ b/lib/src/entry/hold.rs
@@ -58,9 +58,9 @@
 }
 
 /// A grant in the hands of a request. Its release is sent exactly once: by
-/// [`Hold::settle`], or when it is dropped because the caller went away or the
+/// [`HeldGrant::settle`], or when it is dropped because the caller went away or the
 /// request's task panicked; a dispatch under way is cancelled then.
-pub struct Hold {
+pub struct HeldGrant {
     /// What was granted.
     pub grant: wire::Grant,
     /// Until when.
@@ -76,7 +76,7 @@
     settled: bool,
 }
 
-impl Hold {
+impl HeldGrant {
     /// A grant that has just come.
     pub fn new(grant: wire::Grant, lease: Arc<Lease>, commands: mpsc::Sender<Command>) -> Self {
         Self {
@@ -177,7 +177,7 @@
     commands.try_send(Command::Release(release)).ok();
 }
 
-impl Drop for Hold {
+impl Drop for HeldGrant {
     fn drop(&mut self) {
         if self.settled {
             return;
--- a/lib/src/entry/ledger.rs
+++ b/lib/src/entry/ledger.rs
@@ -15,7 +15,7 @@
 use wire::entry_message::Body as ToOwner;
 use wire::owner_message::Body as FromOwner;
 
-use super::hold::Hold;
+use super::hold::HeldGrant;
 use super::hold::Lease;
 
 /// Renewals that may be unanswered before the owner counts as gone: at one a
@@ -25,7 +25,7 @@
 /// What a request gets from the owner.
 pub enum Reply {
     /// Leave to dispatch.
-    Granted(Box<Hold>),
+    Granted(Box<HeldGrant>),
     /// It may not run.
     Refused(wire::Refusal),
 }
@@ -331,7 +331,7 @@
 
     fn hand_out(&self, held: &mut GrantEntry) {
         let Some(w) = held.parked.take() else { return };
-        let mut hold = Hold::new(
+        let mut hold = HeldGrant::new(
             held.grant.clone(),
             held.lease.clone(),
             self.commands.clone(),
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -35,7 +35,7 @@
 pub use errors::Code;
 pub use errors::Ran;
 pub use feed::apply;
-pub use hold::Hold;
+pub use hold::HeldGrant;
 pub use hold::Lease;
 pub use ledger::Command;
 pub use ledger::Ledger;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -20,7 +20,7 @@
 
 use super::clock;
 use super::clock::now_us;
-use super::hold::Hold;
+use super::hold::HeldGrant;
 use super::ledger::Command;
 use super::ledger::Ledger;
 use super::ledger::Reply;
@@ -119,7 +119,7 @@
         &self,
         acquire: wire::Acquire,
         deadline: u64,
-    ) -> Result<Box<Hold>, NoGrant> {
+    ) -> Result<Box<HeldGrant>, NoGrant> {
         let (reply, receiver) = oneshot::channel();
         let request = acquire.request;
         let waiting = Box::new(Waiting {
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -22,7 +22,7 @@
 use super::dispatch::note;
 use super::dispatch::request;
 use super::guard::Guard;
-use super::hold::Hold;
+use super::hold::HeldGrant;
 use super::retry;
 use super::retry::Failure;
 use super::state::State;
@@ -99,7 +99,7 @@
     pub(super) async fn start(
         state: &Arc<State>,
         call: &Arc<Call>,
-        hold: Box<Hold>,
+        hold: Box<HeldGrant>,
         address: SocketAddr,
         expected: ExpectedIdentity,
     ) -> Result<(response::Parts, Box<Self>), Failure> {
--- a/lib/tests/test_entry_ledger.rs
+++ b/lib/tests/test_entry_ledger.rs
@@ -1,7 +1,7 @@
 //! What a session knows: expiry, reconnection, and that no release is lost.
 
 use banyangauge::entry::Command;
-use banyangauge::entry::Hold;
+use banyangauge::entry::HeldGrant;
 use banyangauge::entry::Ledger;
 use banyangauge::entry::Reply;
 use banyangauge::entry::Step;
@@ -72,7 +72,7 @@
 }
 
 #[expect(clippy::unwrap_used, reason = "no grant is a failure of the test")]
-fn granted(receiver: &mut oneshot::Receiver<Reply>) -> Box<Hold> {
+fn granted(receiver: &mut oneshot::Receiver<Reply>) -> Box<HeldGrant> {
     match receiver.try_recv().unwrap() {
         Reply::Granted(hold) => hold,
         Reply::Refused(_) => panic!("refused"),
