--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -24,7 +24,7 @@
 use super::call::travelling;
 use super::clock;
 use super::clock::now_us;
-use super::hold::HeldGrant;
+use super::held_grant::HeldGrant;
 use super::retry;
 use super::retry::Failure;
 use super::retry::Next;
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -13,7 +13,7 @@
 
 use super::clock;
 use super::clock::now_us;
-use super::hold::HeldGrant;
+use super::held_grant::HeldGrant;
 use super::retry::Failure;
 use crate::pool::Outcome;
 
--- a/lib/src/entry/ledger.rs
+++ b/lib/src/entry/ledger.rs
@@ -15,8 +15,8 @@
 use wire::entry_message::Body as ToOwner;
 use wire::owner_message::Body as FromOwner;
 
-use super::hold::HeldGrant;
-use super::hold::Lease;
+use super::held_grant::HeldGrant;
+use super::held_grant::Lease;
 
 /// Renewals that may be unanswered before the owner counts as gone: at one a
 /// second, shorter than any useful lifetime of a grant.
@@ -352,7 +352,7 @@
     wire::Release {
         request: grant.request,
         grant: grant.grant,
-        outcome: super::hold::outcome_number(crate::pool::Outcome::NotRun),
+        outcome: super::held_grant::outcome_number(crate::pool::Outcome::NotRun),
         ..Default::default()
     }
 }
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -5,7 +5,7 @@
 //! it against the catalog, `session` gets a grant for it from the owner of
 //! its pool, `dispatch` sends it to the granted upstream, and `stream` passes
 //! a streamed answer on. [`retry`] decides what follows a failure, `ledger`
-//! what a session knows, `hold` one grant in use. `feed` brings the catalog
+//! what a session knows, `held_grant` one grant in use. `feed` brings the catalog
 //! and takes usage away.
 
 mod answer;
@@ -17,7 +17,7 @@
 mod errors;
 mod feed;
 mod guard;
-mod hold;
+mod held_grant;
 mod ledger;
 mod program;
 pub mod retry;
@@ -35,8 +35,8 @@
 pub use errors::Code;
 pub use errors::Ran;
 pub use feed::apply;
-pub use hold::HeldGrant;
-pub use hold::Lease;
+pub use held_grant::HeldGrant;
+pub use held_grant::Lease;
 pub use ledger::Command;
 pub use ledger::Ledger;
 pub use ledger::Reply;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -20,7 +20,7 @@
 
 use super::clock;
 use super::clock::now_us;
-use super::hold::HeldGrant;
+use super::held_grant::HeldGrant;
 use super::ledger::Command;
 use super::ledger::Ledger;
 use super::ledger::Reply;
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -22,7 +22,7 @@
 use super::dispatch::note;
 use super::dispatch::request;
 use super::guard::Guard;
-use super::hold::HeldGrant;
+use super::held_grant::HeldGrant;
 use super::retry;
 use super::retry::Failure;
 use super::state::State;
