--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -212,7 +212,7 @@
     if !fits {
         return Err("it is for another adapter version");
     }
-    if hold.lease.lapsed(now_us()) {
+    if hold.lease.has_expired(now_us()) {
         return Err("it has lapsed");
     }
     grant.address.parse().map_err(|_| "it names no address")
@@ -273,7 +273,7 @@
 async fn within<T>(hold: &HeldGrant, deadline: u64, work: impl Future<Output = T>) -> Result<T, Stop> {
     tokio::pin!(work);
     loop {
-        let until = deadline.min(hold.lease.until());
+        let until = deadline.min(hold.lease.expires_at());
         if let Ok(done) = tokio::time::timeout_at(clock::instant(until), &mut work).await {
             return Ok(done);
         }
@@ -281,7 +281,7 @@
         if now >= deadline {
             return Err(Stop::Deadline);
         }
-        if hold.lease.lapsed(now) {
+        if hold.lease.has_expired(now) {
             return Err(Stop::Lapsed);
         }
     }
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -44,7 +44,7 @@
         let GrantState::Running(hold, _) = &*held else {
             return None;
         };
-        let until = hold.lease.until();
+        let until = hold.lease.expires_at();
         let failure = match now {
             _ if now >= self.deadline => Failure::Deadline,
             _ if now >= until => Failure::Lapsed,
--- a/lib/src/entry/held_grant.rs
+++ b/lib/src/entry/held_grant.rs
@@ -25,7 +25,7 @@
     }
 
     /// When it ends, in microseconds.
-    pub fn until(&self) -> u64 {
+    pub fn expires_at(&self) -> u64 {
         self.0.load(Ordering::Acquire)
     }
 
@@ -35,13 +35,13 @@
     }
 
     /// Ends it at once.
-    pub fn end(&self) {
+    pub fn revoke(&self) {
         self.0.store(0, Ordering::Release);
     }
 
     /// Whether the grant must not be used any more.
-    pub fn lapsed(&self, now_us: u64) -> bool {
-        now_us >= self.until()
+    pub fn has_expired(&self, now_us: u64) -> bool {
+        now_us >= self.expires_at()
     }
 }
 
--- a/lib/src/entry/ledger.rs
+++ b/lib/src/entry/ledger.rs
@@ -232,7 +232,7 @@
     /// Grants that lapsed before they were handed out are given back, and
     /// asked for again.
     fn ask_again(&mut self, now: u64) -> Vec<ToOwner> {
-        let late = |h: &GrantEntry| h.parked.is_some() && h.lease.lapsed(now);
+        let late = |h: &GrantEntry| h.parked.is_some() && h.lease.has_expired(now);
         let late: Vec<u64> = self
             .held
             .iter()
@@ -253,7 +253,7 @@
             return None;
         }
         self.renewals.push_back(now);
-        let live = self.held.iter().filter(|(_, h)| !h.lease.lapsed(now));
+        let live = self.held.iter().filter(|(_, h)| !h.lease.has_expired(now));
         Some(ToOwner::Renew(wire::Renew {
             grants: live.map(|(id, _)| *id).collect(),
         }))
@@ -321,7 +321,7 @@
     /// was never dispatched is asked for again.
     fn disowned(&mut self, id: u64, now: u64) -> Option<ToOwner> {
         let held = self.held.get_mut(&id)?;
-        held.lease.end();
+        held.lease.revoke();
         let mut w = held.parked.take()?;
         self.held.remove(&id);
         let acquire = ask(&mut w, now);
--- a/lib/tests/test_entry_ledger.rs
+++ b/lib/tests/test_entry_ledger.rs
@@ -93,12 +93,12 @@
     case.grant(1, SECOND + SECOND / 2);
     let hold = granted(&mut receiver);
     // Counted from the sending of the request, not from the grant's arrival.
-    assert_eq!(hold.lease.until(), SECOND + TTL);
+    assert_eq!(hold.lease.expires_at(), SECOND + TTL);
     case.ledger.tick(2 * SECOND);
-    assert_eq!(hold.lease.until(), SECOND + TTL);
+    assert_eq!(hold.lease.expires_at(), SECOND + TTL);
     case.renewed(&[101], &[], 3 * SECOND);
-    assert_eq!(hold.lease.until(), 2 * SECOND + TTL);
-    assert!(hold.lease.lapsed(2 * SECOND + TTL));
+    assert_eq!(hold.lease.expires_at(), 2 * SECOND + TTL);
+    assert!(hold.lease.has_expired(2 * SECOND + TTL));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     assert_eq!(step, Step::Send(vec![ToOwner::Renew(renew)]));
     assert!(receiver.try_recv().is_err());
     case.renewed(&[101], &[], 10 * SECOND + 1);
-    assert_eq!(granted(&mut receiver).lease.until(), 10 * SECOND + TTL);
+    assert_eq!(granted(&mut receiver).lease.expires_at(), 10 * SECOND + TTL);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     case.renewed(&[], &[], 9 * SECOND + 1);
     // The grant came after the answer, so it was made after the renewal.
     case.grant(1, 10 * SECOND);
-    assert_eq!(granted(&mut receiver).lease.until(), 9 * SECOND + TTL);
+    assert_eq!(granted(&mut receiver).lease.expires_at(), 9 * SECOND + TTL);
 }
 
 #[test]
@@ -144,7 +144,7 @@
     let hold = granted(&mut receiver);
     case.ledger.tick(SECOND);
     case.renewed(&[], &[101], SECOND + 1);
-    assert!(hold.lease.lapsed(SECOND + 1));
+    assert!(hold.lease.has_expired(SECOND + 1));
 }
 
 #[test]
