--- a/lib/src/entry/ledger.rs
+++ b/lib/src/entry/ledger.rs
@@ -79,7 +79,7 @@
 }
 
 /// The state of one session.
-pub struct Ledger {
+pub struct SessionState {
     pool: String,
     entry: String,
     incarnation: u64,
@@ -103,7 +103,7 @@
     connected: bool,
 }
 
-impl Ledger {
+impl SessionState {
     /// Nothing waits and nothing is held.
     pub fn new(pool: &str, entry: &str, incarnation: u64, commands: mpsc::Sender<Command>) -> Self {
         Self {
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -38,7 +38,7 @@
 pub use held_grant::HeldGrant;
 pub use held_grant::Lease;
 pub use ledger::Command;
-pub use ledger::Ledger;
+pub use ledger::SessionState;
 pub use ledger::Reply;
 pub use ledger::Step;
 pub use ledger::Waiting;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -22,7 +22,7 @@
 use super::clock::now_us;
 use super::held_grant::HeldGrant;
 use super::ledger::Command;
-use super::ledger::Ledger;
+use super::ledger::SessionState;
 use super::ledger::Reply;
 use super::ledger::Step;
 use super::ledger::Waiting;
@@ -89,7 +89,7 @@
     pub(super) fn start(pool: &PoolName, identity: Identity) -> Self {
         let (commands, mailbox) = mpsc::channel(identity.requests * COMMANDS_PER_REQUEST);
         let connected = Arc::new(AtomicBool::new(false));
-        let ledger = Ledger::new(
+        let ledger = SessionState::new(
             pool.as_str(),
             &identity.entry,
             identity.incarnation,
@@ -184,7 +184,7 @@
 struct Task {
     pool: PoolName,
     identity: Identity,
-    ledger: Ledger,
+    ledger: SessionState,
     mailbox: mpsc::Receiver<Command>,
     connected: Arc<AtomicBool>,
 }
--- a/lib/tests/test_entry_ledger.rs
+++ b/lib/tests/test_entry_ledger.rs
@@ -2,7 +2,7 @@
 
 use banyangauge::entry::Command;
 use banyangauge::entry::HeldGrant;
-use banyangauge::entry::Ledger;
+use banyangauge::entry::SessionState;
 use banyangauge::entry::Reply;
 use banyangauge::entry::Step;
 use banyangauge::entry::Waiting;
@@ -18,14 +18,14 @@
 const TTL: u64 = 3 * SECOND;
 
 struct Case {
-    ledger: Ledger,
+    ledger: SessionState,
     commands: mpsc::Receiver<Command>,
 }
 
 impl Case {
     fn new() -> Self {
         let (sender, commands) = mpsc::channel(100);
-        let mut ledger = Ledger::new("pool", "vm-1", 9, sender);
+        let mut ledger = SessionState::new("pool", "vm-1", 9, sender);
         ledger.open(0);
         Self { ledger, commands }
     }
