--- a/lib/src/entry/held_grant.rs
+++ b/lib/src/entry/held_grant.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 use super::clock::now_us;
-use super::ledger::Command;
+use super::session_state::Command;
 use crate::pool::Outcome;
 use crate::upstream::Upstreams;
 use crate::upstream::cancel;
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -4,7 +4,7 @@
 //! its connection, `serve` reads it, `call`, `auth`, `body` and `view` check
 //! it against the catalog, `session` gets a grant for it from the owner of
 //! its pool, `dispatch` sends it to the granted upstream, and `stream` passes
-//! a streamed answer on. [`retry`] decides what follows a failure, `ledger`
+//! a streamed answer on. [`retry`] decides what follows a failure, `session_state`
 //! what a session knows, `held_grant` one grant in use. `feed` brings the catalog
 //! and takes usage away.
 
@@ -18,7 +18,7 @@
 mod feed;
 mod guard;
 mod held_grant;
-mod ledger;
+mod session_state;
 mod program;
 pub mod retry;
 mod serve;
@@ -37,11 +37,11 @@
 pub use feed::apply;
 pub use held_grant::HeldGrant;
 pub use held_grant::Lease;
-pub use ledger::Command;
-pub use ledger::SessionState;
-pub use ledger::Reply;
-pub use ledger::Step;
-pub use ledger::Waiting;
+pub use session_state::Command;
+pub use session_state::SessionState;
+pub use session_state::Reply;
+pub use session_state::Step;
+pub use session_state::Waiting;
 pub use program::Entry;
 pub use program::EntryError;
 pub use program::run;
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -13,7 +13,7 @@
 mod test_entry_failures;
 mod test_entry_fakes;
 mod test_entry_input;
-mod test_entry_ledger;
+mod test_entry_session_state;
 mod test_entry_life;
 mod test_entry_path;
 mod test_ids;
