--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -40,7 +40,7 @@
 pub use session_state::Command;
 pub use session_state::SessionState;
 pub use session_state::Reply;
-pub use session_state::Step;
+pub use session_state::SessionAction;
 pub use session_state::Waiting;
 pub use program::Entry;
 pub use program::EntryError;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -24,7 +24,7 @@
 use super::session_state::Command;
 use super::session_state::SessionState;
 use super::session_state::Reply;
-use super::session_state::Step;
+use super::session_state::SessionAction;
 use super::session_state::Waiting;
 use crate::control::Owner;
 use crate::ids::PoolName;
@@ -341,15 +341,15 @@
             let step = tokio::select! {
                 command = self.mailbox.recv() => match command {
                     Some(c) => match self.ledger.command(c, now_us()) {
-                        Some(m) => Step::Send(vec![m]),
-                        None => Step::Stay,
+                        Some(m) => SessionAction::Send(vec![m]),
+                        None => SessionAction::Continue,
                     },
                     None => return Served::Ended,
                 },
                 message = link.inbox.message() => match message {
                     Ok(Some(wire::OwnerMessage { body: Some(body) })) => {
                         let step = self.ledger.message(body, now_us());
-                        if !worked && !matches!(step, Step::Leave(_)) {
+                        if !worked && !matches!(step, SessionAction::Disconnect(_)) {
                             worked = true;
                             self.connected.store(true, Ordering::Relaxed);
                             // The feed may have told of another meanwhile.
@@ -358,26 +358,26 @@
                         step
                     }
                     // An empty message is malformed; the owner's next may be good.
-                    Ok(Some(_)) => Step::Stay,
-                    Ok(None) | Err(_) => Step::Leave(None),
+                    Ok(Some(_)) => SessionAction::Continue,
+                    Ok(None) | Err(_) => SessionAction::Disconnect(None),
                 },
                 // An owner that is paused does not say that it is no longer one.
                 Ok(()) = owners.changed() => match self.replaced() {
-                    true => Step::Leave(None),
-                    false => Step::Stay,
+                    true => SessionAction::Disconnect(None),
+                    false => SessionAction::Continue,
                 },
                 _ = tick.tick() => match worked {
                     true => self.ledger.tick(now_us()),
                     // No welcome within a second.
-                    false => Step::Leave(None),
+                    false => SessionAction::Disconnect(None),
                 },
             };
             let sent = match step {
-                Step::Stay => true,
-                Step::Send(list) => list.into_iter().all(|m| link.outbox.send(m)),
-                Step::Leave(Some(told)) => return Served::Failed(Some(told)),
-                Step::Leave(None) if worked => return Served::Worked,
-                Step::Leave(None) => return Served::Failed(None),
+                SessionAction::Continue => true,
+                SessionAction::Send(list) => list.into_iter().all(|m| link.outbox.send(m)),
+                SessionAction::Disconnect(Some(told)) => return Served::Failed(Some(told)),
+                SessionAction::Disconnect(None) if worked => return Served::Worked,
+                SessionAction::Disconnect(None) => return Served::Failed(None),
             };
             if !sent {
                 return Served::Failed(None);
--- a/lib/src/entry/session_state.rs
+++ b/lib/src/entry/session_state.rs
@@ -69,13 +69,13 @@
 
 /// What the session does next.
 #[derive(Debug, PartialEq)]
-pub enum Step {
+pub enum SessionAction {
     /// Nothing.
-    Stay,
+    Continue,
     /// Send these.
     Send(Vec<ToOwner>),
     /// Leave this owner; the address is where it says the owner is.
-    Leave(Option<SocketAddr>),
+    Disconnect(Option<SocketAddr>),
 }
 
 /// The state of one session.
@@ -196,12 +196,12 @@
     }
 
     /// Takes a message of the owner.
-    pub fn message(&mut self, message: FromOwner, now: u64) -> Step {
+    pub fn message(&mut self, message: FromOwner, now: u64) -> SessionAction {
         match message {
             FromOwner::Welcome(w) => {
                 self.ttl = w.ttl_ms * 1_000;
                 self.token = w.token;
-                Step::Stay
+                SessionAction::Continue
             }
             FromOwner::Granted(grant) => self.granted(grant, now),
             FromOwner::Refused(refusal) => {
@@ -209,23 +209,23 @@
                     // A caller that has gone away needs no reply.
                     w.reply.send(Reply::Refused(refusal)).ok();
                 }
-                Step::Stay
+                SessionAction::Continue
             }
             FromOwner::Renewed(r) => self.renewed(&r, now),
-            FromOwner::NotOwner(n) => Step::Leave(n.address.parse().ok()),
+            FromOwner::NotOwner(n) => SessionAction::Disconnect(n.address.parse().ok()),
         }
     }
 
     /// Renews what is held, each second; leaves an owner that has gone silent.
-    pub fn tick(&mut self, now: u64) -> Step {
+    pub fn tick(&mut self, now: u64) -> SessionAction {
         if self.renewals.len() >= MOST_UNANSWERED {
-            return Step::Leave(None);
+            return SessionAction::Disconnect(None);
         }
         let mut out = self.ask_again(now);
         out.extend(self.renew(now));
         match out.is_empty() {
-            true => Step::Stay,
-            false => Step::Send(out),
+            true => SessionAction::Continue,
+            false => SessionAction::Send(out),
         }
     }
 
@@ -259,12 +259,12 @@
         }))
     }
 
-    fn granted(&mut self, grant: wire::Grant, now: u64) -> Step {
+    fn granted(&mut self, grant: wire::Grant, now: u64) -> SessionAction {
         if self.held.contains_key(&grant.grant) {
-            return Step::Stay;
+            return SessionAction::Continue;
         }
         let Some(w) = self.waiting.remove(&grant.request) else {
-            return Step::Send(vec![ToOwner::Release(not_run(&grant))]);
+            return SessionAction::Send(vec![ToOwner::Release(not_run(&grant))]);
         };
         let ttl = grant.ttl_ms * 1_000;
         let until = w.sent.max(self.confirmed) + ttl;
@@ -282,15 +282,15 @@
         }
         self.held.insert(id, held);
         if fresh {
-            return Step::Stay;
+            return SessionAction::Continue;
         }
         self.renewals.push_back(now);
-        Step::Send(vec![ToOwner::Renew(wire::Renew { grants: vec![id] })])
+        SessionAction::Send(vec![ToOwner::Renew(wire::Renew { grants: vec![id] })])
     }
 
-    fn renewed(&mut self, r: &wire::Renewed, now: u64) -> Step {
+    fn renewed(&mut self, r: &wire::Renewed, now: u64) -> SessionAction {
         let Some(sent) = self.renewals.pop_front() else {
-            return Step::Stay;
+            return SessionAction::Continue;
         };
         self.confirmed = self.confirmed.max(sent);
         self.answered += 1;
@@ -312,8 +312,8 @@
         let unknown = r.unknown.iter();
         let again: Vec<_> = unknown.filter_map(|id| self.disowned(*id, now)).collect();
         match again.is_empty() {
-            true => Step::Stay,
-            false => Step::Send(again),
+            true => SessionAction::Continue,
+            false => SessionAction::Send(again),
         }
     }
 
--- a/lib/tests/test_entry_session_state.rs
+++ b/lib/tests/test_entry_session_state.rs
@@ -4,7 +4,7 @@
 use banyangauge::entry::HeldGrant;
 use banyangauge::entry::SessionState;
 use banyangauge::entry::Reply;
-use banyangauge::entry::Step;
+use banyangauge::entry::SessionAction;
 use banyangauge::entry::Waiting;
 use banyangauge::entry::candidate;
 use banyangauge_proto as wire;
@@ -46,7 +46,7 @@
         receiver
     }
 
-    fn grant(&mut self, request: u64, now: u64) -> Step {
+    fn grant(&mut self, request: u64, now: u64) -> SessionAction {
         let grant = wire::Grant {
             request,
             grant: request + 100,
@@ -56,7 +56,7 @@
         self.ledger.message(FromOwner::Granted(grant), now)
     }
 
-    fn renewed(&mut self, grants: &[u64], unknown: &[u64], now: u64) -> Step {
+    fn renewed(&mut self, grants: &[u64], unknown: &[u64], now: u64) -> SessionAction {
         let renewed = wire::Renewed {
             grants: grants.to_vec(),
             unknown: unknown.to_vec(),
@@ -108,7 +108,7 @@
     // What is left of it cannot be known from the request alone.
     let step = case.grant(1, 10 * SECOND);
     let renew = wire::Renew { grants: vec![101] };
-    assert_eq!(step, Step::Send(vec![ToOwner::Renew(renew)]));
+    assert_eq!(step, SessionAction::Send(vec![ToOwner::Renew(renew)]));
     assert!(receiver.try_recv().is_err());
     case.renewed(&[101], &[], 10 * SECOND + 1);
     assert_eq!(granted(&mut receiver).lease.expires_at(), 10 * SECOND + TTL);
@@ -130,7 +130,7 @@
     let mut case = Case::new();
     let _receiver = case.acquire(1, 0);
     case.grant(1, 10 * SECOND);
-    let Step::Send(list) = case.renewed(&[], &[101], 10 * SECOND + 1) else {
+    let SessionAction::Send(list) = case.renewed(&[], &[101], 10 * SECOND + 1) else {
         panic!("nothing sent");
     };
     assert!(matches!(&list[..], [ToOwner::Acquire(a)] if a.request == 1));
@@ -203,7 +203,7 @@
     case.grant(1, 1);
     assert!(matches!(case.pump(2), Some(ToOwner::Release(_))));
     let step = case.grant(7, 3);
-    assert!(matches!(step, Step::Send(l) if matches!(&l[..], [ToOwner::Release(_)])));
+    assert!(matches!(step, SessionAction::Send(l) if matches!(&l[..], [ToOwner::Release(_)])));
 }
 
 #[test]
@@ -211,7 +211,7 @@
     let mut case = Case::new();
     let _receiver = case.acquire(1, 0);
     let steps: Vec<_> = (1..6).map(|i| case.ledger.tick(i * SECOND)).collect();
-    assert_eq!(steps.last(), Some(&Step::Leave(None)));
+    assert_eq!(steps.last(), Some(&SessionAction::Disconnect(None)));
 }
 
 #[rstest]
