--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -41,7 +41,7 @@
 pub use session_state::SessionState;
 pub use session_state::Reply;
 pub use session_state::SessionAction;
-pub use session_state::Waiting;
+pub use session_state::PendingAcquire;
 pub use program::Entry;
 pub use program::EntryError;
 pub use program::run;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -25,7 +25,7 @@
 use super::session_state::SessionState;
 use super::session_state::Reply;
 use super::session_state::SessionAction;
-use super::session_state::Waiting;
+use super::session_state::PendingAcquire;
 use crate::control::Owner;
 use crate::ids::PoolName;
 use crate::link;
@@ -122,7 +122,7 @@
     ) -> Result<Box<HeldGrant>, NoGrant> {
         let (reply, receiver) = oneshot::channel();
         let request = acquire.request;
-        let waiting = Box::new(Waiting {
+        let waiting = Box::new(PendingAcquire {
             acquire,
             deadline,
             sent: now_us(),
--- a/lib/src/entry/session_state.rs
+++ b/lib/src/entry/session_state.rs
@@ -31,7 +31,7 @@
 }
 
 /// A request that waits for a grant.
-pub struct Waiting {
+pub struct PendingAcquire {
     /// What it asks for; its deadline is set at each sending.
     pub acquire: wire::Acquire,
     /// When its caller gives up, in microseconds.
@@ -45,7 +45,7 @@
 /// What requests tell their session.
 pub enum Command {
     /// Ask for a grant.
-    Acquire(Box<Waiting>),
+    Acquire(Box<PendingAcquire>),
     /// The request with this number no longer waits.
     Abandon(u64),
     /// A dispatch ended.
@@ -56,7 +56,7 @@
     grant: wire::Grant,
     lease: Arc<Lease>,
     /// Not handed out until the owner confirms it.
-    parked: Option<Waiting>,
+    parked: Option<PendingAcquire>,
 }
 
 struct Ended {
@@ -84,7 +84,7 @@
     entry: String,
     incarnation: u64,
     commands: mpsc::Sender<Command>,
-    waiting: BTreeMap<u64, Waiting>,
+    waiting: BTreeMap<u64, PendingAcquire>,
     held: BTreeMap<u64, GrantEntry>,
     /// Dispatches that ended, until the owner is known to have heard of it. A
     /// grant that a hello leaves out counts as never used, which must not
@@ -342,7 +342,7 @@
     }
 }
 
-fn ask(w: &mut Waiting, now: u64) -> wire::Acquire {
+fn ask(w: &mut PendingAcquire, now: u64) -> wire::Acquire {
     w.sent = now;
     w.acquire.deadline_ms = w.deadline.saturating_sub(now) / 1_000;
     w.acquire.clone()
--- a/lib/tests/test_entry_session_state.rs
+++ b/lib/tests/test_entry_session_state.rs
@@ -5,7 +5,7 @@
 use banyangauge::entry::SessionState;
 use banyangauge::entry::Reply;
 use banyangauge::entry::SessionAction;
-use banyangauge::entry::Waiting;
+use banyangauge::entry::PendingAcquire;
 use banyangauge::entry::candidate;
 use banyangauge_proto as wire;
 use rstest::rstest;
@@ -32,7 +32,7 @@
 
     fn acquire(&mut self, request: u64, now: u64) -> oneshot::Receiver<Reply> {
         let (reply, receiver) = oneshot::channel();
-        let waiting = Waiting {
+        let waiting = PendingAcquire {
             acquire: wire::Acquire {
                 request,
                 ..wire::Acquire::default()
