--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -45,7 +45,7 @@
 pub use program::Entry;
 pub use program::EntryError;
 pub use program::run;
-pub use session::candidate;
+pub use session::owner_candidate;
 pub use settings::EntrySettings;
 pub use settings::Limits;
 pub use state::State;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -168,7 +168,7 @@
 /// Where to look for a pool's owner at the given try: first where the last
 /// control said, then where the feed says, then at each control in turn, as
 /// any of them may know.
-pub fn candidate(
+pub fn owner_candidate(
     hint: Option<SocketAddr>,
     owner: Option<SocketAddr>,
     controls: &[SocketAddr],
@@ -204,7 +204,7 @@
                 return;
             }
             let owner = self.owner();
-            let Some(address) = candidate(hint, owner, &self.identity.controls, tries) else {
+            let Some(address) = owner_candidate(hint, owner, &self.identity.controls, tries) else {
                 return;
             };
             let served = self.connect_and_serve(address).await;
--- a/lib/tests/test_entry_session_state.rs
+++ b/lib/tests/test_entry_session_state.rs
@@ -6,7 +6,7 @@
 use banyangauge::entry::Reply;
 use banyangauge::entry::SessionAction;
 use banyangauge::entry::PendingAcquire;
-use banyangauge::entry::candidate;
+use banyangauge::entry::owner_candidate;
 use banyangauge_proto as wire;
 use rstest::rstest;
 use tokio::sync::mpsc;
@@ -223,6 +223,6 @@
 fn candidate_order(#[case] tries: usize, #[case] port: u16) {
     let at = |p: u16| std::net::SocketAddr::from(([127, 0, 0, 1], p));
     let controls = [at(1), at(2), at(4)];
-    let found = candidate(Some(at(3)), Some(at(2)), &controls, tries);
+    let found = owner_candidate(Some(at(3)), Some(at(2)), &controls, tries);
     assert_eq!(found, Some(at(port)));
 }
