--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -200,7 +200,7 @@
         let mut tries = 0;
         let mut pause = PAUSES.0;
         loop {
-            if self.ledger.idle() && !self.wait_for_work().await {
+            if self.ledger.is_idle() && !self.wait_for_work().await {
                 return;
             }
             let owner = self.owner();
@@ -209,7 +209,7 @@
             };
             let served = self.connect_and_serve(address).await;
             self.connected.store(false, Ordering::Relaxed);
-            self.ledger.close();
+            self.ledger.disconnected();
             match served {
                 Served::Ended => return,
                 // It was the owner for a while: begin again with what is known.
@@ -252,7 +252,7 @@
         let Some(command) = self.mailbox.recv().await else {
             return false;
         };
-        self.ledger.command(command, now_us());
+        self.ledger.handle_command(command, now_us());
         true
     }
 
@@ -294,7 +294,7 @@
         let (outbox, messages) = mpsc::channel(OUTBOX);
         let outbox = Outbox(outbox);
         // The owner answers the call only after the hello.
-        for m in self.ledger.open(now_us()) {
+        for m in self.ledger.connect(now_us()) {
             outbox.send(m);
         }
         let mut client = GrantsClient::new(channel?);
@@ -322,7 +322,7 @@
             tokio::select! {
                 done = &mut work => return Some(done),
                 command = self.mailbox.recv() => {
-                    let message = self.ledger.command(command?, now_us());
+                    let message = self.ledger.handle_command(command?, now_us());
                     if let (Some(m), Some(outbox)) = (message, outbox) {
                         outbox.send(m);
                     }
@@ -340,7 +340,7 @@
         loop {
             let step = tokio::select! {
                 command = self.mailbox.recv() => match command {
-                    Some(c) => match self.ledger.command(c, now_us()) {
+                    Some(c) => match self.ledger.handle_command(c, now_us()) {
                         Some(m) => SessionAction::Send(vec![m]),
                         None => SessionAction::Continue,
                     },
@@ -348,7 +348,7 @@
                 },
                 message = link.inbox.message() => match message {
                     Ok(Some(wire::OwnerMessage { body: Some(body) })) => {
-                        let step = self.ledger.message(body, now_us());
+                        let step = self.ledger.handle_message(body, now_us());
                         if !worked && !matches!(step, SessionAction::Disconnect(_)) {
                             worked = true;
                             self.connected.store(true, Ordering::Relaxed);
--- a/lib/src/entry/session_state.rs
+++ b/lib/src/entry/session_state.rs
@@ -124,7 +124,7 @@
     }
 
     /// Whether there is any reason to be connected.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.held.is_empty() && self.ended.is_empty()
     }
 
@@ -136,7 +136,7 @@
     /// The first messages to a new owner: what is held, what ended, a renewal
     /// of what is held, and what still waits. Asking again is safe, as nothing
     /// that waits was dispatched.
-    pub fn open(&mut self, now: u64) -> Vec<ToOwner> {
+    pub fn connect(&mut self, now: u64) -> Vec<ToOwner> {
         self.renewals.clear();
         self.answered = 0;
         self.confirmed = 0;
@@ -166,12 +166,12 @@
     }
 
     /// The connection to the owner is gone.
-    pub fn close(&mut self) {
+    pub fn disconnected(&mut self) {
         self.connected = false;
     }
 
     /// Takes a command; gives what the owner must be told of it.
-    pub fn command(&mut self, command: Command, now: u64) -> Option<ToOwner> {
+    pub fn handle_command(&mut self, command: Command, now: u64) -> Option<ToOwner> {
         let message = match command {
             Command::Acquire(mut w) => {
                 let acquire = ask(&mut w, now);
@@ -196,7 +196,7 @@
     }
 
     /// Takes a message of the owner.
-    pub fn message(&mut self, message: FromOwner, now: u64) -> SessionAction {
+    pub fn handle_message(&mut self, message: FromOwner, now: u64) -> SessionAction {
         match message {
             FromOwner::Welcome(w) => {
                 self.ttl = w.ttl_ms * 1_000;
@@ -249,7 +249,7 @@
     }
 
     fn renew(&mut self, now: u64) -> Option<ToOwner> {
-        if self.idle() {
+        if self.is_idle() {
             return None;
         }
         self.renewals.push_back(now);
--- a/lib/tests/test_entry_session_state.rs
+++ b/lib/tests/test_entry_session_state.rs
@@ -26,7 +26,7 @@
     fn new() -> Self {
         let (sender, commands) = mpsc::channel(100);
         let mut ledger = SessionState::new("pool", "vm-1", 9, sender);
-        ledger.open(0);
+        ledger.connect(0);
         Self { ledger, commands }
     }
 
@@ -42,7 +42,7 @@
             reply,
         };
         self.ledger
-            .command(Command::Acquire(Box::new(waiting)), now);
+            .handle_command(Command::Acquire(Box::new(waiting)), now);
         receiver
     }
 
@@ -53,7 +53,7 @@
             ttl_ms: TTL / 1_000,
             ..wire::Grant::default()
         };
-        self.ledger.message(FromOwner::Granted(grant), now)
+        self.ledger.handle_message(FromOwner::Granted(grant), now)
     }
 
     fn renewed(&mut self, grants: &[u64], unknown: &[u64], now: u64) -> SessionAction {
@@ -61,13 +61,13 @@
             grants: grants.to_vec(),
             unknown: unknown.to_vec(),
         };
-        self.ledger.message(FromOwner::Renewed(renewed), now)
+        self.ledger.handle_message(FromOwner::Renewed(renewed), now)
     }
 
     /// Takes the command that a hold has sent, as the session does.
     fn pump(&mut self, now: u64) -> Option<ToOwner> {
         let command = self.commands.try_recv().ok()?;
-        self.ledger.command(command, now)
+        self.ledger.handle_command(command, now)
     }
 }
 
@@ -154,8 +154,8 @@
     let _second = case.acquire(2, 0);
     case.grant(1, 1);
     let _hold = granted(&mut first);
-    case.ledger.close();
-    let open = case.ledger.open(40 * SECOND);
+    case.ledger.disconnected();
+    let open = case.ledger.connect(40 * SECOND);
     assert_eq!(held(&open), [101]);
     let asked = open.iter().find_map(|m| match m {
         ToOwner::Acquire(a) => Some((a.request, a.deadline_ms)),
@@ -172,14 +172,14 @@
     drop(granted(&mut receiver));
     assert!(matches!(case.pump(2), Some(ToOwner::Release(r)) if r.outcome == 1));
     // The connection breaks, perhaps before the release was read.
-    case.ledger.close();
-    let open = case.ledger.open(3);
+    case.ledger.disconnected();
+    let open = case.ledger.connect(3);
     assert_eq!(held(&open), [101]);
     assert!(matches!(&open[1], ToOwner::Release(r) if r.grant == 101));
     // The hello's renewal is answered after the release was read.
     case.renewed(&[], &[], 4);
-    case.ledger.close();
-    assert!(held(&case.ledger.open(5)).is_empty());
+    case.ledger.disconnected();
+    assert!(held(&case.ledger.connect(5)).is_empty());
 }
 
 #[test]
@@ -192,8 +192,8 @@
     case.pump(SECOND + 1);
     // This answers a renewal that was sent before the release.
     case.renewed(&[101], &[], SECOND + 2);
-    case.ledger.close();
-    assert_eq!(held(&case.ledger.open(2 * SECOND)), [101]);
+    case.ledger.disconnected();
+    assert_eq!(held(&case.ledger.connect(2 * SECOND)), [101]);
 }
 
 #[test]
