--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -28,7 +28,7 @@
 use super::retry;
 use super::retry::Failure;
 use super::retry::Next;
-use super::retry::Tries;
+use super::retry::Attempts;
 use super::session::NoGrant;
 use super::state::State;
 use super::stream::Passing;
@@ -51,10 +51,10 @@
     call: Arc<Call>,
     room: OwnedSemaphorePermit,
 ) -> Result<Response<AnswerBody>, CallerError> {
-    let mut tries = Tries {
+    let mut tries = Attempts {
         retries: state.settings.limits.retries,
         idempotent: call.idempotent,
-        ..Tries::default()
+        ..Attempts::default()
     };
     loop {
         let hold = acquire(&state, &call, &tries).await?;
@@ -109,7 +109,7 @@
 /// bound how many ask.
 const ASK_AGAIN: Duration = Duration::from_millis(200);
 
-async fn acquire(state: &State, call: &Call, tries: &Tries) -> Result<Box<HeldGrant>, CallerError> {
+async fn acquire(state: &State, call: &Call, tries: &Attempts) -> Result<Box<HeldGrant>, CallerError> {
     let session = state.session(&call.pool);
     let last = call.deadline.saturating_sub(ASK_AGAIN.as_micros() as u64);
     let error = loop {
@@ -129,7 +129,7 @@
     Err(retry::truthful(error, tries.ran))
 }
 
-fn ask(call: &Call, tries: &Tries) -> wire::Acquire {
+fn ask(call: &Call, tries: &Attempts) -> wire::Acquire {
     let (prompt_tokens, max_tokens, prefix) = match &call.content {
         Content::Completion(c) => (c.prompt_tokens, c.max_tokens, c.prefix),
         Content::Plain { .. } => (0, 0, 0),
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -33,7 +33,7 @@
 
 /// What has been tried.
 #[derive(Clone, Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     /// Failed tries so far.
     pub attempt: u32,
     /// Tries after the first at the most.
@@ -95,15 +95,15 @@
 /// the tries before this one.
 ///
 /// ```
-/// use banyangauge::entry::retry::{Failure, Next, Tries, after};
+/// use banyangauge::entry::retry::{Failure, Next, Attempts, after};
 /// use banyangauge::upstream::RunError;
 /// let broken = Failure::Run(RunError::BrokenEarly("reset".into()));
-/// let mut t = Tries { retries: 3, idempotent: true, ..Tries::default() };
+/// let mut t = Attempts { retries: 3, idempotent: true, ..Attempts::default() };
 /// assert_eq!(after(&broken, &t), Next::Again);
 /// t.idempotent = false;
 /// assert!(matches!(after(&broken, &t), Next::GiveUp(_)));
 /// ```
-pub fn after(failure: &Failure, tries: &Tries) -> Next {
+pub fn after(failure: &Failure, tries: &Attempts) -> Next {
     let ran = may_have_run(failure);
     let allowed = !ran || tries.idempotent;
     let again = match failure {
