--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -27,7 +27,7 @@
 use super::held_grant::HeldGrant;
 use super::retry;
 use super::retry::Failure;
-use super::retry::Next;
+use super::retry::RetryDecision;
 use super::retry::Attempts;
 use super::session::NoGrant;
 use super::state::State;
@@ -69,9 +69,9 @@
             }
             Err(failure) => failure,
         };
-        match retry::after(&failure, &tries) {
-            Next::GiveUp(e) => return Err(e),
-            Next::Again => {
+        match retry::after_failure(&failure, &tries) {
+            RetryDecision::GiveUp(e) => return Err(e),
+            RetryDecision::Retry => {
                 let why = || retry::describe(&failure);
                 note(&state, EventKind::Retried, &call, &replica, why);
                 tries.ran |= retry::may_have_run(&failure);
@@ -116,14 +116,14 @@
         match session.acquire(ask(call, tries), call.deadline).await {
             Ok(hold) => return Ok(hold),
             Err(NoGrant::Refused(refusal)) => {
-                let error = retry::refused(&refusal);
+                let error = retry::refusal_error(&refusal);
                 if error.code != Code::Draining || now_us() >= last {
                     break error;
                 }
                 tokio::time::sleep(ASK_AGAIN).await;
             }
-            Err(NoGrant::Deadline) => break retry::overdue(),
-            Err(NoGrant::NoOwner) => break retry::no_owner(),
+            Err(NoGrant::Deadline) => break retry::deadline_error(),
+            Err(NoGrant::NoOwner) => break retry::no_owner_error(),
         }
     };
     Err(retry::truthful(error, tries.ran))
@@ -313,7 +313,7 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(e)) => {
             let failure = Failure::Run(e);
-            hold.seen = retry::seen(&failure);
+            hold.seen = retry::seen_incarnation(&failure);
             hold.settle(retry::outcome(&failure));
             return Err(failure);
         }
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -48,9 +48,9 @@
 
 /// What follows.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Ask the owner for another replica.
-    Again,
+    Retry,
     /// Tell the caller.
     GiveUp(CallerError),
 }
@@ -84,7 +84,7 @@
 }
 
 /// The incarnation that a wrong answer told, for the owner; 0 is none.
-pub fn seen(failure: &Failure) -> u64 {
+pub fn seen_incarnation(failure: &Failure) -> u64 {
     match failure {
         Failure::Run(RunError::WrongIdentity { seen, .. }) => *seen,
         _ => 0,
@@ -95,15 +95,15 @@
 /// the tries before this one.
 ///
 /// ```
-/// use banyangauge::entry::retry::{Failure, Next, Attempts, after};
+/// use banyangauge::entry::retry::{Failure, RetryDecision, Attempts, after};
 /// use banyangauge::upstream::RunError;
 /// let broken = Failure::Run(RunError::BrokenEarly("reset".into()));
 /// let mut t = Attempts { retries: 3, idempotent: true, ..Attempts::default() };
-/// assert_eq!(after(&broken, &t), Next::Again);
+/// assert_eq!(after(&broken, &t), RetryDecision::Retry);
 /// t.idempotent = false;
-/// assert!(matches!(after(&broken, &t), Next::GiveUp(_)));
+/// assert!(matches!(after(&broken, &t), RetryDecision::GiveUp(_)));
 /// ```
-pub fn after(failure: &Failure, tries: &Attempts) -> Next {
+pub fn after_failure(failure: &Failure, tries: &Attempts) -> RetryDecision {
     let ran = may_have_run(failure);
     let allowed = !ran || tries.idempotent;
     let again = match failure {
@@ -112,8 +112,8 @@
         _ => allowed && tries.attempt < tries.retries,
     };
     match again {
-        true => Next::Again,
-        false => Next::GiveUp(truthful(give_up(failure), ran || tries.ran)),
+        true => RetryDecision::Retry,
+        false => RetryDecision::GiveUp(truthful(give_up(failure), ran || tries.ran)),
     }
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// The answer to a caller whose request the owner refused.
-pub fn refused(refusal: &wire::Refusal) -> CallerError {
+pub fn refusal_error(refusal: &wire::Refusal) -> CallerError {
     let claim = match refusal.claim_state.as_str() {
         "running" => Some((Code::ClaimRunning, "the call with this key still runs")),
         "answered" => Some((Code::ClaimAnswered, "the call with this key was answered")),
@@ -192,11 +192,11 @@
 }
 
 /// The answer to a caller whose deadline passed before a grant came.
-pub fn overdue() -> CallerError {
+pub fn deadline_error() -> CallerError {
     CallerError::new(Code::Deadline, "the deadline passed before dispatch").after(COME_BACK_MS)
 }
 
 /// The answer to a caller whose pool has no owner that can be reached.
-pub fn no_owner() -> CallerError {
+pub fn no_owner_error() -> CallerError {
     CallerError::new(Code::NoOwner, "the pool has no owner now").after(COME_BACK_MS)
 }
