--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -174,7 +174,7 @@
         Ok(address) => address,
         Err(e) => {
             hold.settle(Outcome::NotRun);
-            return Err(Failure::BadGrant(e));
+            return Err(Failure::InvalidGrant(e));
         }
     };
     let expected = ExpectedIdentity {
@@ -319,7 +319,7 @@
         }
         // Dropping the hold cancels the dispatch.
         Err(Stop::Deadline) => return Err(Failure::Deadline),
-        Err(Stop::Lapsed) => return Err(Failure::Lapsed),
+        Err(Stop::Lapsed) => return Err(Failure::GrantExpired),
     };
     hold.begun(answer.begun, answer.seen);
     hold.tokens = answer.usage.completion_tokens;
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/guard.rs
@@ -47,7 +47,7 @@
         let until = hold.lease.expires_at();
         let failure = match now {
             _ if now >= self.deadline => Failure::Deadline,
-            _ if now >= until => Failure::Lapsed,
+            _ if now >= until => Failure::GrantExpired,
             _ => return Some(until.min(self.deadline)),
         };
         // The hold that is dropped here cancels and releases the dispatch.
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
     /// The grant was of no use; nothing was sent.
-    BadGrant(&'static str),
+    InvalidGrant(&'static str),
     /// The upstream failed.
     Run(RunError),
     /// The deadline passed while it ran.
     Deadline,
     /// The grant lapsed while it ran: the owner may evict the adapter.
-    Lapsed,
+    GrantExpired,
 }
 
 /// What has been tried.
@@ -58,20 +58,20 @@
 /// Whether the request may have run in a try that failed so.
 pub fn may_have_run(failure: &Failure) -> bool {
     match failure {
-        Failure::BadGrant(_) => false,
+        Failure::InvalidGrant(_) => false,
         Failure::Run(e) => !matches!(
             e,
             RunError::NotSent(_) | RunError::Unready(_) | RunError::Rejected(..)
         ),
-        Failure::Deadline | Failure::Lapsed => true,
+        Failure::Deadline | Failure::GrantExpired => true,
     }
 }
 
 /// What the owner is told of a try that failed so.
 pub fn outcome(failure: &Failure) -> Outcome {
     match failure {
-        Failure::BadGrant(_) => Outcome::NotRun,
-        Failure::Deadline | Failure::Lapsed => Outcome::Cancelled,
+        Failure::InvalidGrant(_) => Outcome::NotRun,
+        Failure::Deadline | Failure::GrantExpired => Outcome::Cancelled,
         Failure::Run(e) => match e {
             // Never reached is not run, and no sign that the request crashes
             // its upstream.
@@ -120,9 +120,9 @@
 fn give_up(failure: &Failure) -> CallerError {
     let text = describe(failure);
     match failure {
-        Failure::BadGrant(_) => CallerError::new(Code::NoReplica, text).after(COME_BACK_MS),
+        Failure::InvalidGrant(_) => CallerError::new(Code::NoReplica, text).after(COME_BACK_MS),
         Failure::Deadline => CallerError::new(Code::Overdue, text),
-        Failure::Lapsed => CallerError::new(Code::OutcomeUnknown, text),
+        Failure::GrantExpired => CallerError::new(Code::OutcomeUnknown, text),
         Failure::Run(e) => match e {
             RunError::Rejected(..) => CallerError::new(Code::BadRequest, text),
             RunError::Unready(Unready::Full) => {
@@ -139,10 +139,10 @@
 /// A failure in words for the caller and the time line.
 pub fn describe(failure: &Failure) -> String {
     match failure {
-        Failure::BadGrant(m) => format!("a grant was of no use: {m}"),
+        Failure::InvalidGrant(m) => format!("a grant was of no use: {m}"),
         Failure::Run(e) => e.to_string(),
         Failure::Deadline => "the deadline passed while it ran".to_owned(),
-        Failure::Lapsed => "its grant lapsed while it ran".to_owned(),
+        Failure::GrantExpired => "its grant lapsed while it ran".to_owned(),
     }
 }
 
