--- a/lib/src/entry/errors.rs
+++ b/lib/src/entry/errors.rs
@@ -136,7 +136,7 @@
     /// For a person.
     pub message: String,
     /// When to come back, where time can mend it.
-    pub retry_ms: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
 #[derive(Serialize)]
@@ -159,13 +159,13 @@
         Self {
             code,
             message: message.into(),
-            retry_ms: None,
+            retry_after_ms: None,
         }
     }
 
     /// Adds when to come back.
-    pub fn after(mut self, ms: u64) -> Self {
-        self.retry_ms = Some(ms);
+    pub fn with_retry_after(mut self, ms: u64) -> Self {
+        self.retry_after_ms = Some(ms);
         self
     }
 
@@ -173,7 +173,7 @@
     ///
     /// ```
     /// use banyangauge::entry::{CallerError, Code};
-    /// let e = CallerError::new(Code::NoOwner, "no owner").after(200);
+    /// let e = CallerError::new(Code::NoOwner, "no owner").with_retry_after(200);
     /// let text = String::from_utf8(e.body().to_vec()).unwrap();
     /// assert_eq!(
     ///     text,
@@ -186,7 +186,7 @@
                 code: self.code.word(),
                 message: &self.message,
                 ran: self.code.ran(),
-                retry_after_ms: self.retry_ms,
+                retry_after_ms: self.retry_after_ms,
             },
         };
         // Plain fields always serialise; an empty body is better than a panic.
@@ -196,7 +196,7 @@
     }
 
     /// The value of `Retry-After`, in whole seconds, rounded up.
-    pub fn retry_after(&self) -> Option<u64> {
-        self.retry_ms.map(|ms| ms.div_ceil(1_000).max(1))
+    pub fn retry_after_s(&self) -> Option<u64> {
+        self.retry_after_ms.map(|ms| ms.div_ceil(1_000).max(1))
     }
 }
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -120,16 +120,16 @@
 fn give_up(failure: &Failure) -> CallerError {
     let text = describe(failure);
     match failure {
-        Failure::InvalidGrant(_) => CallerError::new(Code::NoReplica, text).after(COME_BACK_MS),
+        Failure::InvalidGrant(_) => CallerError::new(Code::NoReplica, text).with_retry_after(COME_BACK_MS),
         Failure::Deadline => CallerError::new(Code::Overdue, text),
         Failure::GrantExpired => CallerError::new(Code::OutcomeUnknown, text),
         Failure::Run(e) => match e {
             RunError::Rejected(..) => CallerError::new(Code::BadRequest, text),
             RunError::Unready(Unready::Full) => {
-                CallerError::new(Code::QueueFull, text).after(COME_BACK_MS)
+                CallerError::new(Code::QueueFull, text).with_retry_after(COME_BACK_MS)
             }
             RunError::Unready(_) | RunError::NotSent(_) => {
-                CallerError::new(Code::NoReplica, text).after(COME_BACK_MS)
+                CallerError::new(Code::NoReplica, text).with_retry_after(COME_BACK_MS)
             }
             _ => CallerError::new(Code::OutcomeUnknown, text),
         },
@@ -152,7 +152,7 @@
         true => CallerError {
             code: Code::OutcomeUnknown,
             message: format!("an earlier try may have run; then: {}", error.message),
-            retry_ms: None,
+            retry_after_ms: None,
         },
         false => error,
     }
@@ -187,16 +187,16 @@
     match code {
         // Coming back soon with the same request mends nothing.
         Code::Convicted if refusal.retry_after_ms == 0 => CallerError::new(code, text),
-        _ => CallerError::new(code, text).after(ms),
+        _ => CallerError::new(code, text).with_retry_after(ms),
     }
 }
 
 /// The answer to a caller whose deadline passed before a grant came.
 pub fn deadline_error() -> CallerError {
-    CallerError::new(Code::Deadline, "the deadline passed before dispatch").after(COME_BACK_MS)
+    CallerError::new(Code::Deadline, "the deadline passed before dispatch").with_retry_after(COME_BACK_MS)
 }
 
 /// The answer to a caller whose pool has no owner that can be reached.
 pub fn no_owner_error() -> CallerError {
-    CallerError::new(Code::NoOwner, "the pool has no owner now").after(COME_BACK_MS)
+    CallerError::new(Code::NoOwner, "the pool has no owner now").with_retry_after(COME_BACK_MS)
 }
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -84,7 +84,7 @@
 ) -> Result<Response<AnswerBody>, CallerError> {
     if let Some(left) = state.convicted(call.fingerprint) {
         let e = CallerError::new(Code::Convicted, "this request crashes its upstream");
-        return Err(e.after(left));
+        return Err(e.with_retry_after(left));
     }
     let work = dispatch(state.clone(), call.clone(), room);
     if call.idempotent {
@@ -104,13 +104,13 @@
     id: Id,
 ) -> Result<(Arc<Call>, OwnedSemaphorePermit), CallerError> {
     let room = state.room.clone().try_acquire_owned().map_err(|_| {
-        CallerError::new(Code::TooMany, "too many requests in flight").after(COME_BACK_MS)
+        CallerError::new(Code::TooMany, "too many requests in flight").with_retry_after(COME_BACK_MS)
     })?;
     let received = now_us();
     let view = state.view();
     if view.revision().0 == 0 {
         let e = CallerError::new(Code::NoOwner, "no configuration has come yet");
-        return Err(e.after(COME_BACK_MS));
+        return Err(e.with_retry_after(COME_BACK_MS));
     }
     let limits = &state.settings.limits;
     let (parts, body) = request.into_parts();
@@ -190,7 +190,7 @@
     *answer.status_mut() = e.code.status();
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(seconds) = e.retry_after() {
+    if let Some(seconds) = e.retry_after_s() {
         headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
     if let Ok(id) = HeaderValue::from_str(id) {
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -153,7 +153,7 @@
 }
 
 async fn refuse(mut stream: TcpStream) -> std::io::Result<()> {
-    let e = CallerError::new(Code::TooMany, "too many connections").after(1_000);
+    let e = CallerError::new(Code::TooMany, "too many connections").with_retry_after(1_000);
     let body = e.body();
     let head = format!(
         "HTTP/1.1 429 Too Many Requests\r\ncontent-type: application/json\r\n\
