--- a/lib/src/entry/errors.rs
+++ b/lib/src/entry/errors.rs
@@ -100,7 +100,7 @@
     }
 
     /// The word for it in metrics.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
             Self::BadHeader => "bad_header",
@@ -183,7 +183,7 @@
     pub fn body(&self) -> Bytes {
         let outer = Outer {
             error: Inner {
-                code: self.code.word(),
+                code: self.code.as_str(),
                 message: &self.message,
                 ran: self.code.ran(),
                 retry_after_ms: self.retry_after_ms,
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -62,7 +62,7 @@
     let (call, room) = match read(&state, request, id).await {
         Ok(read) => read,
         Err(e) => {
-            count(e.code.word());
+            count(e.code.as_str());
             return Err(e);
         }
     };
@@ -163,9 +163,9 @@
                     Ran::NotRun => EventKind::Refused,
                     Ran::Unknown => EventKind::Unknown,
                 };
-                let detail = || format!("{}: {}", e.code.word(), e.message);
+                let detail = || format!("{}: {}", e.code.as_str(), e.message);
                 note(self.state, kind, self.call, "", detail);
-                count(e.code.word());
+                count(e.code.as_str());
             }
         }
         result
