--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -95,13 +95,13 @@
 /// the tries before this one.
 ///
 /// ```
-/// use banyangauge::entry::retry::{Failure, RetryDecision, Attempts, after};
+/// use banyangauge::entry::retry::{Failure, RetryDecision, Attempts, after_failure};
 /// use banyangauge::upstream::RunError;
 /// let broken = Failure::Run(RunError::BrokenEarly("reset".into()));
 /// let mut t = Attempts { retries: 3, idempotent: true, ..Attempts::default() };
-/// assert_eq!(after(&broken, &t), RetryDecision::Retry);
+/// assert_eq!(after_failure(&broken, &t), RetryDecision::Retry);
 /// t.idempotent = false;
-/// assert!(matches!(after(&broken, &t), RetryDecision::GiveUp(_)));
+/// assert!(matches!(after_failure(&broken, &t), RetryDecision::GiveUp(_)));
 /// ```
 pub fn after_failure(failure: &Failure, tries: &Attempts) -> RetryDecision {
     let ran = may_have_run(failure);
