--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -12,7 +12,7 @@
 
 use super::session::channel;
 use super::state::State;
-use super::usage::Report;
+use super::usage::UsageBatch;
 use super::view::View;
 use crate::catalog::Catalog;
 use crate::catalog::ChangeSet;
@@ -226,7 +226,7 @@
     async fn send(&mut self) -> bool {
         for _ in 0..self.state.settings.controls.len() {
             let report = match self.client {
-                Some(_) => self.state.usage.risen(),
+                Some(_) => self.state.usage.unreported(),
                 None => self.state.usage.all(),
             };
             if report.counts.is_empty() {
@@ -242,7 +242,7 @@
         false
     }
 
-    async fn try_send(&mut self, mut report: Report) -> Result<(), String> {
+    async fn try_send(&mut self, mut report: UsageBatch) -> Result<(), String> {
         let message = wire::UsageReport {
             vm: self.state.settings.vm.to_string(),
             incarnation: self.state.incarnation.0,
@@ -264,7 +264,7 @@
         answered
             .await
             .unwrap_or_else(|_| Err("no answer in time".to_owned()))?;
-        report.told();
+        report.mark_reported();
         Ok(())
     }
 }
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -50,7 +50,7 @@
 pub use settings::Limits;
 pub use state::State;
 pub use usage::Counter;
-pub use usage::Report;
+pub use usage::UsageBatch;
 pub use usage::Usage;
 pub use view::Service;
 pub use view::View;
--- a/lib/src/entry/usage.rs
+++ b/lib/src/entry/usage.rs
@@ -69,13 +69,13 @@
     }
 
     /// Cumulative counts of those that rose since they were last told.
-    pub fn risen(&self) -> Report {
+    pub fn unreported(&self) -> UsageBatch {
         self.pick(|c| c.sum() != c.told.load(Ordering::Relaxed))
     }
 
-    fn pick(&self, wanted: impl Fn(&Counter) -> bool) -> Report {
+    fn pick(&self, wanted: impl Fn(&Counter) -> bool) -> UsageBatch {
         let counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut report = Report::default();
+        let mut report = UsageBatch::default();
         for ((team, adapter), counter) in counters.iter() {
             if wanted(counter) {
                 // Read before the counts, so that it is never too high.
@@ -87,30 +87,30 @@
     }
 
     /// All counters, for a control process that may know none of them.
-    pub fn all(&self) -> Report {
+    pub fn all(&self) -> UsageBatch {
         self.pick(|_| true)
     }
 }
 
 /// Counts to be told, and how far they tell.
 #[derive(Debug, Default)]
-pub struct Report {
+pub struct UsageBatch {
     /// The counts.
     pub counts: Vec<wire::UsageCount>,
     sums: Vec<(Arc<Counter>, u64)>,
 }
 
-impl Report {
+impl UsageBatch {
     /// Notes that the report was answered.
     ///
     /// ```
     /// use banyangauge::entry::Usage;
     /// let usage = Usage::default();
     /// usage.counter(&"laundry".parse().unwrap(), None).request();
-    /// usage.risen().told();
-    /// assert!(usage.risen().counts.is_empty());
+    /// usage.unreported().mark_reported();
+    /// assert!(usage.unreported().counts.is_empty());
     /// ```
-    pub fn told(self) {
+    pub fn mark_reported(self) {
         for (counter, sum) in self.sums {
             counter.told.store(sum, Ordering::Relaxed);
         }
