--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -324,9 +324,9 @@
     hold.begun(answer.begun, answer.seen);
     hold.tokens = answer.usage.completion_tokens;
     let counter = state.usage.counter(&call.team, call.adapter.as_ref());
-    counter.request();
-    counter.prompt(answer.usage.prompt_tokens);
-    counter.output(answer.usage.completion_tokens);
+    counter.add_request();
+    counter.add_prompt_tokens(answer.usage.prompt_tokens);
+    counter.add_output_tokens(answer.usage.completion_tokens);
     note(
         state,
         EventKind::Answered,
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -49,7 +49,7 @@
 pub use settings::EntrySettings;
 pub use settings::Limits;
 pub use state::State;
-pub use usage::Counter;
+pub use usage::UsageCounter;
 pub use usage::UsageBatch;
 pub use usage::Usage;
 pub use view::Service;
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -26,7 +26,7 @@
 use super::retry;
 use super::retry::Failure;
 use super::state::State;
-use super::usage::Counter;
+use super::usage::UsageCounter;
 use crate::pool::Outcome;
 use crate::timeline::EventKind;
 use crate::upstream;
@@ -83,7 +83,7 @@
     scanner: EventSplitter,
     checker: StreamChecker,
     resumes: u32,
-    counter: Arc<Counter>,
+    counter: Arc<UsageCounter>,
     first: Option<Run>,
     passed: bool,
     phase: Phase,
@@ -207,12 +207,12 @@
     fn count(&mut self, progress: &Progress) {
         if !self.passed {
             self.passed = true;
-            self.counter.request();
+            self.counter.add_request();
         }
-        self.counter.output(progress.tokens);
+        self.counter.add_output_tokens(progress.tokens);
         self.guard.with(|hold| hold.tokens += progress.tokens);
         if let Some(usage) = progress.usage {
-            self.counter.prompt(usage.prompt_tokens);
+            self.counter.add_prompt_tokens(usage.prompt_tokens);
         }
         if progress.done {
             let replica = &self.grant.replica;
--- a/lib/src/entry/usage.rs
+++ b/lib/src/entry/usage.rs
@@ -14,7 +14,7 @@
 
 /// Counters of one team and adapter version; they only rise.
 #[derive(Debug, Default)]
-pub struct Counter {
+pub struct UsageCounter {
     requests: AtomicU64,
     prompt: AtomicU64,
     output: AtomicU64,
@@ -22,19 +22,19 @@
     told: AtomicU64,
 }
 
-impl Counter {
+impl UsageCounter {
     /// Counts a request, at the first byte that its caller gets.
-    pub fn request(&self) {
+    pub fn add_request(&self) {
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts the tokens of a prompt, as the engine tells them.
-    pub fn prompt(&self, tokens: u64) {
+    pub fn add_prompt_tokens(&self, tokens: u64) {
         self.prompt.fetch_add(tokens, Ordering::Relaxed);
     }
 
     /// Counts tokens that were passed on.
-    pub fn output(&self, tokens: u64) {
+    pub fn add_output_tokens(&self, tokens: u64) {
         self.output.fetch_add(tokens, Ordering::Relaxed);
     }
 }
@@ -44,12 +44,12 @@
 /// All counters of the process.
 #[derive(Debug, Default)]
 pub struct Usage {
-    counters: Mutex<BTreeMap<Key, Arc<Counter>>>,
+    counters: Mutex<BTreeMap<Key, Arc<UsageCounter>>>,
 }
 
 impl Usage {
     /// The counter of a team and what it uses; `None` is plain calls.
-    pub fn counter(&self, team: &TeamName, adapter: Option<&AdapterVersion>) -> Arc<Counter> {
+    pub fn counter(&self, team: &TeamName, adapter: Option<&AdapterVersion>) -> Arc<UsageCounter> {
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         let key = (team.clone(), adapter.cloned());
         counters.entry(key).or_default().clone()
@@ -61,7 +61,7 @@
     /// use banyangauge::entry::Usage;
     /// let usage = Usage::default();
     /// let team = "laundry".parse().unwrap();
-    /// usage.counter(&team, None).request();
+    /// usage.counter(&team, None).add_request();
     /// assert_eq!(usage.counts()[0].requests, 1);
     /// ```
     pub fn counts(&self) -> Vec<wire::UsageCount> {
@@ -73,7 +73,7 @@
         self.pick(|c| c.sum() != c.told.load(Ordering::Relaxed))
     }
 
-    fn pick(&self, wanted: impl Fn(&Counter) -> bool) -> UsageBatch {
+    fn pick(&self, wanted: impl Fn(&UsageCounter) -> bool) -> UsageBatch {
         let counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         let mut report = UsageBatch::default();
         for ((team, adapter), counter) in counters.iter() {
@@ -97,7 +97,7 @@
 pub struct UsageBatch {
     /// The counts.
     pub counts: Vec<wire::UsageCount>,
-    sums: Vec<(Arc<Counter>, u64)>,
+    sums: Vec<(Arc<UsageCounter>, u64)>,
 }
 
 impl UsageBatch {
@@ -106,7 +106,7 @@
     /// ```
     /// use banyangauge::entry::Usage;
     /// let usage = Usage::default();
-    /// usage.counter(&"laundry".parse().unwrap(), None).request();
+    /// usage.counter(&"laundry".parse().unwrap(), None).add_request();
     /// usage.unreported().mark_reported();
     /// assert!(usage.unreported().counts.is_empty());
     /// ```
@@ -117,14 +117,14 @@
     }
 }
 
-impl Counter {
+impl UsageCounter {
     fn sum(&self) -> u64 {
         let parts = [&self.requests, &self.prompt, &self.output];
         parts.iter().map(|p| p.load(Ordering::Relaxed)).sum()
     }
 }
 
-fn count(team: &TeamName, adapter: Option<&AdapterVersion>, counter: &Counter) -> wire::UsageCount {
+fn count(team: &TeamName, adapter: Option<&AdapterVersion>, counter: &UsageCounter) -> wire::UsageCount {
     wire::UsageCount {
         team: team.to_string(),
         adapter: adapter.map(|a| a.adapter.to_string()).unwrap_or_default(),
