--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -126,7 +126,7 @@
     if catalog.revision.0 != s.revision {
         return Err("a snapshot of another revision than it says".to_owned());
     }
-    put_in_force(state, View::new(catalog));
+    install_view(state, View::new(catalog));
     Ok(())
 }
 
@@ -139,13 +139,13 @@
     if set.revision.0 != d.revision {
         return Err("a change set of another revision than it says".to_owned());
     }
-    put_in_force(state, view.next(&set)?);
+    install_view(state, view.next(&set)?);
     Ok(())
 }
 
-fn put_in_force(state: &State, view: View) {
+fn install_view(state: &State, view: View) {
     let revision = view.revision().0;
-    if state.put_in_force(view) {
+    if state.install_view(view) {
         let about = EventFields {
             detail: format!("revision {revision}"),
             ..EventFields::default()
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -87,7 +87,7 @@
     }
 
     /// Puts a catalog in force if its revision is higher; tells whether it was.
-    pub fn put_in_force(&self, next: View) -> bool {
+    pub fn install_view(&self, next: View) -> bool {
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
         let higher = next.revision() > view.revision();
         if higher {
