--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -111,7 +111,7 @@
         }
         Some(Body::Verdicts(v)) => {
             let list = v.verdicts.iter();
-            state.convict(list.map(|v| (Fingerprint(v.fingerprint), v.left_ms)));
+            state.block(list.map(|v| (Fingerprint(v.fingerprint), v.left_ms)));
             Ok(())
         }
         None => Err("an empty message".to_owned()),
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -82,7 +82,7 @@
     call: &Arc<Call>,
     room: OwnedSemaphorePermit,
 ) -> Result<Response<AnswerBody>, CallerError> {
-    if let Some(left) = state.convicted(call.fingerprint) {
+    if let Some(left) = state.blocked_for_ms(call.fingerprint) {
         let e = CallerError::new(Code::Convicted, "this request crashes its upstream");
         return Err(e.with_retry_after(left));
     }
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -98,14 +98,14 @@
 
     /// Whether a request was found to crash its upstream; gives how long the
     /// verdict still holds, in milliseconds.
-    pub fn convicted(&self, fingerprint: Fingerprint) -> Option<u64> {
+    pub fn blocked_for_ms(&self, fingerprint: Fingerprint) -> Option<u64> {
         let verdicts = self.verdicts.read().unwrap_or_else(PoisonError::into_inner);
         let left = verdicts.get(&fingerprint)?.checked_sub(now_us())?;
         Some(left / 1_000)
     }
 
     /// Adds verdicts that hold for the given milliseconds; old ones go.
-    pub fn convict(&self, list: impl IntoIterator<Item = (Fingerprint, u64)>) {
+    pub fn block(&self, list: impl IntoIterator<Item = (Fingerprint, u64)>) {
         let now = now_us();
         let mut verdicts = self
             .verdicts
--- a/lib/tests/test_entry_input.rs
+++ b/lib/tests/test_entry_input.rs
@@ -217,7 +217,7 @@
     let (world, upstream) = world(Limits::default()).await;
     assert_eq!(world.ask(&completion(), PROMPT).await.status, 200);
     let fingerprint = Fingerprint(world.acquires()[0].fingerprint);
-    world.entry.state.convict([(fingerprint, 60_000)]);
+    world.entry.state.block([(fingerprint, 60_000)]);
     let answer = world.ask(&completion(), PROMPT).await;
     assert_eq!(answer.error(), (422, "convicted".into(), "not_run".into()));
     assert_eq!(upstream.count("POST"), 1);
