--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -42,7 +42,7 @@
     state: Arc<State>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
-    let number = state.number();
+    let number = state.next_request_number();
     let id = Id {
         text: format!("{:x}-{number:x}", state.incarnation.0),
         number,
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -143,7 +143,7 @@
     }
 
     /// A number that no other request of this process has.
-    pub fn number(&self) -> u64 {
+    pub fn next_request_number(&self) -> u64 {
         self.requests.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
