--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -40,7 +40,7 @@
     /// The time line.
     pub recorder: Arc<Recorder>,
     /// Requests that may still come in.
-    pub room: Arc<Semaphore>,
+    pub request_permits: Arc<Semaphore>,
     /// Connections to our other processes.
     pub link: Link,
     /// The log.
@@ -62,7 +62,7 @@
     ) -> Self {
         let recorder = Recorder::new(&format!("entry {}", settings.vm), settings.limits.events);
         Self {
-            room: Arc::new(Semaphore::new(settings.limits.requests)),
+            request_permits: Arc::new(Semaphore::new(settings.limits.requests)),
             settings,
             incarnation,
             owners: watch::Sender::default(),
