--- a/lib/src/entry/call.rs
+++ b/lib/src/entry/call.rs
@@ -13,7 +13,7 @@
 use super::Code;
 use super::Completion;
 use super::settings::Limits;
-use super::view::View;
+use super::view::CatalogView;
 use crate::ids::AdapterVersion;
 use crate::ids::Fingerprint;
 use crate::ids::PoolName;
@@ -102,7 +102,7 @@
     ///
     /// The first of them that is refused; the body need not be read then.
     pub(super) fn read(
-        view: &View,
+        view: &CatalogView,
         limits: &Limits,
         parts: &request::Parts,
         now: u64,
@@ -134,7 +134,7 @@
     /// to the team.
     pub(super) fn call(
         self,
-        view: &View,
+        view: &CatalogView,
         parts: request::Parts,
         body: Bytes,
         id: Id,
@@ -185,7 +185,7 @@
     }
 }
 
-fn read_kind(view: &View, parts: &request::Parts) -> Result<Kind, CallerError> {
+fn read_kind(view: &CatalogView, parts: &request::Parts) -> Result<Kind, CallerError> {
     let path = parts.uri.path();
     let chat = match path {
         "/v1/completions" => false,
--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -13,7 +13,7 @@
 use super::session::channel;
 use super::state::State;
 use super::usage::UsageBatch;
-use super::view::View;
+use super::view::CatalogView;
 use crate::catalog::Catalog;
 use crate::catalog::ChangeSet;
 use crate::catalog::MAX_SNAPSHOT_BYTES;
@@ -126,7 +126,7 @@
     if catalog.revision.0 != s.revision {
         return Err("a snapshot of another revision than it says".to_owned());
     }
-    install_view(state, View::new(catalog));
+    install_view(state, CatalogView::new(catalog));
     Ok(())
 }
 
@@ -143,7 +143,7 @@
     Ok(())
 }
 
-fn install_view(state: &State, view: View) {
+fn install_view(state: &State, view: CatalogView) {
     let revision = view.revision().0;
     if state.install_view(view) {
         let about = EventFields {
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -53,4 +53,4 @@
 pub use usage::UsageBatch;
 pub use usage::Usage;
 pub use view::Service;
-pub use view::View;
+pub use view::CatalogView;
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -16,7 +16,7 @@
 use super::clock::now_us;
 use super::session::Identity;
 use super::session::Session;
-use super::view::View;
+use super::view::CatalogView;
 use crate::control::Owner;
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
@@ -45,7 +45,7 @@
     pub link: Link,
     /// The log.
     pub log: slog::Logger,
-    view: RwLock<Arc<View>>,
+    view: RwLock<Arc<CatalogView>>,
     /// Convicted requests and when each verdict ends, in microseconds.
     verdicts: RwLock<BTreeMap<Fingerprint, u64>>,
     sessions: Mutex<BTreeMap<PoolName, Session>>,
@@ -79,7 +79,7 @@
     }
 
     /// The catalog in force now.
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<CatalogView> {
         self.view
             .read()
             .unwrap_or_else(PoisonError::into_inner)
@@ -87,7 +87,7 @@
     }
 
     /// Puts a catalog in force if its revision is higher; tells whether it was.
-    pub fn install_view(&self, next: View) -> bool {
+    pub fn install_view(&self, next: CatalogView) -> bool {
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
         let higher = next.revision() > view.revision();
         if higher {
--- a/lib/src/entry/view.rs
+++ b/lib/src/entry/view.rs
@@ -27,12 +27,12 @@
 
 /// One revision of the catalog, indexed.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct CatalogView {
     catalog: Catalog,
     services: BTreeMap<String, Service>,
 }
 
-impl View {
+impl CatalogView {
     /// Indexes a catalog.
     pub fn new(catalog: Catalog) -> Self {
         let services = catalog
