--- a/lib/src/entry/auth.rs
+++ b/lib/src/entry/auth.rs
@@ -18,7 +18,7 @@
 ///
 /// [`Code::BadKey`] when the header is missing, malformed or has a key that no
 /// team has.
-pub(super) fn team<'a>(
+pub(super) fn authenticate<'a>(
     catalog: &'a Catalog,
     headers: &HeaderMap,
 ) -> Result<&'a TeamName, CallerError> {
--- a/lib/src/entry/call.rs
+++ b/lib/src/entry/call.rs
@@ -108,7 +108,7 @@
         now: u64,
     ) -> Result<Self, CallerError> {
         let headers = &parts.headers;
-        let team = view.team(headers)?.clone();
+        let team = view.authenticate(headers)?.clone();
         let kind = read_kind(view, parts)?;
         let key = read_key(headers)?;
         let by_kind = match &kind {
--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -139,7 +139,7 @@
     if set.revision.0 != d.revision {
         return Err("a change set of another revision than it says".to_owned());
     }
-    install_view(state, view.next(&set)?);
+    install_view(state, view.apply(&set)?);
     Ok(())
 }
 
--- a/lib/src/entry/view.rs
+++ b/lib/src/entry/view.rs
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// When it does not follow this revision, or the catalog refuses it.
-    pub fn next(&self, set: &ChangeSet) -> Result<Self, String> {
+    pub fn apply(&self, set: &ChangeSet) -> Result<Self, String> {
         let mut catalog = self.catalog.clone();
         catalog.apply(&set.changes).map_err(|e| e.to_string())?;
         match catalog.revision == set.revision {
@@ -76,8 +76,8 @@
     /// # Errors
     ///
     /// [`Code::BadKey`] when it has none that is known.
-    pub fn team(&self, headers: &HeaderMap) -> Result<&TeamName, CallerError> {
-        auth::team(&self.catalog, headers)
+    pub fn authenticate(&self, headers: &HeaderMap) -> Result<&TeamName, CallerError> {
+        auth::authenticate(&self.catalog, headers)
     }
 
     /// The pool and exact adapter version that `model` means for `team`.
