--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -26,9 +26,9 @@
 use super::clock::now_us;
 use super::held_grant::HeldGrant;
 use super::retry;
+use super::retry::Attempts;
 use super::retry::Failure;
 use super::retry::RetryDecision;
-use super::retry::Attempts;
 use super::session::NoGrant;
 use super::state::State;
 use super::stream::Passing;
@@ -109,7 +109,11 @@
 /// bound how many ask.
 const ASK_AGAIN: Duration = Duration::from_millis(200);
 
-async fn acquire(state: &State, call: &Call, tries: &Attempts) -> Result<Box<HeldGrant>, CallerError> {
+async fn acquire(
+    state: &State,
+    call: &Call,
+    tries: &Attempts,
+) -> Result<Box<HeldGrant>, CallerError> {
     let session = state.session(&call.pool);
     let last = call.deadline.saturating_sub(ASK_AGAIN.as_micros() as u64);
     let error = loop {
@@ -270,7 +274,11 @@
 
 /// Waits for `work` until the deadline, and only as long as the grant is
 /// confirmed.
-async fn within<T>(hold: &HeldGrant, deadline: u64, work: impl Future<Output = T>) -> Result<T, Stop> {
+async fn within<T>(
+    hold: &HeldGrant,
+    deadline: u64,
+    work: impl Future<Output = T>,
+) -> Result<T, Stop> {
     tokio::pin!(work);
     loop {
         let until = deadline.min(hold.lease.expires_at());
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -120,7 +120,9 @@
 fn give_up(failure: &Failure) -> CallerError {
     let text = describe(failure);
     match failure {
-        Failure::InvalidGrant(_) => CallerError::new(Code::NoReplica, text).with_retry_after(COME_BACK_MS),
+        Failure::InvalidGrant(_) => {
+            CallerError::new(Code::NoReplica, text).with_retry_after(COME_BACK_MS)
+        }
         Failure::Deadline => CallerError::new(Code::Overdue, text),
         Failure::GrantExpired => CallerError::new(Code::OutcomeUnknown, text),
         Failure::Run(e) => match e {
@@ -193,7 +195,8 @@
 
 /// The answer to a caller whose deadline passed before a grant came.
 pub fn deadline_error() -> CallerError {
-    CallerError::new(Code::Deadline, "the deadline passed before dispatch").with_retry_after(COME_BACK_MS)
+    CallerError::new(Code::Deadline, "the deadline passed before dispatch")
+        .with_retry_after(COME_BACK_MS)
 }
 
 /// The answer to a caller whose pool has no owner that can be reached.
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -103,9 +103,14 @@
     request: Request<Incoming>,
     id: Id,
 ) -> Result<(Arc<Call>, OwnedSemaphorePermit), CallerError> {
-    let room = state.request_permits.clone().try_acquire_owned().map_err(|_| {
-        CallerError::new(Code::TooMany, "too many requests in flight").with_retry_after(COME_BACK_MS)
-    })?;
+    let room = state
+        .request_permits
+        .clone()
+        .try_acquire_owned()
+        .map_err(|_| {
+            CallerError::new(Code::TooMany, "too many requests in flight")
+                .with_retry_after(COME_BACK_MS)
+        })?;
     let received = now_us();
     let view = state.view();
     if view.revision().0 == 0 {
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -132,7 +132,9 @@
                 Ok((passing.head(), passing))
             }
             Err(failure) => {
-                passing.guard.with(|hold| hold.seen = retry::seen_incarnation(&failure));
+                passing
+                    .guard
+                    .with(|hold| hold.seen = retry::seen_incarnation(&failure));
                 passing.guard.settle(retry::outcome(&failure));
                 Err(failure)
             }
--- a/lib/src/entry/usage.rs
+++ b/lib/src/entry/usage.rs
@@ -124,7 +124,11 @@
     }
 }
 
-fn count(team: &TeamName, adapter: Option<&AdapterVersion>, counter: &UsageCounter) -> wire::UsageCount {
+fn count(
+    team: &TeamName,
+    adapter: Option<&AdapterVersion>,
+    counter: &UsageCounter,
+) -> wire::UsageCount {
     wire::UsageCount {
         team: team.to_string(),
         adapter: adapter.map(|a| a.adapter.to_string()).unwrap_or_default(),
--- a/lib/tests/test_entry_session_state.rs
+++ b/lib/tests/test_entry_session_state.rs
@@ -2,10 +2,10 @@
 
 use banyangauge::entry::Command;
 use banyangauge::entry::HeldGrant;
-use banyangauge::entry::SessionState;
+use banyangauge::entry::PendingAcquire;
 use banyangauge::entry::Reply;
 use banyangauge::entry::SessionAction;
-use banyangauge::entry::PendingAcquire;
+use banyangauge::entry::SessionState;
 use banyangauge::entry::owner_candidate;
 use banyangauge_proto as wire;
 use rstest::rstest;
