--- a/lib/src/link/keys.rs
+++ b/lib/src/link/keys.rs
@@ -14,9 +14,9 @@
 use tokio_rustls::rustls::pki_types::pem::PemObject;
 use tokio_rustls::rustls::server::WebPkiClientVerifier;
 
+use super::CERTIFICATE_NAME;
 use super::LinkError;
 use super::LinkSettings;
-use super::PROCESS_NAME;
 
 /// The protocol that gRPC speaks.
 const ALPN: &[u8] = b"h2";
@@ -47,7 +47,7 @@
         }
         let roots = Arc::new(roots);
         let provider = Arc::new(ring::default_provider());
-        let name = ServerName::try_from(PROCESS_NAME).map_err(keys)?;
+        let name = ServerName::try_from(CERTIFICATE_NAME).map_err(keys)?;
         Ok(Self {
             server: Arc::new(server(&provider, &roots, &chain, &key)?),
             client: Arc::new(client(&provider, &roots, &chain, &key)?),
@@ -114,12 +114,12 @@
 }
 
 fn form(file: &Path, error: &str) -> LinkError {
-    LinkError::Form {
+    LinkError::Malformed {
         file: file.to_owned(),
         error: error.to_owned(),
     }
 }
 
 fn keys(error: impl std::fmt::Display) -> LinkError {
-    LinkError::Keys(error.to_string())
+    LinkError::InvalidKeys(error.to_string())
 }
--- a/lib/src/link/mod.rs
+++ b/lib/src/link/mod.rs
@@ -2,7 +2,7 @@
 //! settings name no keys.
 //!
 //! Every process has a certificate of one authority for the name
-//! [`PROCESS_NAME`]; VMs come and go with their addresses, so a certificate
+//! [`CERTIFICATE_NAME`]; VMs come and go with their addresses, so a certificate
 //! says "one of ours" and no address. Both sides show one. The files are read
 //! again when they change; connections that are open go on.
 
@@ -37,7 +37,7 @@
 use keys::Keys;
 
 /// The name in the certificate of every process.
-pub const PROCESS_NAME: &str = "banyangauge";
+pub const CERTIFICATE_NAME: &str = "banyangauge";
 
 /// How often the key files are looked at.
 const RELOAD_EVERY: Duration = Duration::from_secs(10);
@@ -77,14 +77,14 @@
         error: io::Error,
     },
     /// A file does not hold what it should.
-    Form {
+    Malformed {
         /// Which file.
         file: PathBuf,
         /// What is wrong.
         error: String,
     },
     /// The keys do not fit together.
-    Keys(String),
+    InvalidKeys(String),
     /// The other process cannot be reached, or is not one of ours.
     Connect(tonic::transport::Error),
 }
@@ -93,8 +93,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Read { file, error } => write!(f, "{}: {error}", file.display()),
-            Self::Form { file, error } => write!(f, "{}: {error}", file.display()),
-            Self::Keys(e) => f.write_str(e),
+            Self::Malformed { file, error } => write!(f, "{}: {error}", file.display()),
+            Self::InvalidKeys(e) => f.write_str(e),
             Self::Connect(e) => write!(f, "cannot connect: {e}"),
         }
     }
