--- a/cli/src/commands/why.rs
+++ b/cli/src/commands/why.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use banyangauge::operator::Story;
+use banyangauge::operator::RequestHistory;
 
 use super::CommandError;
 
@@ -22,7 +22,7 @@
 
 impl Why {
     pub(super) fn run(&self) -> Result<(), CommandError> {
-        let mut story = Story::new(&self.id);
+        let mut story = RequestHistory::new(&self.id);
         for file in &self.files {
             let text = std::fs::read_to_string(file)
                 .map_err(|e| CommandError::Usage(format!("{}: {e}", file.display())))?;
--- a/lib/src/operator/mod.rs
+++ b/lib/src/operator/mod.rs
@@ -7,7 +7,7 @@
 mod json;
 mod merge;
 mod render;
-mod story;
+mod request_history;
 
 pub use client::Client;
 pub use client::ClientError;
@@ -31,7 +31,7 @@
 pub use render::table;
 pub use render::timeline_text;
 pub use render::usage_text;
-pub use story::Story;
+pub use request_history::RequestHistory;
 
 /// What `banyan timeline` asks for: only events that carry these values.
 pub type Filter = banyangauge_proto::TimelineRequest;
--- a/lib/src/operator/story.rs
+++ b/lib/src/operator/request_history.rs
@@ -34,18 +34,18 @@
 /// and adapters that they name shortly before.
 ///
 /// ```
-/// use banyangauge::operator::Story;
-/// let mut s = Story::new("r1");
+/// use banyangauge::operator::RequestHistory;
+/// let mut s = RequestHistory::new("r1");
 /// s.read(r#"{"msg":"refused","ts":"2026-01-01T00:00:01.5Z","vm":"a","id":"r1","why":"no_replica"}"#);
 /// assert_eq!(s.tell(), "00:00:01.500 a refused why=no_replica\n");
 /// ```
 #[derive(Debug)]
-pub struct Story {
+pub struct RequestHistory {
     id: String,
     lines: Vec<Line>,
 }
 
-impl Story {
+impl RequestHistory {
     /// The story of the request with this id; nothing was read yet.
     pub fn new(id: &str) -> Self {
         Self {
--- a/lib/tests/test_operator_story.rs
+++ b/lib/tests/test_operator_request_history.rs
@@ -1,6 +1,6 @@
 //! A request's story from log lines alone.
 
-use banyangauge::operator::Story;
+use banyangauge::operator::RequestHistory;
 
 const LINES: &str = r#"
   1.0 vm-a {"msg":"owners","ts":"2026-01-01T10:00:01.000Z","vm":"a","term":4,"revision":9}
@@ -16,7 +16,7 @@
 
 #[test]
 fn story_has_its_lines_and_what_bears_on_them() {
-    let mut story = Story::new("r1");
+    let mut story = RequestHistory::new("r1");
     story.read(LINES);
     insta::assert_snapshot!(story.tell(), @r"
     10:00:01.000 a owners revision=9 term=4
@@ -30,7 +30,7 @@
 
 #[test]
 fn story_of_nobody_says_so() {
-    let mut story = Story::new("r9");
+    let mut story = RequestHistory::new("r9");
     story.read(LINES);
     assert_eq!(story.tell(), "no line names r9\n");
 }
