--- a/cli/src/commands/timeline.rs
+++ b/cli/src/commands/timeline.rs
@@ -58,7 +58,7 @@
             most: self.most,
         };
         let merged = client.timelines(&processes, &filter).await?;
-        for (process, error) in &merged.silent {
+        for (process, error) in &merged.unreachable {
             eprintln!("banyan: {process}: {error}");
         }
         if let Some(file) = &self.html {
--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -91,13 +91,13 @@
 
 /// A merged time line.
 #[derive(Clone, Debug)]
-pub struct Merged {
+pub struct MergedTimeline {
     /// The events in order.
     pub lines: Vec<Line>,
     /// Events that the processes' rings had dropped.
     pub dropped: u64,
     /// Processes that did not answer, and why.
-    pub silent: Vec<(SocketAddr, ClientError)>,
+    pub unreachable: Vec<(SocketAddr, ClientError)>,
 }
 
 /// Calls one of several control processes, the first that answers.
@@ -277,22 +277,22 @@
         &self,
         processes: &[SocketAddr],
         filter: &wire::TimelineRequest,
-    ) -> Result<Merged, ClientError> {
+    ) -> Result<MergedTimeline, ClientError> {
         let mut replies = Vec::new();
-        let mut silent = Vec::new();
+        let mut unreachable = Vec::new();
         for process in processes {
             match self.timeline(*process, filter).await {
                 Ok(reply) => replies.push(reply),
-                Err(e) => silent.push((*process, e)),
+                Err(e) => unreachable.push((*process, e)),
             }
         }
-        if let (true, Some((_, e))) = (replies.is_empty(), silent.first()) {
+        if let (true, Some((_, e))) = (replies.is_empty(), unreachable.first()) {
             return Err(e.clone());
         }
-        Ok(Merged {
+        Ok(MergedTimeline {
             dropped: replies.iter().map(|r| r.dropped).sum(),
             lines: merge(replies),
-            silent,
+            unreachable,
         })
     }
 
--- a/lib/src/operator/mod.rs
+++ b/lib/src/operator/mod.rs
@@ -11,7 +11,7 @@
 
 pub use client::Client;
 pub use client::ClientError;
-pub use client::Merged;
+pub use client::MergedTimeline;
 pub use html::timeline_page;
 pub use input::ClientSettings;
 pub use input::InputError;
