--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -14,7 +14,7 @@
 use wire::operator_client::OperatorClient;
 use wire::timeline_client::TimelineClient;
 
-use super::Line;
+use super::TimelineEvent;
 use super::merge;
 use crate::catalog::Catalog;
 use crate::catalog::Intent;
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug)]
 pub struct MergedTimeline {
     /// The events in order.
-    pub lines: Vec<Line>,
+    pub lines: Vec<TimelineEvent>,
     /// Events that the processes' rings had dropped.
     pub dropped: u64,
     /// Processes that did not answer, and why.
--- a/lib/src/operator/html.rs
+++ b/lib/src/operator/html.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use super::Line;
+use super::TimelineEvent;
 
 /// Pixels between two lanes, two events and the edges.
 const LANE: usize = 220;
@@ -22,7 +22,7 @@
 /// let page = banyangauge::operator::timeline_page(&[], 0);
 /// assert!(page.starts_with("<!DOCTYPE html>"));
 /// ```
-pub fn timeline_page(lines: &[Line], dropped: u64) -> String {
+pub fn timeline_page(lines: &[TimelineEvent], dropped: u64) -> String {
     let mut lanes: BTreeMap<&str, usize> = BTreeMap::new();
     for line in lines {
         lanes.insert(&line.event.process, 0);
@@ -60,7 +60,7 @@
     );
 }
 
-fn event(page: &mut String, line: &Line, x: usize, y: usize) {
+fn event(page: &mut String, line: &TimelineEvent, x: usize, y: usize) {
     let e = &line.event;
     let class = match e.kind.as_str() {
         "refused" | "unknown" | "convicted" | "lost" => "bad",
@@ -79,7 +79,7 @@
          <g><title>{}</title><circle class=\"{class}\" cx=\"{x}\" cy=\"{}\" r=\"4\"/>\
          <text x=\"{}\" y=\"{y}\">{}</text></g>",
         LEFT - 20,
-        line.at,
+        line.offset_ms,
         escape(&e.detail),
         y - 4,
         x + 10,
--- a/lib/src/operator/json.rs
+++ b/lib/src/operator/json.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::Line;
+use super::TimelineEvent;
 
 /// The status of one control process.
 pub fn status_json(status: &wire::StatusReply) -> Value {
@@ -49,11 +49,11 @@
 }
 
 /// A merged time line.
-pub fn timeline_json(lines: &[Line], dropped: u64) -> Value {
-    let event = |l: &Line| {
+pub fn timeline_json(lines: &[TimelineEvent], dropped: u64) -> Value {
+    let event = |l: &TimelineEvent| {
         let e = &l.event;
         let stamp = e.stamp.clone().unwrap_or_default();
-        json!({"ms": l.at, "time": stamp.time, "origin": stamp.origin, "process": e.process,
+        json!({"ms": l.offset_ms, "time": stamp.time, "origin": stamp.origin, "process": e.process,
             "kind": e.kind, "request": e.request, "adapter": e.adapter,
             "upstream": e.upstream, "pool": e.pool, "detail": e.detail})
     };
--- a/lib/src/operator/merge.rs
+++ b/lib/src/operator/merge.rs
@@ -4,9 +4,9 @@
 
 /// One event of a merged time line.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct TimelineEvent {
     /// Milliseconds since the first event.
-    pub at: f64,
+    pub offset_ms: f64,
     /// The event.
     pub event: wire::Event,
 }
@@ -22,7 +22,7 @@
 }
 
 /// All events in the order of the hybrid logical clock.
-pub fn merge(replies: impl IntoIterator<Item = wire::TimelineReply>) -> Vec<Line> {
+pub fn merge(replies: impl IntoIterator<Item = wire::TimelineReply>) -> Vec<TimelineEvent> {
     let mut events: Vec<_> = replies.into_iter().flat_map(|r| r.events).collect();
     let key = |e: &wire::Event| {
         let stamp = e.stamp.clone().unwrap_or_default();
@@ -31,8 +31,8 @@
     events.sort_by_cached_key(key);
     let time = |e: &wire::Event| e.stamp.as_ref().map_or(0, |s| s.time);
     let first = events.first().map_or(0, time);
-    let line = |event: wire::Event| Line {
-        at: millis(time(&event) - first),
+    let line = |event: wire::Event| TimelineEvent {
+        offset_ms: millis(time(&event) - first),
         event,
     };
     events.into_iter().map(line).collect()
--- a/lib/src/operator/mod.rs
+++ b/lib/src/operator/mod.rs
@@ -21,7 +21,7 @@
 pub use json::status_json;
 pub use json::timeline_json;
 pub use json::usage_json;
-pub use merge::Line;
+pub use merge::TimelineEvent;
 pub use merge::merge;
 pub use merge::millis;
 pub use render::adapters_text;
--- a/lib/src/operator/render.rs
+++ b/lib/src/operator/render.rs
@@ -5,7 +5,7 @@
 
 use banyangauge_proto as wire;
 
-use super::Line;
+use super::TimelineEvent;
 use crate::catalog::Catalog;
 use crate::catalog::Plan;
 
@@ -233,13 +233,13 @@
 }
 
 /// A merged time line, milliseconds after its first event.
-pub fn timeline_text(lines: &[Line]) -> String {
+pub fn timeline_text(lines: &[TimelineEvent]) -> String {
     let rows: Vec<_> = lines
         .iter()
         .map(|l| {
             let e = &l.event;
             vec![
-                format!("{:.3}", l.at),
+                format!("{:.3}", l.offset_ms),
                 e.process.clone(),
                 e.kind.clone(),
                 e.request.clone(),
