--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -38,7 +38,7 @@
     /// The system refused, by its rules or for the operator's key.
     Refused(String),
     /// What was sent is not of the published form.
-    Form(String),
+    InvalidInput(String),
     /// No control process or no platform answered, or the outcome is open.
     Unreachable(String),
     /// Another operator's change came first.
@@ -55,7 +55,7 @@
     pub const fn exit_code(&self) -> u8 {
         match self {
             Self::Refused(_) => 1,
-            Self::Form(_) => 2,
+            Self::InvalidInput(_) => 2,
             Self::Unreachable(_) => 3,
             Self::Conflict(_) => 4,
         }
@@ -65,7 +65,7 @@
 impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(e) | Self::Form(e) | Self::Unreachable(e) | Self::Conflict(e) => {
+            Self::Refused(e) | Self::InvalidInput(e) | Self::Unreachable(e) | Self::Conflict(e) => {
                 f.write_str(e)
             }
         }
@@ -80,7 +80,7 @@
         match status.code() {
             Code::Aborted => Self::Conflict(text),
             // Out of range: the message is larger than the process accepts.
-            Code::InvalidArgument | Code::OutOfRange => Self::Form(text),
+            Code::InvalidArgument | Code::OutOfRange => Self::InvalidInput(text),
             Code::FailedPrecondition | Code::Unauthenticated | Code::PermissionDenied => {
                 Self::Refused(text)
             }
@@ -117,9 +117,9 @@
     ///
     /// When the key cannot stand in a header.
     pub fn new(addresses: &[SocketAddr], key: &str) -> Result<Self, ClientError> {
-        let bearer = format!("Bearer {key}")
-            .parse()
-            .map_err(|_| ClientError::Form("the key holds characters not allowed".to_owned()))?;
+        let bearer = format!("Bearer {key}").parse().map_err(|_| {
+            ClientError::InvalidInput("the key holds characters not allowed".to_owned())
+        })?;
         Ok(Self {
             addresses: addresses.to_vec(),
             bearer,
@@ -145,7 +145,8 @@
     ///
     /// As for each call: see [`ClientError`].
     pub async fn plan(&self, intent: &Intent) -> Result<Plan, ClientError> {
-        let body = serde_json::to_vec(intent).map_err(|e| ClientError::Form(e.to_string()))?;
+        let body =
+            serde_json::to_vec(intent).map_err(|e| ClientError::InvalidInput(e.to_string()))?;
         let message = wire::PlanRequest {
             operator: String::new(),
             intent: body.into(),
@@ -169,7 +170,8 @@
             effects: Vec::new(),
             ..plan.clone()
         };
-        let body = serde_json::to_vec(&bare).map_err(|e| ClientError::Form(e.to_string()))?;
+        let body =
+            serde_json::to_vec(&bare).map_err(|e| ClientError::InvalidInput(e.to_string()))?;
         let message = wire::ConfirmRequest {
             operator: String::new(),
             operation: plan.operation.clone(),
