--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -154,7 +154,7 @@
             (None, Some(file)) => output::read(&file)?.trim().to_owned(),
             (None, None) => variable(KEY_VARIABLE).unwrap_or_default(),
         };
-        Ok(Client::new(&control, &key)?.by_link(link))
+        Ok(Client::new(&control, &key)?.with_link(link))
     }
 }
 
--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -129,7 +129,7 @@
 
     /// The same client, by way of `link`.
     #[must_use]
-    pub fn by_link(mut self, link: Link) -> Self {
+    pub fn with_link(mut self, link: Link) -> Self {
         self.link = link;
         self
     }
