--- a/cli/src/commands/timeline.rs
+++ b/cli/src/commands/timeline.rs
@@ -5,8 +5,8 @@
 use argh::FromArgs;
 use banyangauge::operator::Client;
 use banyangauge::operator::Filter;
+use banyangauge::operator::timeline_html;
 use banyangauge::operator::timeline_json;
-use banyangauge::operator::timeline_page;
 use banyangauge::operator::timeline_text;
 
 use super::CommandError;
@@ -62,7 +62,7 @@
             eprintln!("banyan: {process}: {error}");
         }
         if let Some(file) = &self.html {
-            return output::write(file, &timeline_page(&merged.lines, merged.dropped));
+            return output::write(file, &timeline_html(&merged.lines, merged.dropped));
         }
         output::print(
             self.json,
--- a/lib/src/operator/html.rs
+++ b/lib/src/operator/html.rs
@@ -19,10 +19,10 @@
 /// of the clock; every value is escaped.
 ///
 /// ```
-/// let page = banyangauge::operator::timeline_page(&[], 0);
+/// let page = banyangauge::operator::timeline_html(&[], 0);
 /// assert!(page.starts_with("<!DOCTYPE html>"));
 /// ```
-pub fn timeline_page(lines: &[TimelineEvent], dropped: u64) -> String {
+pub fn timeline_html(lines: &[TimelineEvent], dropped: u64) -> String {
     let mut lanes: BTreeMap<&str, usize> = BTreeMap::new();
     for line in lines {
         lanes.insert(&line.event.process, 0);
--- a/lib/src/operator/mod.rs
+++ b/lib/src/operator/mod.rs
@@ -12,7 +12,7 @@
 pub use client::Client;
 pub use client::ClientError;
 pub use client::MergedTimeline;
-pub use html::timeline_page;
+pub use html::timeline_html;
 pub use input::ClientSettings;
 pub use input::InputError;
 pub use input::parse_intent;
