--- a/lib/src/operator/merge.rs
+++ b/lib/src/operator/merge.rs
@@ -15,9 +15,9 @@
 /// half fractions of them.
 ///
 /// ```
-/// assert_eq!(banyangauge::operator::millis((2 << 32) | (1 << 31)), 2_500.0);
+/// assert_eq!(banyangauge::operator::clock_millis((2 << 32) | (1 << 31)), 2_500.0);
 /// ```
-pub fn millis(time: u64) -> f64 {
+pub fn clock_millis(time: u64) -> f64 {
     time as f64 * 1_000.0 / (1_u64 << 32) as f64
 }
 
@@ -32,7 +32,7 @@
     let time = |e: &wire::Event| e.stamp.as_ref().map_or(0, |s| s.time);
     let first = events.first().map_or(0, time);
     let line = |event: wire::Event| TimelineEvent {
-        offset_ms: millis(time(&event) - first),
+        offset_ms: clock_millis(time(&event) - first),
         event,
     };
     events.into_iter().map(line).collect()
