--- a/cli/src/commands/why.rs
+++ b/cli/src/commands/why.rs
@@ -26,16 +26,16 @@
         for file in &self.files {
             let text = std::fs::read_to_string(file)
                 .map_err(|e| CommandError::Usage(format!("{}: {e}", file.display())))?;
-            story.read(&text);
+            story.add_log(&text);
         }
         if self.files.is_empty() {
             let mut text = String::new();
             std::io::stdin()
                 .read_to_string(&mut text)
                 .map_err(|e| CommandError::Usage(format!("standard input: {e}")))?;
-            story.read(&text);
+            story.add_log(&text);
         }
-        print!("{}", story.tell());
+        print!("{}", story.render());
         Ok(())
     }
 }
--- a/lib/src/operator/request_history.rs
+++ b/lib/src/operator/request_history.rs
@@ -36,8 +36,8 @@
 /// ```
 /// use banyangauge::operator::RequestHistory;
 /// let mut s = RequestHistory::new("r1");
-/// s.read(r#"{"msg":"refused","ts":"2026-01-01T00:00:01.5Z","vm":"a","id":"r1","why":"no_replica"}"#);
-/// assert_eq!(s.tell(), "00:00:01.500 a refused why=no_replica\n");
+/// s.add_log(r#"{"msg":"refused","ts":"2026-01-01T00:00:01.5Z","vm":"a","id":"r1","why":"no_replica"}"#);
+/// assert_eq!(s.render(), "00:00:01.500 a refused why=no_replica\n");
 /// ```
 #[derive(Debug)]
 pub struct RequestHistory {
@@ -56,7 +56,7 @@
 
     /// Reads log lines; what stands before a line's JSON is passed over, and
     /// so are lines without any.
-    pub fn read(&mut self, text: &str) {
+    pub fn add_log(&mut self, text: &str) {
         for line in text.lines() {
             let json = line.find('{').map(|at| &line[at..]);
             let fields = json.and_then(|j| serde_json::from_str(j).ok());
@@ -72,7 +72,7 @@
     }
 
     /// The story, a line an event, in order.
-    pub fn tell(&self) -> String {
+    pub fn render(&self) -> String {
         let own = |l: &&Line| text(l, "id") == Some(self.id.as_str());
         let first = self.lines.iter().filter(own).map(|l| l.ms).min();
         let last = self.lines.iter().filter(own).map(|l| l.ms).max();
--- a/lib/tests/test_operator_request_history.rs
+++ b/lib/tests/test_operator_request_history.rs
@@ -17,8 +17,8 @@
 #[test]
 fn story_has_its_lines_and_what_bears_on_them() {
     let mut story = RequestHistory::new("r1");
-    story.read(LINES);
-    insta::assert_snapshot!(story.tell(), @r"
+    story.add_log(LINES);
+    insta::assert_snapshot!(story.render(), @r"
     10:00:01.000 a owners revision=9 term=4
     10:00:01.100 b order end=accepted replica=i-1 target=base/a7 what=load
     10:00:01.300 a placed replica=i-1 target=base/a7 waited_ms=200 why=not_loaded_in_time
@@ -31,6 +31,6 @@
 #[test]
 fn story_of_nobody_says_so() {
     let mut story = RequestHistory::new("r9");
-    story.read(LINES);
-    assert_eq!(story.tell(), "no line names r9\n");
+    story.add_log(LINES);
+    assert_eq!(story.render(), "no line names r9\n");
 }
