--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,7 +1,8 @@
-//! All logic of banyangauge; the programs in `cli/` only start it.
+//! The library behind the banyangauge programs; the binaries in `cli/` only
+//! parse arguments and start it.
 //!
-//! Start at [`entry`] to follow one request, at [`control`] for who decides,
-//! and at [`pool`] for the decisions themselves.
+//! To follow one request, start at [`entry`]; for pool ownership, start at
+//! [`control`]; for placement decisions, start at [`pool`].
 
 pub mod catalog;
 pub mod claims;
--- a/lib/src/platform/mod.rs
+++ b/lib/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's object API: versions, conditional updates and watches.
+//! Client for the platform's object API: versioned objects, conditional
+//! updates and watches.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,45 +20,46 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The longest that one call may take; the platform answers in milliseconds.
+/// Upper bound on one call; the platform normally answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest object or watch line that is accepted, above the platform's own
-/// limit of a megabyte a value.
-const MAX_BODY: usize = 8 << 20;
+/// Largest response body or watch line that is accepted, above the platform's
+/// own limit of 1 MB per value.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// Why a call to the platform failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlatformError {
-    /// No such object.
+    /// The object does not exist.
     NotFound,
-    /// The object exists already, or has another version than the one read.
+    /// The object already exists, or its version differs from the one given.
     Conflict,
-    /// The watch's version is too old; list again.
+    /// The version to watch from is no longer available; list again.
     Expired,
-    /// The platform refuses for now (rate or outage); it did nothing.
+    /// The platform refused with this HTTP status (rate limit or outage); the
+    /// call had no effect.
     Refused(u16),
     /// The object is too large.
     TooLarge,
-    /// The platform cannot be reached; nothing was done.
+    /// No connection to the platform; the call had no effect.
     Unreachable(String),
-    /// The call was sent and its answer lost: it may have taken effect.
+    /// The call was sent but no response arrived; it may have taken effect.
     Lost(String),
-    /// The answer is not of the published form.
+    /// The request or response could not be encoded or decoded.
     Malformed(String),
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotFound => write!(f, "no such object"),
-            Self::Conflict => write!(f, "the object has changed"),
-            Self::Expired => write!(f, "the watched version is too old"),
-            Self::Refused(code) => write!(f, "the platform refused with {code}"),
+            Self::NotFound => write!(f, "the object does not exist"),
+            Self::Conflict => write!(f, "the object exists already or has another version"),
+            Self::Expired => write!(f, "the version to watch from is too old"),
+            Self::Refused(code) => write!(f, "the platform refused with HTTP status {code}"),
             Self::TooLarge => write!(f, "the object is too large"),
             Self::Unreachable(e) => write!(f, "the platform cannot be reached: {e}"),
-            Self::Lost(e) => write!(f, "the platform's answer was lost: {e}"),
-            Self::Malformed(e) => write!(f, "the platform's answer is malformed: {e}"),
+            Self::Lost(e) => write!(f, "the platform's response was lost: {e}"),
+            Self::Malformed(e) => write!(f, "the platform's response is malformed: {e}"),
         }
     }
 }
@@ -67,30 +69,30 @@
 /// Name and version of an object.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Its name, unique in its kind.
+    /// Name, unique within its kind.
     #[serde(default)]
     pub name: String,
-    /// Its version; empty at creation.
+    /// Version set by the platform; empty when creating.
     #[serde(default, rename = "resourceVersion")]
     pub version: String,
 }
 
-/// An object with its content.
+/// A stored object.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Object<T> {
-    /// Its kind, in the plural of its path.
+    /// Kind, in the plural form that its path uses.
     #[serde(default)]
     pub kind: String,
-    /// Name and version.
+    /// Name and version of the object.
     pub metadata: Metadata,
-    /// Content.
+    /// Content of the object.
     pub spec: T,
 }
 
 /// All objects of a kind, and the version to watch from.
 #[derive(Clone, Debug, Deserialize)]
 pub struct List<T> {
-    /// The version of the list.
+    /// Carries the version of the list.
     pub metadata: Metadata,
     /// The objects.
     pub items: Vec<Object<T>>,
@@ -102,15 +104,15 @@
 pub enum WatchEvent<T> {
     /// An object was created.
     Added(Object<T>),
-    /// It was replaced.
+    /// An object was replaced.
     Modified(Object<T>),
-    /// It was deleted; this is its last content.
+    /// An object was deleted; carries its last content.
     Deleted(Object<T>),
-    /// Nothing happened; only the version is meant.
+    /// No change; only advances the version to resume from.
     Bookmark(serde_json::Value),
 }
 
-/// A client of the platform; clones share their connections.
+/// A client of the platform; clones share one connection pool.
 #[derive(Clone, Debug)]
 pub struct Platform {
     address: SocketAddr,
@@ -118,7 +120,7 @@
 }
 
 impl Platform {
-    /// A client for the platform at `address`; nothing is sent yet.
+    /// Returns a client for the platform at `address` without connecting.
     pub fn new(address: SocketAddr) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(Duration::from_secs(20))
@@ -130,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::NotFound`] and the failures of any call.
+    /// [`PlatformError::NotFound`], or the call failed.
     pub async fn get<T: DeserializeOwned>(
         &self,
         kind: &str,
@@ -146,18 +148,19 @@
     ///
     /// # Errors
     ///
-    /// The failures of any call.
+    /// The call failed.
     pub async fn list<T: DeserializeOwned>(&self, kind: &str) -> Result<List<T>, PlatformError> {
         let body = self.call(Method::GET, kind, Bytes::new()).await?;
         parse(&body)
     }
 
-    /// Creates an object; gives its version.
+    /// Creates an object and returns its version.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Conflict`] when it exists; after
-    /// [`PlatformError::Lost`] the caller reads back what became of it.
+    /// [`PlatformError::Conflict`] when the object exists. After
+    /// [`PlatformError::Lost`] the caller must read the object to learn whether
+    /// it was created.
     pub async fn create<T: Serialize>(
         &self,
         kind: &str,
@@ -165,18 +168,19 @@
         spec: &T,
     ) -> Result<String, PlatformError> {
         let body = encode(kind, name, "", spec)?;
-        let answer = self.call(Method::POST, kind, body).await?;
-        Ok(parse::<Object<serde_json::Value>>(&answer)?
+        let response = self.call(Method::POST, kind, body).await?;
+        Ok(parse::<Object<serde_json::Value>>(&response)?
             .metadata
             .version)
     }
 
-    /// Replaces an object if it still has `version`; gives the new version.
+    /// Replaces an object if it still has `version`; returns the new version.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Conflict`] when it has another version; after
-    /// [`PlatformError::Lost`] the caller reads back what became of it.
+    /// [`PlatformError::Conflict`] when the object has another version. After
+    /// [`PlatformError::Lost`] the caller must read the object to learn whether
+    /// it was replaced.
     pub async fn replace<T: Serialize>(
         &self,
         kind: &str,
@@ -185,10 +189,10 @@
         spec: &T,
     ) -> Result<String, PlatformError> {
         let body = encode(kind, name, version, spec)?;
-        let answer = self
+        let response = self
             .call(Method::PUT, &format!("{kind}/{name}"), body)
             .await?;
-        Ok(parse::<Object<serde_json::Value>>(&answer)?
+        Ok(parse::<Object<serde_json::Value>>(&response)?
             .metadata
             .version)
     }
@@ -197,19 +201,19 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::NotFound`] and the failures of any call.
+    /// [`PlatformError::NotFound`], or the call failed.
     pub async fn delete(&self, kind: &str, name: &str) -> Result<(), PlatformError> {
         self.call(Method::DELETE, &format!("{kind}/{name}"), Bytes::new())
             .await?;
         Ok(())
     }
 
-    /// Follows a kind from `version` on.
+    /// Watches the changes of a kind after `version`.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Expired`] when the version is too old, and the
-    /// failures of any call.
+    /// [`PlatformError::Expired`] when the version is too old, or the call
+    /// failed.
     pub async fn watch(&self, kind: &str, version: &str) -> Result<Watch, PlatformError> {
         let path = format!("{kind}?watch=1&resourceVersion={version}");
         let response = self.send(Method::GET, &path, Bytes::new()).await?;
@@ -223,10 +227,10 @@
     }
 
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, PlatformError> {
-        let work = async {
+        let exchange = async {
             let response = self.send(method, path, body).await?;
             let status = response.status();
-            let limited = http_body_util::Limited::new(response.into_body(), MAX_BODY);
+            let limited = http_body_util::Limited::new(response.into_body(), MAX_BODY_BYTES);
             let body = limited
                 .collect()
                 .await
@@ -237,9 +241,9 @@
                 false => Err(status_error(status)),
             }
         };
-        tokio::time::timeout(CALL_TIMEOUT, work)
+        tokio::time::timeout(CALL_TIMEOUT, exchange)
             .await
-            .map_err(|_| PlatformError::Lost("no answer in time".to_owned()))?
+            .map_err(|_| PlatformError::Lost("no response within 2 s".to_owned()))?
     }
 
     async fn send(
@@ -265,7 +269,7 @@
     }
 }
 
-/// A watch under way.
+/// An open watch: a stream of newline-delimited JSON events.
 #[derive(Debug)]
 pub struct Watch {
     body: Incoming,
@@ -273,11 +277,11 @@
 }
 
 impl Watch {
-    /// The next event; `None` when the platform ended the watch.
+    /// Returns the next event, or `None` when the platform closed the watch.
     ///
     /// # Errors
     ///
-    /// When the connection broke or a line is not of the published form.
+    /// When the connection broke, or a line is malformed or longer than 8 MiB.
     pub async fn next<T: DeserializeOwned>(
         &mut self,
     ) -> Result<Option<WatchEvent<T>>, PlatformError> {
@@ -286,8 +290,10 @@
                 let line = self.buffer.split_to(end + 1);
                 return parse(&line).map(Some);
             }
-            if self.buffer.len() > MAX_BODY {
-                return Err(PlatformError::Malformed("a watch line is too long".into()));
+            if self.buffer.len() > MAX_BODY_BYTES {
+                return Err(PlatformError::Malformed(
+                    "a watch line is longer than 8 MiB".into(),
+                ));
             }
             match self.body.frame().await {
                 None => return Ok(None),
@@ -302,7 +308,8 @@
     }
 }
 
-/// What a status that is no success means; the same for every store.
+/// Maps an HTTP status that is not a success to an error; every store that
+/// speaks the platform's API uses this mapping.
 pub fn status_error(status: StatusCode) -> PlatformError {
     match status {
         StatusCode::NOT_FOUND => PlatformError::NotFound,
