--- a/lib/src/ids/mod.rs
+++ b/lib/src/ids/mod.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of the domain, each its own type.
+//! Newtypes for the names and numbers of the domain.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -8,30 +8,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is wrong with a name or number.
+/// Why a name or version was rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum IdError {
     /// The name is empty or longer than [`MAX_NAME_BYTES`] bytes.
     Length(usize),
-    /// The name holds a character outside `a-z A-Z 0-9 . _ -`.
+    /// The name contains a character outside `a-z A-Z 0-9 . _ -`.
     Character(char),
-    /// The version is not a positive whole number.
+    /// The version is not an integer from 1 to `u32::MAX`.
     Version(String),
 }
 
 impl fmt::Display for IdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Length(n) => write!(f, "{n} bytes long, allowed are 1 to {MAX_NAME_BYTES}"),
-            Self::Character(c) => write!(f, "holds {c:?}, allowed are a-z A-Z 0-9 . _ -"),
-            Self::Version(v) => write!(f, "version {v:?}, allowed are whole numbers from 1"),
+            Self::Length(n) => write!(f, "name is {n} bytes long, expected 1 to {MAX_NAME_BYTES}"),
+            Self::Character(c) => write!(f, "name contains {c:?}, expected a-z A-Z 0-9 . _ -"),
+            Self::Version(v) => write!(f, "version is {v:?}, expected an integer of at least 1"),
         }
     }
 }
 
 impl std::error::Error for IdError {}
 
-/// The longest name, in bytes; names travel in headers and object names.
+/// Maximum length of a name; names are sent in HTTP headers and used in the
+/// names of platform objects.
 pub const MAX_NAME_BYTES: usize = 128;
 
 fn check_name(s: &str) -> Result<(), IdError> {
@@ -55,18 +56,18 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks and takes a name.
+            /// Validates a name.
             ///
             /// # Errors
             ///
-            /// When the name is empty, too long, or holds a character that
-            /// headers and object names cannot carry.
+            /// When the name is empty, too long, or contains a character that
+            /// is not allowed in headers and object names.
             pub fn new(s: &str) -> Result<Self, IdError> {
                 check_name(s)?;
                 Ok(Self(Arc::from(s)))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -107,15 +108,15 @@
 }
 
 name_type!(
-    /// A team that owns adapters and pays for their use.
+    /// A team that owns adapters and is billed for their use.
     TeamName
 );
 name_type!(
-    /// A customer of the system: who holds keys and has a limit.
+    /// A customer of the system, which holds API keys and has a quota.
     OrganisationName
 );
 name_type!(
-    /// A LoRA adapter, without its version.
+    /// A LoRA adapter, without a version.
     AdapterName
 );
 name_type!(
@@ -143,7 +144,7 @@
     ZoneName
 );
 
-/// An adapter at one version: what a request names and what a slot holds.
+/// One version of an adapter, as requests name it and adapter slots hold it.
 ///
 /// ```
 /// use banyangauge::ids::AdapterVersion;
@@ -196,25 +197,27 @@
     }
 }
 
-/// A fencing token: an owner's orders carry it, a higher one wins.
+/// A fencing token: an owner's orders carry it, and an engine that checks tokens
+/// rejects orders with a lower one than the highest it has seen.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct FencingToken(pub u64);
 
-/// A revision of the catalog; it only rises.
+/// A revision of the catalog; it only increases.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
-/// One start of a process; an engine that restarts empty has a new one.
+/// Identifies one run of a process; a restarted engine, whose adapter slots are
+/// empty, has a new incarnation.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// A hash of a whole request, by which one that crashes upstreams is known.
+/// A hash of a whole request, used to recognise requests that crash upstreams.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
--- a/lib/src/settings/mod.rs
+++ b/lib/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings files: TOML, unknown keys refused, each error with file and key.
+//! Reads TOML settings files; unknown keys are errors, and each error names the
+//! file and the key.
 
 use std::fmt;
 use std::path::Path;
@@ -6,32 +7,32 @@
 
 use serde::de::DeserializeOwned;
 
-/// Why a settings file was refused.
+/// Why a settings file was rejected.
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file could not be read.
     Read {
-        /// Which file.
+        /// The settings file.
         file: PathBuf,
-        /// What the system said.
+        /// The operating system's error.
         error: std::io::Error,
     },
-    /// It is not TOML, or a key is unknown, missing or of the wrong type.
+    /// The file is not TOML, or a key is unknown, missing or of the wrong type.
     Parse {
-        /// Which file.
+        /// The settings file.
         file: PathBuf,
-        /// Line, key, what was found and what is allowed.
+        /// The parser's message with line, key, found and expected value.
         error: String,
     },
-    /// A value is out of its range.
+    /// A value is out of range.
     Value {
-        /// Which file.
+        /// The settings file.
         file: PathBuf,
-        /// The key, with dots.
+        /// Dotted path of the key.
         key: &'static str,
-        /// What was found.
+        /// The value in the file.
         found: String,
-        /// What is allowed.
+        /// The accepted values.
         allowed: &'static str,
     },
 }
@@ -48,7 +49,7 @@
                 allowed,
             } => write!(
                 f,
-                "{}: {key}: found {found}, allowed is {allowed}",
+                "{}: {key}: found {found}, expected {allowed}",
                 file.display()
             ),
         }
@@ -57,24 +58,24 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A value that a check refused: its key, what was found, what is allowed.
+/// A value that [`Settings::check`] rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BadValue {
-    /// The key, with dots.
+    /// Dotted path of the key.
     pub key: &'static str,
-    /// What was found.
+    /// The value in the file.
     pub found: String,
-    /// What is allowed.
+    /// The accepted values.
     pub allowed: &'static str,
 }
 
-/// Settings of one program.
+/// The settings of one program.
 pub trait Settings: DeserializeOwned {
-    /// Checks the ranges of the values.
+    /// Checks that all values are in range.
     ///
     /// # Errors
     ///
-    /// The first value that is out of its range.
+    /// The first value that is out of range.
     fn check(&self) -> Result<(), BadValue>;
 }
 
@@ -83,7 +84,7 @@
 /// # Errors
 ///
 /// When the file cannot be read, is not TOML, has an unknown or missing key,
-/// or a value out of its range.
+/// or a value out of range.
 pub fn load<S: Settings>(file: &Path) -> Result<S, SettingsError> {
     let text = std::fs::read_to_string(file).map_err(|error| SettingsError::Read {
         file: file.to_owned(),
