--- a/lib/src/control/clock.rs
+++ b/lib/src/control/clock.rs
@@ -1,12 +1,13 @@
-//! The clock that leases and grants are counted on.
+//! The clock for leases and grants.
 
 use rustix::time::ClockId;
 
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// Microseconds since the machine started, suspension included: a process that
-/// was suspended past its lease must see that it is over.
+/// Returns the time since the machine started, in microseconds and including
+/// suspension, so that a process suspended past the end of its lease sees that
+/// the lease has expired.
 ///
 /// ```
 /// use banyangauge::control::now;
@@ -19,7 +20,7 @@
     Moment(seconds * 1_000_000 + nanos / 1_000)
 }
 
-/// A span as the library's type.
+/// Converts a span to a [`std::time::Duration`].
 pub const fn to_duration(span: Span) -> std::time::Duration {
     std::time::Duration::from_micros(span.0)
 }
--- a/lib/src/control/feed.rs
+++ b/lib/src/control/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds entry processes: the catalog, the owners of pools, the verdicts.
+//! Streams the catalog, pool owners and blocked requests to entry processes.
 
 use std::pin::Pin;
 
@@ -17,9 +17,9 @@
 use super::uptime_ms;
 use crate::ids::Revision;
 
-/// Messages that may wait for one entry; an entry that reads slower gets fewer
-/// and newer ones, because each message is made when there is room for it.
-const RING: usize = 4;
+/// Buffered messages per entry. Messages are built when the buffer has room, so
+/// a slow entry receives fewer and newer ones.
+const BUFFERED_MESSAGES: usize = 4;
 
 /// The gRPC service `Feed`.
 #[derive(Clone)]
@@ -28,7 +28,8 @@
 }
 
 impl FeedService {
-    /// Feeds what the board shows and puts usage reports into its store.
+    /// Creates a service that streams `shared.state` and records usage reports
+    /// in it.
     pub const fn new(shared: Shared) -> Self {
         Self { shared }
     }
@@ -45,7 +46,7 @@
         &self,
         request: Request<wire::FeedRequest>,
     ) -> Result<Response<Self::SubscribeStream>, Status> {
-        let (to, from) = mpsc::channel(RING);
+        let (to, from) = mpsc::channel(BUFFERED_MESSAGES);
         let from_revision = Revision(request.into_inner().revision);
         tokio::spawn(feed(self.shared.clone(), from_revision, to));
         Ok(Response::new(Box::pin(ReceiverStream::new(from))))
@@ -61,20 +62,20 @@
     }
 }
 
-/// Sends what changes until the entry goes away or the process stops.
+/// Streams changes until the entry disconnects or the process stops.
 async fn feed(shared: Shared, from: Revision, to: Messages) {
-    let board = &shared.state;
-    let mut catalog = board.catalog.subscribe();
-    let mut owners = board.owners.subscribe();
-    let mut verdicts = board.verdicts.subscribe();
-    let mut stopping = board.stopping.subscribe();
-    // The first round sends all three.
+    let state = &shared.state;
+    let mut catalog = state.catalog.subscribe();
+    let mut owners = state.owners.subscribe();
+    let mut verdicts = state.verdicts.subscribe();
+    let mut stopping = state.stopping.subscribe();
+    // Send all three values first.
     catalog.mark_changed();
     owners.mark_changed();
     verdicts.mark_changed();
     let mut sent = from;
     loop {
-        let alive = tokio::select! {
+        let open = tokio::select! {
             biased;
             () = to.closed() => false,
             () = stopped(&mut stopping) => false,
@@ -85,14 +86,14 @@
             Ok(()) = verdicts.changed() => send(&to, verdicts_body(&shared)).await,
             else => false,
         };
-        if !alive {
+        if !open {
             return;
         }
     }
 }
 
 async fn stopped(stopping: &mut watch::Receiver<bool>) {
-    // A sender that is gone has stopped as well.
+    // A dropped sender counts as stopped.
     let _ = stopping.wait_for(|s| *s).await;
 }
 
@@ -102,7 +103,8 @@
         .is_ok()
 }
 
-/// Sends the deltas since `sent` when there are all of them, else the whole.
+/// Sends the deltas since `sent`, or a snapshot if the history does not reach
+/// back that far.
 async fn send_catalog(shared: &Shared, sent: &mut Revision, to: &Messages) -> bool {
     let catalog = shared.state.catalog.borrow().clone();
     if catalog.revision <= *sent {
@@ -137,8 +139,8 @@
 fn verdicts_body(shared: &Shared) -> Body {
     let now = uptime_ms();
     let verdicts = shared.state.verdicts.borrow();
-    let left = verdicts.iter().filter(|(_, end)| **end > now);
-    let verdicts = left.map(|(fingerprint, end)| wire::Verdict {
+    let active = verdicts.iter().filter(|(_, end)| **end > now);
+    let verdicts = active.map(|(fingerprint, end)| wire::Verdict {
         fingerprint: fingerprint.0,
         left_ms: end - now,
     });
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control process: ownership of pools, configuration, membership, usage.
 //!
-//! Each duty has a thread of its own and tells the others what changes through
-//! the [`ControlState`]; start at [`run`] for the list of duties.
+//! Each task runs on its own thread and publishes changes to the others through
+//! [`ControlState`]. [`run`] starts the tasks.
 
 mod clock;
 pub mod config;
--- a/lib/src/control/ownership.rs
+++ b/lib/src/control/ownership.rs
@@ -1,4 +1,4 @@
-//! What the duties of control's ownership side tell each other.
+//! State shared by the tasks that handle pool ownership.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,42 +13,46 @@
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
-/// GrantHolders, as `name/incarnation`, that may hold grants; `None` is unknown.
+/// Entry processes, as `name/incarnation`, that may hold grants; `None` if
+/// unknown.
 pub type GrantHolders = Option<BTreeSet<String>>;
 
-/// Values between election, owner and peers; each sender has one writer.
+/// State shared by the election, owner and gossip tasks; each sender has one
+/// writer.
 #[derive(Debug)]
 pub struct OwnershipState {
     /// The settings.
     pub settings: ControlSettings,
-    /// The pools held; written by the election.
+    /// Leases held by this process; written by the election.
     pub leases: watch::Sender<BTreeMap<PoolName, HeldLease>>,
-    /// Pools that grant and order nothing any more, ready to be released;
-    /// written by the owner.
+    /// Drained pools, whose leases may be released, and the entries that may
+    /// still hold grants; written by the owners.
     pub drained: watch::Sender<BTreeMap<PoolName, GrantHolders>>,
-    /// Pools whose slots may be changed, by token: no earlier owner's grant is
-    /// in use any more; written by the owners.
+    /// Pools whose slots may be changed because no grant of an earlier owner is
+    /// in use any more, with the token of the lease; written by the owners.
     pub settled: watch::Sender<BTreeMap<PoolName, FencingToken>>,
-    /// Pools whose owner found a successor, by token; written by the owners.
+    /// Pools whose owner learned of a successor, with the token of its own
+    /// lease; written by the owners.
     pub deposed: watch::Sender<BTreeMap<PoolName, FencingToken>>,
-    /// True when every lease was released; written by the election.
+    /// True once every lease has been released; written by the election.
     pub released: watch::Sender<bool>,
-    /// When the last answered exchange with each configured peer began;
-    /// written by the peers duty.
+    /// Start of the last successful exchange with each configured peer; written
+    /// by the gossip task.
     pub contacts: watch::Sender<BTreeMap<SocketAddr, Moment>>,
-    /// VMs that the platform's list named once and names no longer; written by
-    /// its watcher.
+    /// VMs that have been on the platform's VM list and no longer are; written
+    /// by the VM list task.
     pub departed: watch::Sender<BTreeSet<String>>,
-    /// Upstreams that the VM list calls leaving; written by its watcher.
+    /// Upstreams marked as leaving in the VM list; written by the VM list task.
     pub listed_leaving: watch::Sender<BTreeSet<SocketAddr>>,
-    /// Upstreams whose own reports say leaving; written by the owners.
+    /// Upstreams whose load reports say that they are leaving; written by the
+    /// owners.
     pub reported_leaving: watch::Sender<BTreeMap<PoolName, BTreeSet<SocketAddr>>>,
-    /// Something changed that the peers should know at once.
+    /// Wakes the gossip task for a change that peers should receive at once.
     pub gossip_wake: Notify,
 }
 
 impl OwnershipState {
-    /// Nothing is known yet.
+    /// Creates the initial state, without leases or contacts.
     pub fn new(settings: ControlSettings) -> Self {
         Self {
             settings,
@@ -65,18 +69,18 @@
         }
     }
 
-    /// The latest moment such that exchanges begun then or later were answered
-    /// by so many of the configured peers that, with this process, they are a
-    /// majority; zero when there is none, `now` without peers.
+    /// Returns the latest moment at or after which this process has exchanged
+    /// heartbeats with a majority, itself included: zero if it never has, `now`
+    /// if no peers are configured.
     ///
-    /// Two processes with the same peers in their settings cannot both have a
-    /// majority without a peer that talked to both.
+    /// Any two majorities of the same configured processes share a member, so
+    /// two processes cannot both have a majority without a common peer.
     pub fn majority_contact(&self, now: Moment) -> Moment {
         majority_contact(now, &self.settings.peers, &self.contacts.borrow())
     }
 }
 
-/// See [`OwnershipState::majority_contact`].
+/// Computes [`OwnershipState::majority_contact`] from the last contacts.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -84,19 +88,19 @@
 /// use banyangauge::pool::Moment;
 /// let peers: Vec<std::net::SocketAddr> =
 ///     (1..=4).map(|p| ([127, 0, 0, 1], p).into()).collect();
-/// let heard = BTreeMap::from([(peers[0], Moment(5)), (peers[1], Moment(3))]);
-/// assert_eq!(majority_contact(Moment(9), &peers, &heard), Moment(3));
-/// assert_eq!(majority_contact(Moment(9), &[], &heard), Moment(9));
+/// let last_contact = BTreeMap::from([(peers[0], Moment(5)), (peers[1], Moment(3))]);
+/// assert_eq!(majority_contact(Moment(9), &peers, &last_contact), Moment(3));
+/// assert_eq!(majority_contact(Moment(9), &[], &last_contact), Moment(9));
 /// ```
 pub fn majority_contact(
     now: Moment,
     peers: &[SocketAddr],
     contacts: &BTreeMap<SocketAddr, Moment>,
 ) -> Moment {
-    let heard = |p: &SocketAddr| contacts.get(p).copied().unwrap_or_default();
-    let mut times: Vec<Moment> = peers.iter().map(heard).collect();
+    let last_contact = |p: &SocketAddr| contacts.get(p).copied().unwrap_or_default();
+    let mut times: Vec<Moment> = peers.iter().map(last_contact).collect();
     times.sort_unstable_by(|a, b| b.cmp(a));
-    // Of n processes, this one among them, n / 2 + 1 are a majority.
+    // Of n processes, including this one, n / 2 + 1 are a majority.
     match times.len().div_ceil(2) {
         0 => now,
         needed => times.get(needed - 1).copied().unwrap_or_default(),
--- a/lib/src/control/service.rs
+++ b/lib/src/control/service.rs
@@ -1,4 +1,4 @@
-//! The gRPC side of peers.
+//! The gRPC service that other control processes call.
 
 use std::sync::Arc;
 
@@ -12,16 +12,16 @@
 use crate::control::config;
 use crate::control::gossip::count_bytes;
 
-/// Answers other control processes.
+/// The gRPC service `Peers`.
 pub struct PeersService {
     shared: Shared,
-    peers: Arc<Gossip>,
+    gossip: Arc<Gossip>,
 }
 
 impl PeersService {
-    /// A service over this process's table.
-    pub fn new(shared: Shared, peers: Arc<Gossip>) -> Self {
-        Self { shared, peers }
+    /// Creates a service that answers from the gossip state.
+    pub fn new(shared: Shared, gossip: Arc<Gossip>) -> Self {
+        Self { shared, gossip }
     }
 }
 
@@ -31,12 +31,12 @@
         &self,
         request: Request<wire::Digest>,
     ) -> Result<Response<wire::Digest>, Status> {
-        let asked = request.get_ref();
-        count_bytes("received", asked);
-        self.peers.merge(asked);
-        let answer = self.peers.digest(Some(asked));
-        count_bytes("sent", &answer);
-        Ok(Response::new(answer))
+        let digest = request.get_ref();
+        count_bytes("received", digest);
+        self.gossip.merge(digest);
+        let reply = self.gossip.digest(Some(digest));
+        count_bytes("sent", &reply);
+        Ok(Response::new(reply))
     }
 
     async fn fetch_catalog(
--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of a control process share.
+//! State and handles shared by the tasks of a control process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,51 +23,50 @@
 use crate::platform::Platform;
 use crate::timeline::Recorder;
 
-/// Who owns a pool, as far as this VM knows; a higher token wins.
+/// The latest known owner of a pool: the one with the highest token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Owner {
     /// The owning VM.
     pub vm: VmName,
-    /// Where its control process listens.
+    /// Address of its control process.
     pub address: SocketAddr,
     /// Its fencing token.
     pub token: FencingToken,
 }
 
-/// Values that one duty sets and others follow. Each sender has one duty that
-/// writes it; `send_if_modified` and friends keep readers from waking for
-/// nothing.
+/// State that some tasks publish and others watch. Writers use
+/// `send_if_modified` where a value may be unchanged, to avoid waking readers.
 #[derive(Debug)]
 pub struct ControlState {
-    /// The catalog in force here; written by `config`, never to a lower revision.
+    /// The active catalog; written by `config`. Its revision never decreases.
     pub catalog: watch::Sender<Arc<Catalog>>,
-    /// Owners of pools; written by `lease` and `peers`.
+    /// Owners of pools; written by `election` and `gossip`.
     pub owners: watch::Sender<BTreeMap<PoolName, Owner>>,
-    /// Convicted requests and when (milliseconds since the start of this
-    /// process) each verdict ends; written by `owner` and `peers`.
+    /// Blocked poison requests and the end of each block, on the clock of
+    /// [`uptime_ms`]; written by `owner` and `gossip`.
     pub verdicts: watch::Sender<BTreeMap<Fingerprint, u64>>,
-    /// Members as this VM sees them; written by `peers`.
+    /// This VM's view of the members; written by `gossip`.
     pub members: watch::Sender<BTreeMap<VmName, wire::Member>>,
-    /// Upstreams that are leaving, by address; written by `peers` and `vms`.
+    /// Addresses of upstreams that are leaving; written by `gossip`.
     pub leaving: watch::Sender<std::collections::BTreeSet<SocketAddr>>,
-    /// The state of the pools owned here, for `banyan status`; written by `owner`.
+    /// Status of the pools owned by this process; written by `owner`.
     pub pools: watch::Sender<BTreeMap<PoolName, wire::PoolStatus>>,
-    /// Whether the platform answered last time; written by `config`.
+    /// Whether the last call to the platform succeeded; written by `config`.
     pub platform_up: watch::Sender<bool>,
-    /// True from the first SIGTERM on.
+    /// True once a shutdown has been requested.
     pub stopping: watch::Sender<bool>,
-    /// The last change sets in force here, for those who follow; written by
+    /// The latest change sets, for processes that lag behind; written by
     /// `config` together with `catalog`.
     pub history: History,
-    /// The usage counters that this process holds.
+    /// The usage counters held by this process.
     pub usage: usage::UsageStore,
-    /// How our processes connect to each other; set once at the start, plain
-    /// connections until then.
+    /// Connections to our other processes; set once at the start, plain until
+    /// then.
     pub link: OnceLock<Link>,
 }
 
 impl ControlState {
-    /// A board on which nothing is known yet.
+    /// Creates the initial, empty state.
     pub fn new() -> Self {
         Self {
             catalog: watch::Sender::new(Arc::default()),
@@ -84,7 +83,7 @@
         }
     }
 
-    /// How to connect to our other processes.
+    /// Returns the link for connections to our other processes.
     pub fn link(&self) -> Link {
         self.link.get().cloned().unwrap_or_default()
     }
@@ -96,33 +95,33 @@
     }
 }
 
-/// What every duty of the process holds.
+/// Handles and identity that every task of the process holds.
 #[derive(Clone)]
 pub struct Shared {
     /// This VM.
     pub vm: VmName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// This start of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Where this process listens for gRPC.
+    /// Address on which this process serves gRPC.
     pub address: SocketAddr,
-    /// Control processes on other VMs, from the settings.
+    /// Configured addresses of control processes on other VMs.
     pub peers: Arc<[SocketAddr]>,
-    /// The platform.
+    /// Client of the platform's object API.
     pub platform: Platform,
-    /// Shared values.
+    /// State published by the tasks.
     pub state: Arc<ControlState>,
-    /// The time line.
+    /// Recorder of the time line.
     pub recorder: Arc<Recorder>,
-    /// The log.
+    /// Logger of the process.
     pub log: slog::Logger,
 }
 
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
-/// Milliseconds since this process first asked, the clock of
-/// [`ControlState::verdicts`].
+/// Returns the milliseconds since the first call in this process. This is the
+/// clock of [`ControlState::verdicts`].
 ///
 /// ```
 /// use banyangauge::control::uptime_ms;
--- a/lib/src/control/vm_list.rs
+++ b/lib/src/control/vm_list.rs
@@ -1,4 +1,4 @@
-//! The duty that follows the platform's VM list, which lags.
+//! Watches the platform's VM list, which may lag behind the actual state.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,13 +14,13 @@
 use crate::platform::PlatformError;
 use crate::platform::WatchEvent;
 
-/// The kind of the VM list.
-const VMS: &str = "vms";
+/// Kind of the VM objects.
+const VM_KIND: &str = "vms";
 
-/// How long after a broken watch the next is tried.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before a failed watch is reopened.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// An entry of the VM list.
+/// A VM object of the list.
 #[derive(Clone, Debug, Deserialize)]
 struct Vm {
     address: String,
@@ -34,32 +34,35 @@
     }
 }
 
-/// Follows the VM list for as long as the process runs. In an outage of the
-/// platform the last list stands: evidence with an age, never a reason to
-/// believe that a VM has gone.
-pub(super) async fn run(shared: Shared, local: Arc<OwnershipState>) {
+/// Watches the VM list for the lifetime of the process. During an outage of the
+/// platform the last list remains in use; an unreachable platform is never
+/// evidence that a VM has left.
+pub(super) async fn run(shared: Shared, ownership: Arc<OwnershipState>) {
     let mut known = BTreeSet::new();
     loop {
-        if let Err(e) = follow_once(&shared, &local, &mut known).await {
-            slog::debug!(shared.log, "vm list"; "error" => %e);
+        if let Err(e) = watch_once(&shared, &ownership, &mut known).await {
+            slog::debug!(shared.log, "watch of the VM list failed"; "error" => %e);
         }
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(WATCH_RETRY_DELAY).await;
     }
 }
 
-async fn follow_once(
+async fn watch_once(
     shared: &Shared,
-    local: &OwnershipState,
+    ownership: &OwnershipState,
     known: &mut BTreeSet<String>,
 ) -> Result<(), PlatformError> {
-    let list: List<Vm> = shared.platform.list(VMS).await?;
-    let mut watch = shared.platform.watch(VMS, &list.metadata.version).await?;
+    let list: List<Vm> = shared.platform.list(VM_KIND).await?;
+    let mut watch = shared
+        .platform
+        .watch(VM_KIND, &list.metadata.version)
+        .await?;
     let mut vms: BTreeMap<String, Vm> = list
         .items
         .into_iter()
         .map(|o| (o.metadata.name, o.spec))
         .collect();
-    publish(local, &vms, known);
+    publish(ownership, &vms, known);
     while let Some(event) = watch.next::<Vm>().await? {
         match event {
             WatchEvent::Added(o) | WatchEvent::Modified(o) => {
@@ -70,26 +73,26 @@
             }
             WatchEvent::Bookmark(_) => continue,
         }
-        publish(local, &vms, known);
+        publish(ownership, &vms, known);
     }
     Ok(())
 }
 
-// A VM that is not on the list has left only if it was there before: the list
-// lags for new ones too.
-fn publish(local: &OwnershipState, vms: &BTreeMap<String, Vm>, known: &mut BTreeSet<String>) {
+// A VM missing from the list has left only if it was listed before: new VMs
+// appear late as well.
+fn publish(ownership: &OwnershipState, vms: &BTreeMap<String, Vm>, known: &mut BTreeSet<String>) {
     let parse = |vm: &Vm| vm.address.parse::<SocketAddr>().ok();
     known.extend(vms.keys().cloned());
     let departed = known.iter().filter(|n| !vms.contains_key(*n));
-    local.departed.send_replace(departed.cloned().collect());
+    ownership.departed.send_replace(departed.cloned().collect());
     let leaving = vms.values().filter(|v| v.is_leaving()).filter_map(parse);
     let leaving = leaving.collect();
-    let changed = local.listed_leaving.send_if_modified(|old| {
+    let changed = ownership.listed_leaving.send_if_modified(|old| {
         let changed = *old != leaving;
         *old = leaving;
         changed
     });
     if changed {
-        local.gossip_wake.notify_one();
+        ownership.gossip_wake.notify_one();
     }
 }
