--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -1,4 +1,5 @@
-//! Heartbeats between control processes, and what travels with them.
+//! Gossip between control processes: heartbeats, catalog revisions, pool owners,
+//! blocked requests and leaving upstreams.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,52 +32,53 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// The longest that an exchange may take; a peer answers in milliseconds.
+/// Time limit of an exchange; a peer answers within milliseconds.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The shortest time between two urgent rounds, so that news in a burst do
-/// not become a burst of rounds.
-const URGENT_GAP: Duration = Duration::from_millis(50);
+/// Minimum time between two urgent rounds, so that a burst of changes does not
+/// cause a burst of rounds.
+const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Members that an urgent round reaches. Whoever learns something passes it
-/// on in an urgent round of its own, so 700 members take about four rounds.
+/// Members contacted in an urgent round. A process that receives a change starts
+/// an urgent round of its own, so that 700 members take about four rounds.
 const URGENT_FANOUT: usize = 8;
 
-/// How long a peer's word that an upstream is leaving counts without being
-/// repeated; several heartbeats.
-const LEAVING_KEPT: Span = Span::from_millis(10_000);
+/// How long a peer's report that an upstream is leaving stays valid without
+/// being repeated; several heartbeats.
+const LEAVING_REPORT_TTL: Span = Span::from_millis(10_000);
 
-/// How much longer a verdict must hold to replace the known one. Less is the
-/// time on the way, which would otherwise add up as verdicts are passed round.
-const VERDICT_STEP_MS: u64 = 1_000;
+/// How much later a verdict must end to replace the known one. Smaller
+/// differences come from transmission time, which would otherwise add up as
+/// verdicts are forwarded.
+const MIN_VERDICT_EXTENSION_MS: u64 = 1_000;
 
-/// The most verdicts that are kept; each takes a request that crashed several
-/// upstreams, so more are a fault, and the oldest give way.
+/// Maximum verdicts kept. Each needs a request that crashed several upstreams, so
+/// more indicate a fault; the first to end are removed.
 const MAX_VERDICTS: usize = 1_024;
 
 struct State {
     members: Members,
-    // When each pool's owner was last seen to change.
-    changed: BTreeMap<PoolName, (FencingToken, Moment)>,
-    // Leaving upstreams by a peer's word, and when it was last given.
-    heard: BTreeMap<SocketAddr, Moment>,
+    // When each pool's owner last changed.
+    owner_changes: BTreeMap<PoolName, (FencingToken, Moment)>,
+    // Leaving upstreams reported by peers, with the time of the last report.
+    leaving_reports: BTreeMap<SocketAddr, Moment>,
 }
 
-/// The member table and what is spread with it; shared by the duty that sends
-/// and the service that answers.
+/// The gossip state, shared by the task that sends digests and the service that
+/// answers them.
 pub struct Gossip {
     shared: Shared,
-    local: Arc<OwnershipState>,
+    ownership: Arc<OwnershipState>,
     state: Mutex<State>,
 }
 
 impl Gossip {
-    /// A table that holds this process alone.
+    /// Creates a member table that contains only this process.
     ///
     /// # Errors
     ///
-    /// When the VM's name is no valid name.
-    pub fn new(shared: Shared, local: Arc<OwnershipState>) -> Result<Self, IdError> {
+    /// If the VM's name is invalid.
+    pub fn new(shared: Shared, ownership: Arc<OwnershipState>) -> Result<Self, IdError> {
         let me = wire::Member {
             vm: shared.vm.to_string(),
             address: shared.address.to_string(),
@@ -84,87 +86,92 @@
             incarnation: shared.incarnation.0,
             ..wire::Member::default()
         };
-        let times = &local.settings.members;
-        let suspect = Span::from_millis(times.suspect_ms);
-        let gone = Span::from_millis(times.gone_ms);
+        let settings = &ownership.settings.members;
+        let suspect = Span::from_millis(settings.suspect_ms);
+        let gone = Span::from_millis(settings.gone_ms);
         let members = Members::new(clock::now(), me, suspect, gone)?;
         Ok(Self {
             shared,
-            local,
+            ownership,
             state: Mutex::new(State {
                 members,
-                changed: BTreeMap::new(),
-                heard: BTreeMap::new(),
+                owner_changes: BTreeMap::new(),
+                leaving_reports: BTreeMap::new(),
             }),
         })
     }
 
-    /// What this process tells: to a peer that asked, or to any.
+    /// Builds a digest, as the reply to `received` or for any peer.
     ///
-    /// Owners are told when they changed lately, when this process holds them,
-    /// when the reader started lately, and whenever the reader's own claim is
-    /// out of date: an owner is never left in the belief that it has no
-    /// successor.
-    pub fn digest(&self, asked: Option<&wire::Digest>) -> wire::Digest {
+    /// A pool's owner is included if it changed recently, if it is this process,
+    /// if the receiver started recently, or if the token in `received` is out of
+    /// date. The last case ensures that an owner learns of its successor.
+    pub fn digest(&self, received: Option<&wire::Digest>) -> wire::Digest {
         let now = clock::now();
-        let board = &self.shared.state;
+        let control = &self.shared.state;
         let uptime = uptime_ms();
-        let verdicts = board.verdicts.borrow();
+        let verdicts = control.verdicts.borrow();
         let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
-        let reader = asked.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
+        let receiver = received.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
         let mut state = self.lock();
-        let full = state.members.is_warming_up(now, reader);
-        let owners = board.owners.borrow();
-        state.note_owners(now, &owners);
-        let told = owners.iter().filter(|(pool, owner)| {
-            let claim = asked.and_then(|d| claim_of(d, pool));
+        let full = state.members.is_warming_up(now, receiver);
+        let owners = control.owners.borrow();
+        state.record_owner_changes(now, &owners);
+        let included = owners.iter().filter(|(pool, owner)| {
+            let known = received.and_then(|d| token_in(d, pool));
             full || owner.vm == self.shared.vm
-                || claim.is_some_and(|token| token < owner.token.0)
-                || state.is_new(now, pool)
+                || known.is_some_and(|token| token < owner.token.0)
+                || state.changed_recently(now, pool)
         });
         wire::Digest {
             vm: self.shared.vm.to_string(),
-            revision: board.catalog.borrow().revision.0,
+            revision: control.catalog.borrow().revision.0,
             members: state
                 .members
-                .digest(now, full, asked.map_or(&[], |d| &d.members)),
+                .digest(now, full, received.map_or(&[], |d| &d.members)),
             verdicts: verdicts
                 .map(|(fingerprint, until)| wire::Verdict {
                     fingerprint: fingerprint.0,
                     left_ms: until - uptime,
                 })
                 .collect(),
-            owners: told.map(|(pool, o)| owner_on_wire(pool, o)).collect(),
-            leaving: self.first_hand().iter().map(|a| a.to_string()).collect(),
+            owners: included.map(|(pool, o)| owner_to_wire(pool, o)).collect(),
+            leaving: self
+                .observed_leaving()
+                .iter()
+                .map(|a| a.to_string())
+                .collect(),
         }
     }
 
-    /// Takes in what a peer told; news are passed on at once.
+    /// Merges a received digest; changes to verdicts or owners start an urgent
+    /// round.
     pub fn merge(&self, digest: &wire::Digest) {
         let now = clock::now();
         {
             let mut state = self.lock();
             state.members.merge(now, &digest.members);
             for address in digest.leaving.iter().filter_map(|a| a.parse().ok()) {
-                state.heard.insert(address, now);
+                state.leaving_reports.insert(address, now);
             }
         }
-        let mut news = self.merge_verdicts(&digest.verdicts);
-        news |= self.merge_owners(&digest.owners);
-        self.refresh(now);
+        let mut changed = self.merge_verdicts(&digest.verdicts);
+        changed |= self.merge_owners(&digest.owners);
+        self.publish_view(now);
         let members = digest.members.iter().map(|m| m.revision);
         let highest = members.max().unwrap_or(0).max(digest.revision);
         config::notify_revision(&self.shared, Revision(highest));
-        if news {
-            self.local.gossip_wake.notify_one();
+        if changed {
+            self.ownership.gossip_wake.notify_one();
         }
     }
 
-    /// One heartbeat; judges the others by their silence.
-    pub fn beat(&self) {
-        let board = &self.shared.state;
-        let revision = board.catalog.borrow().revision;
-        let stopping = *board.stopping.borrow();
+    /// Advances the heartbeat, detects failed members and removes verdicts that
+    /// have ended.
+    pub fn heartbeat(&self) {
+        let control = &self.shared.state;
+        let revision = control.catalog.borrow().revision;
+        let stopping = *control.stopping.borrow();
         let now = clock::now();
         {
             let mut state = self.lock();
@@ -172,23 +179,28 @@
             state.members.detect_failures(now);
         }
         let uptime = uptime_ms();
-        board.verdicts.send_if_modified(|verdicts| {
+        control.verdicts.send_if_modified(|verdicts| {
             let before = verdicts.len();
             verdicts.retain(|_, until| *until > uptime);
             verdicts.len() != before
         });
-        self.refresh(now);
+        self.publish_view(now);
     }
 
-    /// A verdict found here: known on this VM now, on its way to the others.
-    pub fn block(shared: &Shared, local: &OwnershipState, fingerprint: Fingerprint, hold: Span) {
+    /// Publishes a verdict of this process on this VM and wakes the gossip task.
+    pub fn block(
+        shared: &Shared,
+        ownership: &OwnershipState,
+        fingerprint: Fingerprint,
+        hold: Span,
+    ) {
         let until = uptime_ms() + hold.as_millis();
-        let news = shared
+        let changed = shared
             .state
             .verdicts
-            .send_if_modified(|verdicts| note_verdict(verdicts, fingerprint, until));
-        if news {
-            local.gossip_wake.notify_one();
+            .send_if_modified(|verdicts| record_verdict(verdicts, fingerprint, until));
+        if changed {
+            ownership.gossip_wake.notify_one();
         }
     }
 
@@ -196,18 +208,21 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // Only what this VM saw itself is passed on, so that a word ages out.
-    fn first_hand(&self) -> BTreeSet<SocketAddr> {
-        let mut seen = self.local.listed_leaving.borrow().clone();
-        seen.extend(self.local.reported_leaving.borrow().values().flatten());
+    // Leaving upstreams observed by this VM. Only these are sent to peers, so
+    // that a report expires when its source stops repeating it.
+    fn observed_leaving(&self) -> BTreeSet<SocketAddr> {
+        let mut seen = self.ownership.listed_leaving.borrow().clone();
+        seen.extend(self.ownership.reported_leaving.borrow().values().flatten());
         seen
     }
 
-    fn refresh(&self, now: Moment) {
-        let mut leaving = self.first_hand();
+    fn publish_view(&self, now: Moment) {
+        let mut leaving = self.observed_leaving();
         let mut state = self.lock();
-        state.heard.retain(|_, at| now.since(*at) < LEAVING_KEPT);
-        leaving.extend(state.heard.keys());
+        state
+            .leaving_reports
+            .retain(|_, at| now.since(*at) < LEAVING_REPORT_TTL);
+        leaving.extend(state.leaving_reports.keys());
         let view = state.members.view();
         drop(state);
         self.shared.state.leaving.send_if_modified(|old| {
@@ -225,49 +240,49 @@
     fn merge_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
         let uptime = uptime_ms();
         self.shared.state.verdicts.send_if_modified(|known| {
-            let mut news = false;
+            let mut changed = false;
             for v in verdicts {
-                news |= note_verdict(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
+                changed |= record_verdict(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
             }
-            news
+            changed
         })
     }
 
     fn merge_owners(&self, owners: &[wire::Owner]) -> bool {
         self.shared.state.owners.send_if_modified(|known| {
-            let mut news = false;
+            let mut changed = false;
             for (pool, owner) in owners.iter().filter_map(owner_from_wire) {
                 if known.get(&pool).is_none_or(|o| o.token < owner.token) {
                     known.insert(pool, owner);
-                    news = true;
+                    changed = true;
                 }
             }
-            news
+            changed
         })
     }
 
-    fn targets(&self, most: usize) -> Vec<SocketAddr> {
+    fn targets(&self, max: usize) -> Vec<SocketAddr> {
         let mut all: BTreeSet<SocketAddr> = self.shared.peers.iter().copied().collect();
         all.extend(self.lock().members.addresses());
         all.remove(&self.shared.address);
         let all: Vec<SocketAddr> = all.into_iter().collect();
-        all.sample(&mut rand::rng(), most).copied().collect()
+        all.sample(&mut rand::rng(), max).copied().collect()
     }
 
-    fn note_contact(&self, peer: SocketAddr, began: Moment) {
+    fn record_contact(&self, peer: SocketAddr, started: Moment) {
         if self.shared.peers.contains(&peer) {
-            self.local.contacts.send_modify(|c| {
+            self.ownership.contacts.send_modify(|c| {
                 let at = c.entry(peer).or_default();
-                *at = began.max(*at);
+                *at = started.max(*at);
             });
         }
     }
 }
 
-fn note_verdict(known: &mut BTreeMap<Fingerprint, u64>, key: Fingerprint, until: u64) -> bool {
+fn record_verdict(known: &mut BTreeMap<Fingerprint, u64>, key: Fingerprint, until: u64) -> bool {
     if known
         .get(&key)
-        .is_some_and(|old| until < old + VERDICT_STEP_MS)
+        .is_some_and(|old| until < old + MIN_VERDICT_EXTENSION_MS)
     {
         return false;
     }
@@ -282,29 +297,30 @@
 }
 
 impl State {
-    fn note_owners(&mut self, now: Moment, owners: &BTreeMap<PoolName, Owner>) {
-        self.changed.retain(|pool, _| owners.contains_key(pool));
+    fn record_owner_changes(&mut self, now: Moment, owners: &BTreeMap<PoolName, Owner>) {
+        self.owner_changes
+            .retain(|pool, _| owners.contains_key(pool));
         for (pool, owner) in owners {
-            let known = self.changed.get(pool).map(|(token, _)| *token);
+            let known = self.owner_changes.get(pool).map(|(token, _)| *token);
             if known != Some(owner.token) {
-                self.changed.insert(pool.clone(), (owner.token, now));
+                self.owner_changes.insert(pool.clone(), (owner.token, now));
             }
         }
     }
 
-    fn is_new(&self, now: Moment, pool: &PoolName) -> bool {
-        let changed = self.changed.get(pool);
-        changed.is_some_and(|(_, at)| now.since(*at) < WARM_UP)
+    fn changed_recently(&self, now: Moment, pool: &PoolName) -> bool {
+        let change = self.owner_changes.get(pool);
+        change.is_some_and(|(_, at)| now.since(*at) < WARM_UP)
     }
 }
 
-// The token that the sender of a digest knows for a pool.
-fn claim_of(digest: &wire::Digest, pool: &PoolName) -> Option<u64> {
-    let claim = digest.owners.iter().find(|o| o.pool == pool.as_str());
-    claim.map(|o| o.token)
+// The token of a pool's owner in a digest.
+fn token_in(digest: &wire::Digest, pool: &PoolName) -> Option<u64> {
+    let owner = digest.owners.iter().find(|o| o.pool == pool.as_str());
+    owner.map(|o| o.token)
 }
 
-fn owner_on_wire(pool: &PoolName, owner: &Owner) -> wire::Owner {
+fn owner_to_wire(pool: &PoolName, owner: &Owner) -> wire::Owner {
     wire::Owner {
         pool: pool.to_string(),
         vm: owner.vm.to_string(),
@@ -323,28 +339,28 @@
     Some((pool, owner))
 }
 
-/// Exchanges heartbeats for as long as the process runs.
-pub(super) async fn run(peers: Arc<Gossip>) {
-    let settings = peers.local.settings.members.clone();
+/// Exchanges digests with peers for the lifetime of the process.
+pub(super) async fn run(gossip: Arc<Gossip>) {
+    let settings = gossip.ownership.settings.members.clone();
     let mut beat = tokio::time::interval(Duration::from_millis(settings.beat_ms));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut channels: BTreeMap<SocketAddr, PeersClient<Channel>> = BTreeMap::new();
     loop {
         let fanout = tokio::select! {
             _ = beat.tick() => settings.fanout,
-            () = peers.local.gossip_wake.notified() => URGENT_FANOUT,
+            () = gossip.ownership.gossip_wake.notified() => URGENT_FANOUT,
         };
-        peers.beat();
-        let targets = peers.targets(fanout);
-        channels.retain(|a, _| peers.shared.peers.contains(a) || targets.contains(a));
+        gossip.heartbeat();
+        let targets = gossip.targets(fanout);
+        channels.retain(|a, _| gossip.shared.peers.contains(a) || targets.contains(a));
         for target in targets {
-            let Some(client) = client_for(&peers.shared, &mut channels, target) else {
+            let Some(client) = client_for(&gossip.shared, &mut channels, target) else {
                 continue;
             };
-            tokio::spawn(exchange(Arc::clone(&peers), target, client));
+            tokio::spawn(exchange(Arc::clone(&gossip), target, client));
         }
         if fanout == URGENT_FANOUT {
-            tokio::time::sleep(URGENT_GAP).await;
+            tokio::time::sleep(MIN_URGENT_INTERVAL).await;
         }
     }
 }
@@ -367,21 +383,21 @@
     Some(client)
 }
 
-async fn exchange(peers: Arc<Gossip>, target: SocketAddr, mut client: PeersClient<Channel>) {
-    let began = clock::now();
-    let digest = peers.digest(None);
+async fn exchange(gossip: Arc<Gossip>, target: SocketAddr, mut client: PeersClient<Channel>) {
+    let started = clock::now();
+    let digest = gossip.digest(None);
     count_bytes("sent", &digest);
     match client.exchange(digest).await {
         Ok(answer) => {
             count_bytes("received", answer.get_ref());
-            peers.merge(answer.get_ref());
-            peers.note_contact(target, began);
+            gossip.merge(answer.get_ref());
+            gossip.record_contact(target, started);
         }
         Err(_) => metrics::counter!("peer_exchange_failed_total").increment(1),
     }
 }
 
-/// Counts the bytes of a digest, without what the transport adds.
+/// Counts the encoded size of a digest, without transport overhead.
 pub(super) fn count_bytes(direction: &'static str, digest: &wire::Digest) {
     let bytes = prost::Message::encoded_len(digest) as u64;
     metrics::counter!("peer_bytes_total", "direction" => direction).increment(bytes);
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -1,9 +1,10 @@
-//! The member table, apart from input and output.
+//! The membership table of a gossip protocol, without input and output.
 //!
-//! Each control process counts up its own heartbeat; counts spread by
-//! exchanges with a few members at a time. Whoever's count has not risen for a
-//! while is suspect, then gone: each process judges by its own clock, no
-//! judgement is passed on, so that one process's bad link convinces nobody.
+//! Each control process increments its own heartbeat counter; counters spread
+//! by exchanges with a few members at a time. A member whose counter has not
+//! increased for a while is suspect, then gone. Each process detects failures
+//! by its own clock and does not pass on the result, so that one process's
+//! faulty link does not affect the others' view.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,44 +19,46 @@
 /// A member's state on the wire.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
-    /// Its heartbeat rises.
+    /// Its heartbeat counter increases.
     Live = 0,
-    /// Not heard of for a while.
+    /// No new heartbeat for `members.suspect_ms`.
     Suspect = 1,
-    /// It said that it stops.
+    /// It announced that it is stopping.
     Leaving = 2,
-    /// Not heard of for long.
+    /// No new heartbeat for `members.gone_ms`.
     Gone = 3,
 }
 
-/// How long a gone member is remembered: several times longer than any other
-/// process passes it on, so that a late digest does not bring it back.
-const FORGET: Span = Span::from_millis(60_000);
+/// How long a gone member is kept in the table: several times longer than any
+/// other process still sends it, so that a late digest does not re-add it.
+const GONE_RETENTION: Span = Span::from_millis(60_000);
 
-/// Members that one digest carries. Today all fit; with more, each digest
-/// carries the ones heard of last, and the rest travel in later ones.
+/// Maximum members in a digest. Small deployments fit into one digest; in larger
+/// ones a digest has the members with the most recent heartbeats, and the others
+/// follow in later digests.
 pub const MAX_DIGEST_MEMBERS: usize = 14;
 
-/// How long after its start a process is young: what it tells and is told
-/// names everything, after that only what moves.
+/// How long after its start a process counts as new. Digests to a new process
+/// are complete, and digests to others repeat the address of a new member and
+/// the owner of a pool for this long after a change.
 pub const WARM_UP: Span = Span::from_millis(10_000);
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct Record {
     member: wire::Member,
-    heard: Moment,
-    // When this incarnation was first heard of.
-    born: Moment,
+    last_heartbeat: Moment,
+    // When this incarnation was first seen.
+    first_seen: Moment,
 }
 
-impl Seen {
+impl Record {
     fn is_warming_up(&self, now: Moment) -> bool {
-        now.since(self.born) < WARM_UP
+        now.since(self.first_seen) < WARM_UP
     }
 
-    // Where a member is does not change within an incarnation, and is most of
-    // its bytes.
-    fn brief(&self) -> wire::Member {
+    // Without address and zone, which do not change within an incarnation and
+    // make up most of the encoded size.
+    fn without_location(&self) -> wire::Member {
         wire::Member {
             address: String::new(),
             zone: String::new(),
@@ -64,41 +67,45 @@
     }
 }
 
-/// What one control process knows of the others.
+/// One control process's view of all members.
 #[derive(Clone, Debug)]
 pub struct Members {
     me: VmName,
-    suspect: Span,
-    gone: Span,
-    table: BTreeMap<VmName, Seen>,
+    suspect_after: Span,
+    gone_after: Span,
+    table: BTreeMap<VmName, Record>,
 }
 
 impl Members {
-    /// A table that holds this process alone.
+    /// Creates a table that contains only this process.
+    ///
+    /// # Errors
+    ///
+    /// If the VM's name is invalid.
     pub fn new(
         now: Moment,
         me: wire::Member,
-        suspect: Span,
-        gone: Span,
+        suspect_after: Span,
+        gone_after: Span,
     ) -> Result<Self, crate::ids::IdError> {
         let name = VmName::new(&me.vm)?;
-        let seen = Seen {
+        let record = Record {
             member: me,
-            heard: now,
-            born: now,
+            last_heartbeat: now,
+            first_seen: now,
         };
         Ok(Self {
             me: name.clone(),
-            suspect,
-            gone,
-            table: BTreeMap::from([(name, seen)]),
+            suspect_after,
+            gone_after,
+            table: BTreeMap::from([(name, record)]),
         })
     }
 
-    /// One heartbeat of this process.
+    /// Increments this process's heartbeat and updates its revision and state.
     pub fn advance_heartbeat(&mut self, now: Moment, revision: Revision, leaving: bool) {
         if let Some(me) = self.table.get_mut(&self.me) {
-            me.heard = now;
+            me.last_heartbeat = now;
             me.member.heartbeat += 1;
             me.member.revision = revision.0;
             if leaving {
@@ -107,9 +114,9 @@
         }
     }
 
-    /// Takes in what another process sent. A higher (incarnation, heartbeat)
-    /// replaces what is known; what it says of this process is passed over, and
-    /// so is a brief word of a process that is not known.
+    /// Merges the members of a received digest. A higher (incarnation,
+    /// heartbeat) replaces a known record. Records of this process are ignored,
+    /// and so are records without an address of unknown incarnations.
     pub fn merge(&mut self, now: Moment, members: &[wire::Member]) {
         for member in members {
             match VmName::new(&member.vm) {
@@ -121,8 +128,8 @@
 
     fn merge_one(&mut self, now: Moment, vm: VmName, member: &wire::Member) {
         let known = self.table.get(&vm);
-        let age = |m: &wire::Member| (m.incarnation, m.heartbeat);
-        if known.is_some_and(|s| age(&s.member) >= age(member)) {
+        let version = |m: &wire::Member| (m.incarnation, m.heartbeat);
+        if known.is_some_and(|s| version(&s.member) >= version(member)) {
             return;
         }
         let same = known.filter(|s| s.member.incarnation == member.incarnation);
@@ -137,42 +144,44 @@
         if member.state != MemberState::Leaving as u32 {
             member.state = MemberState::Live as u32;
         }
-        let born = same.map_or(now, |s| s.born);
-        let heard = now;
+        let first_seen = same.map_or(now, |s| s.first_seen);
+        let last_heartbeat = now;
         self.table.insert(
             vm,
-            Seen {
+            Record {
                 member,
-                heard,
-                born,
+                last_heartbeat,
+                first_seen,
             },
         );
     }
 
-    /// Whether a process started lately, or is not known.
+    /// Whether a process started less than [`WARM_UP`] ago or is unknown.
     pub fn is_warming_up(&self, now: Moment, vm: &str) -> bool {
         self.table.get(vm).is_none_or(|s| s.is_warming_up(now))
     }
 
-    /// Judges by silence.
+    /// Marks members without recent heartbeats as suspect or gone, and removes
+    /// those that have been gone for long.
     pub fn detect_failures(&mut self, now: Moment) {
-        let (me, suspect, gone) = (&self.me, self.suspect, self.gone);
-        self.table
-            .retain(|vm, s| vm == me || now.since(s.heard) < Span(gone.0 + FORGET.0));
-        for (vm, seen) in &mut self.table {
-            let silent = now.since(seen.heard);
+        let (me, suspect_after, gone_after) = (&self.me, self.suspect_after, self.gone_after);
+        self.table.retain(|vm, s| {
+            vm == me || now.since(s.last_heartbeat) < Span(gone_after.0 + GONE_RETENTION.0)
+        });
+        for (vm, record) in &mut self.table {
+            let silent = now.since(record.last_heartbeat);
             if vm == me {
                 continue;
             }
-            if silent >= gone {
-                seen.member.state = MemberState::Gone as u32;
-            } else if silent >= suspect && seen.member.state == MemberState::Live as u32 {
-                seen.member.state = MemberState::Suspect as u32;
+            if silent >= gone_after {
+                record.member.state = MemberState::Gone as u32;
+            } else if silent >= suspect_after && record.member.state == MemberState::Live as u32 {
+                record.member.state = MemberState::Suspect as u32;
             }
         }
     }
 
-    /// All members, this process among them.
+    /// Returns all members, including this process.
     pub fn view(&self) -> BTreeMap<VmName, wire::Member> {
         self.table
             .iter()
@@ -180,33 +189,36 @@
             .collect()
     }
 
-    /// What a digest carries: this process and those heard of last; in full
-    /// for a young reader, in brief for one that has heard of them, and without
-    /// those that the reader itself told as much of.
-    pub fn digest(&self, now: Moment, full: bool, told: &[wire::Member]) -> Vec<wire::Member> {
-        let mine = |s: &Seen| s.member.vm == self.me.as_str();
-        let age = |m: &wire::Member| (m.incarnation, m.heartbeat);
-        let is_news = |s: &&Seen| {
-            let known = told.iter().find(|m| m.vm == s.member.vm);
-            known.is_none_or(|m| age(m) < age(&s.member))
+    /// Returns the members for a digest: this process and those with the most
+    /// recent heartbeats, except gone ones and those that the receiver already
+    /// has according to `received`. With `full`, for a receiver that started
+    /// recently, every record has its address and zone; otherwise only those of
+    /// this process and of members that started recently.
+    pub fn digest(&self, now: Moment, full: bool, received: &[wire::Member]) -> Vec<wire::Member> {
+        let mine = |s: &Record| s.member.vm == self.me.as_str();
+        let version = |m: &wire::Member| (m.incarnation, m.heartbeat);
+        let is_newer = |s: &&Record| {
+            let known = received.iter().find(|m| m.vm == s.member.vm);
+            known.is_none_or(|m| version(m) < version(&s.member))
         };
-        let mut seen: Vec<&Seen> = self
+        let mut records: Vec<&Record> = self
             .table
             .values()
             .filter(|s| s.member.state != MemberState::Gone as u32)
-            .filter(is_news)
+            .filter(is_newer)
             .collect();
-        seen.sort_by_key(|s| (!mine(s), std::cmp::Reverse(s.heard)));
-        seen.truncate(MAX_DIGEST_MEMBERS);
-        seen.into_iter()
+        records.sort_by_key(|s| (!mine(s), std::cmp::Reverse(s.last_heartbeat)));
+        records.truncate(MAX_DIGEST_MEMBERS);
+        records
+            .into_iter()
             .map(|s| match full || mine(s) || s.is_warming_up(now) {
                 true => s.member.clone(),
-                false => s.brief(),
+                false => s.without_location(),
             })
             .collect()
     }
 
-    /// Where the members that are not gone listen, this process left out.
+    /// Returns the addresses of the other members that are not gone.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.table
             .iter()
@@ -216,7 +228,8 @@
     }
 }
 
-/// The members that may own pools: live ones, and this one while it stays.
+/// Returns the members that may own pools: those in state live, including this
+/// process unless it is stopping.
 pub fn candidates(members: &BTreeMap<VmName, wire::Member>) -> Vec<VmName> {
     members
         .iter()
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -36,7 +36,7 @@
     pub majority: Moment,
     /// Whether the previous owner's VM has left the platform's VM list.
     pub predecessor_left: bool,
-    /// GrantHolders that have reported the grants they hold to this owner.
+    /// Entries that have reported the grants they hold to this owner.
     pub synced: BTreeSet<String>,
 }
 
