--- a/lib/src/control/config/history.rs
+++ b/lib/src/control/config/history.rs
@@ -1,4 +1,4 @@
-//! What is in force here, and the last change sets that led to it.
+//! Activation of catalog revisions, and the change sets that led to them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,16 +17,16 @@
 use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 
-/// Change sets kept for those who follow: an hour at 7,600 a day is 317, a
-/// peer that was cut off for most of it needs no snapshot.
-const HISTORY_SETS: usize = 256;
+/// Maximum change sets kept. 7,600 a day are 317 an hour, so that a peer that was
+/// disconnected for most of an hour needs no snapshot.
+const MAX_HISTORY_SETS: usize = 256;
 
-/// Bytes of change sets kept; a bulk load of adapters would else stay in
-/// memory of which a process has 64 MB.
-const HISTORY_BYTES: usize = 1 << 20;
+/// Maximum encoded size of the change sets kept, so that a bulk load of adapters
+/// does not stay in memory; a process has 64 MB.
+const MAX_HISTORY_BYTES: usize = 1 << 20;
 
-/// The last change sets that came into force here, encoded once for all who
-/// follow. Its lock also orders what comes into force.
+/// The latest activated change sets, encoded once for all receivers. Its lock
+/// also serializes activations.
 #[derive(Debug, Default)]
 pub struct History {
     deltas: Mutex<VecDeque<wire::Delta>>,
@@ -34,16 +34,16 @@
 }
 
 impl History {
-    /// The deltas that lead from `revision` to the present one; `None` when
-    /// they do not reach back that far.
+    /// Returns the deltas from `revision` to the active one, or `None` if the
+    /// history does not reach back that far.
     pub fn since(&self, revision: Revision) -> Option<Vec<wire::Delta>> {
         let deltas = self.lock();
         let first = deltas.front()?.revision;
         if first > revision.0 + 1 {
             return None;
         }
-        let later = deltas.iter().filter(|d| d.revision > revision.0);
-        Some(later.cloned().collect())
+        let newer = deltas.iter().filter(|d| d.revision > revision.0);
+        Some(newer.cloned().collect())
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<wire::Delta>> {
@@ -51,8 +51,8 @@
     }
 }
 
-/// Brings `next` into force if it is higher than what is; gives whether it
-/// was. `sets` are the change sets that lead to it, as far as they are known.
+/// Activates `next` if its revision is higher than the active one, and returns
+/// whether it was. `sets` are the known change sets that lead to it.
 pub fn activate(shared: &Shared, next: Catalog, sets: &[ChangeSet]) -> bool {
     let mut deltas = shared.state.history.lock();
     let current = shared.state.catalog.borrow().revision;
@@ -60,12 +60,12 @@
         return false;
     }
     let new: Vec<_> = sets.iter().filter(|s| s.revision > current).collect();
-    let whole = new.len() as u64 == next.revision.0 - current.0;
-    if !whole {
+    let complete = new.len() as u64 == next.revision.0 - current.0;
+    if !complete {
         deltas.clear();
     }
-    if whole {
-        deltas.extend(new.into_iter().map(delta));
+    if complete {
+        deltas.extend(new.into_iter().map(to_delta));
         trim(&mut deltas);
     }
     let revision = next.revision;
@@ -83,17 +83,17 @@
     true
 }
 
-fn delta(set: &ChangeSet) -> wire::Delta {
+fn to_delta(set: &ChangeSet) -> wire::Delta {
     wire::Delta {
         revision: set.revision.0,
-        // Names, numbers and lists; encoding them cannot fail.
+        // Encoding cannot fail: the type holds names, numbers and lists.
         changes: serde_json::to_vec(set).unwrap_or_default().into(),
     }
 }
 
 fn trim(deltas: &mut VecDeque<wire::Delta>) {
     let mut bytes: usize = deltas.iter().map(|d| d.changes.len()).sum();
-    while deltas.len() > HISTORY_SETS || bytes > HISTORY_BYTES {
+    while deltas.len() > MAX_HISTORY_SETS || bytes > MAX_HISTORY_BYTES {
         bytes -= deltas.pop_front().map_or(bytes, |d| d.changes.len());
     }
 }
--- a/lib/src/control/config/mod.rs
+++ b/lib/src/control/config/mod.rs
@@ -1,7 +1,7 @@
-//! Keeps the catalog in force on this VM: from the platform, else from peers.
+//! Keeps this VM's catalog up to date, from the platform or else from peers.
 //!
-//! A revision comes into force only when it is higher than the one there is,
-//! whatever the platform or a peer answers.
+//! A catalog is activated only if its revision is higher than the active one,
+//! whatever the platform or a peer returns.
 
 mod follow;
 mod history;
@@ -16,7 +16,7 @@
 use crate::catalog::Catalog;
 use crate::ids::Revision;
 
-/// Keeps the catalog in force until the process stops.
+/// Keeps the catalog up to date until the process stops.
 pub async fn run(shared: Shared) {
     let mut stopping = shared.state.stopping.subscribe();
     let stopped = async { stopping.wait_for(|s| *s).await.is_ok() };
@@ -27,7 +27,7 @@
     }
 }
 
-/// Tells that some VM has this revision in force; a higher one than here is
+/// Reports a revision that is active on another VM; a higher one than here is
 /// fetched from peers.
 pub fn notify_revision(shared: &Shared, revision: Revision) {
     if revision > shared.state.catalog.borrow().revision {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The catalog for a peer; without content when the peer has it already.
+/// Returns the catalog for a peer; without content if the peer is up to date.
 pub fn fetch_catalog(shared: &Shared, request: &wire::FetchRequest) -> wire::Snapshot {
     let catalog = shared.state.catalog.borrow().clone();
     match request.revision < catalog.revision.0 {
@@ -47,8 +47,8 @@
     }
 }
 
-/// The changes after the peer's revision; none when the peer is up to date or
-/// too far behind.
+/// Returns the change sets after the peer's revision; none if the peer is up to
+/// date or the history does not reach back that far.
 pub fn fetch_changes(shared: &Shared, request: &wire::FetchRequest) -> wire::Changes {
     let deltas = shared.state.history.since(Revision(request.revision));
     wire::Changes {
@@ -56,11 +56,11 @@
     }
 }
 
-/// The whole catalog as it goes over the wire.
+/// Encodes the whole catalog for the wire.
 pub(super) fn snapshot(catalog: &Catalog) -> wire::Snapshot {
     wire::Snapshot {
         revision: catalog.revision.0,
-        // Maps keyed by text; encoding them cannot fail.
+        // Encoding cannot fail: all map keys are text.
         catalog: serde_json::to_vec(catalog).unwrap_or_default().into(),
     }
 }
