--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -149,8 +149,8 @@
         activate(shared, next, &sets.unwrap_or_default());
         return Ok(());
     }
-    let ledger = CatalogStore::new(shared.platform.clone());
-    match ledger.read_catalog(root).await {
+    let store = CatalogStore::new(shared.platform.clone());
+    match store.read_catalog(root).await {
         Ok(next) => {
             activate(shared, next, &[]);
             Ok(())
--- a/lib/src/control/election.rs
+++ b/lib/src/control/election.rs
@@ -1,4 +1,4 @@
-//! The duty that holds leases: one contest a pool, one watch for all.
+//! The election task: runs one elector per pool and one watch for all leases.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,24 +27,24 @@
 use crate::timeline::EventKind;
 
 /// The kind of lease objects.
-const LEASES: &str = "leases";
+const LEASE_KIND: &str = "leases";
 
-/// How often the contests are asked what to do; a tenth of the time in which
-/// a planned stop is to be handed over.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the electors are advanced; a tenth of the time limit for the
+/// handover at a planned stop.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long after a broken watch the next is tried.
-const WATCH_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed watch is reopened.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Events between the calls and the contests; calls are one a pool.
-const RING: usize = 256;
+/// Capacity of the event queue; each pool has at most one call in flight.
+const EVENT_CAPACITY: usize = 256;
 
 enum Event {
     Listed(Vec<(String, Record, String)>),
     Changed(String, Option<(Record, String)>),
-    WatchBroke,
-    Read(PoolName, Result<Option<(Record, String)>, PlatformError>),
-    Written(PoolName, WriteOutcome),
+    WatchFailed,
+    ReadDone(PoolName, Result<Option<(Record, String)>, PlatformError>),
+    WriteDone(PoolName, WriteOutcome),
 }
 
 fn object_name(pool: &PoolName) -> String {
@@ -53,128 +53,127 @@
 
 struct Election {
     shared: Shared,
-    local: Arc<OwnershipState>,
+    ownership: Arc<OwnershipState>,
     events: mpsc::Sender<Event>,
-    contests: BTreeMap<PoolName, Elector>,
-    watching: bool,
+    electors: BTreeMap<PoolName, Elector>,
+    watch_open: bool,
 }
 
-/// Contends for and holds leases until the process stops and has released
-/// them.
-pub(super) async fn run(shared: Shared, local: Arc<OwnershipState>) {
-    let (events, mut inbox) = mpsc::channel(RING);
-    tokio::spawn(follow(shared.platform.clone(), events.clone()));
+/// Acquires and renews leases until the process stops and has released them.
+pub(super) async fn run(shared: Shared, ownership: Arc<OwnershipState>) {
+    let (events, mut inbox) = mpsc::channel(EVENT_CAPACITY);
+    tokio::spawn(watch_leases(shared.platform.clone(), events.clone()));
     let mut election = Election {
         shared,
-        local,
+        ownership,
         events,
-        contests: BTreeMap::new(),
-        watching: false,
+        electors: BTreeMap::new(),
+        watch_open: false,
     };
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = tick.tick() => {}
-            Some(event) = inbox.recv() => election.take(event),
+            Some(event) = inbox.recv() => election.handle(event),
         }
         election.advance();
-        if election.is_over() {
-            election.local.released.send_replace(true);
+        if election.is_finished() {
+            election.ownership.released.send_replace(true);
             return;
         }
     }
 }
 
 impl Election {
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = clock::now();
         match event {
             Event::Listed(records) => {
-                self.watching = true;
-                for (pool, contest) in &mut self.contests {
+                self.watch_open = true;
+                for (pool, elector) in &mut self.electors {
                     let name = object_name(pool);
                     let found = records.iter().find(|(n, _, _)| *n == name);
-                    contest.restart_ttl(now);
-                    contest.observe(now, found.map(|(_, r, v)| (r.clone(), v.clone())));
+                    elector.restart_ttl(now);
+                    elector.observe(now, found.map(|(_, r, v)| (r.clone(), v.clone())));
                 }
             }
             Event::Changed(name, object) => {
                 let found = self
-                    .contests
+                    .electors
                     .iter_mut()
                     .find(|(pool, _)| object_name(pool) == name);
-                if let Some((_, contest)) = found {
-                    contest.observe(now, object);
+                if let Some((_, elector)) = found {
+                    elector.observe(now, object);
                 }
             }
-            Event::WatchBroke => self.watching = false,
-            Event::Read(pool, answer) => {
-                if let Some(contest) = self.contests.get_mut(&pool) {
+            Event::WatchFailed => self.watch_open = false,
+            Event::ReadDone(pool, answer) => {
+                if let Some(elector) = self.electors.get_mut(&pool) {
                     match answer {
                         Ok(object) => {
-                            contest.read_done();
-                            contest.observe(now, object);
+                            elector.read_done();
+                            elector.observe(now, object);
                         }
-                        Err(_) => contest.read_failed(now),
+                        Err(_) => elector.read_failed(now),
                     }
                 }
             }
-            Event::Written(pool, end) => {
-                if let Some(contest) = self.contests.get_mut(&pool) {
-                    contest.write_done(now, end);
+            Event::WriteDone(pool, outcome) => {
+                if let Some(elector) = self.electors.get_mut(&pool) {
+                    elector.write_done(now, outcome);
                 }
             }
         }
     }
 
-    // Asks every contest for its next step and publishes what is held.
+    // Executes the next step of every elector and publishes the held leases.
     fn advance(&mut self) {
-        self.follow_catalog();
+        self.sync_pools();
         let now = clock::now();
         let stopping = *self.shared.state.stopping.borrow();
         let live = members::candidates(&self.shared.state.members.borrow());
-        let drained = self.local.drained.borrow().clone();
-        let settled = self.local.settled.borrow().clone();
-        let deposed = self.local.deposed.borrow().clone();
+        let drained = self.ownership.drained.borrow().clone();
+        let settled = self.ownership.settled.borrow().clone();
+        let deposed = self.ownership.deposed.borrow().clone();
         let mut steps = Vec::new();
-        for (pool, contest) in &mut self.contests {
-            settled.get(pool).inspect(|t| contest.set_settled(**t));
-            deposed.get(pool).inspect(|t| contest.resign(**t));
-            if contest.lease().is_none() && (!self.watching || stopping) {
+        for (pool, elector) in &mut self.electors {
+            settled.get(pool).inspect(|t| elector.set_settled(**t));
+            deposed.get(pool).inspect(|t| elector.resign(**t));
+            if elector.lease().is_none() && (!self.watch_open || stopping) {
                 continue;
             }
-            let stop = drained.get(pool).filter(|_| stopping);
-            let place = || rank(pool, &self.shared.vm, &live);
-            steps.push((pool.clone(), contest.step(now, place, stop)));
+            let release = drained.get(pool).filter(|_| stopping);
+            let position = || rank(pool, &self.shared.vm, &live);
+            steps.push((pool.clone(), elector.step(now, position, release)));
         }
         for (pool, step) in steps {
-            self.carry_out(pool, step);
+            self.execute(pool, step);
         }
         self.publish();
     }
 
-    fn follow_catalog(&mut self) {
+    fn sync_pools(&mut self) {
         let catalog = self.shared.state.catalog.borrow().clone();
-        if catalog.pools.len() == self.contests.len()
-            && catalog.pools.keys().eq(self.contests.keys())
+        if catalog.pools.len() == self.electors.len()
+            && catalog.pools.keys().eq(self.electors.keys())
         {
             return;
         }
-        self.contests.retain(|p, _| catalog.pools.contains_key(p));
+        self.electors.retain(|p, _| catalog.pools.contains_key(p));
         for pool in catalog.pools.keys() {
-            self.contests.entry(pool.clone()).or_insert_with(|| {
+            self.electors.entry(pool.clone()).or_insert_with(|| {
                 let me = Candidate {
                     vm: self.shared.vm.clone(),
                     address: self.shared.address,
                     incarnation: self.shared.incarnation,
                 };
-                Elector::new(me, self.local.settings.lease_timing())
+                Elector::new(me, self.ownership.settings.lease_timing())
             });
         }
     }
 
-    fn carry_out(&self, pool: PoolName, step: Step) {
+    fn execute(&self, pool: PoolName, step: Step) {
         let platform = self.shared.platform.clone();
         let events = self.events.clone();
         let name = object_name(&pool);
@@ -183,19 +182,21 @@
             Step::Read => {
                 tokio::spawn(async move {
                     let answer = read(&platform, &name).await;
-                    let _ = events.send(Event::Read(pool, answer)).await;
+                    let _ = events.send(Event::ReadDone(pool, answer)).await;
                 });
             }
             Step::Create(record) => {
                 tokio::spawn(async move {
-                    let end = write_end(platform.create(LEASES, &name, &record).await);
-                    let _ = events.send(Event::Written(pool, end)).await;
+                    let outcome = write_outcome(platform.create(LEASE_KIND, &name, &record).await);
+                    let _ = events.send(Event::WriteDone(pool, outcome)).await;
                 });
             }
             Step::Replace(version, record) => {
                 tokio::spawn(async move {
-                    let answer = platform.replace(LEASES, &name, &version, &record).await;
-                    let _ = events.send(Event::Written(pool, write_end(answer))).await;
+                    let answer = platform.replace(LEASE_KIND, &name, &version, &record).await;
+                    let _ = events
+                        .send(Event::WriteDone(pool, write_outcome(answer)))
+                        .await;
                 });
             }
         }
@@ -203,33 +204,33 @@
 
     fn publish(&self) {
         let held: BTreeMap<PoolName, HeldLease> = self
-            .contests
+            .electors
             .iter()
             .filter_map(|(p, c)| Some((p.clone(), c.lease()?.clone())))
             .collect();
-        let before = self.local.leases.borrow().clone();
+        let before = self.ownership.leases.borrow().clone();
         if before != held {
-            self.note_changes(&before, &held);
-            self.local.leases.send_replace(held);
+            self.record_changes(&before, &held);
+            self.ownership.leases.send_replace(held);
         }
         self.publish_owners();
     }
 
-    fn note_changes(
+    fn record_changes(
         &self,
         before: &BTreeMap<PoolName, HeldLease>,
         after: &BTreeMap<PoolName, HeldLease>,
     ) {
-        let lost = before.iter().filter(|(p, t)| is_new(after, p, t));
-        let gained = after.iter().filter(|(p, t)| is_new(before, p, t));
+        let lost = before.iter().filter(|(p, t)| is_absent(after, p, t));
+        let gained = after.iter().filter(|(p, t)| is_absent(before, p, t));
         let lost = lost.map(|(p, t)| (EventKind::Lost, p, t));
-        for (kind, pool, tenure) in lost.chain(gained.map(|(p, t)| (EventKind::Acquired, p, t))) {
+        for (kind, pool, lease) in lost.chain(gained.map(|(p, t)| (EventKind::Acquired, p, t))) {
             slog::info!(self.shared.log, "lease"; "event" => kind.as_str(),
-                "pool" => %pool, "token" => tenure.token.0);
+                "pool" => %pool, "token" => lease.token.0);
             metrics::counter!("lease_changes_total", "event" => kind.as_str()).increment(1);
             let about = EventFields {
                 pool: pool.to_string(),
-                detail: format!("token {}, former {:?}", tenure.token.0, tenure.predecessor),
+                detail: format!("token {}, former {:?}", lease.token.0, lease.predecessor),
                 ..EventFields::default()
             };
             self.shared.recorder.record(kind, about);
@@ -239,13 +240,13 @@
     fn publish_owners(&self) {
         let changed = self.shared.state.owners.send_if_modified(|owners| {
             let mut changed = false;
-            for (pool, contest) in &self.contests {
-                let Some(record) = contest.record() else {
+            for (pool, elector) in &self.electors {
+                let Some(record) = elector.record() else {
                     continue;
                 };
                 let known = owners.get(pool).map(|o| o.token);
-                // A released lease keeps its last holder on the board until
-                // the next one: peers would otherwise bring it back.
+                // The owner of a released lease stays until there is a new one:
+                // if it were removed, gossip from peers would add it again.
                 if known.is_none_or(|t| t < record.token) {
                     owners.insert(pool.clone(), owner_of(record));
                     changed = true;
@@ -254,17 +255,17 @@
             changed
         });
         if changed {
-            self.local.gossip_wake.notify_one();
+            self.ownership.gossip_wake.notify_one();
         }
     }
 
-    fn is_over(&self) -> bool {
-        *self.shared.state.stopping.borrow() && self.contests.values().all(|c| c.lease().is_none())
+    fn is_finished(&self) -> bool {
+        *self.shared.state.stopping.borrow() && self.electors.values().all(|c| c.lease().is_none())
     }
 }
 
-fn is_new(other: &BTreeMap<PoolName, HeldLease>, pool: &PoolName, tenure: &HeldLease) -> bool {
-    other.get(pool).is_none_or(|t| t.token != tenure.token)
+fn is_absent(other: &BTreeMap<PoolName, HeldLease>, pool: &PoolName, lease: &HeldLease) -> bool {
+    other.get(pool).is_none_or(|t| t.token != lease.token)
 }
 
 fn owner_of(record: &Record) -> Owner {
@@ -276,14 +277,14 @@
 }
 
 async fn read(platform: &Platform, name: &str) -> Result<Option<(Record, String)>, PlatformError> {
-    match platform.get::<Record>(LEASES, name).await {
+    match platform.get::<Record>(LEASE_KIND, name).await {
         Ok(object) => Ok(Some((object.spec, object.metadata.version))),
         Err(PlatformError::NotFound) => Ok(None),
         Err(e) => Err(e),
     }
 }
 
-fn write_end(answer: Result<String, PlatformError>) -> WriteOutcome {
+fn write_outcome(answer: Result<String, PlatformError>) -> WriteOutcome {
     match answer {
         Ok(version) => WriteOutcome::Done(version),
         Err(PlatformError::Conflict | PlatformError::NotFound) => WriteOutcome::Conflict,
@@ -292,24 +293,24 @@
     }
 }
 
-// Lists and watches the leases for as long as the process runs.
-async fn follow(platform: Platform, events: mpsc::Sender<Event>) {
+// Lists and watches the leases for the lifetime of the process.
+async fn watch_leases(platform: Platform, events: mpsc::Sender<Event>) {
     loop {
-        // Any failure is mended the same way: list again.
-        let _ = follow_once(&platform, &events).await;
-        if events.send(Event::WatchBroke).await.is_err() {
+        // After any failure the leases are listed again.
+        let _ = watch_once(&platform, &events).await;
+        if events.send(Event::WatchFailed).await.is_err() {
             return;
         }
-        tokio::time::sleep(WATCH_PAUSE).await;
+        tokio::time::sleep(WATCH_RETRY_DELAY).await;
     }
 }
 
-async fn follow_once(
+async fn watch_once(
     platform: &Platform,
     events: &mpsc::Sender<Event>,
 ) -> Result<(), PlatformError> {
-    let list: List<Record> = platform.list(LEASES).await?;
-    let mut watch = platform.watch(LEASES, &list.metadata.version).await?;
+    let list: List<Record> = platform.list(LEASE_KIND).await?;
+    let mut watch = platform.watch(LEASE_KIND, &list.metadata.version).await?;
     let records = list
         .items
         .into_iter()
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -1,4 +1,4 @@
-//! Serves operators: plan, confirm, status, usage.
+//! The gRPC service for operators: plan, confirm, status, usage and time line.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -27,11 +27,11 @@
 use crate::catalog::PlanError;
 use crate::ids::AdapterName;
 
-/// SHA-256 of each operator's key as lower-case hex, by the operator's name.
+/// SHA-256 hash of each operator's key as lower-case hex, by operator name.
 pub type OperatorKeys = BTreeMap<String, String>;
 
-/// The gRPC service `Operator`. Each call carries the operator's key as
-/// `authorization: Bearer <key>`.
+/// The gRPC service `Operator`. Every call must carry the operator's key in the
+/// metadata `authorization: Bearer <key>`.
 #[derive(Clone)]
 pub struct OperatorService {
     shared: Shared,
@@ -39,18 +39,23 @@
 }
 
 impl OperatorService {
-    /// Serves the operators whose keys are listed.
+    /// Creates a service for the operators in `keys`.
     pub const fn new(shared: Shared, keys: OperatorKeys) -> Self {
         Self { shared, keys }
     }
 
-    /// The service with room for a plan of [`MAX_CHANGES`](crate::catalog::MAX_CHANGES) changes.
+    /// Returns a server that accepts messages large enough for a plan of
+    /// [`MAX_CHANGES`](crate::catalog::MAX_CHANGES) changes.
     pub fn server(self) -> OperatorServer<Self> {
         OperatorServer::new(self).max_decoding_message_size(MAX_SNAPSHOT_BYTES)
     }
 
-    /// The operator whose key the call carries.
-    fn operator<T>(&self, request: &Request<T>) -> Result<String, Status> {
+    /// Returns the name of the operator whose key the call carries.
+    ///
+    /// # Errors
+    ///
+    /// `Unauthenticated` if the key is missing or unknown.
+    fn authenticate<T>(&self, request: &Request<T>) -> Result<String, Status> {
         let header = request.metadata().get("authorization");
         let key = header
             .and_then(|v| v.to_str().ok())
@@ -64,7 +69,7 @@
     }
 }
 
-/// SHA-256 of a key, as lower-case hex.
+/// Returns the SHA-256 hash of a key as lower-case hex.
 ///
 /// ```
 /// use banyangauge::control::operator::hash_key;
@@ -74,7 +79,7 @@
     let digest = Sha256::digest(key.as_bytes());
     let mut hex = String::with_capacity(digest.len() * 2);
     for byte in digest.iter() {
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(hex, "{byte:02x}");
     }
     hex
@@ -86,7 +91,7 @@
         &self,
         request: Request<wire::PlanRequest>,
     ) -> Result<Response<wire::PlanReply>, Status> {
-        self.operator(&request)?;
+        self.authenticate(&request)?;
         let intent: Intent = parse(&request.get_ref().intent)?;
         let catalog = self.shared.state.catalog.borrow().clone();
         let plan = Plan::new(&catalog, intent.changes).map_err(plan_status)?;
@@ -98,7 +103,7 @@
         &self,
         request: Request<wire::ConfirmRequest>,
     ) -> Result<Response<wire::ConfirmReply>, Status> {
-        let operator = self.operator(&request)?;
+        let operator = self.authenticate(&request)?;
         let request = request.into_inner();
         let plan: Plan = parse(&request.plan)?;
         if plan.operation != request.operation {
@@ -114,9 +119,9 @@
         &self,
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::StatusReply>, Status> {
-        self.operator(&request)?;
-        let board = &self.shared.state;
-        let owners = board.owners.borrow().clone();
+        self.authenticate(&request)?;
+        let state = &self.shared.state;
+        let owners = state.owners.borrow().clone();
         let owners = owners.iter().map(|(pool, owner)| wire::Owner {
             pool: pool.to_string(),
             vm: owner.vm.to_string(),
@@ -125,11 +130,11 @@
         });
         Ok(Response::new(wire::StatusReply {
             vm: self.shared.vm.to_string(),
-            revision: board.catalog.borrow().revision.0,
-            platform_up: *board.platform_up.borrow(),
-            members: board.members.borrow().values().cloned().collect(),
+            revision: state.catalog.borrow().revision.0,
+            platform_up: *state.platform_up.borrow(),
+            members: state.members.borrow().values().cloned().collect(),
             owners: owners.collect(),
-            pools: board.pools.borrow().values().cloned().collect(),
+            pools: state.pools.borrow().values().cloned().collect(),
         }))
     }
 
@@ -137,12 +142,12 @@
         &self,
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::Snapshot>, Status> {
-        self.operator(&request)?;
+        self.authenticate(&request)?;
         let catalog = self.shared.state.catalog.borrow().clone();
         let filter = &request.get_ref().filter;
         let answer = match filter.as_str() {
             "" => config::snapshot(&catalog),
-            _ => config::snapshot(&filtered(&catalog, filter)),
+            _ => config::snapshot(&filter_adapters(&catalog, filter)),
         };
         Ok(Response::new(answer))
     }
@@ -151,7 +156,7 @@
         &self,
         request: Request<wire::StatusRequest>,
     ) -> Result<Response<wire::UsageTotals>, Status> {
-        self.operator(&request)?;
+        self.authenticate(&request)?;
         let filter = &request.get_ref().filter;
         let all = usage::read_all(&self.shared.platform, &self.shared.state.usage)
             .await
@@ -170,7 +175,7 @@
         &self,
         request: Request<wire::TimelineRequest>,
     ) -> Result<Response<wire::TimelineReply>, Status> {
-        self.operator(&request)?;
+        self.authenticate(&request)?;
         Ok(Response::new(self.shared.recorder.read(request.get_ref())))
     }
 }
@@ -178,10 +183,10 @@
 impl OperatorService {
     async fn confirm_plan(&self, plan: &Plan, operator: &str) -> Result<u64, Status> {
         let known = self.shared.state.catalog.borrow().clone();
-        let ledger = CatalogStore::new(self.shared.platform.clone());
-        let end = ledger.confirm(plan, operator, &known).await;
+        let store = CatalogStore::new(self.shared.platform.clone());
+        let result = store.confirm(plan, operator, &known).await;
         let log = &self.shared.log;
-        let confirmed = match end {
+        let confirmed = match result {
             Ok(confirmed) => confirmed,
             Err(e) => {
                 warn!(log, "plan not confirmed"; "operator" => operator,
@@ -198,19 +203,20 @@
     }
 }
 
-/// Adapters of a name, an owner, a served team or a pool.
-fn filtered(catalog: &Catalog, filter: &str) -> Catalog {
-    let named = |name: &AdapterName, adapter: &Adapter| {
+/// Returns a catalog with only the adapters whose name, owner, pool or one of
+/// whose served teams equals `filter`.
+fn filter_adapters(catalog: &Catalog, filter: &str) -> Catalog {
+    let matches = |name: &AdapterName, adapter: &Adapter| {
         name.as_str() == filter
             || adapter.owner.as_str() == filter
             || adapter.pool.as_str() == filter
             || adapter.serving.contains_key(filter)
     };
-    let mut some = Catalog::default();
-    some.revision = catalog.revision;
-    let adapters = catalog.adapters.iter().filter(|(n, a)| named(n, a));
-    some.adapters = adapters.map(|(n, a)| (n.clone(), Arc::clone(a))).collect();
-    some
+    let mut selected = Catalog::default();
+    selected.revision = catalog.revision;
+    let adapters = catalog.adapters.iter().filter(|(n, a)| matches(n, a));
+    selected.adapters = adapters.map(|(n, a)| (n.clone(), Arc::clone(a))).collect();
+    selected
 }
 
 fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, Status> {
@@ -224,17 +230,17 @@
     }
 }
 
-/// A conflict is `Aborted`, an outage `Unavailable`, an open outcome
-/// `Unknown`; `banyan` has an exit code for each.
+/// Maps a conflict to `Aborted`, an outage to `Unavailable` and an unknown outcome
+/// to `Unknown`; `banyan` has an exit code for each.
 fn confirm_status(error: &ConfirmError) -> Status {
-    let text = error.to_string();
+    let message = error.to_string();
     match error {
-        ConfirmError::Plan(PlanError::Rules(_)) => Status::failed_precondition(text),
-        ConfirmError::Plan(_) => Status::invalid_argument(text),
+        ConfirmError::Plan(PlanError::Rules(_)) => Status::failed_precondition(message),
+        ConfirmError::Plan(_) => Status::invalid_argument(message),
         ConfirmError::ReadConflict(_) | ConfirmError::TooOld { .. } | ConfirmError::Busy => {
-            Status::aborted(text)
+            Status::aborted(message)
         }
-        ConfirmError::Platform(_) => Status::unavailable(text),
-        ConfirmError::Unknown(_) => Status::unknown(text),
+        ConfirmError::Platform(_) => Status::unavailable(message),
+        ConfirmError::Unknown(_) => Status::unknown(message),
     }
 }
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the duties of a control process.
+//! Starts and stops the tasks of a control process.
 
 use std::fmt;
 use std::sync::Arc;
@@ -46,35 +46,35 @@
 use crate::timeline::Recorder;
 use crate::timeline::TimelineService;
 
-/// Events that the time line keeps, about 200 bytes each.
-const TIMELINE: usize = 16_384;
+/// Capacity of the time line in events of about 200 bytes.
+const TIMELINE_EVENTS: usize = 16_384;
 
-/// The longest that a planned stop waits for leases to be released; after it
-/// they lapse by themselves.
-const RELEASE: Duration = Duration::from_secs(5);
+/// How long a planned stop waits for leases to be released; after that they
+/// expire.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often a quiet stream is probed: an entry that vanished without a word
-/// is noticed within two of these, well before its grants lapse.
-const KEEPALIVE: Duration = Duration::from_secs(2);
+/// Interval and timeout of HTTP/2 keepalive pings. A lost entry is detected within
+/// two of these, well before its grants expire.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The longest that a stop waits for the duties' last writes.
-const LAST_WRITES: Duration = Duration::from_secs(2);
+/// How long a stop waits for the last usage writes.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why the process could not start or go on.
+/// Why a control process could not start.
 #[derive(Debug)]
 pub enum ControlError {
-    /// An address cannot be listened on, or a thread or signal be had.
+    /// An address, thread or signal handler is not available.
     System {
-        /// What for.
+        /// The component that needs it.
         what: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The metrics recorder.
+    /// The metrics recorder cannot be installed.
     Metrics(String),
-    /// The VM's name.
+    /// The VM's name is invalid.
     Name(IdError),
-    /// The keys for connections between our processes.
+    /// The keys for connections between our processes cannot be loaded.
     Link(LinkError),
 }
 
@@ -91,32 +91,33 @@
 
 impl std::error::Error for ControlError {}
 
-fn system(what: &'static str) -> impl Fn(std::io::Error) -> ControlError {
+fn system_error(what: &'static str) -> impl Fn(std::io::Error) -> ControlError {
     move |error| ControlError::System { what, error }
 }
 
-/// Runs a control process until it is stopped by a signal.
+/// Runs a control process until a signal stops it.
 ///
 /// # Errors
 ///
-/// When an address cannot be listened on or a thread not be started.
+/// If an address cannot be bound, a thread cannot be started, or the settings
+/// contain an invalid name or key.
 pub fn run(settings: ControlSettings) -> Result<(), ControlError> {
-    let runtime = runtime().map_err(system("main"))?;
+    let runtime = runtime().map_err(system_error("main"))?;
     runtime.block_on(run_main(settings))
 }
 
 async fn run_main(settings: ControlSettings) -> Result<(), ControlError> {
     let log = telemetry::logger("banyan-control", settings.log);
     let handle = telemetry::install_metrics().map_err(ControlError::Metrics)?;
-    let mut term = signal(SignalKind::terminate()).map_err(system("signals"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(system("signals"))?;
+    let mut term = signal(SignalKind::terminate()).map_err(system_error("signals"))?;
+    let mut int = signal(SignalKind::interrupt()).map_err(system_error("signals"))?;
     let metrics = settings.metrics;
     let control = Control::start(settings, log.clone()).await?;
     let endpoint = async move {
-        // Without an endpoint the process goes on unmeasured.
+        // The process runs without metrics if the endpoint cannot be served.
         let _ = telemetry::serve_metrics(metrics, handle).await;
     };
-    control.duty("metrics", endpoint)?;
+    control.spawn("metrics", endpoint)?;
     let shared = &control.shared;
     slog::info!(log, "started"; "vm" => %shared.vm, "address" => %shared.address);
     shared
@@ -138,150 +139,155 @@
     }
 }
 
-/// The duties of a control process, each on its thread. They end when this is
-/// dropped, as they would by the death of the process.
+/// The tasks of a control process, each on its own thread. Dropping this aborts
+/// them without cleanup, as a crash of the process would.
 pub struct Control {
-    /// What the duties share.
+    /// State shared by the tasks.
     pub shared: Shared,
-    local: Arc<OwnershipState>,
-    ended: watch::Sender<bool>,
-    last: Vec<JoinHandle<()>>,
+    ownership: Arc<OwnershipState>,
+    aborted: watch::Sender<bool>,
+    final_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Drop for Control {
     fn drop(&mut self) {
-        self.ended.send_replace(true);
+        self.aborted.send_replace(true);
     }
 }
 
 impl Control {
-    /// Binds the address and starts all duties.
+    /// Binds the address and starts all tasks.
     ///
     /// # Errors
     ///
-    /// When the address cannot be listened on or a thread not be started.
+    /// See [`run`].
     pub async fn start(settings: ControlSettings, log: slog::Logger) -> Result<Self, ControlError> {
-        // Bound before anything else: holding the address is what proves that
-        // an earlier process of this VM has ended.
+        // Bind first: holding the address proves that an earlier control process
+        // of this VM has ended.
         let listener = TcpListener::bind(settings.listen)
             .await
-            .map_err(system("listen"))?;
+            .map_err(system_error("listen"))?;
         Self::start_on(listener, settings, log)
     }
 
-    /// Starts all duties on a bound address, which overrides the settings'.
+    /// Starts all tasks with a bound listener, whose address overrides that of the
+    /// settings.
     ///
     /// # Errors
     ///
-    /// When a thread cannot be started.
+    /// If a thread cannot be started or the settings contain an invalid name or
+    /// key.
     pub fn start_on(
         listener: TcpListener,
         mut settings: ControlSettings,
         log: slog::Logger,
     ) -> Result<Self, ControlError> {
-        settings.listen = listener.local_addr().map_err(system("listen"))?;
+        settings.listen = listener.local_addr().map_err(system_error("listen"))?;
         let link = match &settings.link {
             Some(keys) => Link::load(keys).map_err(ControlError::Link)?,
             None => Link::plain(),
         };
         let mut control = Self {
             shared: shared(&settings, log),
-            local: Arc::new(OwnershipState::new(settings)),
-            ended: watch::Sender::new(false),
-            last: Vec::new(),
+            ownership: Arc::new(OwnershipState::new(settings)),
+            aborted: watch::Sender::new(false),
+            final_tasks: Vec::new(),
         };
-        // Nobody has set it: the board is a moment old.
+        // Cannot fail: the state is new and its link not set yet.
         let _ = control.shared.state.link.set(link);
-        control.start_duties(listener)?;
+        control.start_tasks(listener)?;
         Ok(control)
     }
 
-    /// Hands over what is owned and makes the last writes.
+    /// Releases all leases and waits for the last usage writes, within time limits.
     pub async fn stop(&self) {
         self.shared.state.stopping.send_replace(true);
-        self.local.gossip_wake.notify_one();
-        let mut released = self.local.released.subscribe();
-        // Leases that cannot be released lapse.
-        let _ = tokio::time::timeout(RELEASE, released.wait_for(|r| *r)).await;
+        self.ownership.gossip_wake.notify_one();
+        let mut released = self.ownership.released.subscribe();
+        // Leases that are not released in time expire.
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, released.wait_for(|r| *r)).await;
         let ended = async {
-            while self.last.iter().any(|t| !t.is_finished()) {
+            while self.final_tasks.iter().any(|t| !t.is_finished()) {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = tokio::time::timeout(LAST_WRITES, ended).await;
+        let _ = tokio::time::timeout(FINAL_WRITE_TIMEOUT, ended).await;
     }
 
-    fn start_duties(&mut self, listener: TcpListener) -> Result<(), ControlError> {
-        let local = || Arc::clone(&self.local);
+    fn start_tasks(&mut self, listener: TcpListener) -> Result<(), ControlError> {
+        let ownership = || Arc::clone(&self.ownership);
         let registry = Arc::new(Registry::default());
-        let members = Gossip::new(self.own(), local()).map_err(ControlError::Name)?;
-        let members = Arc::new(members);
-        self.duty("lease", election::run(self.own(), local()))?;
-        self.duty("vms", vm_list::run(self.own(), local()))?;
-        self.duty("peers", gossip::run(Arc::clone(&members)))?;
-        let owners = owner::run(self.own(), local(), Arc::clone(&registry));
-        self.duty("owner", owners)?;
-        self.duty("config", config::run(self.own()))?;
+        let gossip = Gossip::new(self.handles(), ownership()).map_err(ControlError::Name)?;
+        let gossip = Arc::new(gossip);
+        self.spawn("lease", election::run(self.handles(), ownership()))?;
+        self.spawn("vms", vm_list::run(self.handles(), ownership()))?;
+        self.spawn("peers", gossip::run(Arc::clone(&gossip)))?;
+        let owners = owner::run(self.handles(), ownership(), Arc::clone(&registry));
+        self.spawn("owner", owners)?;
+        self.spawn("config", config::run(self.handles()))?;
         let store = self.shared.state.usage.clone();
-        let every = self.local.settings.usage.every();
-        let usage = self.duty("usage", usage::run(self.own(), store, every))?;
-        let keys = self.local.settings.operators.clone();
-        let router = services(&self.own(), registry, members, keys);
+        let every = self.ownership.settings.usage.every();
+        let usage = self.spawn("usage", usage::run(self.handles(), store, every))?;
+        let keys = self.ownership.settings.operators.clone();
+        let router = services(&self.handles(), registry, gossip, keys);
         let link = self.shared.state.link();
         let log = self.shared.log.clone();
-        self.duty("listen", async move {
-            // Both end with the process.
+        self.spawn("listen", async move {
+            // Both run for the lifetime of the process.
             tokio::select! {
                 _ = link.serve(router, listener) => {}
                 () = link.reload_periodically(&log) => {}
             }
         })?;
-        self.last.push(usage);
+        self.final_tasks.push(usage);
         Ok(())
     }
 
-    // Each duty has connections of its own: a connection is driven by the
-    // thread that opened it, and one duty's work must not hold up another's
-    // calls.
-    fn own(&self) -> Shared {
+    // Returns handles with a separate platform client. A connection is driven by
+    // the thread that opened it, so a shared one would let one task's work delay
+    // another's calls.
+    fn handles(&self) -> Shared {
         Shared {
-            platform: Platform::new(self.local.settings.platform),
+            platform: Platform::new(self.ownership.settings.platform),
             ..self.shared.clone()
         }
     }
 
-    fn duty(
+    fn spawn(
         &self,
         name: &'static str,
-        work: impl Future<Output = ()> + Send + 'static,
+        task: impl Future<Output = ()> + Send + 'static,
     ) -> Result<JoinHandle<()>, ControlError> {
-        let runtime = runtime().map_err(system(name))?;
-        let mut ended = self.ended.subscribe();
-        let work = async move {
+        let runtime = runtime().map_err(system_error(name))?;
+        let mut aborted = self.aborted.subscribe();
+        let task = async move {
             tokio::select! {
-                () = work => {}
-                _ = ended.wait_for(|e| *e) => {}
+                () = task => {}
+                _ = aborted.wait_for(|a| *a) => {}
             }
         };
         std::thread::Builder::new()
             .name(name.to_owned())
-            .spawn(move || runtime.block_on(work))
-            .map_err(system(name))
+            .spawn(move || runtime.block_on(task))
+            .map_err(system_error(name))
     }
 }
 
 fn shared(settings: &ControlSettings, log: slog::Logger) -> Shared {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    let time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Shared {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
-        // Only has to differ from, and exceed, that of an earlier start.
-        incarnation: Incarnation(since.map_or(1, |d| d.as_micros() as u64)),
+        // Must be greater than the incarnation of any earlier start.
+        incarnation: Incarnation(time.map_or(1, |d| d.as_micros() as u64)),
         address: settings.listen,
         peers: settings.peers.clone().into(),
         platform: Platform::new(settings.platform),
         state: Arc::new(ControlState::new()),
-        recorder: Arc::new(Recorder::new(&format!("control {}", settings.vm), TIMELINE)),
+        recorder: Arc::new(Recorder::new(
+            &format!("control {}", settings.vm),
+            TIMELINE_EVENTS,
+        )),
         log,
     }
 }
@@ -289,14 +295,14 @@
 fn services(
     shared: &Shared,
     registry: Arc<Registry>,
-    members: Arc<Gossip>,
+    gossip: Arc<Gossip>,
     keys: OperatorKeys,
 ) -> Router {
     let grants = GrantsService::new(shared.clone(), registry);
-    let peers = PeersService::new(shared.clone(), members);
+    let peers = PeersService::new(shared.clone(), gossip);
     tonic::transport::Server::builder()
-        .http2_keepalive_interval(Some(KEEPALIVE))
-        .http2_keepalive_timeout(Some(KEEPALIVE))
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_INTERVAL))
         .add_service(GrantsServer::new(grants))
         .add_service(PeersServer::new(peers))
         .add_service(FeedServer::new(FeedService::new(shared.clone())))
