--- a/lib/src/telemetry/mod.rs
+++ b/lib/src/telemetry/mod.rs
@@ -1,6 +1,6 @@
 //! Logs by `slog` and metrics by `metrics`, with a Prometheus endpoint.
 
-mod ring;
+mod json_drain;
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
 use slog::Drain;
 use tokio::net::TcpListener;
 
-use self::ring::LOG_RING;
-use self::ring::Ring;
+use self::json_drain::LOG_RING;
+use self::json_drain::Ring;
 
 /// How logs are written.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
