--- a/lib/src/telemetry/json_drain.rs
+++ b/lib/src/telemetry/json_drain.rs
@@ -1,4 +1,4 @@
-//! Lines on their way to an output that may be slow or blocked.
+//! A bounded, non-blocking `slog` drain for outputs that may be slow or blocked.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -17,116 +17,119 @@
 use slog::OwnedKVList;
 use slog::Record;
 
-/// Lines that may wait until they are written; more are dropped and counted, so
-/// that a stuck output never holds up a request.
-pub(super) const LOG_RING: usize = 4_096;
+/// Maximum number of unwritten lines. Further lines are dropped and counted, so
+/// that a blocked output never delays a request.
+pub(super) const MAX_PENDING_LINES: usize = 4_096;
 
-/// A drain that writes one JSON object a line, by a thread of its own.
+/// A drain that writes one JSON object per line on a separate thread.
 ///
-/// `slog-async` counts a lost line twice where its own report finds no room,
-/// which under a flood is each of them; here the number that is said is right.
-/// What waits is written in one go, so a busy second costs few writes.
-pub(super) struct Ring {
-    lines: Option<SyncSender<Vec<u8>>>,
-    /// Lines that are not written yet: those in the ring, and those that the
-    /// thread took out of it.
-    waiting: Arc<AtomicUsize>,
-    lost: AtomicU64,
+/// `slog-async` counts a dropped line twice when the queue has no room for its
+/// report of the loss either, which under a flood is every time; this drain
+/// reports the exact number. All pending lines are written in one call, which
+/// keeps the number of system calls low under load.
+pub(super) struct JsonDrain {
+    /// `None` once the drain is being dropped.
+    queue: Option<SyncSender<Vec<u8>>>,
+    /// Unwritten lines: those in the queue and those that the writer thread has
+    /// taken from it but not written yet.
+    pending: Arc<AtomicUsize>,
+    /// Lines dropped since the last report of a loss.
+    dropped: AtomicU64,
     writer: Mutex<Option<JoinHandle<()>>>,
 }
 
-impl Ring {
+impl JsonDrain {
     pub(super) fn new(output: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (lines, taken) = sync_channel(LOG_RING);
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let unwritten = waiting.clone();
+        let (queue, lines) = sync_channel(MAX_PENDING_LINES);
+        let pending = Arc::new(AtomicUsize::new(0));
+        let unwritten = pending.clone();
         let writer = std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(&taken, &unwritten, output))?;
+            .spawn(move || write_lines(&lines, &unwritten, output))?;
         Ok(Self {
-            lines: Some(lines),
-            waiting,
-            lost: AtomicU64::new(0),
+            queue: Some(queue),
+            pending,
+            dropped: AtomicU64::new(0),
             writer: Mutex::new(Some(writer)),
         })
     }
 
-    fn send(&self, record: &Record<'_>, values: &OwnedKVList) -> bool {
+    /// Queues a line; returns `false` if there is no room for it.
+    fn try_send(&self, record: &Record<'_>, values: &OwnedKVList) -> bool {
         let mut line = Vec::new();
         let json = slog_json::Json::default(&mut line);
-        let Some(lines) = &self.lines else {
+        let Some(queue) = &self.queue else {
             return false;
         };
         if json.log(record, values).is_err() {
             return false;
         }
-        let free = |waiting: usize| (waiting < LOG_RING).then_some(waiting + 1);
+        let reserve = |pending: usize| (pending < MAX_PENDING_LINES).then_some(pending + 1);
         let order = Ordering::Relaxed;
-        if self.waiting.fetch_update(order, order, free).is_err() {
+        if self.pending.fetch_update(order, order, reserve).is_err() {
             return false;
         }
-        let sent = lines.try_send(line).is_ok();
+        let sent = queue.try_send(line).is_ok();
         if !sent {
-            self.waiting.fetch_sub(1, order);
+            self.pending.fetch_sub(1, order);
         }
         sent
     }
 }
 
-impl Drain for Ring {
+impl Drain for JsonDrain {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
-        let lost = self.lost.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let told = self.send(
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            let reported = self.try_send(
                 &slog::record!(
                     slog::Level::Warning,
                     "",
                     &format_args!("lines lost"),
-                    slog::b!("count" => lost)
+                    slog::b!("count" => dropped)
                 ),
                 values,
             );
-            if !told {
-                // No room for the report, so there is none for the line.
-                self.lost.fetch_add(lost + 1, Ordering::Relaxed);
+            if !reported {
+                // The queue is still full, so drop the new line as well.
+                self.dropped.fetch_add(dropped + 1, Ordering::Relaxed);
                 return Ok(());
             }
         }
-        if !self.send(record, values) {
-            self.lost.fetch_add(1, Ordering::Relaxed);
+        if !self.try_send(record, values) {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 }
 
-impl Drop for Ring {
+impl Drop for JsonDrain {
     fn drop(&mut self) {
-        self.lines = None;
+        self.queue = None;
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(writer) = writer.take() {
-            // It ends once it has written what waited; its panic is no
-            // reason for one here.
+            // The thread ends after it has written the pending lines. A panic
+            // of the writer is ignored: a second one here could abort the process.
             writer.join().ok();
         }
     }
 }
 
-/// Writes lines as they come, all that wait at a time.
-fn write_all(taken: &Receiver<Vec<u8>>, waiting: &AtomicUsize, mut output: impl Write) {
-    while let Ok(mut lines) = taken.recv() {
+/// Writes lines until the queue is closed, all that are pending in one batch.
+fn write_lines(lines: &Receiver<Vec<u8>>, pending: &AtomicUsize, mut output: impl Write) {
+    while let Ok(mut batch) = lines.recv() {
         let mut count = 1;
-        for line in taken.try_iter().take(LOG_RING) {
-            lines.extend_from_slice(&line);
+        for line in lines.try_iter().take(MAX_PENDING_LINES) {
+            batch.extend_from_slice(&line);
             count += 1;
         }
-        let written = output.write_all(&lines).and_then(|()| output.flush());
-        waiting.fetch_sub(count, Ordering::Relaxed);
+        let written = output.write_all(&batch).and_then(|()| output.flush());
+        pending.fetch_sub(count, Ordering::Relaxed);
         if written.is_err() {
-            // Nobody reads the output any more; there is no other place to
-            // say so.
+            // The output is closed, and there is nowhere else to report it.
             return;
         }
     }
--- a/lib/src/telemetry/mod.rs
+++ b/lib/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Logs by `slog` and metrics by `metrics`, with a Prometheus endpoint.
+//! Logging with `slog`, and metrics with a Prometheus endpoint.
 
 mod json_drain;
 
@@ -20,21 +20,21 @@
 use slog::Drain;
 use tokio::net::TcpListener;
 
-use self::json_drain::LOG_RING;
-use self::json_drain::Ring;
+use self::json_drain::JsonDrain;
+use self::json_drain::MAX_PENDING_LINES;
 
-/// How logs are written.
+/// The format of log output.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For a person at a terminal.
+    /// Human-readable, with colours on a terminal.
     #[default]
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A logger for a program, writing to standard error.
+/// Returns a logger for a program that writes to standard error.
 ///
 /// ```
 /// use banyangauge::telemetry::{LogFormat, logger};
@@ -46,16 +46,19 @@
         LogFormat::Terminal => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
-            slog_async::Async::new(drain).chan_size(LOG_RING).build()
+            slog_async::Async::new(drain)
+                .chan_size(MAX_PENDING_LINES)
+                .build()
         }
         LogFormat::Json => return json_logger(program, std::io::stderr()),
     };
     slog::Logger::root(drain.fuse(), slog::o!("program" => program))
 }
 
-/// A logger that writes one JSON object a line to standard output, by a thread
-/// of its own; lines that do not fit the ring are dropped and counted, so a
-/// blocked output never holds up a request.
+/// Returns a logger that writes one JSON object per line to standard output.
+///
+/// A separate thread writes the lines. Lines that do not fit its queue are
+/// dropped and counted, so a blocked output never delays a request.
 ///
 /// ```
 /// let log = banyangauge::telemetry::stdout_logger("banyan-serve");
@@ -65,7 +68,10 @@
     json_logger(program, std::io::stdout())
 }
 
-/// The same, to any output.
+/// Like [`stdout_logger`], but writes to `output`.
+///
+/// Falls back to a terminal logger on standard error when the writer thread
+/// cannot be started.
 ///
 /// ```
 /// let log = banyangauge::telemetry::json_logger("banyan-serve", std::io::sink());
@@ -75,37 +81,38 @@
     program: &'static str,
     output: impl std::io::Write + Send + 'static,
 ) -> slog::Logger {
-    match Ring::new(output) {
-        Ok(ring) => slog::Logger::root(ring.fuse(), slog::o!("program" => program)),
+    match JsonDrain::new(output) {
+        Ok(drain) => slog::Logger::root(drain.fuse(), slog::o!("program" => program)),
         Err(e) => {
             let log = logger(program, LogFormat::Terminal);
-            slog::error!(log, "no thread for the log"; "error" => %e);
+            slog::error!(log, "cannot start the log writer thread; logging to standard error"; "error" => %e);
             log
         }
     }
 }
 
-/// Installs the process's metrics recorder.
+/// Installs the process-wide metrics recorder.
 ///
 /// # Errors
 ///
-/// When a recorder is installed already.
+/// When a recorder is already installed.
 pub fn install_metrics() -> Result<PrometheusHandle, String> {
     PrometheusBuilder::new()
         .install_recorder()
         .map_err(|e| e.to_string())
 }
 
-/// Serves `GET /metrics` until the process ends.
+/// Serves the metrics in Prometheus format, on every path, until the process
+/// ends.
 ///
 /// # Errors
 ///
-/// When the address cannot be listened on.
+/// When binding to the address fails.
 pub async fn serve_metrics(address: SocketAddr, handle: PrometheusHandle) -> std::io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // The usual cause is a lack of descriptors; it passes.
+            // Usually a temporary lack of file descriptors.
             tokio::task::yield_now().await;
             continue;
         };
@@ -115,7 +122,7 @@
                 let text = handle.render();
                 async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from(text)))) }
             });
-            // A scraper that hangs up is no matter of ours.
+            // A scraper that disconnects early is not an error.
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -123,28 +130,28 @@
     }
 }
 
-/// How often recorded samples are folded into their summaries.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
+/// Interval at which recorded samples are aggregated into their histograms.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Installs the recorder and serves it on an address, in tasks of their own.
+/// Installs the metrics recorder and serves it on `address` in the background.
 ///
 /// # Errors
 ///
-/// When a recorder is installed already.
+/// When a recorder is already installed.
 pub fn start_metrics(address: SocketAddr, log: &slog::Logger) -> Result<(), String> {
     let handle = install_metrics()?;
     let upkeep = handle.clone();
     tokio::spawn(async move {
-        let mut tick = tokio::time::interval(METRICS_UPKEEP);
+        let mut interval = tokio::time::interval(UPKEEP_INTERVAL);
         loop {
-            tick.tick().await;
+            interval.tick().await;
             upkeep.run_upkeep();
         }
     });
     let log = log.clone();
     tokio::spawn(async move {
         if let Err(e) = serve_metrics(address, handle).await {
-            slog::error!(log, "no metrics"; "address" => %address, "error" => %e);
+            slog::error!(log, "cannot serve metrics"; "address" => %address, "error" => %e);
         }
     });
     Ok(())
