--- a/lib/src/link/mod.rs
+++ b/lib/src/link/mod.rs
@@ -1,10 +1,10 @@
-//! Connections between our own processes: mutual TLS, or plain where the
-//! settings name no keys.
+//! Connections between the processes of the system: mutual TLS, or plain TCP
+//! where the settings name no keys.
 //!
-//! Every process has a certificate of one authority for the name
-//! [`CERTIFICATE_NAME`]; VMs come and go with their addresses, so a certificate
-//! says "one of ours" and no address. Both sides show one. The files are read
-//! again when they change; connections that are open go on.
+//! Every process has a certificate of a common authority, issued for the name
+//! [`CERTIFICATE_NAME`]. VMs and their addresses change often, so a certificate
+//! proves membership of the system and names no address. Changed key files are
+//! reloaded; open connections keep the keys they were made with.
 
 mod keys;
 
@@ -36,56 +36,57 @@
 
 use keys::Keys;
 
-/// The name in the certificate of every process.
+/// The subject name in the certificate of every process.
 pub const CERTIFICATE_NAME: &str = "banyangauge";
 
-/// How often the key files are looked at.
-const RELOAD_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the key files are checked for changes.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The longest that a handshake may take; who connects and says nothing holds
-/// a socket no longer than this.
+/// Upper bound on a TLS handshake, so that an idle client cannot hold a socket
+/// for longer.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connections that have shaken hands and wait to be served.
-const READY: usize = 64;
+/// Capacity of the queue of connections that finished their handshake and wait
+/// to be served.
+const READY_CAPACITY: usize = 64;
 
-/// Handshakes under way at a time; more wait in the listener's backlog, so that
-/// a flood of them takes a bounded memory.
-const HANDSHAKES: usize = 256;
+/// Maximum number of concurrent handshakes. Further connections wait in the
+/// listener's backlog, so that a flood of them takes bounded memory.
+const MAX_HANDSHAKES: usize = 256;
 
-/// Where the keys are, as PEM files.
+/// Paths of the PEM files that hold the keys.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
-    /// Certificates of the authorities that are trusted; two while one takes
-    /// the other's place.
+    /// Certificates of the trusted authorities; two during a rotation.
     pub authority: PathBuf,
-    /// This process's certificate and those between it and the authority.
+    /// This process's certificate, followed by any intermediate certificates.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// The private key of this process's certificate.
     pub key: PathBuf,
 }
 
-/// Why keys cannot be used or a connection cannot be made.
+/// Why loading keys or connecting failed.
 #[derive(Debug)]
 pub enum LinkError {
     /// A file cannot be read.
     Read {
-        /// Which file.
+        /// The key file.
         file: PathBuf,
-        /// What the system said.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// A file does not hold what it should.
+    /// A file does not contain a valid certificate or key in PEM format.
     Malformed {
-        /// Which file.
+        /// The key file.
         file: PathBuf,
-        /// What is wrong.
+        /// The parser's error.
         error: String,
     },
-    /// The keys do not fit together.
+    /// TLS rejected the keys, for example because key and certificate do not
+    /// match.
     InvalidKeys(String),
-    /// The other process cannot be reached, or is not one of ours.
+    /// The other process cannot be reached, or has no trusted certificate.
     Connect(tonic::transport::Error),
 }
 
@@ -102,21 +103,23 @@
 
 impl std::error::Error for LinkError {}
 
-/// The keys and where they came from.
-struct Trust {
+/// The current keys and the files they are loaded from.
+struct KeySource {
     settings: LinkSettings,
     keys: watch::Sender<Arc<Keys>>,
 }
 
-/// Makes and takes connections between our processes; clones share the keys.
+/// Opens and accepts connections between the processes of the system; clones
+/// share their keys.
 #[derive(Clone, Default)]
 pub struct Link {
-    trust: Option<Arc<Trust>>,
+    /// `None` for plain TCP.
+    source: Option<Arc<KeySource>>,
 }
 
 impl fmt::Debug for Link {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self.trust {
+        f.write_str(match self.source {
             Some(_) => "Link(tls)",
             None => "Link(plain)",
         })
@@ -124,135 +127,138 @@
 }
 
 impl Link {
-    /// Connections without TLS, for tests and networks that protect them.
+    /// Returns a link without TLS, for tests and for networks that are protected
+    /// by other means.
     ///
     /// ```
     /// let link = banyangauge::link::Link::plain();
     /// assert_eq!(format!("{link:?}"), "Link(plain)");
     /// ```
     pub const fn plain() -> Self {
-        Self { trust: None }
+        Self { source: None }
     }
 
-    /// Connections by mutual TLS with the keys of these files.
+    /// Returns a link that uses mutual TLS with the keys in these files.
     ///
     /// # Errors
     ///
-    /// When a file cannot be read or the keys do not fit together.
+    /// When a file cannot be read, or the keys are malformed or do not match.
     pub fn load(settings: &LinkSettings) -> Result<Self, LinkError> {
         let keys = Keys::read(settings)?;
-        let trust = Trust {
+        let source = KeySource {
             settings: settings.clone(),
             keys: watch::Sender::new(Arc::new(keys)),
         };
         Ok(Self {
-            trust: Some(Arc::new(trust)),
+            source: Some(Arc::new(source)),
         })
     }
 
-    /// Reads the files again; gives whether they had changed. Keys that do not
-    /// fit are not taken, the former ones stay.
+    /// Reloads the key files and returns whether they had changed. On an error
+    /// the current keys stay in use.
     ///
     /// # Errors
     ///
-    /// As [`Self::load`].
+    /// See [`Self::load`].
     pub fn reload(&self) -> Result<bool, LinkError> {
-        let Some(trust) = &self.trust else {
+        let Some(source) = &self.source else {
             return Ok(false);
         };
-        let keys = Keys::read(&trust.settings)?;
-        let changed = trust.keys.borrow().differ(&keys);
+        let keys = Keys::read(&source.settings)?;
+        let changed = source.keys.borrow().differ_from(&keys);
         if changed {
-            trust.keys.send_replace(Arc::new(keys));
+            source.keys.send_replace(Arc::new(keys));
         }
         Ok(changed)
     }
 
-    /// Reloads whenever the files have changed, for ever.
+    /// Reloads changed key files periodically; never returns.
     pub async fn reload_periodically(&self, log: &slog::Logger) {
         loop {
-            tokio::time::sleep(RELOAD_EVERY).await;
+            tokio::time::sleep(RELOAD_INTERVAL).await;
             match self.reload() {
                 Ok(true) => info!(log, "keys reloaded"),
                 Ok(false) => {}
-                // A file is half written, or wrong: the keys in use stay.
-                Err(e) => warn!(log, "keys not reloaded"; "error" => %e),
+                // Possibly a file that is still being written; the current
+                // keys stay in use.
+                Err(e) => warn!(log, "key reload failed"; "error" => %e),
             }
         }
     }
 
-    /// Connects to one of our processes.
+    /// Connects to another process of the system.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Connect`] when it does not answer within `limit`, or does
-    /// not show a certificate of our authority.
+    /// [`LinkError::Connect`] when the process does not answer within `limit`,
+    /// or presents no certificate of a trusted authority.
     pub async fn connect(&self, to: SocketAddr, limit: Duration) -> Result<Channel, LinkError> {
         self.connect_with(to, |e| e.connect_timeout(limit)).await
     }
 
-    /// Connects to one of our processes, with what `set` adds to the endpoint.
+    /// Connects to another process of the system over an endpoint that
+    /// `configure` adjusts, for example with timeouts.
     ///
     /// # Errors
     ///
-    /// As [`Self::connect`].
+    /// See [`Self::connect`].
     pub async fn connect_with(
         &self,
         to: SocketAddr,
-        set: impl FnOnce(Endpoint) -> Endpoint,
+        configure: impl FnOnce(Endpoint) -> Endpoint,
     ) -> Result<Channel, LinkError> {
-        let endpoint = set(endpoint(to)?);
-        let channel = match self.trust.clone() {
+        let endpoint = configure(endpoint(to)?);
+        let channel = match self.source.clone() {
             None => endpoint.connect().await,
-            Some(trust) => {
-                let connector = tower::service_fn(move |_: Uri| dial(Arc::clone(&trust), to));
+            Some(source) => {
+                let connector = tower::service_fn(move |_: Uri| dial(Arc::clone(&source), to));
                 endpoint.connect_with_connector(connector).await
             }
         };
         channel.map_err(LinkError::Connect)
     }
 
-    /// A channel that connects when it is first used, with what `set` adds to
-    /// the endpoint.
+    /// Returns a channel that connects on first use, over an endpoint that
+    /// `configure` adjusts.
     ///
     /// # Errors
     ///
-    /// When the address cannot stand in a URI.
+    /// When the address does not form a valid URI.
     pub fn connect_lazy(
         &self,
         to: SocketAddr,
-        set: impl FnOnce(Endpoint) -> Endpoint,
+        configure: impl FnOnce(Endpoint) -> Endpoint,
     ) -> Result<Channel, LinkError> {
-        let endpoint = set(endpoint(to)?);
-        Ok(match self.trust.clone() {
+        let endpoint = configure(endpoint(to)?);
+        Ok(match self.source.clone() {
             None => endpoint.connect_lazy(),
-            Some(trust) => {
-                let connector = tower::service_fn(move |_: Uri| dial(Arc::clone(&trust), to));
+            Some(source) => {
+                let connector = tower::service_fn(move |_: Uri| dial(Arc::clone(&source), to));
                 endpoint.connect_with_connector_lazy(connector)
             }
         })
     }
 
-    /// Serves connections until the listener fails; with keys, only those of
-    /// our own processes.
+    /// Accepts connections and serves `router` on them until the server fails;
+    /// with TLS, only connections of processes with a trusted certificate.
     ///
     /// # Errors
     ///
-    /// When the transport fails.
+    /// When the server fails.
     pub async fn serve(
         &self,
         router: Router,
         listener: TcpListener,
     ) -> Result<(), tonic::transport::Error> {
-        match self.trust.clone() {
+        match self.source.clone() {
             None => {
                 let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
                 router.serve_with_incoming(incoming).await
             }
-            Some(trust) => {
-                let (to, ready) = mpsc::channel(READY);
-                tokio::spawn(accept_all(trust, listener, to));
-                let incoming = ReceiverStream::new(ready);
+            Some(source) => {
+                let (ready, accepted) = mpsc::channel(READY_CAPACITY);
+                tokio::spawn(accept_all(source, listener, ready));
+                let incoming = ReceiverStream::new(accepted);
                 router.serve_with_incoming(incoming).await
             }
         }
@@ -263,49 +269,50 @@
     Endpoint::from_shared(format!("http://{to}")).map_err(LinkError::Connect)
 }
 
-/// Connects with the keys of now, also when a channel connects again later.
+/// Connects with the current keys; a channel calls this again for each reconnect.
 async fn dial(
-    trust: Arc<Trust>,
+    source: Arc<KeySource>,
     to: SocketAddr,
 ) -> io::Result<TokioIo<tokio_rustls::client::TlsStream<TcpStream>>> {
-    let (connector, name) = {
-        let keys = trust.keys.borrow();
+    let (connector, server_name) = {
+        let keys = source.keys.borrow();
         (
             TlsConnector::from(Arc::clone(&keys.client)),
-            keys.name.clone(),
+            keys.server_name.clone(),
         )
     };
     let stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
-    Ok(TokioIo::new(connector.connect(name, stream).await?))
+    Ok(TokioIo::new(connector.connect(server_name, stream).await?))
 }
 
-type Ready = mpsc::Sender<io::Result<TlsStream<TcpStream>>>;
+/// Receives connections that have finished their handshake.
+type ReadySender = mpsc::Sender<io::Result<TlsStream<TcpStream>>>;
 
-/// Shakes hands with each connection apart from the others, so that a slow or
-/// foreign one holds nobody up.
-async fn accept_all(trust: Arc<Trust>, listener: TcpListener, to: Ready) {
-    let room = Arc::new(tokio::sync::Semaphore::new(HANDSHAKES));
-    while let Ok(place) = Arc::clone(&room).acquire_owned().await {
+/// Accepts connections and performs each handshake in a task of its own, so that
+/// a slow or untrusted client does not delay the others.
+async fn accept_all(source: Arc<KeySource>, listener: TcpListener, ready: ReadySender) {
+    let handshakes = Arc::new(tokio::sync::Semaphore::new(MAX_HANDSHAKES));
+    while let Ok(permit) = Arc::clone(&handshakes).acquire_owned().await {
         let stream = tokio::select! {
-            () = to.closed() => return,
+            () = ready.closed() => return,
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
-                // The usual cause is a lack of descriptors; it passes.
+                // Usually a temporary lack of file descriptors.
                 Err(_) => {
                     tokio::time::sleep(Duration::from_millis(10)).await;
                     continue;
                 }
             },
         };
-        let acceptor = TlsAcceptor::from(Arc::clone(&trust.keys.borrow().server));
-        let to = to.clone();
+        let acceptor = TlsAcceptor::from(Arc::clone(&source.keys.borrow().server));
+        let ready = ready.clone();
         tokio::spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let _ = stream.set_nodelay(true);
             if let Ok(Ok(stream)) = timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await {
-                // The program is stopping when nobody takes it.
-                let _ = to.send(Ok(stream)).await;
+                // Fails only when the server is shutting down.
+                let _ = ready.send(Ok(stream)).await;
             }
         });
     }
