--- a/lib/tests/test_ids.rs
+++ b/lib/tests/test_ids.rs
@@ -1,4 +1,4 @@
-//! Names and adapter versions.
+//! Parsing of adapter versions.
 
 use banyangauge::ids::AdapterVersion;
 use rstest::rstest;
@@ -9,7 +9,7 @@
 #[case::not_a_number("a@x")]
 #[case::empty_name("@1")]
 #[case::slash("a/b@1")]
-fn parse_refused(#[case] s: &str) {
+fn parse_rejected(#[case] s: &str) {
     assert!(s.parse::<AdapterVersion>().is_err());
 }
 
--- a/lib/tests/test_telemetry.rs
+++ b/lib/tests/test_telemetry.rs
@@ -1,4 +1,5 @@
-//! Logs under a flood: bounded, never blocking, and what is lost is said.
+//! The JSON logger with a blocked output: it never blocks the caller, bounds its
+//! memory and reports how many lines it dropped.
 
 use std::io;
 use std::io::Write;
@@ -10,28 +11,28 @@
 
 use banyangauge::telemetry::json_logger;
 
-/// Lines of a flood, many times what may wait.
-const FLOOD: usize = 50_000;
+/// Number of lines logged in a flood, many times the queue's capacity.
+const FLOOD_LINES: usize = 50_000;
 
-/// How long the flood may take if nothing blocks it; a blocked one never ends.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Upper bound on logging the flood; a caller that is blocked never finishes.
+const FLOOD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Lines that may wait while the output takes none.
-const MOST_WAITING: usize = 4_096;
+/// Number of lines that may be pending while the output is blocked.
+const MAX_PENDING_LINES: usize = 4_096;
 
-/// The state of a [`Gate`].
+/// The write counters of a [`Gate`].
 #[derive(Default)]
-struct Passage {
-    /// Writes that began.
-    begun: u64,
-    /// Writes that may end.
+struct Writes {
+    /// Writes that have started.
+    started: u64,
+    /// Writes that may finish.
     allowed: u64,
 }
 
-/// An output that takes nothing until its gate is opened.
+/// An output whose writes block until they are allowed.
 #[derive(Clone, Default)]
 struct Gate {
-    passage: Arc<(Mutex<Passage>, Condvar)>,
+    writes: Arc<(Mutex<Writes>, Condvar)>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
@@ -40,20 +41,20 @@
         self.allow(u64::MAX);
     }
 
-    /// Lets so many writes through, counted from the first one.
+    /// Allows the first `writes` writes to finish.
     fn allow(&self, writes: u64) {
-        self.passage.0.lock().unwrap().allowed = writes;
-        self.passage.1.notify_all();
+        self.writes.0.lock().unwrap().allowed = writes;
+        self.writes.1.notify_all();
     }
 
-    /// Waits until this write has begun.
-    fn until_begun(&self, write: u64) {
-        let passage = self.passage.0.lock().unwrap();
-        let begun = self.passage.1.wait_while(passage, |p| p.begun < write);
-        drop(begun.unwrap());
+    /// Waits until the write of this number has started.
+    fn wait_started(&self, write: u64) {
+        let state = self.writes.0.lock().unwrap();
+        let started = self.writes.1.wait_while(state, |p| p.started < write);
+        drop(started.unwrap());
     }
 
-    /// The lines that were written to their end.
+    /// Returns the lines that were written completely.
     fn lines(&self) -> Vec<serde_json::Value> {
         let written = self.written.lock().unwrap();
         let end = written.iter().rposition(|b| *b == b'\n');
@@ -66,12 +67,12 @@
 
 impl Write for Gate {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut passage = self.passage.0.lock().unwrap();
-        passage.begun += 1;
-        let write = passage.begun;
-        self.passage.1.notify_all();
-        let passed = self.passage.1.wait_while(passage, |p| p.allowed < write);
-        drop(passed.unwrap());
+        let mut state = self.writes.0.lock().unwrap();
+        state.started += 1;
+        let write = state.started;
+        self.writes.1.notify_all();
+        let finished = self.writes.1.wait_while(state, |p| p.allowed < write);
+        drop(finished.unwrap());
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -81,57 +82,63 @@
     }
 }
 
-/// Whoever logs goes on while the output takes nothing, and the memory that
-/// waiting lines take is bounded; once it takes them, the lost ones are counted.
+/// A caller continues while the output is blocked, and pending lines take bounded
+/// memory; once the output accepts writes again, the dropped lines are reported.
 #[test]
-fn json_logger_blocked_loses_lines_and_says_so() {
+fn json_logger_blocked_drops_and_counts_lines() {
     let gate = Gate::default();
     let output = gate.clone();
     let (done, ended) = mpsc::channel();
     std::thread::spawn(move || {
         let log = json_logger("test", output);
-        for number in 0..FLOOD {
+        for number in 0..FLOOD_LINES {
             slog::info!(log, "line"; "number" => number);
         }
         done.send(log).unwrap();
     });
-    let log = ended.recv_timeout(PATIENCE).expect("logging was blocked");
+    let log = ended
+        .recv_timeout(FLOOD_TIMEOUT)
+        .expect("logging was blocked");
     gate.open();
-    // The loss is said with the next line that finds room.
+    // The loss is reported with the next line that fits the queue.
     let mut later = 0;
     while !gate.lines().iter().any(|l| l["msg"] == "later") {
         slog::info!(log, "later");
         later += 1;
         std::thread::sleep(Duration::from_millis(1));
     }
-    // The writing thread ends with the last logger, after all its lines.
+    // Dropping the last logger waits until all pending lines are written.
     drop(log);
     let lines = gate.lines();
     let written = |msg| lines.iter().filter(|l| l["msg"] == msg).count();
-    let lost: u64 = lines.iter().filter_map(|l| l["count"].as_u64()).sum();
-    assert!(written("line") < FLOOD / 10, "{} waited", written("line"));
-    let known = written("line") + written("later") + lost as usize;
-    assert_eq!(known, FLOOD + later);
+    let dropped: u64 = lines.iter().filter_map(|l| l["count"].as_u64()).sum();
+    assert!(
+        written("line") < FLOOD_LINES / 10,
+        "{} pending",
+        written("line")
+    );
+    let accounted = written("line") + written("later") + dropped as usize;
+    assert_eq!(accounted, FLOOD_LINES + later);
 }
 
-/// The thread that writes takes all lines that wait out of the ring before its
-/// write blocks. They wait still: counted as gone, they let the ring fill a
-/// second time, and 8,192 lines waited where 4,096 may (5,049 were seen once,
-/// as the thread happened to take 953 of them early).
+/// The writer thread takes all pending lines from the queue before its write
+/// blocks. These lines must still count as pending: otherwise the queue fills a
+/// second time, and up to 8,192 lines are pending where 4,096 are allowed (5,049
+/// were seen once, when the thread had taken 953 lines early).
 #[test]
-fn json_logger_taken_lines_wait_until_written() {
+fn json_logger_taken_lines_stay_pending() {
     let gate = Gate::default();
     let log = json_logger("test", gate.clone());
     slog::info!(log, "line");
-    gate.until_begun(1);
-    let flood = || (0..FLOOD).for_each(|_| slog::info!(log, "line"));
+    gate.wait_started(1);
+    let flood = || (0..FLOOD_LINES).for_each(|_| slog::info!(log, "line"));
     flood();
     gate.allow(1);
-    gate.until_begun(2);
+    gate.wait_started(2);
     flood();
     gate.open();
     drop(log);
     let lines = gate.lines();
-    let waited = lines.iter().filter(|l| l["msg"] == "line").count();
-    assert!(waited <= 1 + MOST_WAITING, "{waited} waited");
+    let pending = lines.iter().filter(|l| l["msg"] == "line").count();
+    assert!(pending <= 1 + MAX_PENDING_LINES, "{pending} pending");
 }
