--- a/lib/tests/test_operator_request_history.rs
+++ b/lib/tests/test_operator_request_history.rs
@@ -1,4 +1,4 @@
-//! A request's story from log lines alone.
+//! Reconstructing a request's history from log lines.
 
 use banyangauge::operator::RequestHistory;
 
@@ -15,10 +15,10 @@
 "#;
 
 #[test]
-fn story_has_its_lines_and_what_bears_on_them() {
-    let mut story = RequestHistory::new("r1");
-    story.add_log(LINES);
-    insta::assert_snapshot!(story.render(), @r"
+fn render_includes_related_events() {
+    let mut history = RequestHistory::new("r1");
+    history.add_log(LINES);
+    insta::assert_snapshot!(history.render(), @r"
     10:00:01.000 a owners revision=9 term=4
     10:00:01.100 b order end=accepted replica=i-1 target=base/a7 what=load
     10:00:01.300 a placed replica=i-1 target=base/a7 waited_ms=200 why=not_loaded_in_time
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn story_of_nobody_says_so() {
-    let mut story = RequestHistory::new("r9");
-    story.add_log(LINES);
-    assert_eq!(story.render(), "no line names r9\n");
+fn render_unknown_request() {
+    let mut history = RequestHistory::new("r9");
+    history.add_log(LINES);
+    assert_eq!(history.render(), "no line names r9\n");
 }
