--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -6,8 +6,8 @@
 use crate::claims::ClaimKey;
 use crate::claims::ClaimResult;
 use crate::claims::Claimant;
-use crate::claims::Durability;
 use crate::claims::Limits;
+use crate::claims::RecordResult;
 use crate::claims::Segment;
 use crate::claims::State;
 use crate::claims::Write;
@@ -184,14 +184,14 @@
 
     /// Queues the claim of a granted request for the next commit, unless it is
     /// durable already from an earlier attempt of the same request.
-    pub fn record(&mut self, key: &ClaimKey) -> Durability {
+    pub fn record(&mut self, key: &ClaimKey) -> RecordResult {
         match self.claims.get(key) {
-            Some(claim) if claim.segment.is_some() => Durability::Durable,
+            Some(claim) if claim.segment.is_some() => RecordResult::Durable,
             Some(_) => {
                 self.pending.insert(key.clone());
-                Durability::Pending
+                RecordResult::Pending
             }
-            None => Durability::Missing,
+            None => RecordResult::Missing,
         }
     }
 
--- a/lib/src/claims/mod.rs
+++ b/lib/src/claims/mod.rs
@@ -15,7 +15,7 @@
 pub use segment::State;
 pub use types::ClaimResult;
 pub use types::Claimant;
-pub use types::Durability;
 pub use types::Limits;
+pub use types::RecordResult;
 pub use types::Write;
 pub use types::WriteOutcome;
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -56,9 +56,10 @@
     Full,
 }
 
-/// Whether a claim is durable.
+/// The result of recording a claim: durable, awaiting a commit, or not in the
+/// journal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Durability {
+pub enum RecordResult {
     /// The claim is durable.
     Durable,
     /// A later commit makes it durable.
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -6,7 +6,7 @@
 use banyangauge_proto as wire;
 use wire::owner_message::Body as OwnerBody;
 
-use crate::claims::Durability;
+use crate::claims::RecordResult;
 use crate::control::clock;
 use crate::control::gossip::Gossip;
 use crate::control::owner::Event;
@@ -121,11 +121,11 @@
         };
         // The claim must be durable before the entry can act on the grant.
         match self.journal.record(&key) {
-            Durability::Durable => self.send_grant(now, ticket, grant),
-            Durability::Pending => {
+            RecordResult::Durable => self.send_grant(now, ticket, grant),
+            RecordResult::Pending => {
                 self.awaiting_commit.insert(key, (ticket, grant));
             }
-            Durability::Missing => self.refuse_granted(now, ticket, "platform_down"),
+            RecordResult::Missing => self.refuse_granted(now, ticket, "platform_down"),
         }
     }
 
--- a/lib/tests/test_claims_journal.rs
+++ b/lib/tests/test_claims_journal.rs
@@ -3,9 +3,9 @@
 use banyangauge::claims::ClaimKey;
 use banyangauge::claims::ClaimResult;
 use banyangauge::claims::Claimant;
-use banyangauge::claims::Durability;
 use banyangauge::claims::Journal;
 use banyangauge::claims::Limits;
+use banyangauge::claims::RecordResult;
 use banyangauge::claims::Segment;
 use banyangauge::claims::State;
 use banyangauge::claims::Write;
@@ -87,7 +87,7 @@
         journal.claim(now, &key(n), &claimant(n)),
         ClaimResult::Claimed
     );
-    assert_eq!(journal.record(&key(n)), Durability::Pending);
+    assert_eq!(journal.record(&key(n)), RecordResult::Pending);
 }
 
 #[test]
@@ -242,7 +242,7 @@
     );
     j.write_done(ms(203), WriteOutcome::Unconfirmed(None));
     // The commit of the first request failed; the second keeps the key.
-    assert_eq!(j.record(&key(1)), Durability::Pending);
+    assert_eq!(j.record(&key(1)), RecordResult::Pending);
     let write = j.next_write(ms(400)).unwrap();
     let (keys, done) = j.write_done(ms(401), store.commit(&write));
     assert_eq!((keys, done), (vec![key(1)], true));
