--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -75,11 +75,14 @@
                 adapter,
                 evict,
             } => self.start_load(now, order, &replica, incarnation, adapter, evict),
-            Command::Block { fingerprint, hold } => {
+            Command::Block {
+                fingerprint,
+                duration,
+            } => {
                 slog::warn!(self.shared.log, "blocked a request that crashes its upstream";
                     "pool" => %self.name, "fingerprint" => fingerprint.0);
                 self.record_event(EventKind::Convicted, None, "", &fingerprint.0.to_string());
-                Gossip::block(&self.shared, &self.local, fingerprint, hold);
+                Gossip::block(&self.shared, &self.local, fingerprint, duration);
             }
         }
     }
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -233,12 +233,12 @@
     /// isolated, the next crash identifies it with certainty.
     fn record_break(&mut self, now: Moment, run: &Dispatch) {
         if run.isolated {
-            let hold = self.settings.block_for;
+            let duration = self.settings.block_for;
             self.commands.push(Command::Block {
                 fingerprint: run.fingerprint,
-                hold,
+                duration,
             });
-            self.block(now, run.fingerprint, hold);
+            self.block(now, run.fingerprint, duration);
         } else {
             self.poison
                 .add_suspect(now, run.fingerprint, &run.replica, run.incarnation);
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -201,12 +201,12 @@
         self.record_dispatch(now, held.ticket, run);
     }
 
-    /// Blocks a request that crashes its upstream for `hold`, and refuses the
-    /// waiting copies of it.
-    pub fn block(&mut self, now: Moment, fingerprint: Fingerprint, hold: Span) {
-        self.poison.block(now, fingerprint, now.after(hold));
+    /// Blocks a request that crashes its upstream for `duration`, and refuses
+    /// the waiting copies of it.
+    pub fn block(&mut self, now: Moment, fingerprint: Fingerprint, duration: Span) {
+        self.poison.block(now, fingerprint, now.after(duration));
         for ticket in self.queue.matching(|a| a.fingerprint == fingerprint) {
-            self.refuse_waiting(now, ticket, Reason::Convicted, hold);
+            self.refuse_waiting(now, ticket, Reason::Convicted, duration);
         }
         self.schedule(now);
     }
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -270,7 +270,7 @@
         /// Hash of the complete request.
         fingerprint: Fingerprint,
         /// How long the request stays blocked.
-        hold: Span,
+        duration: Span,
     },
 }
 
