--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -60,12 +60,12 @@
         let key = header
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.strip_prefix("Bearer "))
-            .ok_or_else(|| Status::unauthenticated("no operator's key"))?;
+            .ok_or_else(|| Status::unauthenticated("missing operator key"))?;
         let hash = hash_key(key);
         let known = self.keys.iter().find(|(_, h)| **h == hash);
         known
             .map(|(name, _)| name.clone())
-            .ok_or_else(|| Status::unauthenticated("unknown operator's key"))
+            .ok_or_else(|| Status::unauthenticated("unknown operator key"))
     }
 }
 
@@ -108,7 +108,7 @@
         let plan: Plan = parse(&request.plan)?;
         if plan.operation != request.operation {
             return Err(Status::invalid_argument(
-                "the operation id is not the plan's",
+                "operation id differs from the plan's",
             ));
         }
         let revision = self.confirm_plan(&plan, &operator).await?;
@@ -160,14 +160,14 @@
         let filter = &request.get_ref().filter;
         let all = usage::read_all(&self.shared.platform, &self.shared.state.usage)
             .await
-            .map_err(|e| Status::unavailable(format!("usage is not known: {e}")))?;
-        let sums = usage::totals(&all);
-        let wanted = |row: &usage::UsageKey| {
-            filter.is_empty() || row.team == *filter || row.adapter == *filter
+            .map_err(|e| Status::unavailable(format!("cannot read usage: {e}")))?;
+        let totals = usage::totals(&all);
+        let wanted = |key: &usage::UsageKey| {
+            filter.is_empty() || key.team == *filter || key.adapter == *filter
         };
-        let rows = sums.iter().filter(|(row, _)| wanted(row));
+        let selected = totals.iter().filter(|(key, _)| wanted(key));
         Ok(Response::new(wire::UsageTotals {
-            counts: rows.map(|(r, c)| usage::to_wire(r, c)).collect(),
+            counts: selected.map(|(k, c)| usage::to_wire(k, c)).collect(),
         }))
     }
 
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -226,8 +226,8 @@
         self.spawn("owner", owners)?;
         self.spawn("config", config::run(self.handles()))?;
         let store = self.shared.state.usage.clone();
-        let every = self.ownership.settings.usage.every();
-        let usage = self.spawn("usage", usage::run(self.handles(), store, every))?;
+        let interval = self.ownership.settings.usage.flush_interval();
+        let usage = self.spawn("usage", usage::run(self.handles(), store, interval))?;
         let keys = self.ownership.settings.operators.clone();
         let router = services(&self.handles(), registry, gossip, keys);
         let link = self.shared.state.link();
--- a/lib/src/control/settings.rs
+++ b/lib/src/control/settings.rs
@@ -17,40 +17,40 @@
 use crate::settings::Settings;
 use crate::telemetry::LogFormat;
 
-/// Settings of the control process; `settings/control.toml` explains each.
+/// Settings of the control process. `settings/control.toml` describes each one.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of this VM.
     pub zone: ZoneName,
-    /// The organisation that runs it; for logs and metrics.
+    /// Organisation that runs this VM; used in logs and metrics.
     pub organisation: String,
-    /// Where gRPC is served.
+    /// Address for gRPC.
     pub listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address for metrics.
     pub metrics: SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Control processes on the other VMs.
+    /// Addresses of the control processes on other VMs.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// SHA-256 of each operator's key, as lower-case hex.
+    /// SHA-256 hash of each operator's key as lower-case hex, by operator name.
     #[serde(default)]
     pub operators: BTreeMap<String, String>,
-    /// Keys for connections between our processes; plain when left out.
+    /// Keys for connections between our processes; plain connections if absent.
     pub link: Option<LinkSettings>,
-    /// How the log is written.
+    /// Format of the log.
     #[serde(default)]
     pub log: LogFormat,
     /// Timing of leases.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// Grants and what follows a change of owner.
+    /// Timing of grants and of changes of owner.
     #[serde(default)]
     pub grants: GrantSettings,
-    /// Load reports and orders.
+    /// Timing of load reports and orders.
     #[serde(default)]
     pub upstreams: UpstreamSettings,
     /// Heartbeats between control processes.
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseSettings {
-    /// How long a lease holds from its last write.
+    /// Validity of a lease from its last write.
     pub ttl_ms: u64,
-    /// How long after a write the next is sent.
+    /// Interval between renewals.
     pub renew_ms: u64,
-    /// What the holder subtracts.
+    /// Safety margin that the holder subtracts from the validity.
     pub margin_ms: u64,
-    /// How much later each further candidate tries.
+    /// Additional delay of each further candidate before it tries to acquire.
     pub stagger_ms: u64,
 }
 
@@ -89,16 +89,16 @@
     }
 }
 
-/// Grants and changes of owner, in milliseconds.
+/// Timing of grants and of changes of owner, in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GrantSettings {
-    /// How long a grant lives unrenewed.
+    /// Validity of a grant that is not renewed.
     pub ttl_ms: u64,
-    /// How much longer the owner counts it as in use.
+    /// Additional time for which the owner counts an expired grant as in use.
     pub margin_ms: u64,
-    /// How long a new owner leaves the slots of engines that ignore fencing
-    /// tokens alone, when the former owner may be paused and unaware.
+    /// How long a new owner does not change the slots of engines that ignore
+    /// fencing tokens, in case the previous owner is suspended and unaware of it.
     pub quarantine_ms: u64,
 }
 
@@ -112,17 +112,17 @@
     }
 }
 
-/// Load reports and orders, in milliseconds.
+/// Settings of load reports and orders; times in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamSettings {
-    /// Between two load reports of a replica.
+    /// Interval between load reports of a replica.
     pub poll_ms: u64,
-    /// The longest that a report may take.
+    /// Time limit of a load report.
     pub report_ms: u64,
-    /// Failed reports in a row that make a replica suspect.
+    /// Consecutive failed reports after which a replica is suspect.
     pub failures: u32,
-    /// The longest that an order may take.
+    /// Time limit of an order.
     pub order_ms: u64,
 }
 
@@ -137,17 +137,17 @@
     }
 }
 
-/// Heartbeats between control processes, in milliseconds.
+/// Settings of heartbeats between control processes; times in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
-    /// Between two heartbeats.
+    /// Interval between heartbeats.
     pub beat_ms: u64,
-    /// Members that each heartbeat is exchanged with.
+    /// Number of members that each heartbeat is exchanged with.
     pub fanout: usize,
-    /// Silence after which a member is suspect.
+    /// Time without a heartbeat after which a member is suspect.
     pub suspect_ms: u64,
-    /// Silence after which it counts as gone.
+    /// Time without a heartbeat after which a member is gone.
     pub gone_ms: u64,
 }
 
@@ -162,13 +162,13 @@
     }
 }
 
-/// The journal of keyed calls, in milliseconds.
+/// Timing of the journal of keyed calls, in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimSettings {
-    /// How long a claim is kept.
+    /// Retention time of a claim.
     pub retention_ms: u64,
-    /// The shortest time between two commits of a pool.
+    /// Minimum time between two commits of a pool.
     pub gap_ms: u64,
 }
 
@@ -185,7 +185,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UsageSettings {
-    /// Between two writes of a VM.
+    /// Interval between two writes of a VM.
     pub flush_ms: u64,
 }
 
@@ -196,14 +196,14 @@
 }
 
 impl UsageSettings {
-    /// Between two writes of a VM.
-    pub fn every(&self) -> Duration {
+    /// Returns the interval between two writes of a VM.
+    pub fn flush_interval(&self) -> Duration {
         Duration::from_millis(self.flush_ms)
     }
 }
 
 impl ControlSettings {
-    /// The lease's times.
+    /// Returns the timing of leases.
     pub fn lease_timing(&self) -> lease::Timing {
         lease::Timing {
             ttl: Span::from_millis(self.lease.ttl_ms),
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The journal's bounds.
+    /// Returns the limits of the journal of keyed calls.
     pub fn claim_limits(&self) -> claims::Limits {
         claims::Limits {
             retention: Span::from_millis(self.claims.retention_ms),
@@ -225,7 +225,7 @@
     }
 }
 
-// A key, its value, and the range that is allowed.
+// Key, value, minimum, maximum and description of the allowed range.
 type Range = (&'static str, u64, u64, u64, &'static str);
 
 impl Settings for ControlSettings {
@@ -287,8 +287,8 @@
                 "100 to 600000",
             ),
         ];
-        for (key, found, least, most, allowed) in ranges {
-            if found < least || found > most {
+        for (key, found, min, max, allowed) in ranges {
+            if found < min || found > max {
                 return Err(BadValue {
                     key,
                     found: found.to_string(),
--- a/lib/src/control/usage/counts.rs
+++ b/lib/src/control/usage/counts.rs
@@ -1,4 +1,4 @@
-//! Rows, counters and their forms on the wire and in the platform.
+//! Usage counters and their forms on the wire and in the platform.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Who is charged for what.
+/// The key of a usage counter: the team that is charged and what it used.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct UsageKey {
     /// The team.
     pub team: String,
-    /// The adapter, or the pool of a plain service.
+    /// The adapter, or the pool for a plain service.
     pub adapter: String,
-    /// Its version; 0 for a plain service.
+    /// The adapter's version; 0 for a plain service.
     pub version: u32,
 }
 
-/// Counters of a row.
+/// Cumulative counters of one key.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Count {
-    /// Requests that were answered or cut off after their first byte.
+    /// Requests that were answered, completely or at least their first byte.
     pub requests: u64,
-    /// Tokens in their prompts.
+    /// Tokens in the prompts of these requests.
     pub prompt: u64,
-    /// Tokens that were passed on to callers.
+    /// Tokens sent to callers.
     pub output: u64,
 }
 
 impl Count {
+    /// Raises each counter to at least that of `other`; returns whether one rose.
     pub(super) fn raise(&mut self, other: &Self) -> bool {
         let before = *self;
         self.requests = self.requests.max(other.requests);
@@ -44,20 +45,20 @@
     }
 }
 
-/// Counters by row.
+/// Counters by key.
 pub type Counts = BTreeMap<UsageKey, Count>;
 
-/// One start of an entry process.
+/// One incarnation of an entry process, the source of a set of counters.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Source {
-    /// Its VM.
+    /// The VM.
     pub vm: String,
-    /// The start.
+    /// The incarnation.
     pub incarnation: u64,
 }
 
 impl Source {
-    pub(super) fn object(&self, part: usize) -> String {
+    pub(super) fn object_name(&self, part: usize) -> String {
         match part {
             0 => format!("{}-{}", self.vm, self.incarnation),
             _ => format!("{}-{}-{part}", self.vm, self.incarnation),
@@ -65,37 +66,40 @@
     }
 }
 
-/// One row as an object holds it.
+/// One counter in the stored form.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Line {
+pub(super) struct CountRecord {
     #[serde(flatten)]
-    pub(super) row: UsageKey,
+    pub(super) key: UsageKey,
     #[serde(flatten)]
     pub(super) count: Count,
 }
 
-/// An object of kind `usages`.
+/// The content of an object of kind `usages`: the counters of one source, or a
+/// part of them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Sheet {
+pub(super) struct UsageObject {
     #[serde(flatten)]
     pub(super) source: Source,
-    pub(super) counts: Vec<Line>,
+    pub(super) counts: Vec<CountRecord>,
 }
 
-pub(super) fn sheet(source: &Source, counts: Counts) -> Sheet {
-    let lines = counts.into_iter().map(|(row, count)| Line { row, count });
-    Sheet {
+pub(super) fn usage_object(source: &Source, counts: Counts) -> UsageObject {
+    let records = counts
+        .into_iter()
+        .map(|(key, count)| CountRecord { key, count });
+    UsageObject {
         source: source.clone(),
-        counts: lines.collect(),
+        counts: records.collect(),
     }
 }
 
-pub(super) fn rows_of(sheet: Sheet) -> Counts {
-    let lines = sheet.counts.into_iter();
-    lines.map(|line| (line.row, line.count)).collect()
+pub(super) fn counts_of(object: UsageObject) -> Counts {
+    let records = object.counts.into_iter();
+    records.map(|record| (record.key, record.count)).collect()
 }
 
-/// Sums over all sources.
+/// Sums the counters over all sources.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -111,34 +115,34 @@
 /// ```
 pub fn totals(all: &BTreeMap<Source, Counts>) -> Counts {
     let mut sums = Counts::new();
-    for (row, count) in all.values().flatten() {
-        sums.entry(row.clone()).or_default().add(count);
+    for (key, count) in all.values().flatten() {
+        sums.entry(key.clone()).or_default().add(count);
     }
     sums
 }
 
-/// A row on the wire.
-pub fn to_wire(row: &UsageKey, count: &Count) -> wire::UsageCount {
+/// Encodes a counter for the wire.
+pub fn to_wire(key: &UsageKey, count: &Count) -> wire::UsageCount {
     wire::UsageCount {
-        team: row.team.clone(),
-        adapter: row.adapter.clone(),
-        version: row.version,
+        team: key.team.clone(),
+        adapter: key.adapter.clone(),
+        version: key.version,
         requests: count.requests,
         prompt_tokens: count.prompt,
         output_tokens: count.output,
     }
 }
 
-pub(super) fn from_wire(line: wire::UsageCount) -> (UsageKey, Count) {
-    let row = UsageKey {
-        team: line.team,
-        adapter: line.adapter,
-        version: line.version,
+pub(super) fn from_wire(record: wire::UsageCount) -> (UsageKey, Count) {
+    let key = UsageKey {
+        team: record.team,
+        adapter: record.adapter,
+        version: record.version,
     };
     let count = Count {
-        requests: line.requests,
-        prompt: line.prompt_tokens,
-        output: line.output_tokens,
+        requests: record.requests,
+        prompt: record.prompt_tokens,
+        output: record.output_tokens,
     };
-    (row, count)
+    (key, count)
 }
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -1,8 +1,9 @@
-//! What teams used: counted by entries, held by a peer, kept in the platform.
+//! Usage of teams: counted by entry processes, copied to a peer and stored in the
+//! platform.
 //!
-//! Counters are cumulative for one start of an entry process and only rise, so
-//! the greater of two values is always the right one. Taking a report twice,
-//! writing an object twice, or two VMs writing the same one change nothing.
+//! Counters are cumulative per incarnation of an entry process and only increase,
+//! so that the greater of two values is always the newer one. Merging a report
+//! twice, writing an object twice, or writing it from two VMs is idempotent.
 
 mod counts;
 mod store;
@@ -24,9 +25,9 @@
 pub use counts::totals;
 pub use store::UsageStore;
 
-use counts::Sheet;
-use counts::rows_of;
-use counts::sheet;
+use counts::UsageObject;
+use counts::counts_of;
+use counts::usage_object;
 
 use super::Shared;
 use crate::platform::Platform;
@@ -35,192 +36,201 @@
 /// Kind of the objects that hold counters.
 pub const KIND: &str = "usages";
 
-/// The least time between two reports to the peer that holds a copy; with the
-/// interval at which entries report it bounds what a lost VM loses.
-const HOLD_GAP: Duration = Duration::from_millis(500);
+/// Minimum time between two reports to the peer that holds a copy. Together with
+/// the report interval of entries it bounds the usage lost with a VM.
+const MIN_COPY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The longest that handing a copy to a peer may take.
-const HOLD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for sending a copy to a peer.
+const COPY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A source that was silent this long is written and let go of, by whoever
-/// holds it: its VM may be gone.
+/// A source without reports for this long is written and removed by the process
+/// that holds a copy of it, because its VM may be gone.
 pub const SOURCE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The longest that a stopping process waits for its last write.
-const LAST_FLUSH: Duration = Duration::from_secs(2);
+/// How long a stopping process waits for its last write and copy.
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest that a peer may take for the last copy: with one that is cut off
-/// there is time for others.
-const LAST_HOLD: Duration = Duration::from_millis(400);
+/// Time limit for sending the last copy to one peer. It leaves time for other
+/// peers if one is unreachable.
+const FINAL_COPY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The pause of a stopping process after no peer took its counters.
-const LAST_PAUSE: Duration = Duration::from_millis(50);
+/// Delay of a stopping process before it retries after no peer accepted its
+/// counters.
+const FINAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Tries of one object when others write it as well.
-const WRITE_TRIES: u32 = 3;
+/// Maximum attempts to write one object that other VMs write as well.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
 
-/// Hands copies to a peer and writes to the platform each `every` until the
-/// process stops.
-pub async fn run(shared: Shared, store: UsageStore, every: Duration) {
+/// Sends copies to a peer, and writes to the platform once per `interval`, until
+/// the process stops.
+pub async fn run(shared: Shared, store: UsageStore, interval: Duration) {
     let mut stopping = shared.state.stopping.subscribe();
     let stopped = async { stopping.wait_for(|s| *s).await.is_ok() };
     tokio::select! {
         _ = stopped => {}
-        () = hold_all(&shared, &store) => {}
-        () = flush_all(&shared, &store, every) => {}
+        () = copy_changes(&shared, &store) => {}
+        () = flush_periodically(&shared, &store, interval) => {}
     }
     store.close();
-    // What the last write cannot bring to the platform, a peer holds: also what
-    // was reported since it last heard, and the copies held for peers that may
-    // have ended before.
-    let last = async {
+    // A peer holds what the last write cannot store in the platform, including
+    // reports received since the last copy, and copies held for peers that may
+    // have stopped before.
+    let final_work = async {
         tokio::join!(
             flush(&shared, &store, Duration::ZERO),
-            hold_last(&shared, &store)
+            send_final_copy(&shared, &store)
         )
     };
-    if timeout(LAST_FLUSH, last).await.is_err() {
-        warn!(shared.log, "last usage not written or not held");
+    if timeout(FINAL_FLUSH_TIMEOUT, final_work).await.is_err() {
+        warn!(
+            shared.log,
+            "last usage not written or not copied to a peer in time"
+        );
     }
 }
 
-/// Hands all counters to a peer, to the next one where one does not take them,
-/// as often as it takes.
-async fn hold_last(shared: &Shared, store: &UsageStore) {
-    let reports = store.to_hand_on();
+/// Sends all counters to a peer. Tries the next peer if one does not accept them,
+/// until one does.
+async fn send_final_copy(shared: &Shared, store: &UsageStore) {
+    let reports = store.final_reports();
     loop {
-        let holders = holders(shared);
-        if holders.is_empty() {
+        let addresses = copy_holders(shared);
+        if addresses.is_empty() {
             return;
         }
-        for address in holders {
-            let held = timeout(LAST_HOLD, hold(shared, None, address, &reports));
-            if held.await.is_ok_and(|link| link.is_some()) {
+        for address in addresses {
+            let sent = timeout(
+                FINAL_COPY_TIMEOUT,
+                send_copy(shared, None, address, &reports),
+            );
+            if sent.await.is_ok_and(|c| c.is_some()) {
                 return;
             }
         }
-        tokio::time::sleep(LAST_PAUSE).await;
+        tokio::time::sleep(FINAL_RETRY_DELAY).await;
     }
 }
 
-async fn flush_all(shared: &Shared, store: &UsageStore, every: Duration) {
-    // VMs that start together do not write together.
+async fn flush_periodically(shared: &Shared, store: &UsageStore, interval: Duration) {
+    // A random first delay, so that VMs that start together do not write together.
     let first = rand::random_range(0.0..1.0);
-    tokio::time::sleep(every.mul_f64(first)).await;
+    tokio::time::sleep(interval.mul_f64(first)).await;
     loop {
         flush(shared, store, SOURCE_TIMEOUT).await;
-        store.forget();
-        tokio::time::sleep(every).await;
+        store.remove_idle();
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Writes what is due: the counters taken here, and those held for others that
-/// were silent for longer than `silence`. What fails stays due.
-pub async fn flush(shared: &Shared, store: &UsageStore, silence: Duration) {
-    for (source, part) in store.due(silence) {
+/// Writes the counters reported here, and the copies of sources without reports
+/// for longer than `timeout_after`. Failed writes are retried by the next call.
+pub async fn flush(shared: &Shared, store: &UsageStore, timeout_after: Duration) {
+    for (source, part) in store.due_parts(timeout_after) {
         match write_part(&shared.platform, store, &source, part).await {
             Ok(()) => {}
-            // Each further write would fail alike; the next round tries.
+            // Further writes would fail as well; the next call retries them.
             Err(PlatformError::Unreachable(_)) => return,
             Err(e) => {
-                let object = source.object(part);
+                let object = source.object_name(part);
                 warn!(shared.log, "usage not written"; "object" => object, "error" => %e);
             }
         }
     }
 }
 
-/// Raises an object to what is held here. Each counter only rises, so the
-/// outcome is the same whoever writes, in whichever order and how often.
+/// Raises the counters of an object to those held here. Counters only increase,
+/// so the result does not depend on which VMs write, in which order or how often.
 async fn write_part(
     platform: &Platform,
     store: &UsageStore,
     source: &Source,
     part: usize,
 ) -> Result<(), PlatformError> {
-    let name = source.object(part);
-    let mut tries = 0;
+    let name = source.object_name(part);
+    let mut attempts = 0;
     loop {
-        let (version, mut counts) = match platform.get::<Sheet>(KIND, &name).await {
-            Ok(object) => (object.metadata.version, rows_of(object.spec)),
+        let (version, mut counts) = match platform.get::<UsageObject>(KIND, &name).await {
+            Ok(object) => (object.metadata.version, counts_of(object.spec)),
             Err(PlatformError::NotFound) => (String::new(), Counts::new()),
             Err(e) => return Err(e),
         };
-        let mut rose = false;
-        let held = store.part(source, part);
-        for (row, count) in &held {
-            rose |= counts.entry(row.clone()).or_default().raise(count);
+        let mut raised = false;
+        let held = store.part_counts(source, part);
+        for (key, count) in &held {
+            raised |= counts.entry(key.clone()).or_default().raise(count);
         }
-        if !rose {
-            store.written(source, part, &held);
+        if !raised {
+            store.mark_written(source, part, &held);
             return Ok(());
         }
-        let sheet = sheet(source, counts);
+        let updated = usage_object(source, counts);
         let end = match version.as_str() {
-            "" => platform.create(KIND, &name, &sheet).await,
-            v => platform.replace(KIND, &name, v, &sheet).await,
+            "" => platform.create(KIND, &name, &updated).await,
+            v => platform.replace(KIND, &name, v, &updated).await,
         };
-        tries += 1;
+        attempts += 1;
         match end {
             Ok(_) => {
-                store.written(source, part, &held);
+                store.mark_written(source, part, &held);
                 return Ok(());
             }
-            // Reading it again tells what became of it.
-            Err(PlatformError::Conflict | PlatformError::Lost(_)) if tries < WRITE_TRIES => {}
+            // Reading the object again shows whether the write took effect.
+            Err(PlatformError::Conflict | PlatformError::Lost(_))
+                if attempts < MAX_WRITE_ATTEMPTS => {}
             Err(e) => return Err(e),
         }
     }
 }
 
-/// All counters in the platform, raised by those held here, by source.
+/// Returns all counters by source: those in the platform, raised to those held
+/// here.
 ///
 /// # Errors
 ///
-/// When the platform does not answer: a part of the counters is no answer.
+/// Any platform error, because a partial result would be wrong.
 pub async fn read_all(
     platform: &Platform,
     store: &UsageStore,
 ) -> Result<BTreeMap<Source, Counts>, PlatformError> {
     let mut all = store.counts();
-    for object in platform.list::<Sheet>(KIND).await?.items {
+    for object in platform.list::<UsageObject>(KIND).await?.items {
         let counts = all.entry(object.spec.source.clone()).or_default();
-        for line in object.spec.counts {
-            counts.entry(line.row).or_default().raise(&line.count);
+        for record in object.spec.counts {
+            counts.entry(record.key).or_default().raise(&record.count);
         }
     }
     Ok(all)
 }
 
-/// Hands each change to the peer that holds this VM's counters, over one
-/// connection as long as that peer stays the same.
-async fn hold_all(shared: &Shared, store: &UsageStore) {
-    let mut link: Option<(String, PeersClient<Channel>)> = None;
+/// Sends changed counters to the peer that holds this VM's copy, over one
+/// connection while that peer stays the same.
+async fn copy_changes(shared: &Shared, store: &UsageStore) {
+    let mut connection: Option<(String, PeersClient<Channel>)> = None;
     loop {
         store.wake.notified().await;
-        if let Some(address) = holders(shared).into_iter().next() {
-            let known = link.take().filter(|(there, _)| *there == address);
-            let whole = known.is_none();
-            let reports = store.to_hold(whole);
-            link = hold(shared, known, address, &reports).await;
-            if link.is_none() {
-                store.not_held(reports);
+        if let Some(address) = copy_holders(shared).into_iter().next() {
+            let known = connection.take().filter(|(peer, _)| *peer == address);
+            let all = known.is_none();
+            let reports = store.pending_reports(all);
+            connection = send_copy(shared, known, address, &reports).await;
+            if connection.is_none() {
+                store.restore_pending(reports);
                 store.wake.notify_one();
             }
         }
-        tokio::time::sleep(HOLD_GAP).await;
+        tokio::time::sleep(MIN_COPY_INTERVAL).await;
     }
 }
 
-/// Hands reports over; gives the connection when all were taken.
-async fn hold(
+/// Sends reports to a peer; returns the connection if all were accepted.
+async fn send_copy(
     shared: &Shared,
-    known: Option<(String, PeersClient<Channel>)>,
+    connection: Option<(String, PeersClient<Channel>)>,
     address: String,
     reports: &[wire::UsageReport],
 ) -> Option<(String, PeersClient<Channel>)> {
-    let work = async {
-        let mut client = match known {
+    let send = async {
+        let mut client = match connection {
             Some((_, client)) => client,
             None => connect(shared, &address).await?,
         };
@@ -229,19 +239,19 @@
         }
         Some((address, client))
     };
-    timeout(HOLD_TIMEOUT, work).await.ok().flatten()
+    timeout(COPY_TIMEOUT, send).await.ok().flatten()
 }
 
 async fn connect(shared: &Shared, address: &str) -> Option<PeersClient<Channel>> {
     let address = address.parse().ok()?;
-    let channel = shared.state.link().connect(address, HOLD_TIMEOUT).await;
+    let channel = shared.state.link().connect(address, COPY_TIMEOUT).await;
     channel.ok().map(PeersClient::new)
 }
 
-/// The live members in the order in which they hold this VM's counters: those
-/// in other availability zones first, by rendezvous hashing, so that each VM
-/// keeps its peer while that lives and the work is spread.
-fn holders(shared: &Shared) -> Vec<String> {
+/// Returns the addresses of the live members in order of preference for holding
+/// this VM's copy: other availability zones first, then by rendezvous hashing, so
+/// that a VM keeps its peer while that is live and the load is spread.
+fn copy_holders(shared: &Shared) -> Vec<String> {
     let members = shared.state.members.borrow();
     let live = members
         .values()
--- a/lib/src/control/usage/store.rs
+++ b/lib/src/control/usage/store.rs
@@ -1,4 +1,4 @@
-//! The counters that a process holds.
+//! In-memory store of the usage counters that a process holds.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,61 +22,62 @@
 use super::counts::from_wire;
 use super::counts::to_wire;
 
-/// Rows in one object: with the longest names a row is 350 bytes, so an object
-/// stays below the platform's megabyte.
-const PART_ROWS: usize = 2_000;
+/// Maximum counters in one object. With the longest names a counter takes 350
+/// bytes, so that an object stays below the platform's limit of 1 MB.
+const MAX_PART_COUNTERS: usize = 2_000;
 
 #[derive(Debug)]
-struct Cell {
+struct Counter {
     count: Count,
     part: usize,
 }
 
 #[derive(Debug)]
-struct Account {
+struct SourceCounters {
     sequence: Option<u64>,
-    rows: BTreeMap<UsageKey, Cell>,
-    /// Parts that the platform does not have as they are here.
+    by_key: BTreeMap<UsageKey, Counter>,
+    /// Parts with changes that are not yet written to the platform.
     dirty: BTreeSet<usize>,
-    /// Rows that the holding peer does not have as they are here.
-    unheld: BTreeSet<UsageKey>,
-    heard: Instant,
-    /// Whether its entry reports here, rather than a peer handing copies over.
+    /// Counters with changes that are not yet copied to the peer.
+    uncopied: BTreeSet<UsageKey>,
+    last_report: Instant,
+    /// Whether the entry reports to this process, as opposed to a peer sending
+    /// copies.
     direct: bool,
 }
 
-impl Account {
+impl SourceCounters {
     fn new() -> Self {
         Self {
             sequence: None,
-            rows: BTreeMap::new(),
+            by_key: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            unheld: BTreeSet::new(),
-            heard: Instant::now(),
+            uncopied: BTreeSet::new(),
+            last_report: Instant::now(),
             direct: false,
         }
     }
 
-    fn raise(&mut self, row: UsageKey, count: &Count) {
-        let part = self.rows.len() / PART_ROWS;
-        let cell = self.rows.entry(row.clone()).or_insert(Cell {
+    fn raise(&mut self, key: UsageKey, count: &Count) {
+        let part = self.by_key.len() / MAX_PART_COUNTERS;
+        let counter = self.by_key.entry(key.clone()).or_insert(Counter {
             count: Count::default(),
             part,
         });
-        if cell.count.raise(count) {
-            self.dirty.insert(cell.part);
-            self.unheld.insert(row);
+        if counter.count.raise(count) {
+            self.dirty.insert(counter.part);
+            self.uncopied.insert(key);
         }
     }
 
-    /// A report of the wanted rows; `None` if there are none.
+    /// Builds a report of the counters that match `wanted`; `None` if none does.
     fn report(
         &self,
         source: &Source,
-        wanted: impl Fn(&UsageKey, &Cell) -> bool,
+        wanted: impl Fn(&UsageKey, &Counter) -> bool,
     ) -> Option<wire::UsageReport> {
-        let rows = self.rows.iter().filter(|(r, c)| wanted(r, c));
-        let counts: Vec<_> = rows.map(|(r, c)| to_wire(r, &c.count)).collect();
+        let matching = self.by_key.iter().filter(|(k, c)| wanted(k, c));
+        let counts: Vec<_> = matching.map(|(k, c)| to_wire(k, &c.count)).collect();
         (!counts.is_empty()).then(|| wire::UsageReport {
             vm: source.vm.clone(),
             incarnation: source.incarnation,
@@ -86,19 +87,20 @@
     }
 
     fn part(&self, part: usize) -> Counts {
-        let rows = self.rows.iter().filter(|(_, c)| c.part == part);
-        rows.map(|(r, c)| (r.clone(), c.count)).collect()
+        let in_part = self.by_key.iter().filter(|(_, c)| c.part == part);
+        in_part.map(|(k, c)| (k.clone(), c.count)).collect()
     }
 }
 
-type Accounts = BTreeMap<Source, Account>;
+type Sources = BTreeMap<Source, SourceCounters>;
 
-/// The counters that this process holds, its own VM's and others'; clones
-/// share them. [`ControlState::usage`](crate::control::ControlState::usage) is the one of a process.
+/// The usage counters held by this process, of its own VM and of others. Clones
+/// share the counters. A process has one store,
+/// [`ControlState::usage`](crate::control::ControlState::usage).
 #[derive(Clone, Debug)]
 pub struct UsageStore {
-    accounts: Arc<Mutex<Accounts>>,
-    /// Whether reports are taken no more; changed with the accounts locked.
+    sources: Arc<Mutex<Sources>>,
+    /// Whether reports are refused; changed only while `sources` is locked.
     closed: Arc<AtomicBool>,
     pub(super) wake: Arc<Notify>,
 }
@@ -106,42 +108,43 @@
 impl UsageStore {
     pub(in crate::control) fn new() -> Self {
         Self {
-            accounts: Arc::default(),
+            sources: Arc::default(),
             closed: Arc::default(),
             wake: Arc::default(),
         }
     }
 
-    /// Takes a report of an entry's cumulative counters; a report whose
-    /// sequence is not above the last one's changes nothing. It may list only
-    /// the rows that rose since the last report that was answered.
+    /// Records an entry's report of cumulative counters. A report whose sequence
+    /// number is not above the last one's is ignored. A report may omit counters
+    /// that have not increased since the last acknowledged one.
     ///
-    /// Whoever takes a report writes it to the platform and has a peer hold a
-    /// copy, also when the entry runs on another VM whose control process is
-    /// down.
+    /// The process that records a report writes it to the platform and sends a
+    /// copy to a peer, even if the entry runs on another VM whose control process
+    /// is down.
     ///
-    /// `None` once the process stops: what it would take now, nobody would write.
+    /// Returns `None` once the process is stopping, because the report would not
+    /// be written any more.
     pub fn record(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
         self.add(report, true)
     }
 
-    /// Takes no more reports: the last copy goes to the peer.
+    /// Refuses further reports, so that the final copy is complete.
     pub(super) fn close(&self) {
         let _accounts = self.lock();
         self.closed.store(true, Ordering::Relaxed);
     }
 
-    /// Holds a copy for the peer that took the report; it is written here only
-    /// when that peer falls silent.
+    /// Holds a copy of a report for the peer that recorded it. This process writes
+    /// the copy only if that peer stops sending copies.
     ///
-    /// `None` once the process stops: the peer, which may stop as well, must not
-    /// take its counters for held.
+    /// Returns `None` once the process is stopping: the peer, which may be stopping
+    /// as well, must not assume that a copy exists.
     pub fn hold_copy(&self, report: wire::UsageReport) -> Option<wire::UsageReply> {
         self.add(report, false)
     }
 
     fn add(&self, report: wire::UsageReport, direct: bool) -> Option<wire::UsageReply> {
-        let mut accounts = self.lock();
+        let mut sources = self.lock();
         if self.closed.load(Ordering::Relaxed) {
             return None;
         }
@@ -149,109 +152,122 @@
             vm: report.vm,
             incarnation: report.incarnation,
         };
-        let account = accounts.entry(source).or_insert_with(Account::new);
-        account.heard = Instant::now();
-        account.direct |= direct;
-        let last = account.sequence;
+        let counters = sources.entry(source).or_insert_with(SourceCounters::new);
+        counters.last_report = Instant::now();
+        counters.direct |= direct;
+        let last = counters.sequence;
         if let Some(last) = last
             && report.sequence <= last
         {
             return Some(wire::UsageReply { sequence: last });
         }
-        account.sequence = Some(report.sequence);
-        for line in report.counts {
-            let (row, count) = from_wire(line);
-            account.raise(row, &count);
+        counters.sequence = Some(report.sequence);
+        for record in report.counts {
+            let (key, count) = from_wire(record);
+            counters.raise(key, &count);
         }
-        drop(accounts);
+        drop(sources);
         self.wake.notify_one();
         Some(wire::UsageReply {
             sequence: report.sequence,
         })
     }
 
-    /// All counters held here, by source.
+    /// Returns all counters held here, by source.
     pub fn counts(&self) -> BTreeMap<Source, Counts> {
-        let all = |a: &Account| a.rows.iter().map(|(r, c)| (r.clone(), c.count)).collect();
-        let accounts = self.lock();
-        accounts.iter().map(|(s, a)| (s.clone(), all(a))).collect()
+        let all = |counters: &SourceCounters| {
+            counters
+                .by_key
+                .iter()
+                .map(|(k, c)| (k.clone(), c.count))
+                .collect()
+        };
+        let sources = self.lock();
+        sources
+            .iter()
+            .map(|(s, counters)| (s.clone(), all(counters)))
+            .collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Accounts> {
-        self.accounts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Sources> {
+        self.sources.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the peer that holds a copy of the counters taken here lacks; all
-    /// of it for a peer that is new to it.
-    pub(super) fn to_hold(&self, whole: bool) -> Vec<wire::UsageReport> {
+    /// Returns reports of the counters recorded here that the peer does not have
+    /// yet, or of all of them for a new peer, and marks them as copied.
+    pub(super) fn pending_reports(&self, all: bool) -> Vec<wire::UsageReport> {
         let mut reports = Vec::new();
-        let mut accounts = self.lock();
-        for (source, account) in accounts.iter_mut().filter(|(_, a)| a.direct) {
-            let unheld = std::mem::take(&mut account.unheld);
-            reports.extend(account.report(source, |r, _| whole || unheld.contains(r)));
+        let mut sources = self.lock();
+        for (source, counters) in sources.iter_mut().filter(|(_, c)| c.direct) {
+            let uncopied = std::mem::take(&mut counters.uncopied);
+            reports.extend(counters.report(source, |k, _| all || uncopied.contains(k)));
         }
         reports
     }
 
-    /// What a process that ends hands on: all that was reported here, and what
-    /// it holds for others and the platform may not have.
-    pub(super) fn to_hand_on(&self) -> Vec<wire::UsageReport> {
-        let accounts = self.lock();
-        let reports = accounts.iter().filter_map(|(source, account)| {
-            account.report(source, |_, c| {
-                account.direct || account.dirty.contains(&c.part)
+    /// Returns the reports that a stopping process sends to a peer: all counters
+    /// recorded here, and the unwritten parts of copies held for others.
+    pub(super) fn final_reports(&self) -> Vec<wire::UsageReport> {
+        let sources = self.lock();
+        let reports = sources.iter().filter_map(|(source, counters)| {
+            counters.report(source, |_, c| {
+                counters.direct || counters.dirty.contains(&c.part)
             })
         });
         reports.collect()
     }
 
-    /// A report that the peer did not take goes with the next.
-    pub(super) fn not_held(&self, reports: Vec<wire::UsageReport>) {
-        let mut accounts = self.lock();
+    /// Marks the counters of reports that the peer did not accept as uncopied, so
+    /// that the next reports include them.
+    pub(super) fn restore_pending(&self, reports: Vec<wire::UsageReport>) {
+        let mut sources = self.lock();
         for report in reports {
             let source = Source {
                 vm: report.vm,
                 incarnation: report.incarnation,
             };
-            if let Some(account) = accounts.get_mut(&source) {
-                let rows = report.counts.into_iter().map(|line| from_wire(line).0);
-                account.unheld.extend(rows);
+            if let Some(counters) = sources.get_mut(&source) {
+                let keys = report.counts.into_iter().map(|record| from_wire(record).0);
+                counters.uncopied.extend(keys);
             }
         }
     }
 
-    /// Parts to write now: those that entries reported here, and all of a
-    /// source that fell silent.
-    pub(super) fn due(&self, silence: Duration) -> Vec<(Source, usize)> {
-        let accounts = self.lock();
-        let due = accounts
-            .iter()
-            .filter(|(_, a)| a.direct || a.heard.elapsed() > silence);
-        due.flat_map(|(s, a)| a.dirty.iter().map(|part| (s.clone(), *part)))
+    /// Returns the unwritten parts that this process has to write: those of sources
+    /// that report here, and of sources without reports for longer than
+    /// `timeout_after`.
+    pub(super) fn due_parts(&self, timeout_after: Duration) -> Vec<(Source, usize)> {
+        let sources = self.lock();
+        let due = sources.iter().filter(|(_, counters)| {
+            counters.direct || counters.last_report.elapsed() > timeout_after
+        });
+        due.flat_map(|(s, counters)| counters.dirty.iter().map(|part| (s.clone(), *part)))
             .collect()
     }
 
-    pub(super) fn part(&self, source: &Source, part: usize) -> Counts {
-        let accounts = self.lock();
-        accounts
+    pub(super) fn part_counts(&self, source: &Source, part: usize) -> Counts {
+        let sources = self.lock();
+        sources
             .get(source)
-            .map(|a| a.part(part))
+            .map(|counters| counters.part(part))
             .unwrap_or_default()
     }
 
-    /// Notes what the platform holds of a part.
-    pub(super) fn written(&self, source: &Source, part: usize, there: &Counts) {
-        let mut accounts = self.lock();
-        if let Some(account) = accounts.get_mut(source)
-            && account.part(part) == *there
+    /// Marks a part as written if its counters still equal `written`.
+    pub(super) fn mark_written(&self, source: &Source, part: usize, written: &Counts) {
+        let mut sources = self.lock();
+        if let Some(counters) = sources.get_mut(source)
+            && counters.part(part) == *written
         {
-            account.dirty.remove(&part);
+            counters.dirty.remove(&part);
         }
     }
 
-    /// Lets go of sources that are silent and wholly written.
-    pub(super) fn forget(&self) {
-        let done = |a: &Account| a.dirty.is_empty() && a.heard.elapsed() > SOURCE_TIMEOUT;
-        self.lock().retain(|_, a| !done(a));
+    /// Removes completely written sources without reports for [`SOURCE_TIMEOUT`].
+    pub(super) fn remove_idle(&self) {
+        let is_idle = |counters: &SourceCounters| {
+            counters.dirty.is_empty() && counters.last_report.elapsed() > SOURCE_TIMEOUT
+        };
+        self.lock().retain(|_, counters| !is_idle(counters));
     }
 }
