--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -244,7 +244,7 @@
             };
             started.run.record_end(end);
             let mut state = self.node.state();
-            state.strikes.clear(self.request.fingerprint);
+            state.crash_tracker.clear(self.request.fingerprint);
         }
         Ok(rest)
     }
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -310,7 +310,7 @@
     let now = now();
     let down =
         |r: &Instance| !state.fleet.is_current(r) || state.fleet.status(now, &r.name) != "live";
-    match state.strikes.is_poison(now, req.fingerprint, down) {
+    match state.crash_tracker.is_poison(now, req.fingerprint, down) {
         true => Err(Refusal::not_run("crashes_upstreams", BLOCKED_RETRY_AFTER)),
         false => Ok(()),
     }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -157,7 +157,7 @@
         .filter_map(|n| load_reports::total_load(state, now, n))
         .collect();
     beacon.store = follow::outgoing_updates(node, state, now);
-    let strikes = state.strikes.recent(now, STRIKE_TTL);
+    let strikes = state.crash_tracker.recent(now, STRIKE_TTL);
     beacon.strikes = strikes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
@@ -312,7 +312,7 @@
     for note in &beacon.strikes {
         if let Some(replica) = parse_instance(&note.replica, note.born) {
             state
-                .strikes
+                .crash_tracker
                 .record_remote(now, Fingerprint(note.fingerprint), &replica);
         }
     }
