--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -87,7 +87,7 @@
     pub(in crate::serving) ownership: Ownership,
     pub(in crate::serving) planner: AdapterPlanner,
     pub(in crate::serving) crash_tracker: CrashTracker,
-    pub(in crate::serving) strain: StallDetector,
+    pub(in crate::serving) stall_detector: StallDetector,
     pub(in crate::serving) turns: PrefillTurns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted recently.
@@ -131,7 +131,7 @@
             ownership: Ownership::new(settings.vm.clone(), lease, settings.fencing),
             planner: AdapterPlanner::default(),
             crash_tracker: CrashTracker::default(),
-            strain: StallDetector::default(),
+            stall_detector: StallDetector::default(),
             turns: PrefillTurns::default(),
             local_uses: BTreeMap::new(),
             reserved: Reservations::default(),
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -45,7 +45,7 @@
         let state = node.state();
         let enabled = node.settings.experiment.is_enabled(Mechanism::PromptTurns);
         let owner = state.ownership.owner(replica).cloned().filter(|_| enabled);
-        owner.filter(|vm| state.strain.is_active(at) && state.members.is_live(at, vm))?
+        owner.filter(|vm| state.stall_detector.is_active(at) && state.members.is_live(at, vm))?
     };
     let call = node.turn_calls.register(number);
     let turn = PrefillTurn {
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -303,7 +303,7 @@
         if self.events.is_some() {
             let mut state = self.node.state();
             let steps = state.fleet.steps_per_event(&self.routed.service);
-            let turns_begin = state.strain.record_stream(now(), steps, stalled);
+            let turns_begin = state.stall_detector.record_stream(now(), steps, stalled);
             drop(state);
             if turns_begin {
                 slog::info!(self.node.log, "stream stalled; long prompts take turns";
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -142,7 +142,7 @@
     state.planner.take_changed();
     let mut beacon = new_beacon(node, state, number);
     beacon.owners = state.ownership.revision;
-    beacon.turns_ms = state.strain.remaining(now).as_millis();
+    beacon.turns_ms = state.stall_detector.remaining(now).as_millis();
     beacon.books = names
         .iter()
         .filter_map(|n| encode_residency(state, now, n))
@@ -307,7 +307,7 @@
         }
     }
     if beacon.turns_ms > 0 {
-        state.strain.extend(now, Span::from_millis(beacon.turns_ms));
+        state.stall_detector.extend(now, Span::from_millis(beacon.turns_ms));
     }
     for note in &beacon.strikes {
         if let Some(replica) = parse_instance(&note.replica, note.born) {
