--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -91,7 +91,7 @@
     pub(in crate::serving) turns: PrefillTurns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
     /// Places at our replicas that were granted recently.
-    pub(in crate::serving) reserved: Reservations,
+    pub(in crate::serving) reservations: Reservations,
     /// Leaving replicas to announce to the other VMs.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
     /// VMs that wait for changes of our replicas.
@@ -134,7 +134,7 @@
             stall_detector: StallDetector::default(),
             turns: PrefillTurns::default(),
             local_uses: BTreeMap::new(),
-            reserved: Reservations::default(),
+            reservations: Reservations::default(),
             leaving: BTreeSet::new(),
             subscriptions: Subscriptions::default(),
             last_reports: BTreeMap::new(),
--- a/lib/src/serving/path/owner_check.rs
+++ b/lib/src/serving/path/owner_check.rs
@@ -120,10 +120,10 @@
             prefill: ask.unread,
         };
         let assumed_ms = ask.believed_ms as f64;
-        let total = reported.plus(state.reserved.load(at, &name));
+        let total = reported.plus(state.reservations.load(at, &name));
         let granted = !lacks
             && state
-                .reserved
+                .reservations
                 .try_reserve(at, &name, reported, assumed_ms, cost);
         let answer = wire::PlaceAnswer {
             number: ask.number,
