--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -355,7 +355,7 @@
         let active = self.ownership.usable(now);
         let ours: BTreeSet<_> = active.map(|(name, _)| name.clone()).collect();
         for name in &ours {
-            if let Some(listing) = self.fleet.listing(name) {
+            if let Some(listing) = self.fleet.replica_info(name) {
                 let most = self.fleet.engine_slots(listing);
                 // Replicas without adapter slots need no planning: they are
                 // owned to sum their requests.
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -326,13 +326,13 @@
     }
 
     /// Returns a replica's entry in the store, if it is listed.
-    pub fn listing(&self, name: &ReplicaName) -> Option<&ReplicaInfo> {
+    pub fn replica_info(&self, name: &ReplicaName) -> Option<&ReplicaInfo> {
         self.replicas.get(name).map(|r| &r.listing)
     }
 
     /// Returns the start time of a listed replica.
     pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
-        self.listing(name).map(|l| l.started_ms)
+        self.replica_info(name).map(|l| l.started_ms)
     }
 
     /// Returns whether this is the current incarnation of a replica.
@@ -341,7 +341,7 @@
     }
 
     /// Iterates over the replicas' entries in the store.
-    pub fn listings(&self) -> impl Iterator<Item = &ReplicaInfo> {
+    pub fn replica_infos(&self) -> impl Iterator<Item = &ReplicaInfo> {
         self.replicas.values().map(|r| &r.listing)
     }
 
@@ -352,7 +352,7 @@
 
     /// Iterates over the replicas that can hold adapters.
     pub fn engines(&self) -> impl Iterator<Item = &ReplicaInfo> {
-        self.listings().filter(|l| self.engine_slots(l) > 0)
+        self.replica_infos().filter(|l| self.engine_slots(l) > 0)
     }
 
     /// Returns how many adapters a replica may hold.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -178,7 +178,7 @@
         let state = node.state();
         let listing = state
             .fleet
-            .listing(replica)
+            .replica_info(replica)
             .ok_or(AttemptFailure::NotSent)?;
         listing.address
     };
@@ -266,7 +266,10 @@
 /// Records that an upstream failed while it ran this request. If the other VMs do not know
 /// that yet, the next beacon is sent at once.
 pub(in crate::serving) fn record_strike(node: &Node, req: &BufferedRequest, replica: &Instance) {
-    let is_new = node.state().crash_tracker.record(now(), req.fingerprint, replica);
+    let is_new = node
+        .state()
+        .crash_tracker
+        .record(now(), req.fingerprint, replica);
     if is_new {
         node.beacon_wake.notify_one();
     }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -307,7 +307,9 @@
         }
     }
     if beacon.turns_ms > 0 {
-        state.stall_detector.extend(now, Span::from_millis(beacon.turns_ms));
+        state
+            .stall_detector
+            .extend(now, Span::from_millis(beacon.turns_ms));
     }
     for note in &beacon.strikes {
         if let Some(replica) = parse_instance(&note.replica, note.born) {
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -102,7 +102,7 @@
     let mut actions = Vec::new();
     for (name, token) in active {
         let needs_model = state.planner.needs_model(&name);
-        let listing = state.fleet.listing(&name).filter(|_| needs_model);
+        let listing = state.fleet.replica_info(&name).filter(|_| needs_model);
         let model = listing.and_then(|l| state.fleet.least_replicated_model(l));
         if let Some(action) = state
             .planner
@@ -242,7 +242,7 @@
     request: Request<BodyChunks>,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
-    let address = node.state().fleet.listing(name)?.address;
+    let address = node.state().fleet.replica_info(name)?.address;
     let exchange = async {
         let mut response = node.upstreams.send(address, request).await.ok()?;
         let body = read_body(&mut response, MAX_REPORT_BYTES).await.ok()?;
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -275,7 +275,7 @@
         let live = state.members.live_vms(at);
         let usable = state
             .fleet
-            .listings()
+            .replica_infos()
             .filter(|l| !l.draining && state.fleet.is_configured(l));
         let replicas = usable.map(|l| l.name.clone()).collect();
         let Some(table) = state.ownership.proposal(at, &live, &replicas) else {
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -148,7 +148,7 @@
         return;
     };
     let mut state = node.state();
-    let draining = state.fleet.listing(&name).is_some_and(|l| l.draining);
+    let draining = state.fleet.replica_info(&name).is_some_and(|l| l.draining);
     let leaving = change.removed || draining;
     let Some(started_ms) = state.fleet.started_ms(&name).filter(|_| leaving) else {
         return;
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -47,19 +47,19 @@
     fleet.apply_listing(started(1, &["base"]));
     let name = "i-1".parse().unwrap();
     assert!(
-        fleet.listing(&name).unwrap().draining,
+        fleet.replica_info(&name).unwrap().draining,
         "the replica is no longer draining"
     );
     assert!(
         fleet.apply_listing(started(2, &["base"])),
         "a restart must change what requests may use"
     );
-    assert!(!fleet.listing(&name).unwrap().draining);
+    assert!(!fleet.replica_info(&name).unwrap().draining);
     assert!(
         !fleet.mark_draining(&instance(1)),
         "the message is about the earlier instance"
     );
-    assert!(!fleet.listing(&name).unwrap().draining);
+    assert!(!fleet.replica_info(&name).unwrap().draining);
     assert!(fleet.mark_draining(&instance(2)));
 }
 
