--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -44,26 +44,27 @@
 /// Health of one replica: back-off state and failure rate.
 #[derive(Debug, Default)]
 pub(super) struct Health {
-    strikes: u32,
+    consecutive_failures: u32,
     backoff_until: Moment,
     last_received: Moment,
     /// Moving average of the fraction of runs that failed.
-    pub(super) failed: f64,
-    /// Start times of the runs that wait for their first byte, by run number.
+    pub(super) failure_rate: f64,
+    /// Send times of the runs that wait for their first byte, by run number.
     waiting: BTreeMap<u64, Moment>,
 }
 
 impl Health {
-    /// Returns whether the replica may get a request. After a failure one request
-    /// at a time is let through until one gets a response.
-    pub(super) fn open(&self, now: Moment, outstanding: u32) -> bool {
-        if now < self.backoff_until || self.dark(now) {
+    /// Returns whether the replica may get a request while this VM has `outstanding`
+    /// requests there. After a failure it gets one request at a time until one of
+    /// them gets a response.
+    pub(super) fn allows_request(&self, now: Moment, outstanding: u32) -> bool {
+        if now < self.backoff_until || self.is_unresponsive(now) {
             return false;
         }
-        self.strikes == 0 || outstanding == 0
+        self.consecutive_failures == 0 || outstanding == 0
     }
 
-    fn dark(&self, now: Moment) -> bool {
+    fn is_unresponsive(&self, now: Moment) -> bool {
         let Some(oldest) = self.waiting.values().min() else {
             return false;
         };
@@ -72,14 +73,14 @@
     }
 
     fn back_off(&mut self, now: Moment) {
-        let span = MIN_BACKOFF.0 << self.strikes.min(8);
+        let span = MIN_BACKOFF.0 << self.consecutive_failures.min(8);
         self.backoff_until = now.after(Span(span.min(MAX_BACKOFF.0)));
-        self.strikes += 1;
+        self.consecutive_failures += 1;
     }
 
-    fn count(&mut self, failed: bool) {
-        let seen = if failed { 1.0 } else { 0.0 };
-        self.failed += OUTCOME_WEIGHT * (seen - self.failed);
+    fn update_failure_rate(&mut self, failed: bool) {
+        let sample = if failed { 1.0 } else { 0.0 };
+        self.failure_rate += OUTCOME_WEIGHT * (sample - self.failure_rate);
     }
 }
 
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Returns whether this VM received nothing from a replica for
-    /// `UNRESPONSIVE_AFTER`.
+    /// Returns whether this VM received nothing from a replica for longer than
+    /// `UNRESPONSIVE_AFTER`, or does not know the replica.
     pub fn is_silent(&self, now: Moment, name: &ReplicaName) -> bool {
         let r = self.replicas.get(name);
         r.is_none_or(|r| now.since(r.health.last_received) > UNRESPONSIVE_AFTER)
@@ -115,25 +116,27 @@
     /// while their health probe passes, so the responses to callers count, not
     /// the probe. Otherwise a replica that refuses at once would end its runs
     /// sooner than any other, appear least loaded and attract all requests.
-    pub fn record_outcome(&mut self, now: Moment, name: &ReplicaName, end: RunOutcome) {
+    pub fn record_outcome(&mut self, now: Moment, name: &ReplicaName, outcome: RunOutcome) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
         };
-        let h = &mut r.health;
-        match end {
+        let health = &mut r.health;
+        match outcome {
             RunOutcome::Answered => {
-                h.strikes = 0;
-                h.count(false);
+                health.consecutive_failures = 0;
+                health.update_failure_rate(false);
             }
             RunOutcome::Failed => {
-                h.strikes = 0;
-                h.count(true);
+                health.consecutive_failures = 0;
+                health.update_failure_rate(true);
             }
-            RunOutcome::Full => h.backoff_until = h.backoff_until.max(now.after(FULL_BACKOFF)),
-            RunOutcome::Unreached | RunOutcome::Gone => h.back_off(now),
+            RunOutcome::Full => {
+                health.backoff_until = health.backoff_until.max(now.after(FULL_BACKOFF))
+            }
+            RunOutcome::Unreached | RunOutcome::Gone => health.back_off(now),
             RunOutcome::Broken => {
-                h.count(true);
-                h.back_off(now);
+                health.update_failure_rate(true);
+                health.back_off(now);
             }
         }
     }
@@ -145,9 +148,9 @@
         };
         match () {
             () if r.listing.draining => "draining",
-            () if r.health.dark(now) => "dark",
+            () if r.health.is_unresponsive(now) => "dark",
             () if now < r.health.backoff_until => "paused",
-            () if r.health.strikes > 0 => "on trial",
+            () if r.health.consecutive_failures > 0 => "on trial",
             () => "live",
         }
     }
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -109,17 +109,18 @@
     listing: ReplicaInfo,
     /// Hash of its address, by which the homes of adapters are ranked.
     seed: u64,
-    own: Load,
+    /// Load of this VM's own requests.
+    local_load: Load,
     /// Sum of the peers' loads, if this VM owns the replica.
     peer_load: Load,
-    /// Load of the other VMs as reported by the owner, and when that report
-    /// expires; `None` if this VM owns the replica.
+    /// When the owner's report expires, and the load of the other VMs by that
+    /// report; `None` if this VM owns the replica.
     owner_load: Option<(Moment, Load)>,
     /// This VM's load as last reported to the owner.
     reported: Load,
-    /// The owner's last report of what it holds, and when that expires.
+    /// The owner's last report of what the replica holds, preceded by its expiry.
     residency: Option<(Moment, Residency)>,
-    /// Targets that it refused as not loaded, and until when that counts.
+    /// Targets that it refused as not loaded, and until when it is not used for them.
     missing: BTreeMap<Target, Moment>,
     health: Health,
     /// Since when it is missing from the store's list.
@@ -131,7 +132,7 @@
         Self {
             seed: place::address_seed(&listing),
             listing,
-            own: Load::default(),
+            local_load: Load::default(),
             peer_load,
             owner_load: None,
             reported: Load::default(),
@@ -150,8 +151,8 @@
         match (&self.residency, target.adapter.is_some()) {
             // A lost owner orders no more changes there, so its last report
             // stays valid.
-            (Some((_, held)), true) => held.loaded.get(target).copied(),
-            (Some((until, held)), false) if *until > now => held.loaded.get(target).copied(),
+            (Some((_, report)), true) => report.loaded.get(target).copied(),
+            (Some((until, report)), false) if *until > now => report.loaded.get(target).copied(),
             (None, true) => self.listing.adapters.get(target).copied(),
             (_, false) => self.listing.models.contains(&target.model).then_some(0),
         }
@@ -159,16 +160,16 @@
 
     fn is_loading(&self, now: Moment, target: &Target) -> bool {
         let residency = self.residency.as_ref().filter(|(until, _)| *until > now);
-        residency.is_some_and(|(_, held)| held.loading.contains(target))
+        residency.is_some_and(|(_, report)| report.loading.contains(target))
     }
 
-    /// Returns how many targets it is loading by a fresh report of its owner.
+    /// Returns how many targets it is loading, by a fresh report of its owner.
     fn loading_count(&self, now: Moment) -> usize {
         let residency = self.residency.as_ref().filter(|(until, _)| *until > now);
-        residency.map_or(0, |(_, held)| held.loading.len())
+        residency.map_or(0, |(_, report)| report.loading.len())
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         !self.listing.draining
     }
 }
@@ -179,7 +180,7 @@
     zone: ZoneName,
     services: BTreeMap<ServiceName, Service>,
     replicas: BTreeMap<ReplicaName, Replica>,
-    /// Load of each peer by replica, and when that report expires.
+    /// Expiry of each peer's report, and the peer's load by replica.
     peers: BTreeMap<VmName, (Moment, BTreeMap<ReplicaName, Load>)>,
     /// When the first of these reports expires.
     next_expiry: Moment,
@@ -235,16 +236,16 @@
             }
             Some(r) => {
                 // Reports about the previous incarnation do not apply.
-                let counts = self.peers.values_mut();
-                for (_, counts) in counts {
-                    counts.remove(&listing.name);
+                let reports = self.peers.values_mut();
+                for (_, loads) in reports {
+                    loads.remove(&listing.name);
                 }
                 *r = Replica::new(listing, Load::default());
                 true
             }
             None => {
                 let name = listing.name.clone();
-                let peer_load = self.peers.values().filter_map(|(_, c)| c.get(&name));
+                let peer_load = self.peers.values().filter_map(|(_, peer)| peer.get(&name));
                 let peer_load = peer_load.fold(Load::default(), |sum, load| sum.plus(*load));
                 self.replicas.insert(name, Replica::new(listing, peer_load));
                 true
@@ -261,16 +262,16 @@
         if listing.draining {
             return true;
         }
-        let there = self.replicas.get(&listing.name);
-        let Some(there) = there.filter(|r| r.expired_at.is_none()) else {
+        let known = self.replicas.get(&listing.name);
+        let Some(known) = known.filter(|r| r.expired_at.is_none()) else {
             return true;
         };
-        let old = &there.listing;
-        let same = ReplicaInfo {
+        let old = &known.listing;
+        let unchanged = ReplicaInfo {
             adapters: old.adapters.clone(),
             ..listing.clone()
         };
-        *old != same
+        *old != unchanged
     }
 
     /// Records that a replica's entry expired during a store outage; it may
@@ -313,16 +314,16 @@
 
     /// Removes replicas whose entries did not reappear, and returns their names.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<ReplicaName> {
-        let over = |r: &Replica| {
+        let is_overdue = |r: &Replica| {
             r.expired_at
                 .is_some_and(|at| now.since(at) >= EXPIRED_GRACE)
         };
-        let gone = self.replicas.iter().filter(|(_, r)| over(r));
-        let gone: Vec<_> = gone.map(|(name, _)| name.clone()).collect();
-        for name in &gone {
+        let expired = self.replicas.iter().filter(|(_, r)| is_overdue(r));
+        let expired: Vec<_> = expired.map(|(name, _)| name.clone()).collect();
+        for name in &expired {
             self.replicas.remove(name);
         }
-        gone
+        expired
     }
 
     /// Returns a replica's entry in the store, if it is listed.
@@ -369,19 +370,19 @@
         service: &ServiceName,
         target: Option<&Target>,
     ) -> ServiceSummary {
-        let mut seen = ServiceSummary::default();
+        let mut summary = ServiceSummary::default();
         let members = self
             .replicas
             .iter()
             .filter(|(_, r)| r.listing.service == *service);
-        for (name, r) in members.filter(|(_, r)| r.usable()) {
-            seen.listed += 1;
-            seen.live += usize::from(r.health.open(now, r.own.requests));
-            seen.holders += usize::from(target.is_some_and(|t| r.holds(now, t).is_some()));
-            seen.fresh_reports += usize::from(self.has_fresh_residency(now, name));
-            seen.requests += self.load(now, name, r).requests;
+        for (name, r) in members.filter(|(_, r)| r.is_usable()) {
+            summary.listed += 1;
+            summary.live += usize::from(r.health.allows_request(now, r.local_load.requests));
+            summary.holders += usize::from(target.is_some_and(|t| r.holds(now, t).is_some()));
+            summary.fresh_reports += usize::from(self.has_fresh_residency(now, name));
+            summary.requests += self.load(now, name, r).requests;
         }
-        seen
+        summary
     }
 
     /// Returns the model that an empty replica should load: the one of its
@@ -389,11 +390,11 @@
     pub fn least_replicated_model(&self, listing: &ReplicaInfo) -> Option<&ModelName> {
         let service = self.services.get(&listing.service)?;
         let models = service.engine.as_ref()?.models.keys();
-        let holders = |m: &ModelName| {
+        let holder_count = |m: &ModelName| {
             let all = self.replicas.values().map(|r| &r.listing);
             all.filter(|l| l.models.contains(m)).count()
         };
-        models.min_by_key(|m| holders(m))
+        models.min_by_key(|m| holder_count(m))
     }
 
     /// Returns how many engine steps of a service make up one stream event.
@@ -405,11 +406,16 @@
 
     /// Returns how many adapters all replicas are loading, by fresh reports.
     pub fn loading_adapters(&self, now: Moment) -> usize {
-        let books = self.replicas.values().filter_map(|r| r.residency.as_ref());
-        let fresh = books.filter(|(until, _)| *until > now);
-        let adapters =
-            |held: &Residency| held.loading.iter().filter(|t| t.adapter.is_some()).count();
-        fresh.map(|(_, held)| adapters(held)).sum()
+        let reports = self.replicas.values().filter_map(|r| r.residency.as_ref());
+        let valid = reports.filter(|(until, _)| *until > now);
+        let count = |report: &Residency| {
+            report
+                .loading
+                .iter()
+                .filter(|t| t.adapter.is_some())
+                .count()
+        };
+        valid.map(|(_, report)| count(report)).sum()
     }
 
     /// Returns the loads per second that the weight store allows.
@@ -428,31 +434,31 @@
         &mut self,
         now: Moment,
         vm: &VmName,
-        counts: &BTreeMap<ReplicaName, Load>,
+        loads: &BTreeMap<ReplicaName, Load>,
     ) {
-        let expired_at = self.peers.iter().filter(|(_, (until, _))| *until <= now);
-        let expired_at: Vec<_> = expired_at.map(|(vm, _)| vm.clone()).collect();
-        expired_at.iter().for_each(|vm| self.remove_peer(vm));
+        let expired = self.peers.iter().filter(|(_, (until, _))| *until <= now);
+        let expired: Vec<_> = expired.map(|(vm, _)| vm.clone()).collect();
+        expired.iter().for_each(|vm| self.remove_peer(vm));
         self.remove_peer(vm);
-        for (name, load) in counts {
+        for (name, load) in loads {
             if let Some(r) = self.replicas.get_mut(name) {
                 r.peer_load.add(*load);
             }
         }
         let until = now.after(self.report_ttl);
-        self.peers.insert(vm.clone(), (until, counts.clone()));
-        let first = self.peers.values().map(|(until, _)| *until).min();
-        self.next_expiry = first.unwrap_or(Moment(u64::MAX));
+        self.peers.insert(vm.clone(), (until, loads.clone()));
+        let earliest = self.peers.values().map(|(until, _)| *until).min();
+        self.next_expiry = earliest.unwrap_or(Moment(u64::MAX));
     }
 
     /// Updates a peer's load at one replica.
     pub fn apply_peer_load(&mut self, now: Moment, vm: &VmName, name: &ReplicaName, load: Load) {
         let until = now.after(self.report_ttl);
-        let (_, counts) = self
+        let (_, loads) = self
             .peers
             .entry(vm.clone())
             .or_insert((until, BTreeMap::new()));
-        let old = counts.insert(name.clone(), load).unwrap_or_default();
+        let old = loads.insert(name.clone(), load).unwrap_or_default();
         if let Some(r) = self.replicas.get_mut(name) {
             r.peer_load.remove(old);
             r.peer_load.add(load);
@@ -482,15 +488,15 @@
         let Some(r) = self.replicas.get_mut(name) else {
             return Load::default();
         };
-        r.reported = r.own;
-        r.own
+        r.reported = r.local_load;
+        r.local_load
     }
 
     fn remove_peer(&mut self, vm: &VmName) {
-        let Some((_, counts)) = self.peers.remove(vm) else {
+        let Some((_, loads)) = self.peers.remove(vm) else {
             return;
         };
-        for (name, load) in counts {
+        for (name, load) in loads {
             if let Some(r) = self.replicas.get_mut(&name) {
                 r.peer_load.remove(load);
             }
@@ -503,24 +509,24 @@
     fn load(&self, now: Moment, name: &ReplicaName, r: &Replica) -> Load {
         if let Some((until, others)) = r.owner_load {
             return match until > now {
-                true => r.own.plus(others),
-                false => r.own,
+                true => r.local_load.plus(others),
+                false => r.local_load,
             };
         }
         if now < self.next_expiry {
-            return r.own.plus(r.peer_load);
+            return r.local_load.plus(r.peer_load);
         }
-        let fresh = self.peers.values().filter(|(until, _)| *until > now);
-        let counts = fresh.filter_map(|(_, counts)| counts.get(name));
-        counts.fold(r.own, |sum, load| sum.plus(*load))
+        let valid = self.peers.values().filter(|(until, _)| *until > now);
+        let loads = valid.filter_map(|(_, loads)| loads.get(name));
+        loads.fold(r.local_load, |sum, load| sum.plus(*load))
     }
 
     /// Applies the owner's report of what a replica holds.
-    pub fn apply_residency(&mut self, now: Moment, name: &ReplicaName, held: Residency) {
+    pub fn apply_residency(&mut self, now: Moment, name: &ReplicaName, report: Residency) {
         let until = now.after(self.report_ttl);
         if let Some(r) = self.replicas.get_mut(name) {
-            r.missing.retain(|t, _| !held.loaded.contains_key(t));
-            r.residency = Some((until, held));
+            r.missing.retain(|t, _| !report.loaded.contains_key(t));
+            r.residency = Some((until, report));
         }
     }
 
@@ -547,21 +553,21 @@
     /// Counts a request that is sent to a replica.
     pub fn begin_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
-            r.own.add(cost);
+            r.local_load.add(cost);
         }
     }
 
-    /// Records that the prompt of a run was prefilled.
-    pub fn finish_prefill(&mut self, name: &ReplicaName, unread: u64) {
+    /// Records that a prompt of `tokens` tokens was prefilled.
+    pub fn finish_prefill(&mut self, name: &ReplicaName, tokens: u64) {
         if let Some(r) = self.replicas.get_mut(name) {
-            r.own.prefill = r.own.prefill.saturating_sub(unread);
+            r.local_load.prefill = r.local_load.prefill.saturating_sub(tokens);
         }
     }
 
     /// Removes a run that ended, with any outcome.
     pub fn end_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
-            r.own.remove(cost);
+            r.local_load.remove(cost);
         }
     }
 
@@ -575,15 +581,18 @@
     /// Iterates over the replicas whose load by this VM changed since it was
     /// last reported.
     pub fn unreported(&self) -> impl Iterator<Item = &ReplicaName> {
-        let changed = self.replicas.iter().filter(|(_, r)| r.own != r.reported);
+        let changed = self
+            .replicas
+            .iter()
+            .filter(|(_, r)| r.local_load != r.reported);
         changed.map(|(name, _)| name)
     }
 
     /// Iterates over the replicas to report to their owners: those that run
     /// requests of this VM, and those last reported as running some.
     pub fn reportable(&self) -> impl Iterator<Item = &ReplicaName> {
-        let counts = |r: &Replica| r.own.requests + r.reported.requests > 0;
-        let used = self.replicas.iter().filter(move |(_, r)| counts(r));
-        used.map(|(name, _)| name)
+        let is_reportable = |r: &Replica| r.local_load.requests + r.reported.requests > 0;
+        let reportable = self.replicas.iter().filter(move |(_, r)| is_reportable(r));
+        reportable.map(|(name, _)| name)
     }
 }
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -24,9 +24,9 @@
 /// engine step.
 const REQUEST_MS: f64 = 4.0;
 
-/// Cost of each thousand tokens held in milliseconds: they evict cached
+/// Cost of each thousand tokens in the KV cache in milliseconds: they evict cached
 /// prefixes.
-const HELD_MS: f64 = 0.4;
+const KTOKEN_MS: f64 = 0.4;
 
 /// Fraction of an engine's KV cache that is filled: token estimates are inexact,
 /// and an engine that runs out of memory preempts its newest runs.
@@ -73,8 +73,8 @@
 /// Returns whether a copy that saves `saved_ms` milliseconds is still worth
 /// waiting for.
 fn is_worth_waiting(saved_ms: f64, waited: Span) -> bool {
-    let longest = Span::from_millis((saved_ms.max(0.0) * SAVED_FRACTION) as u64);
-    waited < COPY_WAIT || waited < longest
+    let max_wait = Span::from_millis((saved_ms.max(0.0) * SAVED_FRACTION) as u64);
+    waited < COPY_WAIT || waited < max_wait
 }
 
 /// A request to be placed, with its needs.
@@ -129,7 +129,7 @@
     pub fn busy_ms(&self) -> f64 {
         f64::from(self.requests) * REQUEST_MS
             + self.prefill as f64 / PREFILL_TOKENS_PER_MS
-            + self.tokens as f64 / 1e3 * HELD_MS
+            + self.tokens as f64 / 1e3 * KTOKEN_MS
     }
 }
 
@@ -145,104 +145,110 @@
     pub fn place(
         &self,
         now: Moment,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         loadable: impl Fn(&ReplicaName) -> bool,
     ) -> Placement {
-        let mut service = self.replicas.iter();
-        let member = |r: &Replica| r.listing.service == *want.service && r.usable();
-        let members: Vec<_> = service.by_ref().filter(|(_, r)| member(r)).collect();
-        let open = |name: &ReplicaName, r: &Replica| {
-            !want.avoid.contains(name) && r.health.open(now, r.own.requests)
+        let mut replicas = self.replicas.iter();
+        let is_member = |r: &Replica| r.listing.service == *request.service && r.is_usable();
+        let members: Vec<_> = replicas.by_ref().filter(|(_, r)| is_member(r)).collect();
+        let accepts = |name: &ReplicaName, r: &Replica| {
+            !request.avoid.contains(name) && r.health.allows_request(now, r.local_load.requests)
         };
-        let open: Vec<_> = members.iter().filter(|(n, r)| open(n, r)).collect();
-        if open.is_empty() {
+        let available: Vec<_> = members.iter().filter(|(n, r)| accepts(n, r)).collect();
+        if available.is_empty() {
             return Placement::Unavailable;
         }
-        let score = |n: &ReplicaName, r: &Replica| self.score(now, want, n, r);
-        let Some(target) = want.target else {
-            let fit = open.iter().filter(|(n, r)| self.has_room(now, want, n, r));
-            let fit = fit.map(|(n, r)| (score(n, r), *n));
-            let fit = fit.min_by(|a, b| a.0.total_cmp(&b.0));
-            let fit = fit.map(|(_, at)| at.clone());
-            return fit.map_or(Placement::Full, |at| Placement::Send { at, copy: None });
+        let score = |n: &ReplicaName, r: &Replica| self.score(now, request, n, r);
+        let Some(target) = request.target else {
+            let with_room = available
+                .iter()
+                .filter(|(n, r)| self.has_room(now, request, n, r));
+            let scored = with_room.map(|(n, r)| (score(n, r), *n));
+            let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
+            let best = best.map(|(_, at)| at.clone());
+            return best.map_or(Placement::Full, |at| Placement::Send { at, copy: None });
         };
-        let holders = open.iter().filter(|(n, r)| self.serves(now, target, n, r));
+        let holders = available
+            .iter()
+            .filter(|(n, r)| self.serves(now, target, n, r));
         let holders: Vec<_> = holders.collect();
-        let mut fit = holders
+        let mut with_room = holders
             .iter()
-            .filter(|(n, r)| self.has_room(now, want, n, r));
-        let shared = want
+            .filter(|(n, r)| self.has_room(now, request, n, r));
+        let shared = request
             .shared_prefix
             .filter(|_| self.experiment.is_enabled(Mechanism::KeptPrompts));
-        let kept = shared.and_then(|shared| {
-            let first = holders
+        let cached_prefix = shared.and_then(|shared| {
+            let ranked_first = holders
                 .iter()
                 .max_by_key(|(_, r)| prefix_rank(shared, r.seed));
-            first.map(|(name, _)| (*name, f64::from(shared.tokens) / PREFILL_TOKENS_PER_MS))
+            ranked_first.map(|(name, _)| (*name, f64::from(shared.tokens) / PREFILL_TOKENS_PER_MS))
         });
-        let saved = |n: &ReplicaName| match kept {
-            Some((name, saved)) if name == n => saved,
+        let saved_ms = |n: &ReplicaName| match cached_prefix {
+            Some((name, saved_ms)) if name == n => saved_ms,
             _ => 0.0,
         };
-        let fit = fit
+        let scored = with_room
             .by_ref()
             .map(|(n, r)| (score(n, r), *n))
-            .map(|(score, n)| (score - saved(n), score, n));
-        let fit = fit.min_by(|a, b| a.0.total_cmp(&b.0));
-        let fit = fit.map(|(_, score, name)| (score, name.clone()));
+            .map(|(score, n)| (score - saved_ms(n), score, n));
+        let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
+        let best = best.map(|(_, score, name)| (score, name.clone()));
         if target.adapter.is_none() {
-            return fit.map_or(Placement::Full, |(_, at)| Placement::Send {
+            return best.map_or(Placement::Full, |(_, at)| Placement::Send {
                 at,
                 copy: None,
             });
         }
         let base = target.model.target();
-        let roomy = || -> Vec<_> {
-            let roomy = open.iter().filter(|(n, r)| {
-                self.has_room(now, want, n, r)
+        let load_candidates = || -> Vec<_> {
+            let can_load = available.iter().filter(|(n, r)| {
+                self.has_room(now, request, n, r)
                     && !self.serves(now, target, n, r)
                     && r.holds(now, &base).is_some()
                     && loadable(n)
             });
-            roomy.map(|(n, r)| (*n, *r, score(n, r))).collect()
+            can_load.map(|(n, r)| (*n, *r, score(n, r))).collect()
         };
-        let copy_slack = want.objective_ms * COPY_FRACTION;
-        if let Some((held, at)) = fit {
+        let copy_slack = request.objective_ms * COPY_FRACTION;
+        if let Some((best_score, at)) = best {
             // No replica is less busy than an idle one, so the score alone shows
             // that no copy is needed.
-            if held <= copy_slack || !self.experiment.is_enabled(Mechanism::SecondCopies) {
+            if best_score <= copy_slack || !self.experiment.is_enabled(Mechanism::SecondCopies) {
                 return Placement::Send { at, copy: None };
             }
-            let roomy = roomy();
-            let least = roomy.iter().map(|(_, _, score)| *score);
-            let least = least.min_by(f64::total_cmp);
-            let copy = least.filter(|least| held > least + copy_slack);
-            let copy = copy.and_then(|_| self.home(now, want, target, &roomy));
-            let waited = want
+            let candidates = load_candidates();
+            let scores = candidates.iter().map(|(_, _, score)| *score);
+            let min_score = scores.min_by(f64::total_cmp);
+            let copy = min_score.filter(|min_score| best_score > min_score + copy_slack);
+            let copy = copy.and_then(|_| self.home(now, request, target, &candidates));
+            let waited = request
                 .waited
                 .filter(|_| self.experiment.is_enabled(Mechanism::CopyWaits));
-            let wait = waited.zip(least);
-            let wait = wait.is_some_and(|(waited, least)| is_worth_waiting(held - least, waited));
+            let wait = waited.zip(min_score);
+            let wait = wait.is_some_and(|(waited, min_score)| {
+                is_worth_waiting(best_score - min_score, waited)
+            });
             return match copy {
                 Some(at) if wait => Placement::Load { at },
                 copy => Placement::Send { at, copy },
             };
         }
-        let coming = open.iter().find(|(_, r)| r.is_loading(now, target));
-        if let Some((at, _)) = coming {
+        let loading = available.iter().find(|(_, r)| r.is_loading(now, target));
+        if let Some((at, _)) = loading {
             let at = (*at).clone();
             return Placement::Loading { at };
         }
-        match self.home(now, want, target, &roomy()) {
+        match self.home(now, request, target, &load_candidates()) {
             Some(at) => Placement::Load { at },
             None if holders.is_empty() => Placement::Unavailable,
             None => Placement::Full,
         }
     }
 
-    /// Returns whether a run for this target may begin at a replica after the
-    /// prefills queued before it: a run that waits in the queue of a busy engine
-    /// begins on the version that is loaded by then.
+    /// Returns whether a replica holds a target in a version that a run may still
+    /// begin on after the estimated wait in the engine's queue: by then a newer
+    /// version may be required.
     fn serves(&self, now: Moment, target: &Target, name: &ReplicaName, r: &Replica) -> bool {
         let Some(version) = r.holds(now, target) else {
             return false;
@@ -257,37 +263,37 @@
     fn score(
         &self,
         now: Moment,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         name: &ReplicaName,
         r: &Replica,
     ) -> f64 {
         let load = self.load(now, name, r);
         let same_zone =
             r.listing.zone == self.zone || !self.experiment.is_enabled(Mechanism::NearZone);
-        let cross_zone = match same_zone {
+        let cross_zone_ms = match same_zone {
             true => 0.0,
-            false => CROSS_ZONE_MS + CROSS_ZONE_MS_PER_KB * want.body_kb,
+            false => CROSS_ZONE_MS + CROSS_ZONE_MS_PER_KB * request.body_kb,
         };
-        let busy = load.busy_ms();
-        let failing = match self.experiment.is_enabled(Mechanism::FailureWeight) {
-            true => FAILING_MS * r.health.failed,
+        let busy_ms = load.busy_ms();
+        let failing_ms = match self.experiment.is_enabled(Mechanism::FailureWeight) {
+            true => FAILING_MS * r.health.failure_rate,
             false => 0.0,
         };
-        busy + cross_zone + failing
+        busy_ms + cross_zone_ms + failing_ms
     }
 
     /// Returns whether a replica has a free adapter slot, or one whose adapter no
     /// request uses.
     fn is_vacant(&self, now: Moment, name: &ReplicaName, r: &Replica) -> bool {
-        let used = self.load(now, name, r).requests as usize + r.loading_count(now);
-        used < self.engine_slots(&r.listing) as usize
+        let in_use = self.load(now, name, r).requests as usize + r.loading_count(now);
+        in_use < self.engine_slots(&r.listing) as usize
     }
 
     /// Returns whether a replica can begin a request soon.
     fn has_room(
         &self,
         now: Moment,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         name: &ReplicaName,
         r: &Replica,
     ) -> bool {
@@ -296,10 +302,10 @@
         let service = self.services.get(&r.listing.service);
         match service.and_then(|s| s.engine.as_ref()) {
             Some(engine) => {
-                let tokens = (load.tokens + want.cost.tokens) as f64;
-                let first = load.requests == 0;
-                let memory = first || tokens <= engine.kv_tokens as f64 * MEMORY_FRACTION;
-                memory && f64::from(load.requests) < slots
+                let tokens = (load.tokens + request.cost.tokens) as f64;
+                let is_idle = load.requests == 0;
+                let fits_memory = is_idle || tokens <= engine.kv_tokens as f64 * MEMORY_FRACTION;
+                fits_memory && f64::from(load.requests) < slots
             }
             None => f64::from(load.requests) < slots * (1.0 + QUEUE_FACTOR),
         }
@@ -317,28 +323,30 @@
     fn home(
         &self,
         now: Moment,
-        want: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         target: &Target,
         all: &[(&ReplicaName, &Replica, f64)],
     ) -> Option<ReplicaName> {
-        let late = want.waited.is_some_and(|waited| waited >= COPY_WAIT);
+        let waited_long = request.waited.is_some_and(|waited| waited >= COPY_WAIT);
         let vacant = all
             .iter()
-            .filter(|(n, r, _)| late && self.is_vacant(now, n, r));
+            .filter(|(n, r, _)| waited_long && self.is_vacant(now, n, r));
         let vacant: Vec<_> = vacant.copied().collect();
-        let list = match vacant.is_empty() {
+        let candidates = match vacant.is_empty() {
             true => all,
             false => &vacant,
         };
-        let least = list.iter().map(|(_, _, score)| *score);
-        let least = least.min_by(f64::total_cmp)?;
-        let above = match self.experiment.is_enabled(Mechanism::Homes) {
+        let scores = candidates.iter().map(|(_, _, score)| *score);
+        let min_score = scores.min_by(f64::total_cmp)?;
+        let slack_ms = match self.experiment.is_enabled(Mechanism::Homes) {
             true => HOME_SLACK_MS,
             false => 0.0,
         };
-        let fit = list.iter().filter(|(_, _, score)| *score <= least + above);
-        let first = fit.max_by_key(|(_, r, _)| rank(target, r.seed));
-        first.map(|(name, _, _)| (*name).clone())
+        let near_best = candidates
+            .iter()
+            .filter(|(_, _, score)| *score <= min_score + slack_ms);
+        let ranked_first = near_best.max_by_key(|(_, r, _)| rank(target, r.seed));
+        ranked_first.map(|(name, _, _)| (*name).clone())
     }
 }
 
--- a/lib/src/serving/decisions/fleet/versions.rs
+++ b/lib/src/serving/decisions/fleet/versions.rs
@@ -31,14 +31,17 @@
 
 impl Versions {
     /// Records an announcement. Returns whether it is newer than those known.
-    pub fn announce(&mut self, now: Moment, a: &AnnouncedVersion) -> bool {
-        if self.newest(&a.target).is_some_and(|v| v >= a.version) {
+    pub fn announce(&mut self, now: Moment, announced: &AnnouncedVersion) -> bool {
+        if self
+            .newest(&announced.target)
+            .is_some_and(|v| v >= announced.version)
+        {
             return false;
         }
-        let required = self.required(now, &a.target);
-        let versions = self.announced.entry(a.target.clone()).or_default();
+        let required = self.required(now, &announced.target);
+        let versions = self.announced.entry(announced.target.clone()).or_default();
         versions.retain(|v, _| required.is_none_or(|required| *v >= required));
-        versions.insert(a.version, now);
+        versions.insert(announced.version, now);
         true
     }
 
@@ -54,8 +57,8 @@
     pub fn required(&self, now: Moment, target: &Target) -> Option<u32> {
         target.adapter.as_ref()?;
         let mut versions = self.announced.get(target)?.iter().rev();
-        let over = versions.find(|(_, at)| now.since(**at) >= PREVIOUS_SERVES);
-        over.map(|(version, _)| *version)
+        let required = versions.find(|(_, at)| now.since(**at) >= PREVIOUS_SERVES);
+        required.map(|(version, _)| *version)
     }
 }
 
@@ -69,8 +72,8 @@
         target: &Target,
     ) -> Option<u32> {
         let required = self.versions.required(now, target)?;
-        let held = self.replicas.get(replica);
-        let held = held.and_then(|r| r.holds(now, target));
-        Some(required.max(held.unwrap_or_default()))
+        let entry = self.replicas.get(replica);
+        let loaded = entry.and_then(|r| r.holds(now, target));
+        Some(required.max(loaded.unwrap_or_default()))
     }
 }
