--- a/lib/src/serving/decisions/adapter_planner/mod.rs
+++ b/lib/src/serving/decisions/adapter_planner/mod.rs
@@ -39,6 +39,7 @@
 /// all VMs share.
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadRateLimit {
+    /// Minimum interval between two loads.
     interval: Span,
     last: Option<Moment>,
 }
@@ -56,13 +57,13 @@
     }
 
     /// Starts or updates the plan of a replica that this VM owns and that may hold
-    /// `max_adapters` adapters. Its entry in the store gives the initial state,
-    /// its report is authoritative.
+    /// `max_adapters` adapters. The plan begins with the replica's entry in the
+    /// store, and follows the replica's own report once that was read.
     pub fn track(&mut self, now: Moment, listing: &ReplicaInfo, max_adapters: u32) {
         let plan = self.plans.entry(listing.name.clone());
         let plan = plan.or_insert_with(|| ReplicaPlan::new(now, listing));
-        if plan.listed != listing.started_ms {
-            plan.listed = listing.started_ms;
+        if plan.listed_ms != listing.started_ms {
+            plan.listed_ms = listing.started_ms;
             if plan.started_ms != listing.started_ms {
                 *plan = ReplicaPlan::new(now, listing);
             }
@@ -78,7 +79,7 @@
 
     /// Returns the start time of an owned replica.
     pub fn started_ms(&self, name: &ReplicaName) -> Option<u64> {
-        self.plans.get(name).map(|b| b.started_ms)
+        self.plans.get(name).map(|p| p.started_ms)
     }
 
     /// Iterates over the owned replicas.
@@ -120,14 +121,14 @@
 
     /// Returns what a replica holds, to be reported to the other VMs.
     pub fn residency(&self, name: &ReplicaName) -> Option<Residency> {
-        self.plans.get(name).map(ReplicaPlan::held)
+        self.plans.get(name).map(ReplicaPlan::residency)
     }
 
     /// Returns the replicas whose contents changed since the last call.
     pub fn take_changed(&mut self) -> Vec<ReplicaName> {
-        let changed = self.plans.iter_mut().filter(|(_, b)| b.changed);
-        let changed = changed.map(|(name, b)| {
-            b.changed = false;
+        let changed = self.plans.iter_mut().filter(|(_, p)| p.changed);
+        let changed = changed.map(|(name, p)| {
+            p.changed = false;
             name.clone()
         });
         changed.collect()
@@ -135,7 +136,7 @@
 
     /// Returns how many adapters the owned replicas are loading.
     pub fn loading_adapters(&self) -> usize {
-        self.plans.values().map(ReplicaPlan::coming).sum()
+        self.plans.values().map(ReplicaPlan::loading_count).sum()
     }
 
     /// Returns the next action at a replica, if any. The caller passes its outcome
@@ -143,9 +144,9 @@
     /// [`AdapterPlanner::finish_inspection`] before it asks for the next.
     ///
     /// Many requests may need adapters that no replica holds while all slots are
-    /// full. Load requests are served first come, first served, so none starves.
-    /// The idle adapter with the least demand is evicted, but never one with a
-    /// pending load request.
+    /// full. Load requests are served in the order of their arrival, so none
+    /// starves. The idle adapter with the least demand is evicted, but never one
+    /// with a pending load request.
     ///
     /// A restarted replica is empty and loads `model` first.
     pub fn next_action(
@@ -156,12 +157,12 @@
         model: Option<&ModelName>,
     ) -> Option<ReplicaAction> {
         let model_rate = self.model_rate;
-        let fetch = self.in_flight < self.fetch_limiter.capacity();
+        let may_fetch = self.in_flight < self.fetch_limiter.capacity();
         let plan = self.plans.get_mut(name)?;
         if plan.busy {
             return None;
         }
-        let action = plan.next(now, versions, fetch);
+        let action = plan.next_action(now, versions, may_fetch);
         if let Some(ReplicaAction::Load { target, .. }) = &action
             && plan.is_fetch(target)
         {
@@ -169,8 +170,8 @@
         }
         let action = match (action, model, plan.needs_model()) {
             (Some(action), ..) => Some(action),
-            (None, Some(model), true) if plan.weights_near || model_rate.allows(now) => {
-                if !plan.weights_near {
+            (None, Some(model), true) if plan.weights_cached || model_rate.allows(now) => {
+                if !plan.weights_cached {
                     self.model_rate.last = Some(now);
                 }
                 plan.load_model(model)
@@ -200,22 +201,22 @@
     pub fn set_report_delay(&mut self, report_delay: Span) {
         self.plans
             .values_mut()
-            .for_each(|b| b.report_delay = report_delay);
+            .for_each(|p| p.report_delay = report_delay);
     }
 
     /// Returns how many consecutive orders a replica left unanswered.
     pub fn unanswered(&self, name: &ReplicaName) -> u32 {
-        self.plans.get(name).map_or(0, |b| b.unanswered)
+        self.plans.get(name).map_or(0, |p| p.unanswered)
     }
 
-    /// Returns the latest time at which [`AdapterPlanner::next_action`] should be
-    /// called again.
+    /// Returns when [`AdapterPlanner::next_action`] should be called again if
+    /// nothing else happens.
     pub fn next_wake(&self, now: Moment) -> Option<Moment> {
-        let plans = self.plans.values().filter(|b| !b.busy);
-        plans.filter_map(|b| b.next_wake(now)).min()
+        let plans = self.plans.values().filter(|p| !p.busy);
+        plans.filter_map(|p| p.next_wake(now)).min()
     }
 
-    /// Applies a replica's report; `None` if it could not be read.
+    /// Applies a replica's report, or `None` if the report could not be read.
     pub fn finish_inspection(
         &mut self,
         now: Moment,
@@ -238,12 +239,12 @@
         action: &ReplicaAction,
         outcome: OrderOutcome,
     ) -> Option<LoadDuration> {
-        let time = self.fetch_limiter.first_check_delay();
+        let poll_delay = self.fetch_limiter.first_check_delay();
         let plan = self.plans.get_mut(name)?;
         plan.busy = false;
-        let fetched = matches!(action, ReplicaAction::Load { target, .. } if plan.is_cached(target) == Some(false));
-        let duration = plan.apply_outcome(now, action, outcome, time);
-        if let Some(duration) = duration.filter(|_| fetched) {
+        let was_fetch = matches!(action, ReplicaAction::Load { target, .. } if plan.is_cached(target) == Some(false));
+        let duration = plan.apply_outcome(now, action, outcome, poll_delay);
+        if let Some(duration) = duration.filter(|_| was_fetch) {
             self.fetch_limiter.observe(duration, self.in_flight);
         }
         duration
--- a/lib/src/serving/decisions/adapter_planner/replica_plan.rs
+++ b/lib/src/serving/decisions/adapter_planner/replica_plan.rs
@@ -40,7 +40,7 @@
 const REQUEST_TTL: Span = Span::from_millis(700);
 
 /// Delay before the first poll of an adapter that the replica held before: it
-/// loads from the replica's own memory, ten times as fast.
+/// loads from the replica's own memory, ten times as fast as from the weight store.
 const CACHED_POLL: Span = Span::from_millis(25);
 
 /// Interval between polls of an adapter that is still loading.
@@ -87,12 +87,12 @@
 }
 
 impl Loading {
-    /// A load that begins now and is first polled after `time`.
-    fn new(now: Moment, time: Span) -> Self {
+    /// Creates a load that begins now and is first polled after `poll_delay`.
+    fn new(now: Moment, poll_delay: Span) -> Self {
         Self {
             since: now,
             not_loaded_at: now,
-            next_poll: now.after(time),
+            next_poll: now.after(poll_delay),
         }
     }
 
@@ -114,17 +114,18 @@
 #[derive(Debug)]
 struct Use {
     demand: Demand,
+    /// Runs in progress by VM, preceded by the time of the VM's report.
     running: BTreeMap<VmName, (Moment, u32)>,
 }
 
-/// The state and load requests of one owned replica.
+/// The contents and pending load requests of one owned replica.
 #[derive(Debug)]
 pub(super) struct ReplicaPlan {
     pub(super) max_adapters: usize,
     /// Start time of the incarnation that this plan is for.
     pub(super) started_ms: u64,
-    /// Start time in its last entry in the store.
-    pub(super) listed: u64,
+    /// Start time of the replica by its last entry in the store.
+    pub(super) listed_ms: u64,
     /// Number of orders that it has accepted, if known.
     accepted: Option<u64>,
     /// When its report may be read next.
@@ -133,7 +134,9 @@
     uses: BTreeMap<Target, Use>,
     /// Load requests: when first made, and when last renewed.
     requests: BTreeMap<Target, (Moment, Moment)>,
+    /// Whether an action was returned whose outcome is not known yet.
     pub(super) busy: bool,
+    /// Whether its contents changed since they were last reported.
     pub(super) changed: bool,
     /// Consecutive orders without a response.
     pub(super) unanswered: u32,
@@ -141,7 +144,7 @@
     cached: VecDeque<Target>,
     /// Whether the model weights are in the replica's own memory or on its disk,
     /// so that it loads them without the weight store.
-    pub(super) weights_near: bool,
+    pub(super) weights_cached: bool,
     /// Since when this VM owns this incarnation.
     owned_since: Moment,
     /// Maximum delay after which uses by other VMs are known here.
@@ -149,7 +152,7 @@
 }
 
 impl Slot {
-    fn here(version: u32) -> Self {
+    fn loaded(version: u32) -> Self {
         Self {
             version,
             phase: Phase::Loaded,
@@ -159,31 +162,31 @@
 
 impl ReplicaPlan {
     pub(super) fn new(now: Moment, listing: &ReplicaInfo) -> Self {
-        let here = listing.adapters.iter();
-        let here = here.map(|(t, v)| (t.clone(), Slot::here(*v)));
-        let models = listing.models.iter().map(|m| (m.target(), Slot::here(0)));
+        let adapters = listing.adapters.iter();
+        let adapters = adapters.map(|(t, v)| (t.clone(), Slot::loaded(*v)));
+        let models = listing.models.iter().map(|m| (m.target(), Slot::loaded(0)));
         Self {
             max_adapters: 0,
             started_ms: listing.started_ms,
-            listed: listing.started_ms,
+            listed_ms: listing.started_ms,
             accepted: None,
             inspect_from: now,
-            slots: here.chain(models).collect(),
+            slots: adapters.chain(models).collect(),
             uses: BTreeMap::new(),
             requests: BTreeMap::new(),
             busy: false,
             changed: true,
             unanswered: 0,
             cached: VecDeque::new(),
-            weights_near: false,
+            weights_cached: false,
             owned_since: now,
             report_delay: DEFAULT_REPORT_DELAY,
         }
     }
 
     pub(super) fn request_load(&mut self, now: Moment, target: &Target) {
-        let request_load = self.requests.entry(target.clone()).or_insert((now, now));
-        request_load.1 = now;
+        let request = self.requests.entry(target.clone()).or_insert((now, now));
+        request.1 = now;
     }
 
     pub(super) fn record_use(
@@ -202,13 +205,13 @@
         entry.running.insert(vm.clone(), (now, running));
     }
 
-    pub(super) fn held(&self) -> Residency {
-        let here = self.slots.iter().filter(|(_, s)| s.phase == Phase::Loaded);
-        let coming = self.slots.iter();
-        let coming = coming.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
+    pub(super) fn residency(&self) -> Residency {
+        let loaded = self.slots.iter().filter(|(_, s)| s.phase == Phase::Loaded);
+        let loading = self.slots.iter();
+        let loading = loading.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
         Residency {
-            loaded: here.map(|(t, s)| (t.clone(), s.version)).collect(),
-            loading: coming.map(|(t, _)| t.clone()).collect(),
+            loaded: loaded.map(|(t, s)| (t.clone(), s.version)).collect(),
+            loading: loading.map(|(t, _)| t.clone()).collect(),
         }
     }
 
@@ -230,7 +233,7 @@
         self.owned_since = now;
         self.slots.clear();
         self.cached.clear();
-        self.weights_near = false;
+        self.weights_cached = false;
         self.uses.values_mut().for_each(|u| u.running.clear());
     }
 
@@ -242,10 +245,10 @@
         self.uses.entry(target.clone()).or_insert_with(new)
     }
 
-    pub(super) fn coming(&self) -> usize {
+    pub(super) fn loading_count(&self) -> usize {
         let adapters = self.slots.iter().filter(|(t, _)| t.adapter.is_some());
-        let coming = adapters.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
-        coming.count()
+        let loading = adapters.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
+        loading.count()
     }
 
     /// Returns whether it holds no model and is loading none.
@@ -269,7 +272,7 @@
     }
 
     /// Returns how many adapters it holds, loads or unloads.
-    fn adapters(&self) -> usize {
+    fn adapter_count(&self) -> usize {
         self.slots.keys().filter(|t| t.adapter.is_some()).count()
     }
 
@@ -282,14 +285,15 @@
 
     /// Returns whether a load would be a new fetch from the weight store.
     pub(super) fn is_fetch(&self, target: &Target) -> bool {
-        let new = self
+        let not_loading = self
             .slots
             .get(target)
             .is_none_or(|s| s.phase == Phase::Loaded);
-        new && self.is_cached(target) == Some(false)
+        not_loading && self.is_cached(target) == Some(false)
     }
 
-    /// Records an adapter that the replica caches after it is unloaded.
+    /// Records an adapter that the replica will keep in its memory when it is
+    /// unloaded.
     fn record_cached(&mut self, target: &Target) {
         self.cached.retain(|t| t != target);
         self.cached.push_back(target.clone());
@@ -298,13 +302,13 @@
         }
     }
 
-    /// Returns the next action; `fetch` says whether the weight store can serve
+    /// Returns the next action; `may_fetch` says whether the weight store can serve
     /// another fetch.
-    pub(super) fn next(
+    pub(super) fn next_action(
         &mut self,
         now: Moment,
         versions: &Versions,
-        fetch: bool,
+        may_fetch: bool,
     ) -> Option<ReplicaAction> {
         let Some(expected) = self.accepted else {
             return (now >= self.inspect_from).then_some(ReplicaAction::Inspect);
@@ -323,7 +327,7 @@
                 expected,
             }
         };
-        if let Some((target, loading)) = self.overdue(now) {
+        if let Some((target, loading)) = self.due_poll(now) {
             return Some(match loading {
                 true => load(target),
                 false => ReplicaAction::Unload { target, expected },
@@ -340,11 +344,11 @@
         if let Some(target) = self.outdated(versions) {
             return Some(load(target));
         }
-        let target = self.next_request(versions, fetch)?;
-        if self.coming() >= MAX_LOADING {
+        let target = self.next_request(versions, may_fetch)?;
+        if self.loading_count() >= MAX_LOADING {
             return None;
         }
-        if self.adapters() < self.max_adapters {
+        if self.adapter_count() < self.max_adapters {
             return Some(load(target));
         }
         let target = self.eviction_candidate(now)?;
@@ -353,47 +357,47 @@
 
     /// Returns whether a load was accepted longer than `LOAD_TIMEOUT` ago.
     fn has_lost_load(&self, now: Moment) -> bool {
-        let over =
-            |s: &Slot| matches!(s.phase, Phase::Loading(c) if now.since(c.since) > LOAD_TIMEOUT);
-        self.slots.values().any(over)
+        let timed_out = |s: &Slot| matches!(s.phase, Phase::Loading(load) if now.since(load.since) > LOAD_TIMEOUT);
+        self.slots.values().any(timed_out)
     }
 
     /// Returns a target to poll now, and whether it is being loaded.
-    fn overdue(&self, now: Moment) -> Option<(Target, bool)> {
+    fn due_poll(&self, now: Moment) -> Option<(Target, bool)> {
         self.slots.iter().find_map(|(t, s)| match s.phase {
-            Phase::Loading(c) if c.next_poll <= now => Some((t.clone(), true)),
+            Phase::Loading(load) if load.next_poll <= now => Some((t.clone(), true)),
             Phase::Unloading(at) if at <= now => Some((t.clone(), false)),
             _ => None,
         })
     }
 
-    /// Returns an adapter of which a newer version was announced.
+    /// Returns a loaded adapter of which a newer version was announced.
     fn outdated(&self, versions: &Versions) -> Option<Target> {
-        let here = self.adapters_here();
-        let mut old = here.filter(|(t, s)| versions.newest(t).is_some_and(|v| v > s.version));
+        let loaded = self.loaded_adapters();
+        let mut old = loaded.filter(|(t, s)| versions.newest(t).is_some_and(|v| v > s.version));
         old.next().map(|(t, _)| t.clone())
     }
 
-    fn adapters_here(&self) -> impl Iterator<Item = (&Target, &Slot)> {
+    fn loaded_adapters(&self) -> impl Iterator<Item = (&Target, &Slot)> {
         let adapters = self.slots.iter().filter(|(t, _)| t.adapter.is_some());
         adapters.filter(|(_, s)| s.phase == Phase::Loaded)
     }
 
-    fn next_request(&mut self, versions: &Versions, fetch: bool) -> Option<Target> {
+    /// Removes satisfied load requests, and returns the oldest that can be served.
+    fn next_request(&mut self, versions: &Versions, may_fetch: bool) -> Option<Target> {
         let slots = &self.slots;
-        let met = |t: &Target| {
+        let is_satisfied = |t: &Target| {
             let newest = versions.newest(t).unwrap_or(0);
             let slot = slots.get(t);
             slot.is_some_and(|s| s.phase != Phase::Loaded || s.version >= newest)
         };
-        self.requests.retain(|t, _| !met(t));
-        let possible = |t: &Target| {
-            let free = fetch || self.is_cached(t) == Some(true);
-            free && self.has_model(&t.model)
+        self.requests.retain(|t, _| !is_satisfied(t));
+        let can_load = |t: &Target| {
+            let source_ready = may_fetch || self.is_cached(t) == Some(true);
+            source_ready && self.has_model(&t.model)
         };
-        let fit = self.requests.iter().filter(|(t, _)| possible(t));
-        let first = fit.min_by_key(|(_, (since, _))| *since);
-        first.map(|(t, _)| t.clone())
+        let eligible = self.requests.iter().filter(|(t, _)| can_load(t));
+        let oldest = eligible.min_by_key(|(_, (since, _))| *since);
+        oldest.map(|(t, _)| t.clone())
     }
 
     /// Returns the adapter to evict. None that may be in use is evicted, as its
@@ -403,23 +407,27 @@
         if now.since(self.owned_since) < self.report_delay {
             return None;
         }
-        let here = self.adapters_here();
-        let idle = here.filter(|(t, _)| !self.requests.contains_key(*t) && self.idle(now, t));
-        let least = idle.min_by_key(|(t, _)| {
+        let loaded = self.loaded_adapters();
+        let evictable =
+            loaded.filter(|(t, _)| !self.requests.contains_key(*t) && self.is_idle(now, t));
+        let candidate = evictable.min_by_key(|(t, _)| {
             self.uses
                 .get(*t)
                 .map_or(i64::MIN, |u| u.demand.order_key(1))
         });
-        least.map(|(t, _)| t.clone())
+        candidate.map(|(t, _)| t.clone())
     }
 
-    fn idle(&self, now: Moment, target: &Target) -> bool {
+    /// Returns whether no VM reported runs of an adapter recently, and none used it
+    /// within the report delay.
+    fn is_idle(&self, now: Moment, target: &Target) -> bool {
         let Some(uses) = self.uses.get(target) else {
             return true;
         };
-        let kept = Span(self.report_delay.0 * RUNS_TTL_DELAYS);
+        let ttl = Span(self.report_delay.0 * RUNS_TTL_DELAYS);
         let running = uses.running.values();
-        let mut running = running.filter(|(heard, n)| *n > 0 && now.since(*heard) < kept);
+        let mut running =
+            running.filter(|(reported_at, n)| *n > 0 && now.since(*reported_at) < ttl);
         running.next().is_none() && now.since(uses.demand.last_request) >= self.report_delay
     }
 
@@ -428,35 +436,36 @@
             return Some(self.inspect_from);
         }
         let slots = self.slots.values().filter_map(|s| match s.phase {
-            Phase::Loading(c) => Some(c.next_poll),
+            Phase::Loading(load) => Some(load.next_poll),
             Phase::Unloading(at) => Some(at),
             Phase::Loaded => None,
         });
-        let wished = (!self.requests.is_empty()).then(|| now.after(POLL_INTERVAL));
-        slots.chain(wished).min()
+        let requested = (!self.requests.is_empty()).then(|| now.after(POLL_INTERVAL));
+        slots.chain(requested).min()
     }
 
     fn take_report(&mut self, now: Moment, report: &ReplicaReport) {
         let slots = &mut self.slots;
         slots.retain(|t, s| {
-            let told = report.loaded.contains_key(t) || report.loading.contains(t);
+            let reported = report.loaded.contains_key(t) || report.loading.contains(t);
             // A recent order is not in the report yet.
-            let new = matches!(s.phase, Phase::Loading(c) if now.since(c.since) < RESYNC_DELAY);
-            told || new
+            let recent =
+                matches!(s.phase, Phase::Loading(load) if now.since(load.since) < RESYNC_DELAY);
+            reported || recent
         });
         for (t, version) in &report.loaded {
-            let slot = slots.entry(t.clone()).or_insert(Slot::here(*version));
+            let slot = slots.entry(t.clone()).or_insert(Slot::loaded(*version));
             if slot.phase == Phase::Loaded {
                 slot.version = *version;
             }
         }
         for t in &report.loading {
-            let slot = slots.entry(t.clone()).or_insert(Slot::here(0));
+            let slot = slots.entry(t.clone()).or_insert(Slot::loaded(0));
             if slot.phase == Phase::Loaded {
                 slot.phase = Phase::Loading(Loading::new(now, POLL_INTERVAL));
             }
         }
-        self.weights_near = report.weights_cached;
+        self.weights_cached = report.weights_cached;
         self.changed = true;
     }
 
@@ -465,7 +474,7 @@
         now: Moment,
         action: &ReplicaAction,
         outcome: OrderOutcome,
-        time: Span,
+        poll_delay: Span,
     ) -> Option<LoadDuration> {
         if outcome != OrderOutcome::Unknown {
             self.unanswered = 0;
@@ -475,7 +484,7 @@
                 // A poll of an order in progress is not a new order.
                 let in_progress = self.is_in_progress(action);
                 self.accepted = self.accepted.map(|n| n + u64::from(!in_progress));
-                self.apply_accepted(now, action, time);
+                self.apply_accepted(now, action, poll_delay);
                 None
             }
             OrderOutcome::InEffect => self.apply_in_effect(now, action),
@@ -511,25 +520,25 @@
         )
     }
 
-    fn apply_accepted(&mut self, now: Moment, action: &ReplicaAction, time: Span) {
+    fn apply_accepted(&mut self, now: Moment, action: &ReplicaAction, poll_delay: Span) {
         self.changed = true;
         match action {
             ReplicaAction::Load { target, .. } => {
                 // A model takes seconds to load and is polled less often.
-                let (time, again) = match self.is_cached(target) {
+                let (poll_delay, poll_interval) = match self.is_cached(target) {
                     Some(true) => (CACHED_POLL, POLL_INTERVAL),
-                    Some(false) => (time, POLL_INTERVAL),
+                    Some(false) => (poll_delay, POLL_INTERVAL),
                     None => (MODEL_POLL, MODEL_POLL),
                 };
                 let slot = self.slots.entry(target.clone());
-                let slot = slot.or_insert(Slot::here(0));
+                let slot = slot.or_insert(Slot::loaded(0));
                 slot.phase = Phase::Loading(match slot.phase {
-                    Phase::Loading(c) => Loading {
+                    Phase::Loading(load) => Loading {
                         not_loaded_at: now,
-                        next_poll: now.after(again),
-                        ..c
+                        next_poll: now.after(poll_interval),
+                        ..load
                     },
-                    _ => Loading::new(now, time),
+                    _ => Loading::new(now, poll_delay),
                 });
             }
             ReplicaAction::Unload { target, .. } => {
@@ -548,9 +557,9 @@
                 target, version, ..
             } => {
                 self.requests.remove(target);
-                let slot = self.slots.entry(target.clone()).or_insert(Slot::here(0));
+                let slot = self.slots.entry(target.clone()).or_insert(Slot::loaded(0));
                 let duration = match slot.phase {
-                    Phase::Loading(c) => Some(c.duration(now)),
+                    Phase::Loading(load) => Some(load.duration(now)),
                     _ => None,
                 };
                 slot.phase = Phase::Loaded;
--- a/lib/src/serving/decisions/fetch_limiter.rs
+++ b/lib/src/serving/decisions/fetch_limiter.rs
@@ -13,13 +13,13 @@
 const INITIAL_CAPACITY: f64 = 8.0;
 
 /// Initial number of concurrent fetches per engine. Known stores serve from 0.5
-/// to two per engine, and a slower one shows it with the first loads. With 1.0
+/// to two per engine; a slower one is detected by its first loads. With 1.0
 /// instead of 0.5 the net value served rose from 0.684 to 0.698 of the value due
 /// (small deployment, 8 days, processor time not counted).
 const CAPACITY_PER_ENGINE: f64 = 1.0;
 
 /// Bounds of the learned capacity: the lower one lets every owner fetch, the
-/// upper one is that of a large weight store.
+/// upper one is the capacity of a large weight store.
 const CAPACITY_BOUNDS: (f64, f64) = (4.0, 256.0);
 
 /// Ratio to the uncontended duration from which on a fetch counts as slowed
@@ -27,16 +27,16 @@
 const SLOW_RATIO: f64 = 1.3;
 
 /// Weight of one observation in the moving average.
-const WEIGHT: f64 = 0.15;
+const OBSERVATION_WEIGHT: f64 = 0.15;
 
 /// Growth of the uncontended duration with each observation, so that one low
 /// outlier does not persist.
 const UNCONTENDED_GROWTH: f64 = 1.02;
 
 /// Fraction of the expected duration after which a fetch is first polled.
-const FIRST_POLL: f64 = 0.95;
+const FIRST_POLL_FRACTION: f64 = 0.95;
 
-/// Learns the concurrency that the weight store serves at full speed.
+/// Learns how many concurrent fetches the weight store serves at full speed.
 ///
 /// When many rare adapters are requested at once, the store divides its
 /// bandwidth among all fetches in flight, so more of them end later and none
@@ -47,13 +47,17 @@
 /// requested.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchLimiter {
+    /// Duration of a fetch without contention.
     uncontended_us: f64,
+    /// Concurrent fetches that the store serves at full speed.
     capacity: f64,
+    /// Whether a fetch was observed; until then the capacity is estimated.
     learned: bool,
     /// Whether a fetch was ever slowed down by concurrent ones.
     slowed: bool,
-    /// Whether the capacity is learned, and whether it is enforced.
+    /// Whether the capacity is learned; a switch for experiments.
     learns: bool,
+    /// Whether the capacity is enforced; a switch for experiments.
     enforced: bool,
 }
 
@@ -85,37 +89,37 @@
         }
     }
 
-    /// Records the duration of a fetch with `in_flight` fetches in flight. One
-    /// whose end was seen late, because the replica left orders unanswered, may
-    /// or may not have been slow and is ignored.
+    /// Records the duration of a fetch that ended with `in_flight` fetches in
+    /// flight. If the end was detected late, because the replica left orders
+    /// unanswered, the fetch may or may not have been slow and is ignored.
     pub fn observe(&mut self, duration: LoadDuration, in_flight: usize) {
         if !self.learns {
             return;
         }
-        let (least, most) = (duration.min.0 as f64, (duration.max.0 as f64).max(1.0));
-        self.uncontended_us = (self.uncontended_us * UNCONTENDED_GROWTH).min(most);
-        let slowed = self.uncontended_us * SLOW_RATIO;
+        let (min_us, max_us) = (duration.min.0 as f64, (duration.max.0 as f64).max(1.0));
+        self.uncontended_us = (self.uncontended_us * UNCONTENDED_GROWTH).min(max_us);
+        let slow_us = self.uncontended_us * SLOW_RATIO;
         let n = in_flight.max(1) as f64;
-        let seen = match () {
-            () if least > slowed => n * self.uncontended_us / least,
-            // All ran at full speed: a few more may do so, too.
-            () if most <= slowed => self.full_speed(n),
+        let estimate = match () {
+            () if min_us > slow_us => n * self.uncontended_us / min_us,
+            // All fetches ran at full speed, so the store may serve a few more.
+            () if max_us <= slow_us => self.estimate_at_full_speed(n),
             () => return,
         };
         self.learned = true;
-        let first_slow = least > slowed && !self.slowed;
+        let first_slow = min_us > slow_us && !self.slowed;
         self.slowed |= first_slow;
         if first_slow {
-            self.capacity = seen;
+            self.capacity = estimate;
         }
-        let (least, most) = CAPACITY_BOUNDS;
-        self.capacity += WEIGHT * (seen.clamp(least, most) - self.capacity);
+        let (lower, upper) = CAPACITY_BOUNDS;
+        self.capacity += OBSERVATION_WEIGHT * (estimate.clamp(lower, upper) - self.capacity);
     }
 
     /// Estimates the capacity after a fetch at full speed beside `n - 1` others.
-    /// Until the first slow fetch it grows by one with each as long as about half
-    /// of it is used, and so doubles within a few loads.
-    fn full_speed(&mut self, n: f64) -> f64 {
+    /// Until the first slow fetch, each fetch raises the capacity by one if at least
+    /// half of it is in use, so it doubles within a few loads.
+    fn estimate_at_full_speed(&mut self, n: f64) -> f64 {
         if !self.slowed && n * 2.0 >= self.capacity {
             self.capacity += 1.0;
         }
@@ -132,6 +136,6 @@
 
     /// Returns the time after which a fetch is first polled.
     pub fn first_check_delay(&self) -> Span {
-        Span((self.uncontended_us * FIRST_POLL) as u64)
+        Span((self.uncontended_us * FIRST_POLL_FRACTION) as u64)
     }
 }
