--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -46,17 +46,17 @@
 pub struct ConfigAge {
     /// Time since the configuration was confirmed to be the newest.
     pub confirmed: Option<Span>,
-    /// Time since it was the newest as far as this VM can tell.
+    /// Time since it was last the newest one as far as this VM can tell.
     pub estimated: Option<Span>,
 }
 
 /// Time limits within which key changes must take effect.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyBounds {
-    /// For a revoked key, on every VM; `None` if only VMs that can reach the
-    /// store have to enforce it.
+    /// Bound for the rejection of a revoked key on every VM; `None` if only VMs that
+    /// can reach the store have to reject it.
     pub revoke: Option<Span>,
-    /// For a new key to be accepted.
+    /// Bound for the acceptance of a new key.
     pub apply: Span,
 }
 
@@ -92,10 +92,13 @@
     /// assert!(!bounds.may_use_keys(&aged(5_000)));
     /// assert!(!bounds.may_use_keys(&ConfigAge::default()));
     /// ```
-    pub fn may_use_keys(&self, freshness: &ConfigAge) -> bool {
+    pub fn may_use_keys(&self, config_age: &ConfigAge) -> bool {
         let trusted = |revoke: Span| Span((revoke.0 as f64 * TRUSTED_FRACTION) as u64);
-        self.revoke
-            .is_none_or(|revoke| freshness.confirmed.is_some_and(|age| age < trusted(revoke)))
+        self.revoke.is_none_or(|revoke| {
+            config_age
+                .confirmed
+                .is_some_and(|age| age < trusted(revoke))
+        })
     }
 
     /// Returns the organisation that a request belongs to, or `Ok(None)` if it
@@ -109,20 +112,20 @@
         keys: Option<&ApiKeys>,
         public: bool,
         key: Option<&KeyDigest>,
-        freshness: &ConfigAge,
+        config_age: &ConfigAge,
     ) -> Result<Option<Rc<Organisation>>, Denial> {
         let Some(keys) = keys else {
             return Ok(None);
         };
         let holder = key.and_then(|key| keys.holder(key)).cloned();
-        let holds = self.may_use_keys(freshness);
+        let keys_usable = self.may_use_keys(config_age);
         if public {
-            return Ok(holder.filter(|_| holds));
+            return Ok(holder.filter(|_| keys_usable));
         }
-        if !holds {
+        if !keys_usable {
             return Err(Denial::StaleConfig);
         }
-        let recent = freshness.estimated.is_some_and(|age| age <= self.apply);
+        let recent = config_age.estimated.is_some_and(|age| age <= self.apply);
         match holder {
             Some(holder) => Ok(Some(holder)),
             // It may be a new key that has not reached this VM yet.
--- a/lib/src/serving/decisions/crash_tracker.rs
+++ b/lib/src/serving/decisions/crash_tracker.rs
@@ -26,14 +26,14 @@
 struct Crash {
     at: Moment,
     /// Whether this VM saw it itself, as opposed to a report from another VM.
-    own: bool,
+    local: bool,
 }
 
 /// Tracks the requests during whose run an upstream broke.
 ///
 /// A request that crashes every replica that runs it, and is retried through any
-/// VM, takes down a batch of other requests each time. A response clears the
-/// record, so requests that were only running beside the cause are not refused.
+/// VM, takes down the other requests of the batch each time. A response clears the
+/// record, so requests that only ran at the same time as the cause are not refused.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     by_request: BTreeMap<Fingerprint, BTreeMap<Instance, Crash>>,
@@ -44,7 +44,10 @@
     /// that was not known yet.
     pub fn record(&mut self, now: Moment, request: Fingerprint, replica: &Instance) -> bool {
         let crashes = self.crashes(now, request);
-        let crash = Crash { at: now, own: true };
+        let crash = Crash {
+            at: now,
+            local: true,
+        };
         crashes.insert(replica.clone(), crash).is_none()
     }
 
@@ -54,17 +57,18 @@
         let crashes = self.crashes(now, request);
         let crash = Crash {
             at: now,
-            own: false,
+            local: false,
         };
         crashes.entry(replica.clone()).or_insert(crash);
     }
 
+    /// Returns the crashes during this request that have not expired.
     fn crashes(&mut self, now: Moment, request: Fingerprint) -> &mut BTreeMap<Instance, Crash> {
         if self.by_request.len() >= MAX_FINGERPRINTS && !self.by_request.contains_key(&request) {
             self.by_request.pop_first();
         }
         let crashes = self.by_request.entry(request).or_default();
-        crashes.retain(|_, s| now.since(s.at) < CRASH_TTL);
+        crashes.retain(|_, c| now.since(c.at) < CRASH_TTL);
         crashes
     }
 
@@ -84,7 +88,7 @@
         let Some(crashes) = self.by_request.get(&request) else {
             return false;
         };
-        let recent = crashes.iter().filter(|(_, s)| now.since(s.at) < CRASH_TTL);
+        let recent = crashes.iter().filter(|(_, c)| now.since(c.at) < CRASH_TTL);
         recent.filter(|(replica, _)| down(replica)).count() >= MAX_CRASHES
     }
 
@@ -92,10 +96,10 @@
     /// be reported to the other VMs.
     pub fn recent(&self, now: Moment, span: Span) -> Vec<(Fingerprint, Instance)> {
         let all = self.by_request.iter();
-        let all = all.flat_map(|(f, crashes)| crashes.iter().map(move |(r, s)| (*f, r, *s)));
-        let recent = all.filter(|(_, _, s)| s.own && now.since(s.at) < span);
+        let all = all.flat_map(|(f, crashes)| crashes.iter().map(move |(r, c)| (*f, r, *c)));
+        let recent = all.filter(|(_, _, c)| c.local && now.since(c.at) < span);
         let mut recent: Vec<_> = recent.collect();
-        recent.sort_by_key(|(_, _, s)| std::cmp::Reverse(s.at));
+        recent.sort_by_key(|(_, _, c)| std::cmp::Reverse(c.at));
         recent.truncate(MAX_REPORTED);
         recent.into_iter().map(|(f, r, _)| (f, r.clone())).collect()
     }
--- a/lib/src/serving/decisions/prefill_turns.rs
+++ b/lib/src/serving/decisions/prefill_turns.rs
@@ -16,7 +16,7 @@
 const MAX_CONCURRENT_TOKENS: u64 = 6_000;
 
 /// Gap after a prefill, in which the streams of the replica get their next
-/// events: some eight engine steps.
+/// events: about eight engine steps.
 const GAP: Span = Span::from_millis(30);
 
 /// Maximum time that a prompt waits for its turn. After it the prompt is sent
@@ -35,7 +35,7 @@
 pub struct TurnId {
     /// The VM that asks.
     pub vm: VmName,
-    /// The VM's number for the run.
+    /// The run's number, unique within the VM.
     pub number: u64,
 }
 
@@ -51,6 +51,7 @@
 struct ReplicaQueue {
     active: Vec<Turn>,
     waiting: VecDeque<Turn>,
+    /// End of the gap after the last prefill.
     free_from: Moment,
 }
 
@@ -60,7 +61,7 @@
 /// than their callers allow, two in a row for longer; a short gap between two
 /// prompts gives every stream its next event. Turns are granted by the replica's
 /// owner, as load reports are older than a prefill takes; without an owner
-/// prompts are sent as they come.
+/// prompts are sent without turns.
 #[derive(Debug, Default)]
 pub struct PrefillTurns {
     queues: BTreeMap<ReplicaName, ReplicaQueue>,
@@ -96,33 +97,34 @@
         for (name, queue) in &mut self.queues {
             queue.active.retain(|t| t.until > now);
             queue.waiting.retain(|t| t.until > now);
-            while let Some(turn) = queue.next(now) {
+            while let Some(turn) = queue.start_next(now) {
                 grants.push((name.clone(), turn));
             }
         }
         self.queues
-            .retain(|_, d| !d.active.is_empty() || !d.waiting.is_empty() || d.free_from > now);
+            .retain(|_, q| !q.active.is_empty() || !q.waiting.is_empty() || q.free_from > now);
         grants
     }
 
     /// Returns when [`PrefillTurns::take_grants`] should be called again if
     /// nothing else happens.
     pub fn next_wake(&self) -> Option<Moment> {
-        let queues = self.queues.values().filter(|d| !d.waiting.is_empty());
-        let timeout = |d: &ReplicaQueue| d.active.iter().map(|t| t.until).min();
-        queues.map(|d| timeout(d).unwrap_or(d.free_from)).min()
+        let queues = self.queues.values().filter(|q| !q.waiting.is_empty());
+        let timeout = |q: &ReplicaQueue| q.active.iter().map(|t| t.until).min();
+        queues.map(|q| timeout(q).unwrap_or(q.free_from)).min()
     }
 }
 
 impl ReplicaQueue {
-    fn next(&mut self, now: Moment) -> Option<TurnId> {
+    /// Starts the first waiting turn, if it may begin now.
+    fn start_next(&mut self, now: Moment) -> Option<TurnId> {
         let first = self.waiting.front()?;
         let active: u64 = self.active.iter().map(|t| t.tokens).sum();
-        let room = match self.active.is_empty() {
+        let may_start = match self.active.is_empty() {
             true => self.free_from <= now,
             false => active + first.tokens <= MAX_CONCURRENT_TOKENS,
         };
-        if !room {
+        if !may_start {
             return None;
         }
         let mut turn = self.waiting.pop_front()?;
--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -10,7 +10,7 @@
 use crate::serving::decisions::quota::lender::LendRequest;
 use crate::serving::path::types::RateLimit;
 
-/// How long lent tokens may be used; the lender counts them as used at once.
+/// Lifetime of lent tokens; the lender counts them as used when it lends them.
 const LOAN_TTL: Span = Span::from_millis(1_000);
 
 /// Time constant of the moving average of an organisation's use.
@@ -28,17 +28,17 @@
 const EXHAUSTED_TTL: Span = Span::from_millis(100);
 
 /// Fractions of the rate and of the burst that all VMs together may use if no
-/// lender answers. A lender that cannot reach them lends that much less, but
-/// only once it has detected that.
+/// lender answers. A lender that cannot reach them reduces what it lends, but only
+/// after it has detected that.
 const LOCAL_RATE: f64 = 0.5;
 const LOCAL_BURST: f64 = 0.25;
 
-/// Whether a request is covered by borrowed tokens.
+/// Result of taking a request's tokens from those borrowed.
 #[derive(Clone, Copy, Debug)]
 pub enum Spend {
-    /// Enough was borrowed: the request may run.
+    /// The borrowed tokens suffice: the request may run.
     Spent,
-    /// The lender must be asked.
+    /// Too few tokens are borrowed: the lender must be asked.
     Ask(LendRequest),
     /// The lender replied a moment ago that the limit is exhausted; the caller
     /// may retry after this time.
@@ -47,14 +47,16 @@
 
 #[derive(Debug)]
 struct Account {
-    /// Tokens that were lent and are not used, and when they expire.
+    /// Borrowed tokens that are not used yet.
     lent: f64,
-    until: Moment,
+    /// When these tokens expire.
+    expires_at: Moment,
     /// Moving average of the use per second, as of `used_at`.
     rate: f64,
     used_at: Moment,
-    /// The limit is exhausted for requests of at least this weight until this
-    /// time; the span is the retry delay.
+    /// The lender's last reply that the limit is exhausted: the minimum weight of
+    /// the requests that it applies to, until when it is cached, and the retry
+    /// delay.
     exhausted: Option<(f64, Moment, Span)>,
     /// This VM's local share of the limit, for when no lender answers.
     local: Option<Bucket>,
@@ -64,7 +66,7 @@
     fn new(now: Moment) -> Self {
         Self {
             lent: 0.0,
-            until: now,
+            expires_at: now,
             rate: 0.0,
             used_at: now,
             exhausted: None,
@@ -73,12 +75,13 @@
     }
 
     fn record_use(&mut self, now: Moment, weight: f64) {
-        let span = now.since(self.used_at).0 as f64;
-        let kept = (-span / RATE_WINDOW.0 as f64).exp();
-        self.rate = self.rate * kept + weight * 1e6 / RATE_WINDOW.0 as f64;
+        let elapsed_us = now.since(self.used_at).0 as f64;
+        let decay = (-elapsed_us / RATE_WINDOW.0 as f64).exp();
+        self.rate = self.rate * decay + weight * 1e6 / RATE_WINDOW.0 as f64;
         self.used_at = now;
     }
 
+    /// Returns how many tokens to borrow ahead after a request of this weight.
     fn ahead(&self, weight: f64) -> f64 {
         let ahead = self.rate * AHEAD.0 as f64 / 1e6;
         match ahead >= weight * MIN_AHEAD {
@@ -88,7 +91,7 @@
     }
 }
 
-/// Tracks the tokens that this VM was lent of each organisation's limit.
+/// Tracks the tokens that this VM has borrowed of each organisation's limit.
 #[derive(Debug, Default)]
 pub struct Borrower {
     accounts: BTreeMap<OrganisationName, Account>,
@@ -103,7 +106,7 @@
     /// Takes the tokens for a request of this weight, if enough were borrowed.
     pub fn spend(&mut self, now: Moment, name: &OrganisationName, weight: f64) -> Spend {
         let account = self.account(now, name);
-        if account.until <= now {
+        if account.expires_at <= now {
             account.lent = 0.0;
         }
         if account.lent >= weight {
@@ -111,8 +114,8 @@
             account.record_use(now, weight);
             return Spend::Spent;
         }
-        if let Some((least, until, after)) = account.exhausted
-            && weight >= least
+        if let Some((min_weight, until, after)) = account.exhausted
+            && weight >= min_weight
             && now < until
         {
             return Spend::Exhausted(after);
@@ -130,17 +133,17 @@
         now: Moment,
         name: &OrganisationName,
         weight: f64,
-        answer: LendReply,
+        reply: LendReply,
     ) -> bool {
         let account = self.account(now, name);
-        match answer {
+        match reply {
             LendReply::Lent(tokens) => {
-                if account.until <= now {
+                if account.expires_at <= now {
                     account.lent = 0.0;
                 }
                 account.exhausted = None;
                 account.lent += tokens;
-                account.until = now.after(LOAN_TTL);
+                account.expires_at = now.after(LOAN_TTL);
                 // A concurrent request may have used the remaining tokens.
                 if account.lent < weight {
                     return false;
@@ -157,19 +160,19 @@
         }
     }
 
-    /// Returns the tokens of a request that did not run.
+    /// Gives back the tokens of a request that did not run, for use by this VM.
     pub fn refund(&mut self, now: Moment, name: &OrganisationName, weight: f64) {
         let account = self.account(now, name);
-        if account.until <= now {
+        if account.expires_at <= now {
             account.lent = 0.0;
         }
         account.lent += weight;
-        account.until = account.until.max(now.after(LOAN_TTL));
+        account.expires_at = account.expires_at.max(now.after(LOAN_TTL));
     }
 
     /// Takes the tokens for a request from this VM's local share among `vms` VMs,
     /// for when no lender answers. Returns whether the request may run. A lender
-    /// that cannot reach this VM lends that much less.
+    /// that cannot reach this VM reduces what it lends accordingly.
     pub fn spend_local(
         &mut self,
         now: Moment,
@@ -187,7 +190,7 @@
         };
         let local = account.local.get_or_insert(Bucket {
             level: limit.burst * share,
-            at: now,
+            updated_at: now,
         });
         local.fill(now, &limit, share);
         if local.level < weight {
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -17,13 +17,13 @@
     pub window: f64,
     /// Permitted overshoot as a fraction of the limit.
     pub over: f64,
-    /// Permitted overshoot in addition, as a constant amount.
+    /// Additional permitted overshoot, in the unit of the limit.
     pub slack: f64,
 }
 
-/// Fraction of the permitted overshoot that a new lender gives out at once, as
-/// it does not know what its predecessor lent: up to ten changes of the lender
-/// may fall into one window.
+/// Maximum initial level of a new lender's bucket as a fraction of the permitted
+/// overshoot. The lender does not know what its predecessor lent, and several
+/// changes of the lender may fall into one window.
 const START_FRACTION: f64 = 0.1;
 
 /// Fraction of the bucket that is reserved for current requests when a borrower
@@ -31,7 +31,7 @@
 const AHEAD_RESERVE: f64 = 0.5;
 
 /// Maximum queue from which retry delays are computed, in seconds of the limit's
-/// rate: later callers would have left.
+/// rate: callers further back would have left.
 const MAX_QUEUE_S: f64 = 3.0;
 
 /// A borrower's request for tokens.
@@ -53,11 +53,11 @@
 }
 
 /// How long a lender keeps its term without confirming that it is first in the
-/// order of lenders; after that another VM may have lent in its place.
+/// order of lenders; after that another VM may have lent instead.
 const TERM_TTL: Span = Span::from_millis(2_000);
 
 /// How long a new lender and its predecessor may both consider themselves first:
-/// each goes by a slightly outdated view of the live VMs.
+/// each uses its own, slightly outdated view of the live VMs.
 const OVERLAP: Span = Span::from_millis(1_600);
 
 /// Fraction of the rate that is lent during that overlap.
@@ -67,13 +67,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Term {
     since: Moment,
-    last: Moment,
+    /// When it was last confirmed.
+    confirmed_at: Moment,
 }
 
 #[derive(Debug)]
 struct Account {
     bucket: Bucket,
-    /// Tokens that callers with a retry delay will need.
+    /// Tokens needed by the callers that were given a retry delay.
     queued: f64,
     term: Option<Term>,
 }
@@ -83,15 +84,17 @@
         Self {
             bucket: Bucket {
                 level: start,
-                at: now,
+                updated_at: now,
             },
             queued: 0.0,
             term: None,
         }
     }
 
-    /// Advances the bucket to `now`. Returns the fraction of the rate at which it
-    /// is refilled.
+    /// Advances the bucket to `now`, and returns the fraction of the rate at which
+    /// it is refilled. `start` is the level of a new lender, `reachable` the
+    /// fraction of the VMs that can be reached, and `first` whether this VM is
+    /// first in the order of lenders.
     fn advance(
         &mut self,
         now: Moment,
@@ -100,22 +103,25 @@
         reachable: f64,
         first: bool,
     ) -> f64 {
-        let term = self.term.filter(|t| now.since(t.last) < TERM_TTL);
+        let term = self.term.filter(|t| now.since(t.confirmed_at) < TERM_TTL);
         let term = term.filter(|_| first);
         let since = term.map_or(now, |t| t.since);
-        self.term = first.then_some(Term { since, last: now });
+        self.term = first.then_some(Term {
+            since,
+            confirmed_at: now,
+        });
         let fraction = match now.since(since) < OVERLAP {
             true => reachable * OVERLAP_FRACTION,
             false => reachable,
         };
         if term.is_some() {
-            let seconds = now.since(self.bucket.at).0 as f64 / 1e6;
+            let seconds = now.since(self.bucket.updated_at).0 as f64 / 1e6;
             self.queued = (self.queued - seconds * limit.rate * fraction).max(0.0);
             self.bucket.fill(now, limit, fraction);
         } else {
-            // The refill since then belonged to the VM that lent meanwhile.
+            // The refill of this period belongs to the VM that lent in it.
             self.bucket.level = self.bucket.level.min(start);
-            self.bucket.at = now;
+            self.bucket.updated_at = now;
         }
         fraction
     }
@@ -139,9 +145,9 @@
 
     /// Returns the initial level of a new lender's bucket.
     fn start(&self, limit: &RateLimit) -> f64 {
-        let a = &self.overshoot;
-        let beyond = a.over * (limit.rate * a.window + limit.burst) + a.slack;
-        limit.burst.min(beyond * START_FRACTION)
+        let o = &self.overshoot;
+        let permitted = o.over * (limit.rate * o.window + limit.burst) + o.slack;
+        limit.burst.min(permitted * START_FRACTION)
     }
 
     fn account(&mut self, now: Moment, name: &OrganisationName, start: f64) -> &mut Account {
@@ -153,8 +159,8 @@
     ///
     /// `reachable` is the fraction of the VMs that this one can reach: the others may
     /// be partitioned and use their local shares. `first` says whether this VM is
-    /// the lender of the organisation. A VM that stands in for an unresponsive
-    /// lender lends its initial level and no more.
+    /// first in the order of the organisation's lenders. A VM that replaces an
+    /// unresponsive lender lends its initial level and no more.
     pub fn lend(
         &mut self,
         now: Moment,
@@ -162,43 +168,43 @@
         limit: &RateLimit,
         reachable: f64,
         first: bool,
-        ask: LendRequest,
+        request: LendRequest,
     ) -> LendReply {
         let start = self.start(limit);
         let account = self.account(now, name, start);
         let fraction = account.advance(now, limit, start, reachable, first);
         let bucket = &mut account.bucket;
-        if bucket.holds(limit, ask.need) {
-            bucket.level -= ask.need;
+        if bucket.holds(limit, request.need) {
+            bucket.level -= request.need;
             let spare = bucket.level - limit.burst * AHEAD_RESERVE;
-            let ahead = ask.ahead.min(spare).max(0.0);
+            let ahead = request.ahead.min(spare).max(0.0);
             bucket.level -= ahead;
-            return LendReply::Lent(ask.need + ahead);
+            return LendReply::Lent(request.need + ahead);
         }
         let queue = Span((account.queued / limit.rate.max(f64::MIN_POSITIVE) * 1e6) as u64);
-        let wait = Span(bucket.wait(limit, fraction, ask.need).0 + queue.0);
-        let longest = limit.rate * MAX_QUEUE_S;
-        account.queued = (account.queued + ask.need).min(longest);
+        let wait = Span(bucket.wait(limit, fraction, request.need).0 + queue.0);
+        let max_queued = limit.rate * MAX_QUEUE_S;
+        account.queued = (account.queued + request.need).min(max_queued);
         LendReply::Exhausted(wait.min(MAX_RETRY_DELAY))
     }
 
-    /// Renews the terms of the organisations in `kept` and ends all others. A
-    /// term thereby continues even if no VM borrows.
+    /// Renews the terms for the organisations in `limits`, for which this VM is
+    /// first, and ends all others. A term thereby continues even if no VM borrows.
     pub fn renew<'a>(
         &mut self,
         now: Moment,
         reachable: f64,
-        kept: impl Iterator<Item = (&'a OrganisationName, &'a RateLimit)>,
+        limits: impl Iterator<Item = (&'a OrganisationName, &'a RateLimit)>,
     ) {
-        let mut firsts = BTreeSet::new();
-        for (name, limit) in kept {
+        let mut renewed = BTreeSet::new();
+        for (name, limit) in limits {
             let start = self.start(limit);
             let account = self.account(now, name, start);
             account.advance(now, limit, start, reachable, true);
-            firsts.insert(name);
+            renewed.insert(name);
         }
-        let others = self.accounts.iter_mut();
-        let others = others.filter(|(name, _)| !firsts.contains(name));
-        others.for_each(|(_, account)| account.term = None);
+        let ended = self.accounts.iter_mut();
+        let ended = ended.filter(|(name, _)| !renewed.contains(name));
+        ended.for_each(|(_, account)| account.term = None);
     }
 }
--- a/lib/src/serving/decisions/quota/mod.rs
+++ b/lib/src/serving/decisions/quota/mod.rs
@@ -1,9 +1,10 @@
-//! Quotas of organisations over all VMs: token buckets lent out in leases.
+//! Quotas of organisations over all VMs: token buckets whose tokens are lent for a
+//! limited time.
 //!
 //! One VM lends for each organisation: its [`Lender`] holds the bucket. The
-//! [`Borrower`]s of the other VMs request what a request needs, and some more if
-//! requests are frequent, so that most need no remote call. A loan expires by
-//! itself. The sum over all VMs stays within the limit by construction: nothing
+//! [`Borrower`]s of all VMs ask it for the tokens of a request, and for some more if
+//! requests are frequent, so that most requests need no remote call. Unused tokens
+//! expire. The sum over all VMs stays within the limit by construction: nothing
 //! is used that was not taken out of the bucket before.
 //!
 //! An organisation may send several times its limit while VMs are partitioned,
@@ -27,19 +28,21 @@
 /// A token bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
+    /// Tokens in the bucket; below zero after a request larger than the burst.
     level: f64,
-    at: Moment,
+    /// When it was last refilled.
+    updated_at: Moment,
 }
 
 impl Bucket {
     /// Refills the bucket at a fraction of the limit's rate.
     fn fill(&mut self, now: Moment, limit: &RateLimit, fraction: f64) {
-        let seconds = now.since(self.at).0 as f64 / 1e6;
+        let seconds = now.since(self.updated_at).0 as f64 / 1e6;
         // A lowered limit also applies to the tokens already in the bucket.
         self.level = self.level.min(limit.burst);
-        let most = self.level.max(limit.burst * fraction);
-        self.level = (self.level + limit.rate * fraction * seconds).min(most);
-        self.at = self.at.max(now);
+        let max_level = self.level.max(limit.burst * fraction);
+        self.level = (self.level + limit.rate * fraction * seconds).min(max_level);
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// Returns whether a request of this weight may run. One larger than the
@@ -49,8 +52,8 @@
         self.level >= weight.min(limit.burst)
     }
 
-    /// Returns the time until [`Bucket::holds`], refilled at a
-    /// fraction of the rate.
+    /// Returns the time until [`Bucket::holds`] returns true for this weight, if the
+    /// bucket is refilled at a fraction of the limit's rate.
     fn wait(&self, limit: &RateLimit, fraction: f64, weight: f64) -> Span {
         let missing = (weight.min(limit.burst) - self.level).max(0.0);
         let seconds = missing / (limit.rate * fraction).max(f64::MIN_POSITIVE);
--- a/lib/src/serving/decisions/retry.rs
+++ b/lib/src/serving/decisions/retry.rs
@@ -11,12 +11,12 @@
 use crate::serving::decisions::access::Denial;
 use crate::serving::path::codec::NotRun;
 
-/// Maximum sends of one request: the view of the replicas is wrong about at
-/// most a few of them at a time.
+/// Maximum sends of one request: a VM's view of the replicas is outdated for only a
+/// few of them at a time.
 const MAX_SENDS: u32 = 4;
 
 /// `Retry-After` while there is no configuration or no replica: about the time
-/// it takes to renew a watch or to list a replica.
+/// until a watch is renewed or a replica is listed.
 pub const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Reason why an attempt gave no response to pass on.
@@ -93,11 +93,11 @@
     ///
     /// ```
     /// use banyangauge::serving::retry::{AttemptFailure, Attempts};
-    /// let mut t = Attempts { max_runs: 2, ..Attempts::default() };
-    /// t.record(AttemptFailure::NotSent);
-    /// assert!(t.may_retry(AttemptFailure::NotSent));
-    /// t.record(AttemptFailure::Broken);
-    /// assert!(!t.may_retry(AttemptFailure::Broken)); // may have run, and is not idempotent
+    /// let mut attempts = Attempts { max_runs: 2, ..Attempts::default() };
+    /// attempts.record(AttemptFailure::NotSent);
+    /// assert!(attempts.may_retry(AttemptFailure::NotSent));
+    /// attempts.record(AttemptFailure::Broken);
+    /// assert!(!attempts.may_retry(AttemptFailure::Broken)); // may have run, and is not idempotent
     /// ```
     pub fn may_retry(&self, failure: AttemptFailure) -> bool {
         let allowed = self.idempotent || self.runs == 0;
--- a/lib/src/serving/decisions/retry_budget.rs
+++ b/lib/src/serving/decisions/retry_budget.rs
@@ -8,7 +8,7 @@
 /// Slices of the sliding window; the oldest is dropped as a whole.
 const SLICES: usize = 10;
 
-/// Fraction of the allowance that is spent: the windows of VMs are not aligned,
+/// Fraction of the permitted retries that is used: the windows of VMs are not aligned,
 /// and VMs join and leave within a window.
 const USABLE_FRACTION: f64 = 0.8;
 
@@ -25,6 +25,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
+    /// Its start time in slice lengths.
     number: u64,
     first_sends: u32,
     retries: u32,
@@ -62,9 +63,9 @@
         let ratio = self.limits.ratio;
         let oldest = self.number(now).saturating_sub(SLICES as u64 - 1);
         let slices = self.slices.entry(service.clone()).or_default();
-        let live = slices.iter().filter(|s| s.number >= oldest);
+        let recent = slices.iter().filter(|s| s.number >= oldest);
         let (first_sends, retries) =
-            live.fold((0, 0), |(f, r), s| (f + s.first_sends, r + s.retries));
+            recent.fold((0, 0), |(f, r), s| (f + s.first_sends, r + s.retries));
         let allowed = (ratio * f64::from(first_sends) + share) * USABLE_FRACTION;
         if f64::from(retries) + 1.0 > allowed {
             return false;
@@ -73,10 +74,12 @@
         true
     }
 
+    /// Returns the number of the slice that `now` falls into.
     fn number(&self, now: Moment) -> u64 {
         now.0 * SLICES as u64 / self.limits.window_us.max(1)
     }
 
+    /// Returns the current slice of a service; it replaces the oldest one.
     fn slice(&mut self, now: Moment, service: &ServiceName) -> &mut Slice {
         let number = self.number(now);
         let slices = self.slices.entry(service.clone()).or_default();
--- a/lib/src/serving/decisions/stall_detector.rs
+++ b/lib/src/serving/decisions/stall_detector.rs
@@ -6,16 +6,17 @@
 /// Fraction of stalled streams from which on long prompts take turns.
 const STALLED_FRACTION: f64 = 0.05;
 
-/// Minimum engine steps per stream event for which turns help: with fewer, steps
-/// filled entirely by prefill together take less than the gap that callers
-/// allow, and the stall has another cause.
+/// Minimum engine steps per stream event for which turns help. With fewer steps,
+/// even if prefill fills all of them, they take less than the gap that callers
+/// allow, so a stall has another cause.
 const MIN_STEPS: u32 = 5;
 
 /// Weight of one stream in the moving average of stalled streams.
 const STREAM_WEIGHT: f64 = 0.04;
 
-/// How long prompts take turns after stalls were last detected. Turns hide the
-/// stalls, so whether they are still needed is tested only after this time.
+/// How long prompts take turns after stalls were last detected. Turns prevent the
+/// stalls that would show that they are needed, so they end after this time and
+/// begin again with the next stalls.
 const ACTIVE_FOR: Span = Span::from_millis(120_000);
 
 /// Decides from the gaps in streams whether long prompts take turns.
@@ -26,8 +27,10 @@
 /// themselves.
 #[derive(Debug, Default)]
 pub struct StallDetector {
-    stalled: f64,
-    until: Option<Moment>,
+    /// Moving average of the fraction of streams that stalled.
+    stalled_fraction: f64,
+    /// Until when long prompts take turns.
+    active_until: Option<Moment>,
 }
 
 impl StallDetector {
@@ -37,26 +40,26 @@
         if steps < MIN_STEPS {
             return false;
         }
-        let seen = if stalled { 1.0 } else { 0.0 };
-        self.stalled += STREAM_WEIGHT * (seen - self.stalled);
-        if self.stalled < STALLED_FRACTION {
+        let sample = if stalled { 1.0 } else { 0.0 };
+        self.stalled_fraction += STREAM_WEIGHT * (sample - self.stalled_fraction);
+        if self.stalled_fraction < STALLED_FRACTION {
             return false;
         }
-        let before = self.is_active(now);
-        self.stalled = 0.0;
-        self.until = Some(now.after(ACTIVE_FOR));
-        !before
+        let was_active = self.is_active(now);
+        self.stalled_fraction = 0.0;
+        self.active_until = Some(now.after(ACTIVE_FOR));
+        !was_active
     }
 
-    /// Applies the remaining time of another VM, which detected stalls.
-    pub fn extend(&mut self, now: Moment, left: Span) {
-        let until = now.after(left);
-        self.until = Some(self.until.map_or(until, |u| u.max(until)));
+    /// Extends the turns to the remaining time that another VM reported.
+    pub fn extend(&mut self, now: Moment, remaining: Span) {
+        let until = now.after(remaining);
+        self.active_until = Some(self.active_until.map_or(until, |u| u.max(until)));
     }
 
     /// Returns how long prompts still take turns.
     pub fn remaining(&self, now: Moment) -> Span {
-        self.until.map_or(Span(0), |until| until.since(now))
+        self.active_until.map_or(Span(0), |until| until.since(now))
     }
 
     /// Returns whether prompts take turns now.
