--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -90,7 +90,7 @@
     pub(in crate::serving) stall_detector: StallDetector,
     pub(in crate::serving) turns: PrefillTurns,
     pub(in crate::serving) local_uses: BTreeMap<ReplicaName, BTreeMap<Target, LocalUse>>,
-    /// Places at our replicas that were granted recently.
+    /// Reservations of capacity at our replicas.
     pub(in crate::serving) reservations: Reservations,
     /// Leaving replicas to announce to the other VMs.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -35,8 +35,8 @@
 /// The minimum interval between two beacons that carry changes.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(30);
 
-/// How long a strike is repeated in beacons, to make up for lost datagrams.
-const STRIKE_TTL: Span = Span::from_millis(5_000);
+/// How long a crash is repeated in beacons, to make up for lost datagrams.
+const CRASH_REPORT_TTL: Span = Span::from_millis(5_000);
 
 /// The largest datagram accepted.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
@@ -79,8 +79,8 @@
         for name in state.planner.take_changed() {
             state.subscriptions.record_change(now, &name);
             // Also apply it here.
-            if let Some(held) = state.planner.residency(&name) {
-                state.fleet.apply_residency(now, &name, held);
+            if let Some(residency) = state.planner.residency(&name) {
+                state.fleet.apply_residency(now, &name, residency);
             }
         }
         for (vm, names) in state.subscriptions.take_pending() {
@@ -148,8 +148,8 @@
         .filter_map(|n| encode_residency(state, now, n))
         .collect();
     for name in &names {
-        if let Some(held) = state.planner.residency(name) {
-            state.fleet.apply_residency(now, name, held);
+        if let Some(residency) = state.planner.residency(name) {
+            state.fleet.apply_residency(now, name, residency);
         }
     }
     let owned = state.ownership.owned();
@@ -157,8 +157,8 @@
         .filter_map(|n| load_reports::total_load(state, now, n))
         .collect();
     beacon.store = follow::outgoing_updates(node, state, now);
-    let strikes = state.crash_tracker.recent(now, STRIKE_TTL);
-    beacon.strikes = strikes
+    let crashes = state.crash_tracker.recent(now, CRASH_REPORT_TTL);
+    beacon.strikes = crashes
         .iter()
         .map(|(f, replica)| wire::StrikeNote {
             fingerprint: f.0,
@@ -214,12 +214,12 @@
     now: Moment,
     name: &ReplicaName,
 ) -> Option<wire::ReplicaBook> {
-    let held = state.planner.residency(name)?;
+    let residency = state.planner.residency(name)?;
     let token = state.ownership.token(now, name)?;
-    let here = held.loaded.iter().map(|(t, v)| (t, *v, false));
-    let coming = held.loading.iter().map(|t| (t, 0, true));
-    let slots = here
-        .chain(coming)
+    let loaded = residency.loaded.iter().map(|(t, v)| (t, *v, false));
+    let loading = residency.loading.iter().map(|t| (t, 0, true));
+    let slots = loaded
+        .chain(loading)
         .map(|(t, version, coming)| wire::AdapterSlot {
             target: t.to_string(),
             version,
@@ -370,21 +370,21 @@
     {
         return;
     }
-    let mut held = Residency::default();
+    let mut residency = Residency::default();
     for slot in &book.slots {
         let Some(target) = Target::parse(&slot.target) else {
             continue;
         };
         match slot.coming {
             true => {
-                held.loading.insert(target);
+                residency.loading.insert(target);
             }
             false => {
-                held.loaded.insert(target, slot.version);
+                residency.loaded.insert(target, slot.version);
             }
         }
     }
-    state.fleet.apply_residency(now, &name, held);
+    state.fleet.apply_residency(now, &name, residency);
 }
 
 /// Requests a load of an adapter from the owner of a replica.
@@ -430,8 +430,8 @@
     if !state.planner.request_load(now, &name, &target) {
         return;
     }
-    let held = state.planner.residency(&name).unwrap_or_default();
-    let known = held.loaded.contains_key(&target) || held.loading.contains(&target);
+    let residency = state.planner.residency(&name).unwrap_or_default();
+    let known = residency.loaded.contains_key(&target) || residency.loading.contains(&target);
     if node.settings.experiment.is_enabled(Mechanism::LoadNews) {
         state.subscriptions.subscribe(now, &vm, &name, known);
     }
