--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -51,13 +51,13 @@
     call: Arc<Call>,
     room: OwnedSemaphorePermit,
 ) -> Result<Response<AnswerBody>, CallerError> {
-    let mut tries = Attempts {
-        retries: state.settings.limits.retries,
+    let mut attempts = Attempts {
+        max_retries: state.settings.limits.retries,
         idempotent: call.idempotent,
         ..Attempts::default()
     };
     loop {
-        let hold = acquire(&state, &call, &tries).await?;
+        let hold = acquire(&state, &call, &attempts).await?;
         let replica = hold.grant.replica.clone();
         note(&state, EventKind::Granted, &call, &replica, String::new);
         let failure = match attempt(&state, &call, hold).await {
@@ -69,14 +69,14 @@
             }
             Err(failure) => failure,
         };
-        match retry::after_failure(&failure, &tries) {
+        match retry::after_failure(&failure, &attempts) {
             RetryDecision::GiveUp(e) => return Err(e),
             RetryDecision::Retry => {
                 let why = || retry::describe(&failure);
                 note(&state, EventKind::Retried, &call, &replica, why);
-                tries.ran |= retry::may_have_run(&failure);
-                tries.attempt += 1;
-                tries.avoid.push(replica);
+                attempts.may_have_run |= retry::may_have_run(&failure);
+                attempts.failed += 1;
+                attempts.failed_replicas.push(replica);
             }
         }
     }
@@ -112,12 +112,12 @@
 async fn acquire(
     state: &State,
     call: &Call,
-    tries: &Attempts,
+    attempts: &Attempts,
 ) -> Result<Box<HeldGrant>, CallerError> {
     let session = state.session(&call.pool);
     let last = call.deadline.saturating_sub(ASK_AGAIN.as_micros() as u64);
     let error = loop {
-        match session.acquire(ask(call, tries), call.deadline).await {
+        match session.acquire(ask(call, attempts), call.deadline).await {
             Ok(hold) => return Ok(hold),
             Err(NoGrant::Refused(refusal)) => {
                 let error = retry::refusal_error(&refusal);
@@ -130,10 +130,10 @@
             Err(NoGrant::NoOwner) => break retry::no_owner_error(),
         }
     };
-    Err(retry::truthful(error, tries.ran))
+    Err(retry::account_for_earlier_run(error, attempts.may_have_run))
 }
 
-fn ask(call: &Call, tries: &Attempts) -> wire::Acquire {
+fn ask(call: &Call, attempts: &Attempts) -> wire::Acquire {
     let (prompt_tokens, max_tokens, prefix) = match &call.content {
         Content::Completion(c) => (c.prompt_tokens, c.max_tokens, c.prefix),
         Content::Plain { .. } => (0, 0, 0),
@@ -158,8 +158,8 @@
         fingerprint: call.fingerprint.0,
         // What may run only once is tried again only when no try ran: it is no
         // second run in the owner's count.
-        attempt: if call.idempotent { tries.attempt } else { 0 },
-        avoid: tries.avoid.clone(),
+        attempt: if call.idempotent { attempts.failed } else { 0 },
+        avoid: attempts.failed_replicas.clone(),
         claim: call.claim.clone(),
     }
 }
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -1,10 +1,10 @@
-//! What follows a failed try: another one, or the answer to the caller.
+//! Decides what follows a failed attempt: a retry, or the error for the caller.
 //!
-//! Load: upstreams that break, fill up or leave under many requests at once.
-//! Harm prevented: a second run of what may run once, retries that multiply an
-//! overload, and a "not run" that is not true. Plain functions; the number of
-//! tries is bounded here, their share of all requests by the owner of the
-//! pool, which sees them all.
+//! Upstreams may break, fill up or shut down under many requests at once. A
+//! request that is not idempotent must not run twice, retries must not amplify
+//! an overload, and an error must not claim "not run" if the request may have
+//! run. These functions bound the attempts of one request; the owner of the
+//! pool, which sees all requests, bounds the share of retries among them.
 
 use banyangauge_proto as wire;
 
@@ -14,48 +14,48 @@
 use crate::upstream::RunError;
 use crate::upstream::Unready;
 
-/// When to come back after a refusal for which nobody named a time: about the
-/// time in which a pool finds a new owner or a replica is replaced.
-const COME_BACK_MS: u64 = 1_000;
+/// Default `Retry-After` of a refusal without one: about the time in which a
+/// pool gets a new owner or a replica is replaced.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// Why a try ended without an answer.
+/// Reason why an attempt ended without a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// The grant was of no use; nothing was sent.
+    /// The grant was invalid; nothing was sent.
     InvalidGrant(&'static str),
-    /// The upstream failed.
+    /// The dispatch to the upstream failed.
     Run(RunError),
-    /// The deadline passed while it ran.
+    /// The deadline passed while the request ran.
     Deadline,
-    /// The grant lapsed while it ran: the owner may evict the adapter.
+    /// The grant expired while the request ran; the owner may evict the adapter.
     GrantExpired,
 }
 
-/// What has been tried.
+/// Attempts of one request so far.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
-    /// Failed tries so far.
-    pub attempt: u32,
-    /// Tries after the first at the most.
-    pub retries: u32,
+    /// Failed attempts.
+    pub failed: u32,
+    /// Maximum attempts after the first.
+    pub max_retries: u32,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether an earlier try may have run.
-    pub ran: bool,
-    /// Replicas that failed it.
-    pub avoid: Vec<String>,
+    /// Whether the request may have run in one of the failed attempts.
+    pub may_have_run: bool,
+    /// Replicas on which an attempt failed.
+    pub failed_replicas: Vec<String>,
 }
 
-/// What follows.
+/// What follows a failed attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Ask the owner for another replica.
+    /// Request a grant for another replica.
     Retry,
-    /// Tell the caller.
+    /// Return this error to the caller.
     GiveUp(CallerError),
 }
 
-/// Whether the request may have run in a try that failed so.
+/// Returns whether the request may have run in an attempt with this failure.
 pub fn may_have_run(failure: &Failure) -> bool {
     match failure {
         Failure::InvalidGrant(_) => false,
@@ -67,14 +67,14 @@
     }
 }
 
-/// What the owner is told of a try that failed so.
+/// Returns the outcome that the owner is sent for this failure.
 pub fn outcome(failure: &Failure) -> Outcome {
     match failure {
         Failure::InvalidGrant(_) => Outcome::NotRun,
         Failure::Deadline | Failure::GrantExpired => Outcome::Cancelled,
         Failure::Run(e) => match e {
-            // Never reached is not run, and no sign that the request crashes
-            // its upstream.
+            // The request was not run, so it is not counted as a possible crash
+            // of its upstream either.
             RunError::NotSent(_) | RunError::Unready(_) | RunError::Rejected(..) => Outcome::NotRun,
             RunError::BrokenEarly(_) => Outcome::BrokenEarly,
             RunError::BrokenLate(_) => Outcome::BrokenLate,
@@ -83,7 +83,7 @@
     }
 }
 
-/// The incarnation that a wrong answer told, for the owner; 0 is none.
+/// Returns the incarnation named by a response of wrong identity; 0 if none.
 pub fn seen_incarnation(failure: &Failure) -> u64 {
     match failure {
         Failure::Run(RunError::WrongIdentity { seen, .. }) => *seen,
@@ -91,81 +91,97 @@
     }
 }
 
-/// What follows a failure before the caller has got a byte; `tries` counts
-/// the tries before this one.
+/// Decides what follows a failure before the first byte of a response was sent
+/// to the caller; `attempts` covers the attempts before this one.
 ///
 /// ```
-/// use banyangauge::entry::retry::{Failure, RetryDecision, Attempts, after_failure};
+/// use banyangauge::entry::retry::{Attempts, Failure, RetryDecision, after_failure};
 /// use banyangauge::upstream::RunError;
 /// let broken = Failure::Run(RunError::BrokenEarly("reset".into()));
-/// let mut t = Attempts { retries: 3, idempotent: true, ..Attempts::default() };
+/// let mut t = Attempts { max_retries: 3, idempotent: true, ..Attempts::default() };
 /// assert_eq!(after_failure(&broken, &t), RetryDecision::Retry);
 /// t.idempotent = false;
 /// assert!(matches!(after_failure(&broken, &t), RetryDecision::GiveUp(_)));
 /// ```
-pub fn after_failure(failure: &Failure, tries: &Attempts) -> RetryDecision {
+pub fn after_failure(failure: &Failure, attempts: &Attempts) -> RetryDecision {
     let ran = may_have_run(failure);
-    let allowed = !ran || tries.idempotent;
-    let again = match failure {
+    let allowed = !ran || attempts.idempotent;
+    let retry = match failure {
         Failure::Deadline => false,
         Failure::Run(RunError::Rejected(..)) => false,
-        _ => allowed && tries.attempt < tries.retries,
+        _ => allowed && attempts.failed < attempts.max_retries,
     };
-    match again {
+    match retry {
         true => RetryDecision::Retry,
-        false => RetryDecision::GiveUp(truthful(give_up(failure), ran || tries.ran)),
+        false => RetryDecision::GiveUp(account_for_earlier_run(
+            error_for(failure),
+            ran || attempts.may_have_run,
+        )),
     }
 }
 
-fn give_up(failure: &Failure) -> CallerError {
+fn error_for(failure: &Failure) -> CallerError {
     let text = describe(failure);
     match failure {
         Failure::InvalidGrant(_) => {
-            CallerError::new(Code::NoReplica, text).with_retry_after(COME_BACK_MS)
+            CallerError::new(Code::NoReplica, text).with_retry_after(RETRY_DELAY_MS)
         }
         Failure::Deadline => CallerError::new(Code::Overdue, text),
         Failure::GrantExpired => CallerError::new(Code::OutcomeUnknown, text),
         Failure::Run(e) => match e {
             RunError::Rejected(..) => CallerError::new(Code::BadRequest, text),
             RunError::Unready(Unready::Full) => {
-                CallerError::new(Code::QueueFull, text).with_retry_after(COME_BACK_MS)
+                CallerError::new(Code::QueueFull, text).with_retry_after(RETRY_DELAY_MS)
             }
             RunError::Unready(_) | RunError::NotSent(_) => {
-                CallerError::new(Code::NoReplica, text).with_retry_after(COME_BACK_MS)
+                CallerError::new(Code::NoReplica, text).with_retry_after(RETRY_DELAY_MS)
             }
             _ => CallerError::new(Code::OutcomeUnknown, text),
         },
     }
 }
 
-/// A failure in words for the caller and the time line.
+/// Describes a failure for the caller and the time line.
 pub fn describe(failure: &Failure) -> String {
     match failure {
-        Failure::InvalidGrant(m) => format!("a grant was of no use: {m}"),
+        Failure::InvalidGrant(m) => format!("invalid grant: {m}"),
         Failure::Run(e) => e.to_string(),
-        Failure::Deadline => "the deadline passed while it ran".to_owned(),
-        Failure::GrantExpired => "its grant lapsed while it ran".to_owned(),
+        Failure::Deadline => "the deadline passed while the request ran".to_owned(),
+        Failure::GrantExpired => "the grant expired while the request ran".to_owned(),
     }
 }
 
-/// "Not run" must be true of all tries, not only of the last.
-pub fn truthful(error: CallerError, ran: bool) -> CallerError {
+/// Turns "not run" into "outcome unknown" if the request may have run in an
+/// earlier attempt.
+pub fn account_for_earlier_run(error: CallerError, ran: bool) -> CallerError {
     match ran && error.code.ran() == super::Ran::NotRun {
         true => CallerError {
             code: Code::OutcomeUnknown,
-            message: format!("an earlier try may have run; then: {}", error.message),
+            message: format!(
+                "the request may have run in an earlier attempt; the last one failed: {}",
+                error.message
+            ),
             retry_after_ms: None,
         },
         false => error,
     }
 }
 
-/// The answer to a caller whose request the owner refused.
+/// Returns the error for a request that the owner refused.
 pub fn refusal_error(refusal: &wire::Refusal) -> CallerError {
     let claim = match refusal.claim_state.as_str() {
-        "running" => Some((Code::ClaimRunning, "the call with this key still runs")),
-        "answered" => Some((Code::ClaimAnswered, "the call with this key was answered")),
-        "unknown" => Some((Code::ClaimUnknown, "nobody knows whether it ran")),
+        "running" => Some((
+            Code::ClaimRunning,
+            "the call with this idempotency key is still running",
+        )),
+        "answered" => Some((
+            Code::ClaimAnswered,
+            "the call with this idempotency key was already answered",
+        )),
+        "unknown" => Some((
+            Code::ClaimUnknown,
+            "the outcome of the call with this idempotency key is unknown",
+        )),
         _ => None,
     };
     if let Some((code, text)) = claim {
@@ -173,33 +189,37 @@
     }
     let (code, text) = match refusal.reason.as_str() {
         "deadline" => (Code::Deadline, "the deadline cannot be met"),
-        "queue_full" => (Code::QueueFull, "the queue is full"),
-        "no_replica" => (Code::NoReplica, "no replica takes work"),
+        "queue_full" => (Code::QueueFull, "the pool's queue is full"),
+        "no_replica" => (Code::NoReplica, "no replica of the pool accepts requests"),
         "load_failed" => (Code::LoadFailed, "the adapter could not be loaded"),
-        "convicted" => (Code::Convicted, "this request crashes its upstream"),
-        "retry_budget" => (Code::RetryBudget, "the retry budget is spent"),
-        "platform_down" => (Code::PlatformDown, "the platform is down"),
-        // A reason that this version does not know is no less a refusal.
+        "convicted" => (
+            Code::Convicted,
+            "the request is blocked because it crashes its upstream",
+        ),
+        "retry_budget" => (Code::RetryBudget, "the pool's retry budget is exhausted"),
+        "platform_down" => (Code::PlatformDown, "the platform is unavailable"),
+        // Reasons added by a later version count as a refusal that may be retried.
         _ => (Code::Draining, "the owner of the pool is stopping"),
     };
     let ms = match refusal.retry_after_ms {
-        0 => COME_BACK_MS,
+        0 => RETRY_DELAY_MS,
         ms => ms,
     };
     match code {
-        // Coming back soon with the same request mends nothing.
+        // A retry of a blocked request would be refused again.
         Code::Convicted if refusal.retry_after_ms == 0 => CallerError::new(code, text),
         _ => CallerError::new(code, text).with_retry_after(ms),
     }
 }
 
-/// The answer to a caller whose deadline passed before a grant came.
+/// Returns the error for a deadline that passed before a grant came.
 pub fn deadline_error() -> CallerError {
     CallerError::new(Code::Deadline, "the deadline passed before dispatch")
-        .with_retry_after(COME_BACK_MS)
+        .with_retry_after(RETRY_DELAY_MS)
 }
 
-/// The answer to a caller whose pool has no owner that can be reached.
+/// Returns the error for a pool without a reachable owner.
 pub fn no_owner_error() -> CallerError {
-    CallerError::new(Code::NoOwner, "the pool has no owner now").with_retry_after(COME_BACK_MS)
+    CallerError::new(Code::NoOwner, "the pool has no reachable owner")
+        .with_retry_after(RETRY_DELAY_MS)
 }
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -124,8 +124,8 @@
         let request = acquire.request;
         let waiting = Box::new(PendingAcquire {
             acquire,
-            deadline,
-            sent: now_us(),
+            deadline_us: deadline,
+            sent_us: now_us(),
             reply,
         });
         self.commands
--- a/lib/src/entry/session_state.rs
+++ b/lib/src/entry/session_state.rs
@@ -1,8 +1,8 @@
-//! What one session with a pool's owner knows: requests that wait for a
-//! grant, grants in use, and which of them are confirmed until when.
+//! State of the session with a pool's owner: requests that wait for a grant,
+//! grants in use, and until when the owner has confirmed each grant.
 //!
-//! Plain state with time as an argument; [`super::session`] does the input
-//! and output.
+//! This module does no I/O and takes the time as an argument;
+//! [`super::session`] drives it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,67 +18,68 @@
 use super::held_grant::HeldGrant;
 use super::held_grant::Lease;
 
-/// Renewals that may be unanswered before the owner counts as gone: at one a
-/// second, shorter than any useful lifetime of a grant.
-const MOST_UNANSWERED: usize = 4;
+/// Unanswered renewals after which the owner counts as unreachable: at one per
+/// second, this is shorter than any useful lifetime of a grant.
+const MAX_UNANSWERED_RENEWALS: usize = 4;
 
-/// What a request gets from the owner.
+/// The owner's reply to a request for a grant.
 pub enum Reply {
-    /// Leave to dispatch.
+    /// The request may be dispatched.
     Granted(Box<HeldGrant>),
-    /// It may not run.
+    /// The request must not be dispatched.
     Refused(wire::Refusal),
 }
 
 /// A request that waits for a grant.
 pub struct PendingAcquire {
-    /// What it asks for; its deadline is set at each sending.
+    /// The message to the owner; its deadline is updated each time it is sent.
     pub acquire: wire::Acquire,
-    /// When its caller gives up, in microseconds.
-    pub deadline: u64,
-    /// When it was last sent to the owner, in microseconds.
-    pub sent: u64,
-    /// Where the reply goes.
+    /// Deadline of the request, in microseconds of the entry's clock.
+    pub deadline_us: u64,
+    /// Time at which `acquire` was last sent, in microseconds.
+    pub sent_us: u64,
+    /// Receives the owner's reply.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What requests tell their session.
+/// Commands of requests to their session.
 pub enum Command {
-    /// Ask for a grant.
+    /// Request a grant.
     Acquire(Box<PendingAcquire>),
-    /// The request with this number no longer waits.
+    /// Cancel the pending acquire of the request with this number.
     Abandon(u64),
-    /// A dispatch ended.
+    /// Release a grant.
     Release(wire::Release),
 }
 
 struct GrantEntry {
     grant: wire::Grant,
     lease: Arc<Lease>,
-    /// Not handed out until the owner confirms it.
+    /// Set until the grant is handed out, which may wait for a renewal.
     parked: Option<PendingAcquire>,
 }
 
-struct Ended {
+/// A released grant.
+struct Released {
     grant: wire::Grant,
     release: wire::Release,
-    /// Renewals sent before the release: the answer to a later one shows that
-    /// the owner has read it.
-    mark: u64,
+    /// Number of renewals sent before the release. The answer to a later renewal
+    /// shows that the owner has read the release.
+    renewals_before: u64,
 }
 
-/// What the session does next.
+/// Action that the session takes next.
 #[derive(Debug, PartialEq)]
 pub enum SessionAction {
-    /// Nothing.
+    /// Keep the connection and send nothing.
     Continue,
-    /// Send these.
+    /// Send these messages.
     Send(Vec<ToOwner>),
-    /// Leave this owner; the address is where it says the owner is.
+    /// Disconnect; the address is that of the owner, if the peer named it.
     Disconnect(Option<SocketAddr>),
 }
 
-/// The state of one session.
+/// State of the session with one pool's owner.
 pub struct SessionState {
     pool: String,
     entry: String,
@@ -86,25 +87,25 @@
     commands: mpsc::Sender<Command>,
     waiting: BTreeMap<u64, PendingAcquire>,
     held: BTreeMap<u64, GrantEntry>,
-    /// Dispatches that ended, until the owner is known to have heard of it. A
-    /// grant that a hello leaves out counts as never used, which must not
-    /// happen to one whose release was lost.
-    ended: VecDeque<Ended>,
-    /// When each unanswered renewal was sent.
+    /// Released grants whose release the owner may not have read yet. The owner
+    /// treats a grant that is missing from a hello as never used, which would be
+    /// wrong for one whose release was lost.
+    released: VecDeque<Released>,
+    /// Times at which the unanswered renewals were sent.
     renewals: VecDeque<u64>,
-    /// Renewals answered on this stream.
-    answered: u64,
-    /// When the latest renewal was sent that the owner has answered: whatever
-    /// comes after the answer was sent by the owner after this moment.
-    confirmed: u64,
-    ttl: u64,
-    /// The fencing token that the owner told; the highest until it has.
+    /// Number of renewals answered on this stream.
+    answered_renewals: u64,
+    /// Time at which the latest answered renewal was sent. The owner sent every
+    /// message that follows the answer after this time.
+    confirmed_us: u64,
+    ttl_us: u64,
+    /// The owner's fencing token; `u64::MAX` until the owner's welcome.
     token: u64,
     connected: bool,
 }
 
 impl SessionState {
-    /// Nothing waits and nothing is held.
+    /// Returns the state of a session without requests and grants.
     pub fn new(pool: &str, entry: &str, incarnation: u64, commands: mpsc::Sender<Command>) -> Self {
         Self {
             pool: pool.to_owned(),
@@ -113,68 +114,68 @@
             commands,
             waiting: BTreeMap::new(),
             held: BTreeMap::new(),
-            ended: VecDeque::new(),
+            released: VecDeque::new(),
             renewals: VecDeque::new(),
-            answered: 0,
-            confirmed: 0,
-            ttl: 0,
+            answered_renewals: 0,
+            confirmed_us: 0,
+            ttl_us: 0,
             token: u64::MAX,
             connected: false,
         }
     }
 
-    /// Whether there is any reason to be connected.
+    /// Returns whether no connection to the owner is needed.
     pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.held.is_empty() && self.ended.is_empty()
+        self.waiting.is_empty() && self.held.is_empty() && self.released.is_empty()
     }
 
-    /// The fencing token of the owner, by which a later one is known.
+    /// Returns the fencing token of the connected owner.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// The first messages to a new owner: what is held, what ended, a renewal
-    /// of what is held, and what still waits. Asking again is safe, as nothing
-    /// that waits was dispatched.
+    /// Returns the first messages to a new owner: a hello with all grants, the
+    /// releases that may be unread, a renewal and the pending acquires. Sending
+    /// an acquire again is safe, as its request was not dispatched.
     pub fn connect(&mut self, now: u64) -> Vec<ToOwner> {
         self.renewals.clear();
-        self.answered = 0;
-        self.confirmed = 0;
+        self.answered_renewals = 0;
+        self.confirmed_us = 0;
         self.token = u64::MAX;
         self.connected = true;
         let held = self.held.values().map(|h| &h.grant);
-        let ended = self.ended.iter().map(|e| &e.grant);
+        let released = self.released.iter().map(|e| &e.grant);
         let mut out = vec![ToOwner::Hello(wire::Hello {
             pool: self.pool.clone(),
             entry: self.entry.clone(),
             incarnation: self.incarnation,
-            held: held.chain(ended).cloned().collect(),
+            held: held.chain(released).cloned().collect(),
         })];
-        for e in &mut self.ended {
-            e.mark = 0;
+        for e in &mut self.released {
+            e.renewals_before = 0;
             out.push(ToOwner::Release(e.release.clone()));
         }
         self.waiting
-            .retain(|_, w| w.deadline > now && !w.reply.is_closed());
+            .retain(|_, w| w.deadline_us > now && !w.reply.is_closed());
         out.extend(self.renew(now));
         out.extend(
             self.waiting
                 .values_mut()
-                .map(|w| ToOwner::Acquire(ask(w, now))),
+                .map(|w| ToOwner::Acquire(acquire_message(w, now))),
         );
         out
     }
 
-    /// The connection to the owner is gone.
+    /// Records that the connection to the owner was lost.
     pub fn disconnected(&mut self) {
         self.connected = false;
     }
 
-    /// Takes a command; gives what the owner must be told of it.
+    /// Handles a command and returns the message to send to the owner, if any.
     pub fn handle_command(&mut self, command: Command, now: u64) -> Option<ToOwner> {
         let message = match command {
             Command::Acquire(mut w) => {
-                let acquire = ask(&mut w, now);
+                let acquire = acquire_message(&mut w, now);
                 self.waiting.insert(acquire.request, *w);
                 ToOwner::Acquire(acquire)
             }
@@ -184,10 +185,10 @@
             }
             Command::Release(release) => {
                 let held = self.held.remove(&release.grant)?;
-                self.ended.push_back(Ended {
+                self.released.push_back(Released {
                     grant: held.grant,
                     release: release.clone(),
-                    mark: self.answered + self.renewals.len() as u64,
+                    renewals_before: self.answered_renewals + self.renewals.len() as u64,
                 });
                 ToOwner::Release(release)
             }
@@ -195,33 +196,34 @@
         self.connected.then_some(message)
     }
 
-    /// Takes a message of the owner.
+    /// Handles a message from the owner.
     pub fn handle_message(&mut self, message: FromOwner, now: u64) -> SessionAction {
         match message {
             FromOwner::Welcome(w) => {
-                self.ttl = w.ttl_ms * 1_000;
+                self.ttl_us = w.ttl_ms * 1_000;
                 self.token = w.token;
                 SessionAction::Continue
             }
-            FromOwner::Granted(grant) => self.granted(grant, now),
+            FromOwner::Granted(grant) => self.handle_grant(grant, now),
             FromOwner::Refused(refusal) => {
                 if let Some(w) = self.waiting.remove(&refusal.request) {
-                    // A caller that has gone away needs no reply.
+                    // The caller may have disconnected.
                     w.reply.send(Reply::Refused(refusal)).ok();
                 }
                 SessionAction::Continue
             }
-            FromOwner::Renewed(r) => self.renewed(&r, now),
+            FromOwner::Renewed(r) => self.handle_renewal(&r, now),
             FromOwner::NotOwner(n) => SessionAction::Disconnect(n.address.parse().ok()),
         }
     }
 
-    /// Renews what is held, each second; leaves an owner that has gone silent.
+    /// Renews the grants; called each second. Disconnects from an owner that has
+    /// stopped answering renewals.
     pub fn tick(&mut self, now: u64) -> SessionAction {
-        if self.renewals.len() >= MOST_UNANSWERED {
+        if self.renewals.len() >= MAX_UNANSWERED_RENEWALS {
             return SessionAction::Disconnect(None);
         }
-        let mut out = self.ask_again(now);
+        let mut out = self.reacquire_expired(now);
         out.extend(self.renew(now));
         match out.is_empty() {
             true => SessionAction::Continue,
@@ -229,21 +231,21 @@
         }
     }
 
-    /// Grants that lapsed before they were handed out are given back, and
-    /// asked for again.
-    fn ask_again(&mut self, now: u64) -> Vec<ToOwner> {
-        let late = |h: &GrantEntry| h.parked.is_some() && h.lease.has_expired(now);
-        let late: Vec<u64> = self
+    /// Releases the grants that expired before they were handed out, and requests
+    /// them again.
+    fn reacquire_expired(&mut self, now: u64) -> Vec<ToOwner> {
+        let expired = |h: &GrantEntry| h.parked.is_some() && h.lease.has_expired(now);
+        let expired_ids: Vec<u64> = self
             .held
             .iter()
-            .filter(|(_, h)| late(h))
+            .filter(|(_, h)| expired(h))
             .map(|(id, _)| *id)
             .collect();
         let mut out = Vec::new();
-        for id in late {
-            let release = self.held.get(&id).map(|h| not_run(&h.grant));
+        for id in expired_ids {
+            let release = self.held.get(&id).map(|h| unused_release(&h.grant));
             out.extend(release.map(ToOwner::Release));
-            out.extend(self.disowned(id, now));
+            out.extend(self.drop_grant(id, now));
         }
         out
     }
@@ -259,15 +261,15 @@
         }))
     }
 
-    fn granted(&mut self, grant: wire::Grant, now: u64) -> SessionAction {
+    fn handle_grant(&mut self, grant: wire::Grant, now: u64) -> SessionAction {
         if self.held.contains_key(&grant.grant) {
             return SessionAction::Continue;
         }
         let Some(w) = self.waiting.remove(&grant.request) else {
-            return SessionAction::Send(vec![ToOwner::Release(not_run(&grant))]);
+            return SessionAction::Send(vec![ToOwner::Release(unused_release(&grant))]);
         };
         let ttl = grant.ttl_ms * 1_000;
-        let until = w.sent.max(self.confirmed) + ttl;
+        let until = w.sent_us.max(self.confirmed_us) + ttl;
         let lease = Arc::new(Lease::new(until));
         let id = grant.grant;
         let mut held = GrantEntry {
@@ -275,7 +277,8 @@
             lease,
             parked: Some(w),
         };
-        // Of a grant that waited long, only its renewal tells how much is left.
+        // `sent_us` may be long before the grant was made, so `until` may be far too
+        // early. A renewal gives an exact bound.
         let fresh = until.saturating_sub(now) >= ttl / 2;
         if fresh {
             self.hand_out(&mut held);
@@ -288,20 +291,24 @@
         SessionAction::Send(vec![ToOwner::Renew(wire::Renew { grants: vec![id] })])
     }
 
-    fn renewed(&mut self, r: &wire::Renewed, now: u64) -> SessionAction {
+    fn handle_renewal(&mut self, r: &wire::Renewed, now: u64) -> SessionAction {
         let Some(sent) = self.renewals.pop_front() else {
             return SessionAction::Continue;
         };
-        self.confirmed = self.confirmed.max(sent);
-        self.answered += 1;
-        while self.ended.front().is_some_and(|e| e.mark < self.answered) {
-            self.ended.pop_front();
+        self.confirmed_us = self.confirmed_us.max(sent);
+        self.answered_renewals += 1;
+        while self
+            .released
+            .front()
+            .is_some_and(|e| e.renewals_before < self.answered_renewals)
+        {
+            self.released.pop_front();
         }
         for id in &r.grants {
             let Some(mut held) = self.held.remove(id) else {
                 continue;
             };
-            let ttl = match self.ttl {
+            let ttl = match self.ttl_us {
                 0 => held.grant.ttl_ms * 1_000,
                 ttl => ttl,
             };
@@ -310,45 +317,45 @@
             self.held.insert(*id, held);
         }
         let unknown = r.unknown.iter();
-        let again: Vec<_> = unknown.filter_map(|id| self.disowned(*id, now)).collect();
-        match again.is_empty() {
+        let acquires: Vec<_> = unknown.filter_map(|id| self.drop_grant(*id, now)).collect();
+        match acquires.is_empty() {
             true => SessionAction::Continue,
-            false => SessionAction::Send(again),
+            false => SessionAction::Send(acquires),
         }
     }
 
-    /// The owner will not prolong a grant: what runs on it ends visibly, what
-    /// was never dispatched is asked for again.
-    fn disowned(&mut self, id: u64, now: u64) -> Option<ToOwner> {
+    /// Handles a grant that the owner does not renew: a dispatch under it is
+    /// ended, a request that was not dispatched asks for a new grant.
+    fn drop_grant(&mut self, id: u64, now: u64) -> Option<ToOwner> {
         let held = self.held.get_mut(&id)?;
         held.lease.revoke();
         let mut w = held.parked.take()?;
         self.held.remove(&id);
-        let acquire = ask(&mut w, now);
+        let acquire = acquire_message(&mut w, now);
         self.waiting.insert(acquire.request, w);
         Some(ToOwner::Acquire(acquire))
     }
 
     fn hand_out(&self, held: &mut GrantEntry) {
         let Some(w) = held.parked.take() else { return };
-        let mut hold = HeldGrant::new(
+        let mut held_grant = HeldGrant::new(
             held.grant.clone(),
             held.lease.clone(),
             self.commands.clone(),
         );
-        hold.claim.clone_from(&w.acquire.claim);
-        // If the caller has gone, the hold comes back and releases itself.
-        w.reply.send(Reply::Granted(Box::new(hold))).ok();
+        held_grant.claim.clone_from(&w.acquire.claim);
+        // If the caller has disconnected, the grant is dropped and thereby released.
+        w.reply.send(Reply::Granted(Box::new(held_grant))).ok();
     }
 }
 
-fn ask(w: &mut PendingAcquire, now: u64) -> wire::Acquire {
-    w.sent = now;
-    w.acquire.deadline_ms = w.deadline.saturating_sub(now) / 1_000;
+fn acquire_message(w: &mut PendingAcquire, now: u64) -> wire::Acquire {
+    w.sent_us = now;
+    w.acquire.deadline_ms = w.deadline_us.saturating_sub(now) / 1_000;
     w.acquire.clone()
 }
 
-fn not_run(grant: &wire::Grant) -> wire::Release {
+fn unused_release(grant: &wire::Grant) -> wire::Release {
     wire::Release {
         request: grant.request,
         grant: grant.grant,
--- a/lib/tests/test_entry_session_state.rs
+++ b/lib/tests/test_entry_session_state.rs
@@ -1,4 +1,4 @@
-//! What a session knows: expiry, reconnection, and that no release is lost.
+//! Session state: expiry of grants, reconnection, and that no release is lost.
 
 use banyangauge::entry::Command;
 use banyangauge::entry::HeldGrant;
@@ -18,16 +18,16 @@
 const TTL: u64 = 3 * SECOND;
 
 struct Case {
-    ledger: SessionState,
+    state: SessionState,
     commands: mpsc::Receiver<Command>,
 }
 
 impl Case {
     fn new() -> Self {
         let (sender, commands) = mpsc::channel(100);
-        let mut ledger = SessionState::new("pool", "vm-1", 9, sender);
-        ledger.connect(0);
-        Self { ledger, commands }
+        let mut state = SessionState::new("pool", "vm-1", 9, sender);
+        state.connect(0);
+        Self { state, commands }
     }
 
     fn acquire(&mut self, request: u64, now: u64) -> oneshot::Receiver<Reply> {
@@ -37,11 +37,11 @@
                 request,
                 ..wire::Acquire::default()
             },
-            deadline: 100 * SECOND,
-            sent: 0,
+            deadline_us: 100 * SECOND,
+            sent_us: 0,
             reply,
         };
-        self.ledger
+        self.state
             .handle_command(Command::Acquire(Box::new(waiting)), now);
         receiver
     }
@@ -53,7 +53,7 @@
             ttl_ms: TTL / 1_000,
             ..wire::Grant::default()
         };
-        self.ledger.handle_message(FromOwner::Granted(grant), now)
+        self.state.handle_message(FromOwner::Granted(grant), now)
     }
 
     fn renewed(&mut self, grants: &[u64], unknown: &[u64], now: u64) -> SessionAction {
@@ -61,25 +61,25 @@
             grants: grants.to_vec(),
             unknown: unknown.to_vec(),
         };
-        self.ledger.handle_message(FromOwner::Renewed(renewed), now)
+        self.state.handle_message(FromOwner::Renewed(renewed), now)
     }
 
-    /// Takes the command that a hold has sent, as the session does.
+    /// Handles the command that a held grant has sent, as the session does.
     fn pump(&mut self, now: u64) -> Option<ToOwner> {
         let command = self.commands.try_recv().ok()?;
-        self.ledger.handle_command(command, now)
+        self.state.handle_command(command, now)
     }
 }
 
 #[expect(clippy::unwrap_used, reason = "no grant is a failure of the test")]
 fn granted(receiver: &mut oneshot::Receiver<Reply>) -> Box<HeldGrant> {
     match receiver.try_recv().unwrap() {
-        Reply::Granted(hold) => hold,
+        Reply::Granted(held_grant) => held_grant,
         Reply::Refused(_) => panic!("refused"),
     }
 }
 
-fn held(open: &[ToOwner]) -> Vec<u64> {
+fn hello_grants(open: &[ToOwner]) -> Vec<u64> {
     match &open[0] {
         ToOwner::Hello(h) => h.held.iter().map(|g| g.grant).collect(),
         _ => panic!("no hello"),
@@ -91,24 +91,24 @@
     let mut case = Case::new();
     let mut receiver = case.acquire(1, SECOND);
     case.grant(1, SECOND + SECOND / 2);
-    let hold = granted(&mut receiver);
-    // Counted from the sending of the request, not from the grant's arrival.
-    assert_eq!(hold.lease.expires_at(), SECOND + TTL);
-    case.ledger.tick(2 * SECOND);
-    assert_eq!(hold.lease.expires_at(), SECOND + TTL);
+    let held_grant = granted(&mut receiver);
+    // The lease counts from the sending of the request, not from the grant's arrival.
+    assert_eq!(held_grant.lease.expires_at(), SECOND + TTL);
+    case.state.tick(2 * SECOND);
+    assert_eq!(held_grant.lease.expires_at(), SECOND + TTL);
     case.renewed(&[101], &[], 3 * SECOND);
-    assert_eq!(hold.lease.expires_at(), 2 * SECOND + TTL);
-    assert!(hold.lease.has_expired(2 * SECOND + TTL));
+    assert_eq!(held_grant.lease.expires_at(), 2 * SECOND + TTL);
+    assert!(held_grant.lease.has_expired(2 * SECOND + TTL));
 }
 
 #[test]
 fn long_wait_confirmed_first() {
     let mut case = Case::new();
     let mut receiver = case.acquire(1, 0);
-    // What is left of it cannot be known from the request alone.
-    let step = case.grant(1, 10 * SECOND);
+    // The time of the request gives no useful bound on the lease any more.
+    let action = case.grant(1, 10 * SECOND);
     let renew = wire::Renew { grants: vec![101] };
-    assert_eq!(step, SessionAction::Send(vec![ToOwner::Renew(renew)]));
+    assert_eq!(action, SessionAction::Send(vec![ToOwner::Renew(renew)]));
     assert!(receiver.try_recv().is_err());
     case.renewed(&[101], &[], 10 * SECOND + 1);
     assert_eq!(granted(&mut receiver).lease.expires_at(), 10 * SECOND + TTL);
@@ -118,15 +118,15 @@
 fn long_wait_with_renewals_needs_none() {
     let mut case = Case::new();
     let mut receiver = case.acquire(1, 0);
-    case.ledger.tick(9 * SECOND);
+    case.state.tick(9 * SECOND);
     case.renewed(&[], &[], 9 * SECOND + 1);
-    // The grant came after the answer, so it was made after the renewal.
+    // The grant came after the answer, so the owner made it after the renewal.
     case.grant(1, 10 * SECOND);
     assert_eq!(granted(&mut receiver).lease.expires_at(), 9 * SECOND + TTL);
 }
 
 #[test]
-fn parked_unknown_asked_again() {
+fn parked_unknown_reacquired() {
     let mut case = Case::new();
     let _receiver = case.acquire(1, 0);
     case.grant(1, 10 * SECOND);
@@ -141,22 +141,22 @@
     let mut case = Case::new();
     let mut receiver = case.acquire(1, 0);
     case.grant(1, 1);
-    let hold = granted(&mut receiver);
-    case.ledger.tick(SECOND);
+    let held_grant = granted(&mut receiver);
+    case.state.tick(SECOND);
     case.renewed(&[], &[101], SECOND + 1);
-    assert!(hold.lease.has_expired(SECOND + 1));
+    assert!(held_grant.lease.has_expired(SECOND + 1));
 }
 
 #[test]
-fn reconnect_lists_and_asks_again() {
+fn reconnect_lists_grants_and_reacquires() {
     let mut case = Case::new();
     let mut first = case.acquire(1, 0);
     let _second = case.acquire(2, 0);
     case.grant(1, 1);
     let _hold = granted(&mut first);
-    case.ledger.disconnected();
-    let open = case.ledger.connect(40 * SECOND);
-    assert_eq!(held(&open), [101]);
+    case.state.disconnected();
+    let open = case.state.connect(40 * SECOND);
+    assert_eq!(hello_grants(&open), [101]);
     let asked = open.iter().find_map(|m| match m {
         ToOwner::Acquire(a) => Some((a.request, a.deadline_ms)),
         _ => None,
@@ -165,53 +165,53 @@
 }
 
 #[test]
-fn release_sent_until_heard() {
+fn release_resent_until_read() {
     let mut case = Case::new();
     let mut receiver = case.acquire(1, 0);
     case.grant(1, 1);
     drop(granted(&mut receiver));
     assert!(matches!(case.pump(2), Some(ToOwner::Release(r)) if r.outcome == 1));
-    // The connection breaks, perhaps before the release was read.
-    case.ledger.disconnected();
-    let open = case.ledger.connect(3);
-    assert_eq!(held(&open), [101]);
+    // The connection breaks, possibly before the owner has read the release.
+    case.state.disconnected();
+    let open = case.state.connect(3);
+    assert_eq!(hello_grants(&open), [101]);
     assert!(matches!(&open[1], ToOwner::Release(r) if r.grant == 101));
-    // The hello's renewal is answered after the release was read.
+    // The owner answers the renewal that follows the hello after reading the release.
     case.renewed(&[], &[], 4);
-    case.ledger.disconnected();
-    assert!(held(&case.ledger.connect(5)).is_empty());
+    case.state.disconnected();
+    assert!(hello_grants(&case.state.connect(5)).is_empty());
 }
 
 #[test]
-fn release_after_renewal_not_yet_heard() {
+fn release_after_renewal_not_yet_read() {
     let mut case = Case::new();
     let mut receiver = case.acquire(1, 0);
     case.grant(1, 1);
-    case.ledger.tick(SECOND);
+    case.state.tick(SECOND);
     drop(granted(&mut receiver));
     case.pump(SECOND + 1);
-    // This answers a renewal that was sent before the release.
+    // The answered renewal was sent before the release.
     case.renewed(&[101], &[], SECOND + 2);
-    case.ledger.disconnected();
-    assert_eq!(held(&case.ledger.connect(2 * SECOND)), [101]);
+    case.state.disconnected();
+    assert_eq!(hello_grants(&case.state.connect(2 * SECOND)), [101]);
 }
 
 #[test]
-fn nobody_waits_released() {
+fn grant_without_receiver_released() {
     let mut case = Case::new();
     drop(case.acquire(1, 0));
     case.grant(1, 1);
     assert!(matches!(case.pump(2), Some(ToOwner::Release(_))));
-    let step = case.grant(7, 3);
-    assert!(matches!(step, SessionAction::Send(l) if matches!(&l[..], [ToOwner::Release(_)])));
+    let action = case.grant(7, 3);
+    assert!(matches!(action, SessionAction::Send(l) if matches!(&l[..], [ToOwner::Release(_)])));
 }
 
 #[test]
-fn silent_owner_left() {
+fn silent_owner_disconnected() {
     let mut case = Case::new();
     let _receiver = case.acquire(1, 0);
-    let steps: Vec<_> = (1..6).map(|i| case.ledger.tick(i * SECOND)).collect();
-    assert_eq!(steps.last(), Some(&SessionAction::Disconnect(None)));
+    let actions: Vec<_> = (1..6).map(|i| case.state.tick(i * SECOND)).collect();
+    assert_eq!(actions.last(), Some(&SessionAction::Disconnect(None)));
 }
 
 #[rstest]
@@ -220,7 +220,7 @@
 #[case::then_controls(2, 1)]
 #[case::each_once(3, 4)]
 #[case::around(4, 3)]
-fn candidate_order(#[case] tries: usize, #[case] port: u16) {
+fn owner_candidate_order(#[case] tries: usize, #[case] port: u16) {
     let at = |p: u16| std::net::SocketAddr::from(([127, 0, 0, 1], p));
     let controls = [at(1), at(2), at(4)];
     let found = owner_candidate(Some(at(3)), Some(at(2)), &controls, tries);
