--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -18,20 +18,20 @@
 
 use super::CallerError;
 use super::Code;
-use super::answer::AnswerBody;
 use super::call::Call;
 use super::call::Content;
 use super::call::travelling;
 use super::clock;
 use super::clock::now_us;
 use super::held_grant::HeldGrant;
+use super::response_body::ResponseBody;
 use super::retry;
 use super::retry::Attempts;
 use super::retry::Failure;
 use super::retry::RetryDecision;
 use super::session::NoGrant;
 use super::state::State;
-use super::stream::Passing;
+use super::stream::StreamRelay;
 use crate::pool::Class;
 use crate::pool::Outcome;
 use crate::timeline::EventFields;
@@ -50,7 +50,7 @@
     state: Arc<State>,
     call: Arc<Call>,
     room: OwnedSemaphorePermit,
-) -> Result<Response<AnswerBody>, CallerError> {
+) -> Result<Response<ResponseBody>, CallerError> {
     let mut attempts = Attempts {
         max_retries: state.settings.limits.retries,
         idempotent: call.idempotent,
@@ -64,7 +64,7 @@
             Ok(Success::Whole(response)) => return Ok(response),
             Ok(Success::Stream(head, passing)) => {
                 passing.keep(room);
-                let body = AnswerBody::Stream(passing);
+                let body = ResponseBody::Stream(passing);
                 return Ok(Response::from_parts(head, body));
             }
             Err(failure) => failure,
@@ -165,8 +165,8 @@
 }
 
 enum Success {
-    Whole(Response<AnswerBody>),
-    Stream(response::Parts, Box<Passing>),
+    Whole(Response<ResponseBody>),
+    Stream(response::Parts, Box<StreamRelay>),
 }
 
 async fn attempt(
@@ -196,7 +196,7 @@
     metrics::histogram!("entry_before_dispatch_seconds").record(before as f64 / 1e6);
     hold.dispatch(&state.upstreams, address, &call.id, call.adapter.is_some());
     match call.stream() {
-        true => Passing::start(state, call, hold, address, expected)
+        true => StreamRelay::start(state, call, hold, address, expected)
             .await
             .map(|(head, passing)| Success::Stream(head, passing)),
         false => whole(state, call, hold, address, &expected)
@@ -311,7 +311,7 @@
     mut hold: Box<HeldGrant>,
     address: SocketAddr,
     expected: &ExpectedIdentity,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let most = state.settings.limits.answer;
     let work = async {
         let message = request(call, &hold.grant, None)?;
@@ -344,7 +344,7 @@
     );
     hold.settle(Outcome::Answered);
     let head = answer_head(call, answer.head);
-    let body = AnswerBody::whole(answer.body);
+    let body = ResponseBody::whole(answer.body);
     Ok(Response::from_parts(head, body))
 }
 
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -8,7 +8,6 @@
 //! what a session knows, `held_grant` one grant in use. `feed` brings the catalog
 //! and takes usage away.
 
-mod answer;
 mod auth;
 mod body;
 mod call;
@@ -16,9 +15,9 @@
 mod dispatch;
 mod errors;
 mod feed;
-mod guard;
 mod held_grant;
 mod program;
+mod response_body;
 pub mod retry;
 mod serve;
 mod server;
@@ -27,6 +26,7 @@
 mod settings;
 mod state;
 mod stream;
+mod stream_grant;
 mod usage;
 mod view;
 
--- a/lib/src/entry/answer.rs
+++ b/lib/src/entry/response_body.rs
@@ -10,7 +10,7 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-use super::stream::Passing;
+use super::stream::StreamRelay;
 
 /// A stream that cannot be finished; its connection is reset.
 #[derive(Debug)]
@@ -25,21 +25,21 @@
 impl std::error::Error for Truncated {}
 
 /// The body of an answer.
-pub(super) enum AnswerBody {
+pub(super) enum ResponseBody {
     /// All of it, checked.
     Whole(Option<Bytes>),
     /// A stream, checked event by event.
-    Stream(Box<Passing>),
+    Stream(Box<StreamRelay>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is there.
     pub(super) fn whole(body: Bytes) -> Self {
         Self::Whole(Some(body).filter(|b| !b.is_empty()))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Truncated;
 
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -19,7 +19,6 @@
 use super::CallerError;
 use super::Code;
 use super::Ran;
-use super::answer::AnswerBody;
 use super::call::Call;
 use super::call::Head;
 use super::call::Id;
@@ -27,6 +26,7 @@
 use super::clock::now_us;
 use super::dispatch::dispatch;
 use super::dispatch::note;
+use super::response_body::ResponseBody;
 use super::state::State;
 use crate::timeline::EventKind;
 
@@ -41,7 +41,7 @@
 pub(super) async fn serve(
     state: Arc<State>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let number = state.next_request_number();
     let id = Id {
         text: format!("{:x}-{number:x}", state.incarnation.0),
@@ -58,7 +58,7 @@
     state: Arc<State>,
     request: Request<Incoming>,
     id: Id,
-) -> Result<Response<AnswerBody>, CallerError> {
+) -> Result<Response<ResponseBody>, CallerError> {
     let (call, room) = match read(&state, request, id).await {
         Ok(read) => read,
         Err(e) => {
@@ -81,7 +81,7 @@
     state: &Arc<State>,
     call: &Arc<Call>,
     room: OwnedSemaphorePermit,
-) -> Result<Response<AnswerBody>, CallerError> {
+) -> Result<Response<ResponseBody>, CallerError> {
     if let Some(left) = state.blocked_for_ms(call.fingerprint) {
         let e = CallerError::new(Code::Convicted, "this request crashes its upstream");
         return Err(e.with_retry_after(left));
@@ -156,11 +156,11 @@
 impl End<'_> {
     fn tell(
         mut self,
-        result: Result<Response<AnswerBody>, CallerError>,
-    ) -> Result<Response<AnswerBody>, CallerError> {
+        result: Result<Response<ResponseBody>, CallerError>,
+    ) -> Result<Response<ResponseBody>, CallerError> {
         self.told = true;
         match &result {
-            Ok(r) if matches!(r.body(), AnswerBody::Whole(_)) => count("answered"),
+            Ok(r) if matches!(r.body(), ResponseBody::Whole(_)) => count("answered"),
             // A stream tells its end itself.
             Ok(_) => {}
             Err(e) => {
@@ -190,8 +190,8 @@
     metrics::counter!("entry_requests_total", "outcome" => outcome).increment(1);
 }
 
-fn error_answer(e: &CallerError, id: &str) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(e.body()));
+fn error_answer(e: &CallerError, id: &str) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(e.body()));
     *answer.status_mut() = e.code.status();
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -15,17 +15,17 @@
 
 use super::CallerError;
 use super::Code;
-use super::answer::Truncated;
 use super::call::Call;
 use super::clock::now_us;
 use super::dispatch::answer_head;
 use super::dispatch::note;
 use super::dispatch::request;
-use super::guard::Guard;
 use super::held_grant::HeldGrant;
+use super::response_body::Truncated;
 use super::retry;
 use super::retry::Failure;
 use super::state::State;
+use super::stream_grant::StreamGrant;
 use super::usage::UsageCounter;
 use crate::pool::Outcome;
 use crate::timeline::EventKind;
@@ -72,10 +72,10 @@
 }
 
 /// A stream under way; dropping it cancels the dispatch.
-pub(super) struct Passing {
+pub(super) struct StreamRelay {
     state: Arc<State>,
     call: Arc<Call>,
-    guard: Guard,
+    guard: StreamGrant,
     grant: wire::Grant,
     address: SocketAddr,
     expected: Arc<ExpectedIdentity>,
@@ -89,7 +89,7 @@
     phase: Phase,
 }
 
-impl Passing {
+impl StreamRelay {
     /// Dispatches the call and waits for its first checked event, so that
     /// until then another replica can be tried.
     ///
@@ -108,7 +108,7 @@
             state: state.clone(),
             call: call.clone(),
             grant: hold.grant.clone(),
-            guard: Guard::new(hold, call.deadline),
+            guard: StreamGrant::new(hold, call.deadline),
             address,
             expected: Arc::new(expected),
             source: Source::Closed,
@@ -355,7 +355,7 @@
     }
 }
 
-impl Drop for Passing {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         if !self.guard.settle(Outcome::Cancelled) {
             return;
--- a/lib/src/entry/guard.rs
+++ b/lib/src/entry/stream_grant.rs
@@ -58,12 +58,12 @@
 }
 
 /// A stream's grant under watch; dropping it cancels the dispatch.
-pub(super) struct Guard {
+pub(super) struct StreamGrant {
     inner: Arc<Inner>,
     watch: AbortHandle,
 }
 
-impl Guard {
+impl StreamGrant {
     /// Watches a grant from now on; `deadline` is a reading of the entry's
     /// clock.
     pub(super) fn new(hold: Box<HeldGrant>, deadline: u64) -> Self {
@@ -117,7 +117,7 @@
     }
 }
 
-impl Drop for Guard {
+impl Drop for StreamGrant {
     fn drop(&mut self) {
         self.watch.abort();
         self.settle(Outcome::Cancelled);
