--- a/lib/src/entry/call.rs
+++ b/lib/src/entry/call.rs
@@ -155,7 +155,7 @@
             Kind::Plain { pool, .. } => {
                 let seed = xxh3_64(path.as_bytes()) ^ xxh3_64(parts.method.as_str().as_bytes());
                 let fingerprint = Fingerprint(xxh3_64_with_seed(&body, seed));
-                let headers = travelling(parts.headers);
+                let headers = end_to_end_headers(parts.headers);
                 (pool, None, fingerprint, Content::Plain { headers, body })
             }
         };
@@ -263,8 +263,8 @@
     }
 }
 
-/// Headers that belong to one connection, or to the entry alone.
-const OWN: [&str; 14] = [
+/// Headers that are hop-by-hop or meant for the entry.
+const HOP_HEADERS: [&str; 14] = [
     "authorization",
     "connection",
     "content-length",
@@ -281,8 +281,8 @@
     "x-request-id",
 ];
 
-/// The headers that travel on, in either direction.
-pub(super) fn travelling(mut headers: HeaderMap) -> HeaderMap {
+/// Removes the headers that are not forwarded, in either direction.
+pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
@@ -293,7 +293,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in OWN {
+    for name in HOP_HEADERS {
         headers.remove(name);
     }
     headers
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! One call: a grant, a try under it, and another one where that is allowed.
+//! Runs one call: acquires a grant, dispatches under it, and retries if allowed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use super::Code;
 use super::call::Call;
 use super::call::Content;
-use super::call::travelling;
+use super::call::end_to_end_headers;
 use super::clock;
 use super::clock::now_us;
 use super::held_grant::HeldGrant;
@@ -41,15 +41,16 @@
 use crate::upstream::ExpectedIdentity;
 use crate::upstream::RunError;
 
-/// Runs a call to its answer. Dropping this abandons or cancels it.
+/// Runs a call until the head of its response. Dropping the future abandons the
+/// request for a grant or cancels the dispatch.
 ///
 /// # Errors
 ///
-/// What the caller is told in place of an answer.
+/// The error for the caller.
 pub(super) async fn dispatch(
     state: Arc<State>,
     call: Arc<Call>,
-    room: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) -> Result<Response<ResponseBody>, CallerError> {
     let mut attempts = Attempts {
         max_retries: state.settings.limits.retries,
@@ -57,14 +58,14 @@
         ..Attempts::default()
     };
     loop {
-        let hold = acquire(&state, &call, &attempts).await?;
-        let replica = hold.grant.replica.clone();
-        note(&state, EventKind::Granted, &call, &replica, String::new);
-        let failure = match attempt(&state, &call, hold).await {
-            Ok(Success::Whole(response)) => return Ok(response),
-            Ok(Success::Stream(head, passing)) => {
-                passing.keep(room);
-                let body = ResponseBody::Stream(passing);
+        let held_grant = acquire(&state, &call, &attempts).await?;
+        let replica = held_grant.grant.replica.clone();
+        record_event(&state, EventKind::Granted, &call, &replica, String::new);
+        let failure = match attempt(&state, &call, held_grant).await {
+            Ok(Success::Full(response)) => return Ok(response),
+            Ok(Success::Stream(head, stream)) => {
+                stream.hold_permit(permit);
+                let body = ResponseBody::Stream(stream);
                 return Ok(Response::from_parts(head, body));
             }
             Err(failure) => failure,
@@ -72,8 +73,8 @@
         match retry::after_failure(&failure, &attempts) {
             RetryDecision::GiveUp(e) => return Err(e),
             RetryDecision::Retry => {
-                let why = || retry::describe(&failure);
-                note(&state, EventKind::Retried, &call, &replica, why);
+                let detail = || retry::describe(&failure);
+                record_event(&state, EventKind::Retried, &call, &replica, detail);
                 attempts.may_have_run |= retry::may_have_run(&failure);
                 attempts.failed += 1;
                 attempts.failed_replicas.push(replica);
@@ -82,8 +83,8 @@
     }
 }
 
-/// Puts an event of a call on the time line.
-pub(super) fn note(
+/// Records an event of a call on the time line.
+pub(super) fn record_event(
     state: &State,
     kind: EventKind,
     call: &Call,
@@ -104,10 +105,10 @@
     state.recorder.record(kind, about);
 }
 
-/// The pause before a pool whose owner is stopping, or does not grant yet, is
-/// asked again: a successor takes over within seconds, and requests in flight
-/// bound how many ask.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Delay before the next request for a grant from a pool whose owner is stopping
+/// or does not grant yet. A successor takes over within seconds, and the limit of
+/// requests in flight bounds how many of them retry.
+const ACQUIRE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 async fn acquire(
     state: &State,
@@ -115,16 +116,21 @@
     attempts: &Attempts,
 ) -> Result<Box<HeldGrant>, CallerError> {
     let session = state.session(&call.pool);
-    let last = call.deadline.saturating_sub(ASK_AGAIN.as_micros() as u64);
+    let last_retry_us = call
+        .deadline
+        .saturating_sub(ACQUIRE_RETRY_DELAY.as_micros() as u64);
     let error = loop {
-        match session.acquire(ask(call, attempts), call.deadline).await {
-            Ok(hold) => return Ok(hold),
+        match session
+            .acquire(acquire_message(call, attempts), call.deadline)
+            .await
+        {
+            Ok(held_grant) => return Ok(held_grant),
             Err(NoGrant::Refused(refusal)) => {
                 let error = retry::refusal_error(&refusal);
-                if error.code != Code::Draining || now_us() >= last {
+                if error.code != Code::Draining || now_us() >= last_retry_us {
                     break error;
                 }
-                tokio::time::sleep(ASK_AGAIN).await;
+                tokio::time::sleep(ACQUIRE_RETRY_DELAY).await;
             }
             Err(NoGrant::Deadline) => break retry::deadline_error(),
             Err(NoGrant::NoOwner) => break retry::no_owner_error(),
@@ -133,7 +139,7 @@
     Err(retry::account_for_earlier_run(error, attempts.may_have_run))
 }
 
-fn ask(call: &Call, attempts: &Attempts) -> wire::Acquire {
+fn acquire_message(call: &Call, attempts: &Attempts) -> wire::Acquire {
     let (prompt_tokens, max_tokens, prefix) = match &call.content {
         Content::Completion(c) => (c.prompt_tokens, c.max_tokens, c.prefix),
         Content::Plain { .. } => (0, 0, 0),
@@ -149,15 +155,15 @@
             Class::Call => 1,
             Class::Long => 2,
         },
-        // The session sets what is left when it sends this.
+        // The session sets the remaining time when it sends the message.
         deadline_ms: 0,
         prompt_tokens,
         max_tokens,
         prefix,
         idempotent: call.idempotent,
         fingerprint: call.fingerprint.0,
-        // What may run only once is tried again only when no try ran: it is no
-        // second run in the owner's count.
+        // A request that is not idempotent is retried only if no attempt ran, so
+        // the owner must not count the retry as a second run.
         attempt: if call.idempotent { attempts.failed } else { 0 },
         avoid: attempts.failed_replicas.clone(),
         claim: call.claim.clone(),
@@ -165,19 +171,19 @@
 }
 
 enum Success {
-    Whole(Response<ResponseBody>),
+    Full(Response<ResponseBody>),
     Stream(response::Parts, Box<StreamRelay>),
 }
 
 async fn attempt(
     state: &Arc<State>,
     call: &Arc<Call>,
-    mut hold: Box<HeldGrant>,
+    mut held_grant: Box<HeldGrant>,
 ) -> Result<Success, Failure> {
-    let address = match check_grant(call, &hold) {
+    let address = match check_grant(call, &held_grant) {
         Ok(address) => address,
         Err(e) => {
-            hold.settle(Outcome::NotRun);
+            held_grant.release(Outcome::NotRun);
             return Err(Failure::InvalidGrant(e));
         }
     };
@@ -188,57 +194,62 @@
             .as_ref()
             .map(ToString::to_string)
             .unwrap_or_default(),
-        incarnation: hold.grant.incarnation,
+        incarnation: held_grant.grant.incarnation,
     };
-    let replica = hold.grant.replica.clone();
-    note(state, EventKind::Dispatched, call, &replica, String::new);
-    let before = now_us().saturating_sub(call.received);
-    metrics::histogram!("entry_before_dispatch_seconds").record(before as f64 / 1e6);
-    hold.dispatch(&state.upstreams, address, &call.id, call.adapter.is_some());
+    let replica = held_grant.grant.replica.clone();
+    record_event(state, EventKind::Dispatched, call, &replica, String::new);
+    let elapsed_us = now_us().saturating_sub(call.received);
+    metrics::histogram!("entry_before_dispatch_seconds").record(elapsed_us as f64 / 1e6);
+    held_grant.dispatch(&state.upstreams, address, &call.id, call.adapter.is_some());
     match call.stream() {
-        true => StreamRelay::start(state, call, hold, address, expected)
+        true => StreamRelay::start(state, call, held_grant, address, expected)
             .await
-            .map(|(head, passing)| Success::Stream(head, passing)),
-        false => whole(state, call, hold, address, &expected)
+            .map(|(head, stream)| Success::Stream(head, stream)),
+        false => dispatch_full(state, call, held_grant, address, &expected)
             .await
-            .map(Success::Whole),
+            .map(Success::Full),
     }
 }
 
-/// A grant must be for this adapter version, still in force, and lead
-/// somewhere: anything else is the owner's mistake and nothing is sent.
-fn check_grant(call: &Call, hold: &HeldGrant) -> Result<SocketAddr, &'static str> {
-    let grant = &hold.grant;
-    let fits = match &call.adapter {
+/// Returns the address of the granted upstream. A grant must be for the call's
+/// adapter version, not expired, and name an address; otherwise the owner made a
+/// mistake and nothing is sent.
+fn check_grant(call: &Call, held_grant: &HeldGrant) -> Result<SocketAddr, &'static str> {
+    let grant = &held_grant.grant;
+    let matches_call = match &call.adapter {
         Some(a) => grant.adapter == a.adapter.as_str() && grant.version == a.version,
         None => grant.adapter.is_empty(),
     };
-    if !fits {
-        return Err("it is for another adapter version");
+    if !matches_call {
+        return Err("it is for another adapter version than the request");
     }
-    if hold.lease.has_expired(now_us()) {
-        return Err("it has lapsed");
+    if held_grant.lease.has_expired(now_us()) {
+        return Err("it has expired");
     }
-    grant.address.parse().map_err(|_| "it names no address")
+    grant
+        .address
+        .parse()
+        .map_err(|_| "its address is not an IP address and port")
 }
 
-/// The request for the upstream; `resume` is the index at which a broken
-/// stream goes on.
+/// Builds the request for the upstream; `resume_from` is the index of the token
+/// from which a broken stream is resumed.
 ///
 /// # Errors
 ///
-/// Never with a checked call; a malformed one counts as not sent.
-pub(super) fn request(
+/// [`RunError::NotSent`] if the request is malformed, which does not happen for a
+/// checked call.
+pub(super) fn upstream_request(
     call: &Call,
     grant: &wire::Grant,
-    resume: Option<u64>,
+    resume_from: Option<u64>,
 ) -> Result<Request<BodyChunks>, RunError> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
         .header("host", grant.address.as_str())
         .header("x-request-id", &call.id);
-    if let Some(index) = resume {
+    if let Some(index) = resume_from {
         builder = builder.header("x-resume-from", index);
     }
     let body = match &call.content {
@@ -260,124 +271,123 @@
 }
 
 fn with_headers(mut builder: request::Builder, headers: &HeaderMap) -> request::Builder {
-    if let Some(have) = builder.headers_mut() {
-        have.extend(headers.clone());
+    if let Some(existing) = builder.headers_mut() {
+        existing.extend(headers.clone());
     }
     builder
 }
 
-/// Why a wait for an upstream was given up.
-enum Stop {
+/// Reason why the wait for an upstream ended.
+enum StopReason {
     Deadline,
-    Lapsed,
+    GrantExpired,
 }
 
-/// Waits for `work` until the deadline, and only as long as the grant is
-/// confirmed.
-async fn within<T>(
-    hold: &HeldGrant,
+/// Waits for `work` until the deadline passes or the grant expires.
+async fn run_within<T>(
+    held_grant: &HeldGrant,
     deadline: u64,
     work: impl Future<Output = T>,
-) -> Result<T, Stop> {
+) -> Result<T, StopReason> {
     tokio::pin!(work);
     loop {
-        let until = deadline.min(hold.lease.expires_at());
+        let until = deadline.min(held_grant.lease.expires_at());
         if let Ok(done) = tokio::time::timeout_at(clock::instant(until), &mut work).await {
             return Ok(done);
         }
         let now = now_us();
         if now >= deadline {
-            return Err(Stop::Deadline);
+            return Err(StopReason::Deadline);
         }
-        if hold.lease.has_expired(now) {
-            return Err(Stop::Lapsed);
+        if held_grant.lease.has_expired(now) {
+            return Err(StopReason::GrantExpired);
         }
     }
 }
 
-struct WholeAnswer {
-    /// When its head came, in microseconds.
-    begun: u64,
-    /// The incarnation that it told.
-    seen: u64,
+struct FullResponse {
+    /// Time at which the head came, in microseconds.
+    first_byte_us: u64,
+    /// Incarnation named by the response; 0 if none.
+    incarnation: u64,
     head: response::Parts,
     body: Bytes,
     usage: upstream::TokenUsage,
 }
 
-async fn whole(
+async fn dispatch_full(
     state: &Arc<State>,
     call: &Arc<Call>,
-    mut hold: Box<HeldGrant>,
+    mut held_grant: Box<HeldGrant>,
     address: SocketAddr,
     expected: &ExpectedIdentity,
 ) -> Result<Response<ResponseBody>, Failure> {
-    let most = state.settings.limits.answer;
+    let max_bytes = state.settings.limits.answer;
     let work = async {
-        let message = request(call, &hold.grant, None)?;
-        fetch(state, message, address, expected, most).await
+        let request = upstream_request(call, &held_grant.grant, None)?;
+        fetch(state, request, address, expected, max_bytes).await
     };
-    let answer = match within(&hold, call.deadline, work).await {
-        Ok(Ok(answer)) => answer,
+    let response = match run_within(&held_grant, call.deadline, work).await {
+        Ok(Ok(response)) => response,
         Ok(Err(e)) => {
             let failure = Failure::Run(e);
-            hold.seen = retry::seen_incarnation(&failure);
-            hold.settle(retry::outcome(&failure));
+            held_grant.seen_incarnation = retry::seen_incarnation(&failure);
+            held_grant.release(retry::outcome(&failure));
             return Err(failure);
         }
-        // Dropping the hold cancels the dispatch.
-        Err(Stop::Deadline) => return Err(Failure::Deadline),
-        Err(Stop::Lapsed) => return Err(Failure::GrantExpired),
+        // Dropping the held grant cancels the dispatch.
+        Err(StopReason::Deadline) => return Err(Failure::Deadline),
+        Err(StopReason::GrantExpired) => return Err(Failure::GrantExpired),
     };
-    hold.begun(answer.begun, answer.seen);
-    hold.tokens = answer.usage.completion_tokens;
+    held_grant.record_first_byte(response.first_byte_us, response.incarnation);
+    held_grant.tokens = response.usage.completion_tokens;
     let counter = state.usage.counter(&call.team, call.adapter.as_ref());
     counter.add_request();
-    counter.add_prompt_tokens(answer.usage.prompt_tokens);
-    counter.add_output_tokens(answer.usage.completion_tokens);
-    note(
+    counter.add_prompt_tokens(response.usage.prompt_tokens);
+    counter.add_output_tokens(response.usage.completion_tokens);
+    record_event(
         state,
         EventKind::Answered,
         call,
-        &hold.grant.replica,
+        &held_grant.grant.replica,
         String::new,
     );
-    hold.settle(Outcome::Answered);
-    let head = answer_head(call, answer.head);
-    let body = ResponseBody::whole(answer.body);
+    held_grant.release(Outcome::Answered);
+    let head = response_head(call, response.head);
+    let body = ResponseBody::full(response.body);
     Ok(Response::from_parts(head, body))
 }
 
 async fn fetch(
     state: &State,
-    message: Request<BodyChunks>,
+    request: Request<BodyChunks>,
     address: SocketAddr,
     expected: &ExpectedIdentity,
-    most: usize,
-) -> Result<WholeAnswer, RunError> {
-    let head_only = message.method() == Method::HEAD;
-    let mut answer = upstream::run(&state.upstreams, address, message, expected).await?;
-    let begun = now_us();
-    let body = upstream::read_body(&mut answer, most).await?;
+    max_bytes: usize,
+) -> Result<FullResponse, RunError> {
+    let head_only = request.method() == Method::HEAD;
+    let mut response = upstream::run(&state.upstreams, address, request, expected).await?;
+    let first_byte_us = now_us();
+    let body = upstream::read_body(&mut response, max_bytes).await?;
     let usage = match expected.model.is_empty() || head_only {
         true => upstream::TokenUsage::default(),
         false => upstream::check_completion(&body, expected)?,
     };
-    Ok(WholeAnswer {
-        begun,
-        seen: upstream::incarnation(&answer),
-        head: answer.head,
+    Ok(FullResponse {
+        first_byte_us,
+        incarnation: upstream::incarnation(&response),
+        head: response.head,
         body,
         usage,
     })
 }
 
-/// The head for the caller: the upstream's without what belongs to one
-/// connection, and with the request's id.
-pub(super) fn answer_head(call: &Call, head: response::Parts) -> response::Parts {
+/// Returns the head for the caller: the upstream's head without hop-by-hop
+/// headers, with the id of the request.
+pub(super) fn response_head(call: &Call, head: response::Parts) -> response::Parts {
     let (mut out, ()) = Response::new(()).into_parts();
     out.status = head.status;
-    out.headers = travelling(head.headers);
+    out.headers = end_to_end_headers(head.headers);
     out.headers.remove("x-engine-incarnation");
     if let Ok(id) = HeaderValue::from_str(&call.id) {
         out.headers.insert("x-request-id", id);
--- a/lib/src/entry/held_grant.rs
+++ b/lib/src/entry/held_grant.rs
@@ -1,4 +1,4 @@
-//! A grant in use: when it lapses, and its one release.
+//! A grant held by a request: its lease, and its release, which is sent once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,84 +14,86 @@
 use crate::upstream::Upstreams;
 use crate::upstream::cancel;
 
-/// Until when a grant may be used, in microseconds since the VM started.
+/// Expiry of a grant, in microseconds since the VM started.
 #[derive(Debug)]
 pub struct Lease(AtomicU64);
 
 impl Lease {
-    /// A lease until `until_us`.
+    /// Returns a lease that expires at `until_us`.
     pub fn new(until_us: u64) -> Self {
         Self(AtomicU64::new(until_us))
     }
 
-    /// When it ends, in microseconds.
+    /// Returns the time at which the lease expires, in microseconds.
     pub fn expires_at(&self) -> u64 {
         self.0.load(Ordering::Acquire)
     }
 
-    /// Prolongs it; never shortens it.
+    /// Extends the lease to `until_us`; never shortens it.
     pub fn extend(&self, until_us: u64) {
         self.0.fetch_max(until_us, Ordering::AcqRel);
     }
 
-    /// Ends it at once.
+    /// Expires the lease at once.
     pub fn revoke(&self) {
         self.0.store(0, Ordering::Release);
     }
 
-    /// Whether the grant must not be used any more.
+    /// Returns whether the grant must no longer be used.
     pub fn has_expired(&self, now_us: u64) -> bool {
         now_us >= self.expires_at()
     }
 }
 
-/// What a dispatch needs for being cancelled.
+/// A dispatched request, with what its cancellation needs.
 #[derive(Clone)]
-struct Running {
+struct Dispatch {
     upstreams: Upstreams,
     address: SocketAddr,
     request: String,
-    /// Whether the upstream knows how to cancel.
+    /// Whether the upstream is an engine, which supports cancellation.
     engine: bool,
-    since: u64,
-    first: Option<u64>,
+    started_us: u64,
+    first_byte_us: Option<u64>,
 }
 
-/// A grant in the hands of a request. Its release is sent exactly once: by
-/// [`HeldGrant::settle`], or when it is dropped because the caller went away or the
-/// request's task panicked; a dispatch under way is cancelled then.
+/// A grant held by a request.
+///
+/// Its release is sent exactly once: by [`HeldGrant::release`], or on drop if the
+/// caller disconnected or the request's task panicked. The drop also cancels a
+/// dispatch in progress.
 pub struct HeldGrant {
-    /// What was granted.
+    /// The owner's grant.
     pub grant: wire::Grant,
-    /// Until when.
+    /// Lease of the grant, extended by renewals.
     pub lease: Arc<Lease>,
-    /// Tokens that were passed on.
+    /// Tokens that were passed to the caller.
     pub tokens: u64,
-    /// The incarnation by the answer; 0 is not known.
-    pub seen: u64,
-    /// The claim of its idempotency key; empty is none.
+    /// Incarnation named by the response; 0 if not known.
+    pub seen_incarnation: u64,
+    /// Claim of the request's idempotency key; empty if it has none.
     pub claim: String,
     commands: mpsc::Sender<Command>,
-    running: Option<Running>,
-    settled: bool,
+    dispatch: Option<Dispatch>,
+    released: bool,
 }
 
 impl HeldGrant {
-    /// A grant that has just come.
+    /// Wraps a new grant whose request is not yet dispatched.
     pub fn new(grant: wire::Grant, lease: Arc<Lease>, commands: mpsc::Sender<Command>) -> Self {
         Self {
             grant,
             lease,
             tokens: 0,
-            seen: 0,
+            seen_incarnation: 0,
             claim: String::new(),
             commands,
-            running: None,
-            settled: false,
+            dispatch: None,
+            released: false,
         }
     }
 
-    /// Notes that the request goes out now.
+    /// Records that the request is dispatched now.
     pub fn dispatch(
         &mut self,
         upstreams: &Upstreams,
@@ -99,58 +101,59 @@
         request: &str,
         engine: bool,
     ) {
-        self.running = Some(Running {
+        self.dispatch = Some(Dispatch {
             upstreams: upstreams.clone(),
             address,
             request: request.to_owned(),
             engine,
-            since: now_us(),
-            first: None,
+            started_us: now_us(),
+            first_byte_us: None,
         });
     }
 
-    /// Notes when the answer began, and which incarnation it told.
-    pub fn begun(&mut self, at_us: u64, seen: u64) {
-        self.seen = seen;
-        if let Some(r) = &mut self.running {
-            r.first.get_or_insert(at_us);
+    /// Records when the response began and which incarnation it named.
+    pub fn record_first_byte(&mut self, at_us: u64, incarnation: u64) {
+        self.seen_incarnation = incarnation;
+        if let Some(d) = &mut self.dispatch {
+            d.first_byte_us.get_or_insert(at_us);
         }
     }
 
-    /// Tells the owner how it ended.
-    pub fn settle(mut self, outcome: Outcome) {
-        self.send(outcome);
+    /// Releases the grant with the outcome of the request.
+    pub fn release(mut self, outcome: Outcome) {
+        self.send_release(outcome);
     }
 
-    fn send(&mut self, outcome: Outcome) {
-        self.settled = true;
+    fn send_release(&mut self, outcome: Outcome) {
+        self.released = true;
         let now = now_us();
-        let running = self.running.as_ref();
-        let span = |end: u64| running.map_or(0, |r| end.saturating_sub(r.since) / 1_000);
+        let dispatch = self.dispatch.as_ref();
+        let elapsed_ms =
+            |end: u64| dispatch.map_or(0, |d| end.saturating_sub(d.started_us) / 1_000);
         let release = wire::Release {
             request: self.grant.request,
             grant: self.grant.grant,
             outcome: outcome_number(outcome),
             tokens: u32::try_from(self.tokens).unwrap_or(u32::MAX),
-            first_ms: running.and_then(|r| r.first).map_or(0, span),
-            total_ms: span(now),
-            seen: self.seen,
+            first_ms: dispatch.and_then(|d| d.first_byte_us).map_or(0, elapsed_ms),
+            total_ms: elapsed_ms(now),
+            seen: self.seen_incarnation,
             claim_outcome: claim_outcome(!self.claim.is_empty(), outcome).to_owned(),
             claim: self.claim.clone(),
         };
         match self
-            .running
+            .dispatch
             .take()
-            .filter(|r| r.engine && may_go_on(outcome))
+            .filter(|d| d.engine && may_still_run(outcome))
         {
-            Some(running) => release_when_ended(running, self.commands.clone(), release),
-            None => tell(&self.commands, release),
+            Some(dispatch) => cancel_and_release(dispatch, self.commands.clone(), release),
+            None => queue_release(&self.commands, release),
         }
     }
 }
 
-/// Whether the upstream may still run the request after such an end.
-const fn may_go_on(outcome: Outcome) -> bool {
+/// Returns whether the upstream may still run the request after this outcome.
+const fn may_still_run(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Answered | Outcome::NotRun => false,
         Outcome::BrokenEarly
@@ -160,37 +163,37 @@
     }
 }
 
-// The owner may evict the adapter as soon as it is told, so the engine ends
-// the request first. Until then the grant is renewed like any other.
-fn release_when_ended(running: Running, commands: mpsc::Sender<Command>, release: wire::Release) {
+// The owner may evict the adapter as soon as it reads the release, so the
+// request is cancelled first. Until then the grant is renewed like any other.
+fn cancel_and_release(dispatch: Dispatch, commands: mpsc::Sender<Command>, release: wire::Release) {
     let Ok(runtime) = tokio::runtime::Handle::try_current() else {
-        return tell(&commands, release);
+        return queue_release(&commands, release);
     };
     runtime.spawn(async move {
-        cancel(&running.upstreams, running.address, &running.request).await;
-        tell(&commands, release);
+        cancel(&dispatch.upstreams, dispatch.address, &dispatch.request).await;
+        queue_release(&commands, release);
     });
 }
 
-fn tell(commands: &mpsc::Sender<Command>, release: wire::Release) {
-    // The mailbox holds more than all requests in flight can send.
+fn queue_release(commands: &mpsc::Sender<Command>, release: wire::Release) {
+    // The channel has room for more than all requests in flight can send.
     commands.try_send(Command::Release(release)).ok();
 }
 
 impl Drop for HeldGrant {
     fn drop(&mut self) {
-        if self.settled {
+        if self.released {
             return;
         }
-        let outcome = match self.running {
+        let outcome = match self.dispatch {
             Some(_) => Outcome::Cancelled,
             None => Outcome::NotRun,
         };
-        self.send(outcome);
+        self.send_release(outcome);
     }
 }
 
-/// The number of an outcome in `Release`.
+/// Returns the number of an outcome in `Release`.
 pub(super) const fn outcome_number(outcome: Outcome) -> u32 {
     match outcome {
         Outcome::Answered => 0,
--- a/lib/src/entry/response_body.rs
+++ b/lib/src/entry/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 use std::fmt;
 use std::pin::Pin;
@@ -12,30 +12,30 @@
 
 use super::stream::StreamRelay;
 
-/// A stream that cannot be finished; its connection is reset.
+/// Error of a stream that cannot be completed; it resets the connection.
 #[derive(Debug)]
 pub(super) struct Truncated;
 
 impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the stream could not be finished")
+        write!(f, "the stream ended before its last event")
     }
 }
 
 impl std::error::Error for Truncated {}
 
-/// The body of an answer.
+/// The body of a response.
 pub(super) enum ResponseBody {
-    /// All of it, checked.
-    Whole(Option<Bytes>),
+    /// A complete, checked body.
+    Full(Option<Bytes>),
     /// A stream, checked event by event.
     Stream(Box<StreamRelay>),
 }
 
 impl ResponseBody {
-    /// A body that is there.
-    pub(super) fn whole(body: Bytes) -> Self {
-        Self::Whole(Some(body).filter(|b| !b.is_empty()))
+    /// Returns a complete body.
+    pub(super) fn full(body: Bytes) -> Self {
+        Self::Full(Some(body).filter(|b| !b.is_empty()))
     }
 }
 
@@ -48,18 +48,18 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match &mut *self {
-            Self::Whole(body) => Poll::Ready(body.take().map(|b| Ok(Frame::data(b)))),
-            Self::Stream(passing) => passing.poll_pass(cx).map(|r| r.map(|r| r.map(Frame::data))),
+            Self::Full(body) => Poll::Ready(body.take().map(|b| Ok(Frame::data(b)))),
+            Self::Stream(stream) => stream.poll_chunk(cx).map(|r| r.map(|r| r.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => SizeHint::with_exact(body.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Full(body) => SizeHint::with_exact(body.as_ref().map_or(0, Bytes::len) as u64),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -25,7 +25,7 @@
 use super::clock;
 use super::clock::now_us;
 use super::dispatch::dispatch;
-use super::dispatch::note;
+use super::dispatch::record_event;
 use super::response_body::ResponseBody;
 use super::state::State;
 use crate::timeline::EventKind;
@@ -66,7 +66,7 @@
             return Err(e);
         }
     };
-    note(&state, EventKind::Received, &call, "", String::new);
+    record_event(&state, EventKind::Received, &call, "", String::new);
     let end = End {
         state: &state,
         call: &call,
@@ -160,7 +160,7 @@
     ) -> Result<Response<ResponseBody>, CallerError> {
         self.told = true;
         match &result {
-            Ok(r) if matches!(r.body(), ResponseBody::Whole(_)) => count("answered"),
+            Ok(r) if matches!(r.body(), ResponseBody::Full(_)) => count("answered"),
             // A stream tells its end itself.
             Ok(_) => {}
             Err(e) => {
@@ -169,7 +169,7 @@
                     Ran::Unknown => EventKind::Unknown,
                 };
                 let detail = || format!("{}: {}", e.code.as_str(), e.message);
-                note(self.state, kind, self.call, "", detail);
+                record_event(self.state, kind, self.call, "", detail);
                 count(e.code.as_str());
             }
         }
@@ -180,7 +180,7 @@
 impl Drop for End<'_> {
     fn drop(&mut self) {
         if !self.told {
-            note(self.state, EventKind::Cancelled, self.call, "", String::new);
+            record_event(self.state, EventKind::Cancelled, self.call, "", String::new);
             count("cancelled");
         }
     }
@@ -191,7 +191,7 @@
 }
 
 fn error_answer(e: &CallerError, id: &str) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::whole(e.body()));
+    let mut answer = Response::new(ResponseBody::full(e.body()));
     *answer.status_mut() = e.code.status();
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -1,5 +1,5 @@
-//! A stream on its way from an engine to a caller: each event is checked
-//! before it is passed on, and a broken connection is resumed.
+//! Relays a stream from an engine to a caller. Each event is checked before it is
+//! passed on, and a broken connection is resumed.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -17,9 +17,9 @@
 use super::Code;
 use super::call::Call;
 use super::clock::now_us;
-use super::dispatch::answer_head;
-use super::dispatch::note;
-use super::dispatch::request;
+use super::dispatch::record_event;
+use super::dispatch::response_head;
+use super::dispatch::upstream_request;
 use super::held_grant::HeldGrant;
 use super::response_body::Truncated;
 use super::retry;
@@ -38,147 +38,152 @@
 use crate::upstream::StreamFault;
 use crate::upstream::UpstreamResponse;
 
-/// Resumptions in a row that bring no token: the engine keeps a broken stream
-/// for 5 s, and one that breaks at once each time is not worth more.
-const MOST_RESUMES: u32 = 2;
+/// Maximum consecutive resumptions without a new token. The engine keeps a broken
+/// stream for 5 s, and a stream that keeps breaking at once is unlikely to recover.
+const MAX_RESUMES: u32 = 2;
 
 type Opening = Pin<Box<dyn Future<Output = Result<UpstreamResponse, RunError>> + Send>>;
 
 enum Source {
-    /// Events come in.
+    /// The response is being read.
     Open(UpstreamResponse),
-    /// The connection is being made, for the first time or again.
+    /// The request is being sent, for the first time or to resume the stream.
     Opening(Opening),
-    /// `[DONE]` was passed on; only the end of the body is missing.
+    /// `[DONE]` was read; only the end of the body is missing.
     Draining(UpstreamResponse),
-    /// Nothing more comes.
+    /// The response was read to its end or given up.
     Closed,
 }
 
 enum Phase {
-    /// Events are passed on.
-    Passing,
-    /// The caller has been told of a failure; let it be written out.
-    Told,
-    /// Then the connection is reset.
+    /// Events are relayed.
+    Relaying,
+    /// An error event was returned and is being written to the connection.
+    Failed,
+    /// The connection is to be reset.
     Reset,
-    /// All is passed on.
+    /// The stream has ended.
     Ended,
 }
 
-struct Run {
+/// Complete events and what they contain.
+struct EventBatch {
     events: Bytes,
     progress: Progress,
 }
 
-/// A stream under way; dropping it cancels the dispatch.
+/// Relay of a stream; dropping it cancels the dispatch.
 pub(super) struct StreamRelay {
     state: Arc<State>,
     call: Arc<Call>,
-    guard: StreamGrant,
+    stream_grant: StreamGrant,
     grant: wire::Grant,
     address: SocketAddr,
     expected: Arc<ExpectedIdentity>,
     source: Source,
-    scanner: EventSplitter,
+    splitter: EventSplitter,
     checker: StreamChecker,
+    /// Consecutive resumptions without a new token.
     resumes: u32,
     counter: Arc<UsageCounter>,
-    first: Option<Run>,
-    passed: bool,
+    first_batch: Option<EventBatch>,
+    /// Whether the request was counted in the team's usage.
+    counted: bool,
     phase: Phase,
 }
 
 impl StreamRelay {
-    /// Dispatches the call and waits for its first checked event, so that
-    /// until then another replica can be tried.
+    /// Dispatches the call and waits for its first checked event; until then,
+    /// the call can still be retried on another replica.
     ///
     /// # Errors
     ///
-    /// Why no event came; the grant is released then.
+    /// The failure of the attempt; the grant is released.
     pub(super) async fn start(
         state: &Arc<State>,
         call: &Arc<Call>,
-        hold: Box<HeldGrant>,
+        held_grant: Box<HeldGrant>,
         address: SocketAddr,
         expected: ExpectedIdentity,
     ) -> Result<(response::Parts, Box<Self>), Failure> {
         let counter = state.usage.counter(&call.team, call.adapter.as_ref());
-        let mut passing = Box::new(Self {
+        let mut relay = Box::new(Self {
             state: state.clone(),
             call: call.clone(),
-            grant: hold.grant.clone(),
-            guard: StreamGrant::new(hold, call.deadline),
+            grant: held_grant.grant.clone(),
+            stream_grant: StreamGrant::new(held_grant, call.deadline),
             address,
             expected: Arc::new(expected),
             source: Source::Closed,
-            scanner: EventSplitter::default(),
+            splitter: EventSplitter::default(),
             checker: StreamChecker::default(),
             resumes: 0,
             counter,
-            first: None,
-            passed: false,
-            phase: Phase::Passing,
+            first_batch: None,
+            counted: false,
+            phase: Phase::Relaying,
         });
-        passing.source = passing.open(None);
-        let first = std::future::poll_fn(|cx| passing.poll_run(cx)).await;
+        relay.source = relay.open(None);
+        let first = std::future::poll_fn(|cx| relay.poll_batch(cx)).await;
         match first {
-            Ok(run) => {
-                passing.first = run;
-                let seen = passing.seen();
-                passing.guard.with(|hold| hold.begun(now_us(), seen));
-                let replica = &passing.grant.replica;
-                note(state, EventKind::FirstByte, call, replica, String::new);
-                Ok((passing.head(), passing))
+            Ok(batch) => {
+                relay.first_batch = batch;
+                let incarnation = relay.incarnation();
+                relay
+                    .stream_grant
+                    .with(|held_grant| held_grant.record_first_byte(now_us(), incarnation));
+                let replica = &relay.grant.replica;
+                record_event(state, EventKind::FirstByte, call, replica, String::new);
+                Ok((relay.head(), relay))
             }
             Err(failure) => {
-                passing
-                    .guard
-                    .with(|hold| hold.seen = retry::seen_incarnation(&failure));
-                passing.guard.settle(retry::outcome(&failure));
+                relay.stream_grant.with(|held_grant| {
+                    held_grant.seen_incarnation = retry::seen_incarnation(&failure)
+                });
+                relay.stream_grant.release(retry::outcome(&failure));
                 Err(failure)
             }
         }
     }
 
-    /// Keeps the request's place among those in flight until it ends.
-    pub(super) fn keep(&self, room: OwnedSemaphorePermit) {
-        self.guard.keep(room);
+    /// Counts the request as in flight until the stream ends.
+    pub(super) fn hold_permit(&self, permit: OwnedSemaphorePermit) {
+        self.stream_grant.hold_permit(permit);
     }
 
     fn head(&self) -> response::Parts {
         match &self.source {
-            Source::Open(a) | Source::Draining(a) => answer_head(&self.call, a.head.clone()),
+            Source::Open(a) | Source::Draining(a) => response_head(&self.call, a.head.clone()),
             _ => hyper::Response::new(()).into_parts().0,
         }
     }
 
-    fn seen(&self) -> u64 {
+    fn incarnation(&self) -> u64 {
         match &self.source {
             Source::Open(a) | Source::Draining(a) => upstream::incarnation(a),
             _ => 0,
         }
     }
 
-    fn open(&self, resume: Option<u64>) -> Source {
+    fn open(&self, resume_from: Option<u64>) -> Source {
         let state = self.state.clone();
         let address = self.address;
         let expected = self.expected.clone();
-        let message = request(&self.call, &self.grant, resume);
+        let request = upstream_request(&self.call, &self.grant, resume_from);
         Source::Opening(Box::pin(async move {
-            upstream::run(&state.upstreams, address, message?, &expected).await
+            upstream::run(&state.upstreams, address, request?, &expected).await
         }))
     }
 
-    /// The next piece for the caller; an error resets its connection.
-    pub(super) fn poll_pass(
+    /// Polls the next chunk for the caller; an error resets its connection.
+    pub(super) fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Truncated>>> {
         match self.phase {
-            Phase::Passing => {}
-            Phase::Told => {
-                // One turn for the connection to write out what it was told.
+            Phase::Relaying => {}
+            Phase::Failed => {
+                // Returns once more to the connection so that it writes the error event.
                 self.phase = Phase::Reset;
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
@@ -189,36 +194,37 @@
             }
             Phase::Ended => return Poll::Ready(None),
         }
-        let next = match self.first.take() {
-            Some(run) => Ok(Some(run)),
-            None => ready!(self.poll_run(cx)),
+        let next = match self.first_batch.take() {
+            Some(batch) => Ok(Some(batch)),
+            None => ready!(self.poll_batch(cx)),
         };
         Poll::Ready(match next {
-            Ok(Some(run)) => {
-                self.count(&run.progress);
-                Some(Ok(run.events))
+            Ok(Some(batch)) => {
+                self.count(&batch.progress);
+                Some(Ok(batch.events))
             }
             Ok(None) => {
                 self.phase = Phase::Ended;
                 None
             }
-            Err(failure) => Some(Ok(self.tell(&failure))),
+            Err(failure) => Some(Ok(self.fail(&failure))),
         })
     }
 
     fn count(&mut self, progress: &Progress) {
-        if !self.passed {
-            self.passed = true;
+        if !self.counted {
+            self.counted = true;
             self.counter.add_request();
         }
         self.counter.add_output_tokens(progress.tokens);
-        self.guard.with(|hold| hold.tokens += progress.tokens);
+        self.stream_grant
+            .with(|held_grant| held_grant.tokens += progress.tokens);
         if let Some(usage) = progress.usage {
             self.counter.add_prompt_tokens(usage.prompt_tokens);
         }
         if progress.done {
             let replica = &self.grant.replica;
-            note(
+            record_event(
                 &self.state,
                 EventKind::Answered,
                 &self.call,
@@ -226,21 +232,21 @@
                 String::new,
             );
             metrics::counter!("entry_requests_total", "outcome" => "answered").increment(1);
-            self.guard.settle(Outcome::Answered);
+            self.stream_grant.release(Outcome::Answered);
         }
     }
 
-    /// The last thing that the caller of a broken stream reads.
-    fn tell(&mut self, failure: &Failure) -> Bytes {
-        self.phase = Phase::Told;
+    /// Ends a broken stream and returns its last chunk, an error event.
+    fn fail(&mut self, failure: &Failure) -> Bytes {
+        self.phase = Phase::Failed;
         let text = retry::describe(failure);
         let replica = &self.grant.replica;
-        note(&self.state, EventKind::Unknown, &self.call, replica, || {
+        record_event(&self.state, EventKind::Unknown, &self.call, replica, || {
             text.clone()
         });
         metrics::counter!("entry_requests_total", "outcome" => "truncated").increment(1);
         self.source = Source::Closed;
-        self.guard.settle(retry::outcome(failure));
+        self.stream_grant.release(retry::outcome(failure));
         let code = match failure {
             Failure::Deadline => Code::Overdue,
             _ => Code::OutcomeUnknown,
@@ -249,47 +255,48 @@
         Bytes::from([b"event: error\ndata: ", &body[..], b"\n\n"].concat())
     }
 
-    /// The next run of checked events, over resumed connections; `None` after
-    /// `[DONE]` and the end of the body.
-    fn poll_run(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Run>, Failure>> {
+    /// Polls the next batch of checked events and resumes the stream where needed;
+    /// `None` after `[DONE]` and the end of the body.
+    fn poll_batch(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<EventBatch>, Failure>> {
         loop {
-            if let Some(stop) = self.guard.poll_stop(cx) {
-                return Poll::Ready(Err(stop));
+            if let Some(failure) = self.stream_grant.poll_failure(cx) {
+                return Poll::Ready(Err(failure));
             }
-            let fault = match &mut self.source {
+            let error = match &mut self.source {
                 Source::Closed => return Poll::Ready(Ok(None)),
-                Source::Draining(answer) => {
-                    // What comes after `[DONE]` is not for the caller.
-                    if matches!(ready!(answer.poll_data(cx)), None | Some(Err(_))) {
+                Source::Draining(response) => {
+                    // Data after `[DONE]` is not passed on.
+                    if matches!(ready!(response.poll_data(cx)), None | Some(Err(_))) {
                         self.source = Source::Closed;
                     }
                     continue;
                 }
                 Source::Opening(opening) => match ready!(opening.as_mut().poll(cx)) {
-                    Ok(answer) => {
-                        self.source = Source::Open(answer);
+                    Ok(response) => {
+                        self.source = Source::Open(response);
                         continue;
                     }
-                    Err(e) => self.late(e),
+                    Err(e) => self.resume_error(e),
                 },
-                Source::Open(answer) => match ready!(answer.poll_data(cx)) {
-                    Some(Ok(piece)) => match self.check(piece) {
-                        Ok(Some(run)) => return Poll::Ready(Ok(Some(run))),
+                Source::Open(response) => match ready!(response.poll_data(cx)) {
+                    Some(Ok(chunk)) => match self.check(chunk) {
+                        Ok(Some(batch)) => return Poll::Ready(Ok(Some(batch))),
                         Ok(None) => continue,
                         Err(e) => e,
                     },
-                    Some(Err(e)) => self.broken(e.to_string()),
-                    None => self.broken("the stream ended without [DONE]".to_owned()),
+                    Some(Err(e)) => self.broken_error(e.to_string()),
+                    None => self.broken_error("the stream ended without [DONE]".to_owned()),
                 },
             };
-            if !self.resume(&fault) {
-                return Poll::Ready(Err(Failure::Run(fault)));
+            if !self.resume(&error) {
+                return Poll::Ready(Err(Failure::Run(error)));
             }
         }
     }
 
-    /// Whatever a resumption fails of, the stream broke after its first token.
-    fn late(&self, e: RunError) -> RunError {
+    /// Converts an error of opening the stream: if tokens were already passed on, a
+    /// failed resumption means that the stream broke after its first token.
+    fn resume_error(&self, e: RunError) -> RunError {
         match (self.checker.next(), e) {
             (0, e) => e,
             (_, e @ RunError::WrongIdentity { .. }) => e,
@@ -297,59 +304,59 @@
         }
     }
 
-    fn broken(&self, text: String) -> RunError {
+    fn broken_error(&self, text: String) -> RunError {
         match self.checker.next() {
             0 => RunError::BrokenEarly(text),
             _ => RunError::BrokenLate(text),
         }
     }
 
-    fn check(&mut self, piece: Bytes) -> Result<Option<Run>, RunError> {
-        let events = self.scanner.push(piece).map_err(|e| self.fault(e))?;
+    fn check(&mut self, chunk: Bytes) -> Result<Option<EventBatch>, RunError> {
+        let events = self.splitter.push(chunk).map_err(|e| self.run_error(e))?;
         if events.is_empty() {
             return Ok(None);
         }
         let checked = self.checker.check(&events, &self.expected);
-        let progress = checked.map_err(|e| self.fault(e))?;
+        let progress = checked.map_err(|e| self.run_error(e))?;
         if progress.tokens > 0 {
             self.resumes = 0;
         }
         if progress.done {
             let source = std::mem::replace(&mut self.source, Source::Closed);
-            if let Source::Open(answer) = source {
-                self.source = Source::Draining(answer);
+            if let Source::Open(response) = source {
+                self.source = Source::Draining(response);
             }
         }
-        Ok(Some(Run { events, progress }))
+        Ok(Some(EventBatch { events, progress }))
     }
 
-    fn fault(&self, fault: StreamFault) -> RunError {
+    fn run_error(&self, fault: StreamFault) -> RunError {
         match fault {
             StreamFault::Identity(what) => RunError::WrongIdentity {
                 what,
                 seen: self.expected.incarnation,
             },
-            StreamFault::Malformed(text) => self.broken(text),
+            StreamFault::Malformed(text) => self.broken_error(text),
         }
     }
 
-    /// Goes on with a broken stream on the same replica, where that cannot run
-    /// the request a second time.
-    fn resume(&mut self, fault: &RunError) -> bool {
+    /// Resumes a broken stream on the same replica, if this cannot run the request
+    /// twice; returns whether it does.
+    fn resume(&mut self, error: &RunError) -> bool {
         let next = self.checker.next();
-        let broken = matches!(fault, RunError::BrokenEarly(_) | RunError::BrokenLate(_));
-        // Before the first token there is nothing to go on from: another
-        // replica is as good, and the owner decides.
-        let useful = broken && next > 0 && self.call.idempotent;
-        if !useful || self.resumes >= MOST_RESUMES {
+        let broken = matches!(error, RunError::BrokenEarly(_) | RunError::BrokenLate(_));
+        // Before the first token another replica can serve the request as well, and
+        // the owner chooses it.
+        let resumable = broken && next > 0 && self.call.idempotent;
+        if !resumable || self.resumes >= MAX_RESUMES {
             return false;
         }
         self.resumes += 1;
-        self.scanner.reset();
+        self.splitter.reset();
         self.source = self.open(Some(next));
         let replica = &self.grant.replica;
-        note(&self.state, EventKind::Resumed, &self.call, replica, || {
-            format!("at token {next}: {fault}")
+        record_event(&self.state, EventKind::Resumed, &self.call, replica, || {
+            format!("at token {next}: {error}")
         });
         true
     }
@@ -357,11 +364,11 @@
 
 impl Drop for StreamRelay {
     fn drop(&mut self) {
-        if !self.guard.settle(Outcome::Cancelled) {
+        if !self.stream_grant.release(Outcome::Cancelled) {
             return;
         }
         let replica = &self.grant.replica;
-        note(
+        record_event(
             &self.state,
             EventKind::Cancelled,
             &self.call,
--- a/lib/src/entry/stream_grant.rs
+++ b/lib/src/entry/stream_grant.rs
@@ -1,5 +1,7 @@
-//! The grant of a stream under way, ended in time even when its caller reads
-//! nothing and so nobody polls the stream.
+//! The grant of a streamed response, with a task that enforces its expiry.
+//!
+//! A caller that stops reading also stops the polling of its stream, so the
+//! stream alone cannot notice that its deadline passed or its grant expired.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,100 +20,101 @@
 use crate::pool::Outcome;
 
 enum GrantState {
-    /// The dispatch is under way; the request counts as in flight.
+    /// The dispatch is in progress; the request counts as in flight.
     Running(Box<HeldGrant>, Option<OwnedSemaphorePermit>),
-    /// It was ended because of this.
-    Stopped(Failure),
-    /// Its release has been sent.
-    Settled,
+    /// The dispatch was cancelled because of this failure.
+    Cancelled(Failure),
+    /// The release was sent.
+    Released,
 }
 
 struct Inner {
-    held: Mutex<GrantState>,
+    state: Mutex<GrantState>,
     waker: AtomicWaker,
-    deadline: u64,
+    deadline_us: u64,
 }
 
 impl Inner {
     fn lock(&self) -> MutexGuard<'_, GrantState> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends the dispatch if it is past its deadline or its grant has lapsed;
-    /// else tells when to look again.
+    /// Cancels the dispatch if its deadline has passed or its grant has expired;
+    /// otherwise returns the time of the next check.
     fn check(&self, now: u64) -> Option<u64> {
-        let mut held = self.lock();
-        let GrantState::Running(hold, _) = &*held else {
+        let mut state = self.lock();
+        let GrantState::Running(held_grant, _) = &*state else {
             return None;
         };
-        let until = hold.lease.expires_at();
+        let until = held_grant.lease.expires_at();
         let failure = match now {
-            _ if now >= self.deadline => Failure::Deadline,
+            _ if now >= self.deadline_us => Failure::Deadline,
             _ if now >= until => Failure::GrantExpired,
-            _ => return Some(until.min(self.deadline)),
+            _ => return Some(until.min(self.deadline_us)),
         };
-        // The hold that is dropped here cancels and releases the dispatch.
-        *held = GrantState::Stopped(failure);
+        // Dropping the held grant cancels the dispatch and releases the grant.
+        *state = GrantState::Cancelled(failure);
         self.waker.wake();
         None
     }
 }
 
-/// A stream's grant under watch; dropping it cancels the dispatch.
+/// The grant of a stream; dropping it cancels the dispatch.
 pub(super) struct StreamGrant {
     inner: Arc<Inner>,
-    watch: AbortHandle,
+    watchdog: AbortHandle,
 }
 
 impl StreamGrant {
-    /// Watches a grant from now on; `deadline` is a reading of the entry's
-    /// clock.
-    pub(super) fn new(hold: Box<HeldGrant>, deadline: u64) -> Self {
+    /// Starts the task that enforces the expiry of the grant and `deadline_us`, a
+    /// time of the entry's clock.
+    pub(super) fn new(held_grant: Box<HeldGrant>, deadline_us: u64) -> Self {
         let inner = Arc::new(Inner {
-            held: Mutex::new(GrantState::Running(hold, None)),
+            state: Mutex::new(GrantState::Running(held_grant, None)),
             waker: AtomicWaker::new(),
-            deadline,
+            deadline_us,
         });
-        let watch = tokio::spawn(watch(inner.clone())).abort_handle();
-        Self { inner, watch }
+        let watchdog = tokio::spawn(enforce_expiry(inner.clone())).abort_handle();
+        Self { inner, watchdog }
     }
 
-    /// Why the stream must end now, if it must; wakes the task when that
-    /// comes later.
-    pub(super) fn poll_stop(&self, cx: &mut Context<'_>) -> Option<Failure> {
+    /// Returns the failure that ends the stream now, if any; otherwise wakes the
+    /// task of `cx` when one occurs.
+    pub(super) fn poll_failure(&self, cx: &mut Context<'_>) -> Option<Failure> {
         self.inner.waker.register(cx.waker());
         self.inner.check(now_us());
         match &*self.inner.lock() {
-            GrantState::Stopped(failure) => Some(failure.clone()),
+            GrantState::Cancelled(failure) => Some(failure.clone()),
             _ => None,
         }
     }
 
-    /// Reads or changes the grant while the dispatch is under way.
+    /// Applies `f` to the grant if the dispatch is in progress.
     pub(super) fn with<T>(&self, f: impl FnOnce(&mut HeldGrant) -> T) -> Option<T> {
         match &mut *self.inner.lock() {
-            GrantState::Running(hold, _) => Some(f(hold)),
+            GrantState::Running(held_grant, _) => Some(f(held_grant)),
             _ => None,
         }
     }
 
-    /// Keeps the request's place among those in flight until it ends.
-    pub(super) fn keep(&self, room: OwnedSemaphorePermit) {
+    /// Counts the request as in flight until the dispatch ends.
+    pub(super) fn hold_permit(&self, permit: OwnedSemaphorePermit) {
         if let GrantState::Running(_, kept) = &mut *self.inner.lock() {
-            *kept = Some(room);
+            *kept = Some(permit);
         }
     }
 
-    /// Sends the release, if it has not been sent. False when it had been.
-    pub(super) fn settle(&self, outcome: Outcome) -> bool {
-        let held = std::mem::replace(&mut *self.inner.lock(), GrantState::Settled);
-        let GrantState::Running(hold, _) = held else {
+    /// Sends the release and returns true, or returns false if the dispatch has
+    /// ended before.
+    pub(super) fn release(&self, outcome: Outcome) -> bool {
+        let state = std::mem::replace(&mut *self.inner.lock(), GrantState::Released);
+        let GrantState::Running(held_grant, _) = state else {
             return false;
         };
         match outcome {
-            // A dropped hold cancels the dispatch besides.
-            Outcome::Cancelled => drop(hold),
-            outcome => hold.settle(outcome),
+            // Dropping the held grant also cancels the dispatch.
+            Outcome::Cancelled => drop(held_grant),
+            outcome => held_grant.release(outcome),
         }
         true
     }
@@ -119,12 +122,12 @@
 
 impl Drop for StreamGrant {
     fn drop(&mut self) {
-        self.watch.abort();
-        self.settle(Outcome::Cancelled);
+        self.watchdog.abort();
+        self.release(Outcome::Cancelled);
     }
 }
 
-async fn watch(inner: Arc<Inner>) {
+async fn enforce_expiry(inner: Arc<Inner>) {
     while let Some(next) = inner.check(now_us()) {
         tokio::time::sleep_until(clock::instant(next)).await;
     }
