--- a/lib/src/entry/feed.rs
+++ b/lib/src/entry/feed.rs
@@ -1,5 +1,5 @@
-//! Follows a control process: catalog, owners and verdicts come in, usage
-//! goes out.
+//! Subscribes to the feed of a control process, which carries the catalog, the
+//! owners of pools and blocked requests, and reports usage to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,54 +23,61 @@
 use crate::timeline::EventFields;
 use crate::timeline::EventKind;
 
-/// The pause before the next control process is tried.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next control process is tried.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// How long another VM's control process is followed before the own one is
-/// tried again: the own one costs no traffic between VMs.
-const BORROWED: Duration = Duration::from_secs(20);
+/// Time after which the entry leaves the feed of another VM's control process to
+/// try its own VM's, which costs no traffic between VMs.
+const REMOTE_FEED_TIME: Duration = Duration::from_secs(20);
 
-/// The longest call to a control process.
+/// Timeout of a call to a control process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often usage is reported: a lost VM loses at most about this much.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// Interval of usage reports; bounds the usage that is lost with a VM.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest that a stopping process looks for one that takes its last
-/// report: two that do not answer, and one that does.
-const LAST_REPORT: Duration = Duration::from_secs(5);
+/// Time that a stopping process spends on its final usage report: enough for two
+/// control processes that do not answer and one that does.
+const FINAL_REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause after none took it.
-const LAST_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the final report is retried after all control processes failed.
+const FINAL_REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the own VM's control process, or another one while that is down;
-/// runs until the process ends.
+/// Follows the feed of this VM's control process, or of another one while that is
+/// down. Runs until the process ends.
 pub(super) async fn follow(state: Arc<State>) {
-    let mut lost = false;
-    for at in (0..state.settings.controls.len()).cycle() {
-        let address = state.settings.controls[at];
-        let work = subscribe(&state, address, &mut lost);
-        let ended = match at {
+    let mut disconnected = false;
+    for index in (0..state.settings.controls.len()).cycle() {
+        let address = state.settings.controls[index];
+        let work = subscribe(&state, address, &mut disconnected);
+        let ended = match index {
             0 => work.await,
-            _ => tokio::time::timeout(BORROWED, work).await.unwrap_or(Ok(())),
+            _ => tokio::time::timeout(REMOTE_FEED_TIME, work)
+                .await
+                .unwrap_or(Ok(())),
         };
-        // One line when the feed is lost, not one for each try.
+        // Only the loss of the feed is a warning, not each failed reconnection.
         match ended {
             Ok(()) => {}
-            Err(e) if lost => {
-                slog::trace!(state.log, "no feed"; "address" => %address, "error" => %e);
+            Err(e) if disconnected => {
+                slog::trace!(state.log, "control feed still unavailable"; "address" => %address, "error" => %e);
             }
             Err(e) => {
-                lost = true;
-                slog::warn!(state.log, "no feed"; "address" => %address, "error" => %e);
+                disconnected = true;
+                slog::warn!(state.log, "control feed unavailable"; "address" => %address, "error" => %e);
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// `lost` becomes false once the feed is there.
-async fn subscribe(state: &State, address: SocketAddr, lost: &mut bool) -> Result<(), String> {
+/// Applies the messages of a feed until it ends; clears `disconnected` once it is
+/// subscribed.
+async fn subscribe(
+    state: &State,
+    address: SocketAddr,
+    disconnected: &mut bool,
+) -> Result<(), String> {
     let mut client = client(state, address).await?;
     let request = wire::FeedRequest {
         entry: state.settings.vm.to_string(),
@@ -79,11 +86,11 @@
     };
     let mut stream = tokio::time::timeout(CALL_TIMEOUT, client.subscribe(request))
         .await
-        .map_err(|_| "no answer in time".to_owned())?
+        .map_err(|_| format!("no answer within {CALL_TIMEOUT:?}"))?
         .map_err(|e| e.to_string())?
         .into_inner();
-    *lost = false;
-    slog::info!(state.log, "feed"; "address" => %address);
+    *disconnected = false;
+    slog::info!(state.log, "subscribed to the control feed"; "address" => %address);
     while let Some(message) = stream.message().await.map_err(|e| e.to_string())? {
         apply(state, message)?;
     }
@@ -95,12 +102,13 @@
     Ok(client.max_decoding_message_size(MAX_SNAPSHOT_BYTES))
 }
 
-/// Applies one message of the feed; a catalog only if its revision is higher.
+/// Applies a message of the feed; ignores a catalog whose revision is not higher
+/// than the current one.
 ///
 /// # Errors
 ///
-/// When it is malformed or does not follow what is in force; the feed is
-/// opened again then, and brings a snapshot.
+/// If the message is malformed or does not follow the current catalog. A new
+/// subscription then starts with a snapshot.
 pub fn apply(state: &State, message: wire::FeedMessage) -> Result<(), String> {
     match message.body {
         Some(Body::Snapshot(s)) => apply_snapshot(state, &s),
@@ -114,7 +122,7 @@
             state.block(list.map(|v| (Fingerprint(v.fingerprint), v.left_ms)));
             Ok(())
         }
-        None => Err("an empty message".to_owned()),
+        None => Err("feed message has no body".to_owned()),
     }
 }
 
@@ -124,7 +132,10 @@
     }
     let catalog: Catalog = serde_json::from_slice(&s.catalog).map_err(|e| e.to_string())?;
     if catalog.revision.0 != s.revision {
-        return Err("a snapshot of another revision than it says".to_owned());
+        return Err(format!(
+            "snapshot claims revision {} but contains revision {}",
+            s.revision, catalog.revision.0
+        ));
     }
     install_view(state, CatalogView::new(catalog));
     Ok(())
@@ -137,7 +148,10 @@
     }
     let set: ChangeSet = serde_json::from_slice(&d.changes).map_err(|e| e.to_string())?;
     if set.revision.0 != d.revision {
-        return Err("a change set of another revision than it says".to_owned());
+        return Err(format!(
+            "delta claims revision {} but contains revision {}",
+            d.revision, set.revision.0
+        ));
     }
     install_view(state, view.apply(&set)?);
     Ok(())
@@ -155,8 +169,8 @@
     }
 }
 
-/// A higher token wins, so that news from a control process that lags does not
-/// lead back to an earlier owner.
+/// Updates the owners of pools. Only a higher fencing token replaces an owner, so
+/// that a lagging control process does not bring back an earlier owner.
 fn apply_owners(state: &State, owners: wire::Owners) {
     let list = owners.owners.into_iter().filter_map(|o| {
         let owner = Owner {
@@ -166,12 +180,12 @@
         };
         Some((o.pool.parse().ok()?, owner))
     });
-    state.owners.send_if_modified(|have| {
+    state.owners.send_if_modified(|current| {
         let mut changed = false;
         for (pool, owner) in list {
-            let newer = have.get(&pool).is_none_or(|h| owner.token > h.token);
+            let newer = current.get(&pool).is_none_or(|c| owner.token > c.token);
             if newer {
-                have.insert(pool, owner);
+                current.insert(pool, owner);
                 changed = true;
             }
         }
@@ -179,11 +193,11 @@
     });
 }
 
-/// Reports usage each second until the process ends: what rose since the last
-/// report that was answered, and everything to a control process that is new.
-pub(super) async fn report(state: Arc<State>) {
+/// Reports usage each second until the process ends: the counts that changed since
+/// the last acknowledged report, or all counts after a change of control process.
+pub(super) async fn report_usage(state: Arc<State>) {
     let mut reporter = Reporter::new(state);
-    let mut tick = tokio::time::interval(REPORT_EVERY);
+    let mut tick = tokio::time::interval(REPORT_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
@@ -191,25 +205,30 @@
     }
 }
 
-/// Reports all usage at the end of the process, to the first control process
-/// that takes it: those that stop as well refuse, and are soon back.
-pub(super) async fn report_last(state: Arc<State>) {
+/// Reports all usage at the end of the process to the first control process that
+/// accepts it. Retries, as control processes that are restarting too refuse it for
+/// a short time.
+pub(super) async fn report_final_usage(state: Arc<State>) {
     let log = state.log.clone();
     let mut reporter = Reporter::new(state);
-    let taken = async {
+    let sending = async {
         while !reporter.send().await {
-            tokio::time::sleep(LAST_PAUSE).await;
+            tokio::time::sleep(FINAL_REPORT_DELAY).await;
         }
     };
-    if tokio::time::timeout(LAST_REPORT, taken).await.is_err() {
-        slog::warn!(log, "last usage not reported");
+    if tokio::time::timeout(FINAL_REPORT_TIMEOUT, sending)
+        .await
+        .is_err()
+    {
+        slog::warn!(log, "failed to report the final usage");
     }
 }
 
 struct Reporter {
     state: Arc<State>,
     client: Option<FeedClient<Channel>>,
-    at: usize,
+    /// Index of the control process in the settings.
+    index: usize,
 }
 
 impl Reporter {
@@ -217,12 +236,12 @@
         Self {
             state,
             client: None,
-            at: 0,
+            index: 0,
         }
     }
 
-    /// Sends one report to the first control process that takes it; gives
-    /// whether one did, or nothing was left to report.
+    /// Sends a report to the first control process that accepts it; returns whether
+    /// one did or there was nothing to report.
     async fn send(&mut self) -> bool {
         for _ in 0..self.state.settings.controls.len() {
             let report = match self.client {
@@ -234,10 +253,10 @@
             }
             match self.try_send(report).await {
                 Ok(()) => return true,
-                Err(e) => slog::debug!(self.state.log, "usage not reported"; "error" => %e),
+                Err(e) => slog::debug!(self.state.log, "failed to report usage"; "error" => %e),
             }
             self.client = None;
-            self.at = (self.at + 1) % self.state.settings.controls.len();
+            self.index = (self.index + 1) % self.state.settings.controls.len();
         }
         false
     }
@@ -246,14 +265,14 @@
         let message = wire::UsageReport {
             vm: self.state.settings.vm.to_string(),
             incarnation: self.state.incarnation.0,
-            // Reports of one process are told apart by when they were made.
+            // The time of the report identifies it among those of this process.
             sequence: super::clock::now_us(),
             counts: std::mem::take(&mut report.counts),
         };
         let work = async {
             let mut client = match self.client.take() {
                 Some(client) => client,
-                None => client(&self.state, self.state.settings.controls[self.at]).await?,
+                None => client(&self.state, self.state.settings.controls[self.index]).await?,
             };
             let reply = client.report_usage(message).await;
             reply.map_err(|e| e.to_string())?;
@@ -263,7 +282,7 @@
         let answered = tokio::time::timeout(CALL_TIMEOUT, work);
         answered
             .await
-            .unwrap_or_else(|_| Err("no answer in time".to_owned()))?;
+            .unwrap_or_else(|_| Err(format!("no answer within {CALL_TIMEOUT:?}")))?;
         report.mark_reported();
         Ok(())
     }
--- a/lib/src/entry/program.rs
+++ b/lib/src/entry/program.rs
@@ -80,7 +80,7 @@
         let keys = state.clone();
         tokio::spawn(async move { keys.link.reload_periodically(&keys.log).await });
         tokio::spawn(feed::follow(state.clone()));
-        tokio::spawn(feed::report(state.clone()));
+        tokio::spawn(feed::report_usage(state.clone()));
         let accepting = tokio::spawn(server::accept(state.clone(), listener, stopped));
         process_event(&state, "started");
         Ok(Self {
@@ -98,7 +98,7 @@
         self.stopping.send_replace(true);
         // A task that failed has nothing in flight any more.
         self.accepting.await.ok();
-        feed::report_last(self.state.clone()).await;
+        feed::report_final_usage(self.state.clone()).await;
     }
 }
 
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -1,4 +1,5 @@
-//! The stream to the owner of one pool.
+//! The session with the owner of one pool: a stream that requests, renews and
+//! releases grants.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,54 +31,56 @@
 use crate::ids::PoolName;
 use crate::link;
 
-/// Grants last some seconds; a renewal a second outlives two lost ones.
-const RENEW_EVERY: Duration = Duration::from_secs(1);
+/// Interval of renewals. Grants last a few seconds, so a grant outlives two lost
+/// renewals.
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest wait for a connection or for the owner's welcome; processes
-/// are about a millisecond apart.
+/// Timeout of a connection attempt and of the owner's answer to it; processes are
+/// about a millisecond apart.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pause after a failed try, which grows to the second value: a new owner
-/// takes over within seconds, and must not be met by a storm of tries.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
+/// Minimum and maximum backoff between connection attempts. A new owner takes over
+/// within seconds and must not receive a storm of attempts.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
 
-/// Messages that may wait for the connection; more mean that it is stuck.
-const OUTBOX: usize = 8_192;
+/// Capacity of the outgoing queue; if it is full, the connection is stuck.
+const OUTBOX_CAPACITY: usize = 8_192;
 
-/// A request sends at most this many commands before they are taken up.
+/// Maximum commands of one request that may wait to be handled.
 const COMMANDS_PER_REQUEST: usize = 4;
 
-/// What a session needs to know of its process.
+/// Configuration of sessions, the same for all pools.
 #[derive(Clone)]
-pub(super) struct Identity {
-    /// The VM's name.
+pub(super) struct SessionConfig {
+    /// The name of this VM.
     pub entry: String,
-    /// This start of the process.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// Control processes to ask when the owner is not known.
+    /// Control processes that are asked when the owner is not known.
     pub controls: Vec<SocketAddr>,
-    /// Owners as the feed tells them.
+    /// Owners of pools, from the control feed.
     pub owners: watch::Receiver<BTreeMap<PoolName, Owner>>,
-    /// Requests in flight at the most.
-    pub requests: usize,
-    /// Connections to our other processes.
-    pub trust: link::Link,
+    /// Maximum requests in flight.
+    pub max_requests: usize,
+    /// Connects to other processes of the system.
+    pub link: link::Link,
     /// The log.
     pub log: slog::Logger,
 }
 
-/// Why there is no grant.
+/// Reason why no grant was obtained.
 #[derive(Debug)]
 pub(super) enum NoGrant {
     /// The owner refused.
     Refused(wire::Refusal),
-    /// The deadline passed while the owner had the request in its queue.
+    /// The deadline passed while the request was queued at the owner.
     Deadline,
-    /// The deadline passed without an owner, or too much waits for one.
+    /// The deadline passed without a connection to the owner, or too many commands
+    /// wait for one.
     NoOwner,
 }
 
-/// A pool's session; clones share it.
+/// Handle of a pool's session; clones share the session.
 #[derive(Clone)]
 pub(super) struct Session {
     commands: mpsc::Sender<Command>,
@@ -85,21 +88,21 @@
 }
 
 impl Session {
-    /// Starts the session of `pool`; it connects when first used.
-    pub(super) fn start(pool: &PoolName, identity: Identity) -> Self {
-        let (commands, mailbox) = mpsc::channel(identity.requests * COMMANDS_PER_REQUEST);
+    /// Starts the session with the owner of `pool`; it connects on first use.
+    pub(super) fn start(pool: &PoolName, config: SessionConfig) -> Self {
+        let (commands, command_queue) = mpsc::channel(config.max_requests * COMMANDS_PER_REQUEST);
         let connected = Arc::new(AtomicBool::new(false));
-        let ledger = SessionState::new(
+        let state = SessionState::new(
             pool.as_str(),
-            &identity.entry,
-            identity.incarnation,
+            &config.entry,
+            config.incarnation,
             commands.clone(),
         );
-        let task = Task {
+        let task = SessionTask {
             pool: pool.clone(),
-            identity,
-            ledger,
-            mailbox,
+            config,
+            state,
+            command_queue,
             connected: connected.clone(),
         };
         tokio::spawn(task.run());
@@ -109,12 +112,12 @@
         }
     }
 
-    /// Asks the owner for leave to dispatch one request; `deadline` is a
-    /// reading of the entry's clock. Dropping the call abandons the request.
+    /// Requests a grant for one request; `deadline` is a time of the entry's clock,
+    /// in microseconds. Dropping the future abandons the request.
     ///
     /// # Errors
     ///
-    /// See [`NoGrant`]; in each case the request did not run.
+    /// See [`NoGrant`]; in each case the request was not dispatched.
     pub(super) async fn acquire(
         &self,
         acquire: wire::Acquire,
@@ -122,16 +125,16 @@
     ) -> Result<Box<HeldGrant>, NoGrant> {
         let (reply, receiver) = oneshot::channel();
         let request = acquire.request;
-        let waiting = Box::new(PendingAcquire {
+        let pending = Box::new(PendingAcquire {
             acquire,
             deadline_us: deadline,
             sent_us: now_us(),
             reply,
         });
         self.commands
-            .try_send(Command::Acquire(waiting))
+            .try_send(Command::Acquire(pending))
             .map_err(|_| NoGrant::NoOwner)?;
-        let mut abandon = Abandon {
+        let mut abandon = AbandonOnDrop {
             commands: &self.commands,
             request: Some(request),
         };
@@ -151,168 +154,173 @@
     }
 }
 
-struct Abandon<'a> {
+/// Abandons a pending request when it is dropped, unless `request` was cleared.
+struct AbandonOnDrop<'a> {
     commands: &'a mpsc::Sender<Command>,
     request: Option<u64>,
 }
 
-impl Drop for Abandon<'_> {
+impl Drop for AbandonOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(request) = self.request {
-            // If it is lost, the grant finds nobody and releases itself.
+            // If the command is lost, the grant finds no receiver and is released.
             self.commands.try_send(Command::Abandon(request)).ok();
         }
     }
 }
 
-/// Where to look for a pool's owner at the given try: first where the last
-/// control said, then where the feed says, then at each control in turn, as
-/// any of them may know.
+/// Returns the address at which to look for a pool's owner at the given attempt:
+/// first `hint`, the address that the last peer named, then the owner in the feed,
+/// then each control process in turn, as any of them may know the owner.
 pub fn owner_candidate(
     hint: Option<SocketAddr>,
     owner: Option<SocketAddr>,
     controls: &[SocketAddr],
-    tries: usize,
+    attempts: usize,
 ) -> Option<SocketAddr> {
     let mut list: Vec<SocketAddr> = hint.into_iter().chain(owner).collect();
     list.extend_from_slice(controls);
     let mut seen = std::collections::BTreeSet::new();
     list.retain(|a| seen.insert(*a));
-    list.get(tries % list.len().max(1)).copied()
+    list.get(attempts % list.len().max(1)).copied()
 }
 
-struct Task {
+/// The task that runs a session.
+struct SessionTask {
     pool: PoolName,
-    identity: Identity,
-    ledger: SessionState,
-    mailbox: mpsc::Receiver<Command>,
+    config: SessionConfig,
+    state: SessionState,
+    command_queue: mpsc::Receiver<Command>,
     connected: Arc<AtomicBool>,
 }
 
-struct Link {
+/// An open stream to an owner.
+struct OwnerStream {
     outbox: Outbox,
     inbox: Streaming<wire::OwnerMessage>,
 }
 
-impl Task {
+impl SessionTask {
     async fn run(mut self) {
         let mut hint = None;
-        let mut tries = 0;
-        let mut pause = PAUSES.0;
+        let mut attempts = 0;
+        let mut backoff = BACKOFF.0;
         loop {
-            if self.ledger.is_idle() && !self.wait_for_work().await {
+            if self.state.is_idle() && !self.wait_for_command().await {
                 return;
             }
-            let owner = self.owner();
-            let Some(address) = owner_candidate(hint, owner, &self.identity.controls, tries) else {
+            let owner = self.feed_owner();
+            let Some(address) = owner_candidate(hint, owner, &self.config.controls, attempts)
+            else {
                 return;
             };
-            let served = self.connect_and_serve(address).await;
+            let end = self.connect_and_serve(address).await;
             self.connected.store(false, Ordering::Relaxed);
-            self.ledger.disconnected();
-            match served {
-                Served::Ended => return,
-                // It was the owner for a while: begin again with what is known.
-                Served::Worked => {
-                    (hint, tries, pause) = (None, 0, PAUSES.0);
-                    if !self.rest(pause).await {
+            self.state.disconnected();
+            match end {
+                StreamEnd::Shutdown => return,
+                // The peer was the owner for a while: start again from the feed.
+                StreamEnd::Disconnected => {
+                    (hint, attempts, backoff) = (None, 0, BACKOFF.0);
+                    if !self.back_off(backoff).await {
                         return;
                     }
                 }
-                Served::Failed(told) => {
-                    tries = if told.is_some() && told != hint {
+                StreamEnd::Failed(redirect) => {
+                    attempts = if redirect.is_some() && redirect != hint {
                         0
                     } else {
-                        tries + 1
+                        attempts + 1
                     };
-                    hint = told.or(hint.filter(|h| *h != address));
-                    if !self.rest(pause).await {
+                    hint = redirect.or(hint.filter(|h| *h != address));
+                    if !self.back_off(backoff).await {
                         return;
                     }
-                    pause = (pause * 2).min(PAUSES.1);
+                    backoff = (backoff * 2).min(BACKOFF.1);
                 }
             }
         }
     }
 
-    fn owner(&self) -> Option<SocketAddr> {
-        let owners = self.identity.owners.borrow();
+    fn feed_owner(&self) -> Option<SocketAddr> {
+        let owners = self.config.owners.borrow();
         owners.get(&self.pool).map(|o| o.address)
     }
 
-    /// Whether the feed names a later owner than the one that is connected.
-    fn replaced(&self) -> bool {
-        let owners = self.identity.owners.borrow();
+    /// Returns whether the feed names a later owner than the connected one.
+    fn is_superseded(&self) -> bool {
+        let owners = self.config.owners.borrow();
         owners
             .get(&self.pool)
-            .is_some_and(|o| o.token.0 > self.ledger.token())
+            .is_some_and(|o| o.token.0 > self.state.token())
     }
 
-    async fn wait_for_work(&mut self) -> bool {
-        let Some(command) = self.mailbox.recv().await else {
+    /// Waits for a command and handles it; false when the process ends.
+    async fn wait_for_command(&mut self) -> bool {
+        let Some(command) = self.command_queue.recv().await else {
             return false;
         };
-        self.ledger.handle_command(command, now_us());
+        self.state.handle_command(command, now_us());
         true
     }
 
-    /// Waits, or until the feed names another owner; false when the process
-    /// ends.
-    async fn rest(&mut self, pause: Duration) -> bool {
-        let mut owners = self.identity.owners.clone();
+    /// Waits for `delay` or until the owners in the feed change; false when the
+    /// process ends.
+    async fn back_off(&mut self, delay: Duration) -> bool {
+        let mut owners = self.config.owners.clone();
         owners.mark_unchanged();
         let work = async {
             tokio::select! {
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(delay) => {}
                 Ok(()) = owners.changed() => {}
             }
         };
-        self.attend(work, None).await.is_some()
+        self.wait_handling_commands(work, None).await.is_some()
     }
 
-    async fn connect_and_serve(&mut self, address: SocketAddr) -> Served {
-        let mut link = match self.connect(address).await {
-            Ok(Some(link)) => link,
-            Ok(None) => return Served::Ended,
+    async fn connect_and_serve(&mut self, address: SocketAddr) -> StreamEnd {
+        let mut stream = match self.connect(address).await {
+            Ok(Some(stream)) => stream,
+            Ok(None) => return StreamEnd::Shutdown,
             Err(e) => {
-                slog::debug!(self.identity.log, "no session";
+                slog::debug!(self.config.log, "failed to open a session with the pool's owner";
                     "pool" => %self.pool, "address" => %address, "error" => %e);
-                return Served::Failed(None);
+                return StreamEnd::Failed(None);
             }
         };
-        self.serve(&mut link).await
+        self.serve(&mut stream).await
     }
 
-    /// Connects and says hello, taking commands meanwhile; `None` when the
-    /// process ends.
-    async fn connect(&mut self, address: SocketAddr) -> Result<Option<Link>, String> {
-        let trust = self.identity.trust.clone();
-        let opening = channel(&trust, address);
-        let Some(channel) = self.attend(opening, None).await else {
+    /// Connects and sends the first messages while it handles commands; `None` when
+    /// the process ends.
+    async fn connect(&mut self, address: SocketAddr) -> Result<Option<OwnerStream>, String> {
+        let link = self.config.link.clone();
+        let opening = channel(&link, address);
+        let Some(channel) = self.wait_handling_commands(opening, None).await else {
             return Ok(None);
         };
-        let (outbox, messages) = mpsc::channel(OUTBOX);
+        let (outbox, messages) = mpsc::channel(OUTBOX_CAPACITY);
         let outbox = Outbox(outbox);
-        // The owner answers the call only after the hello.
-        for m in self.ledger.connect(now_us()) {
+        // The owner answers the call only after it has read the hello.
+        for m in self.state.connect(now_us()) {
             outbox.send(m);
         }
         let mut client = GrantsClient::new(channel?);
         let call = client.session(ReceiverStream::new(messages));
         let call = tokio::time::timeout(CONNECT_TIMEOUT, call);
-        let Some(inbox) = self.attend(call, Some(&outbox)).await else {
+        let Some(inbox) = self.wait_handling_commands(call, Some(&outbox)).await else {
             return Ok(None);
         };
         let inbox = inbox
-            .map_err(|_| "no answer in time".to_owned())?
+            .map_err(|_| format!("no answer within {CONNECT_TIMEOUT:?}"))?
             .map_err(|e| e.to_string())?
             .into_inner();
-        Ok(Some(Link { outbox, inbox }))
+        Ok(Some(OwnerStream { outbox, inbox }))
     }
 
-    /// Waits for `work` while commands go on to the ledger and the owner;
-    /// `None` when the process ends.
-    async fn attend<T>(
+    /// Waits for `work` while it handles commands and sends their messages to
+    /// `outbox`; `None` when the process ends.
+    async fn wait_handling_commands<T>(
         &mut self,
         work: impl Future<Output = T>,
         outbox: Option<&Outbox>,
@@ -321,8 +329,8 @@
         loop {
             tokio::select! {
                 done = &mut work => return Some(done),
-                command = self.mailbox.recv() => {
-                    let message = self.ledger.handle_command(command?, now_us());
+                command = self.command_queue.recv() => {
+                    let message = self.state.handle_command(command?, now_us());
                     if let (Some(m), Some(outbox)) = (message, outbox) {
                         outbox.send(m);
                     }
@@ -331,74 +339,76 @@
         }
     }
 
-    async fn serve(&mut self, link: &mut Link) -> Served {
-        let mut worked = false;
-        let mut owners = self.identity.owners.clone();
-        let mut tick = tokio::time::interval(RENEW_EVERY);
+    async fn serve(&mut self, stream: &mut OwnerStream) -> StreamEnd {
+        let mut welcomed = false;
+        let mut owners = self.config.owners.clone();
+        let mut tick = tokio::time::interval(RENEW_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         tick.reset();
         loop {
-            let step = tokio::select! {
-                command = self.mailbox.recv() => match command {
-                    Some(c) => match self.ledger.handle_command(c, now_us()) {
+            let action = tokio::select! {
+                command = self.command_queue.recv() => match command {
+                    Some(c) => match self.state.handle_command(c, now_us()) {
                         Some(m) => SessionAction::Send(vec![m]),
                         None => SessionAction::Continue,
                     },
-                    None => return Served::Ended,
+                    None => return StreamEnd::Shutdown,
                 },
-                message = link.inbox.message() => match message {
+                message = stream.inbox.message() => match message {
                     Ok(Some(wire::OwnerMessage { body: Some(body) })) => {
-                        let step = self.ledger.handle_message(body, now_us());
-                        if !worked && !matches!(step, SessionAction::Disconnect(_)) {
-                            worked = true;
+                        let action = self.state.handle_message(body, now_us());
+                        if !welcomed && !matches!(action, SessionAction::Disconnect(_)) {
+                            welcomed = true;
                             self.connected.store(true, Ordering::Relaxed);
-                            // The feed may have told of another meanwhile.
+                            // The feed may have named another owner meanwhile.
                             owners.mark_changed();
                         }
-                        step
+                        action
                     }
-                    // An empty message is malformed; the owner's next may be good.
+                    // An empty message is malformed; it is skipped.
                     Ok(Some(_)) => SessionAction::Continue,
                     Ok(None) | Err(_) => SessionAction::Disconnect(None),
                 },
-                // An owner that is paused does not say that it is no longer one.
-                Ok(()) = owners.changed() => match self.replaced() {
+                // A paused process does not report that it has lost its ownership.
+                Ok(()) = owners.changed() => match self.is_superseded() {
                     true => SessionAction::Disconnect(None),
                     false => SessionAction::Continue,
                 },
-                _ = tick.tick() => match worked {
-                    true => self.ledger.tick(now_us()),
-                    // No welcome within a second.
+                _ = tick.tick() => match welcomed {
+                    true => self.state.tick(now_us()),
+                    // The owner sent no welcome within `RENEW_INTERVAL`.
                     false => SessionAction::Disconnect(None),
                 },
             };
-            let sent = match step {
+            let sent = match action {
                 SessionAction::Continue => true,
-                SessionAction::Send(list) => list.into_iter().all(|m| link.outbox.send(m)),
-                SessionAction::Disconnect(Some(told)) => return Served::Failed(Some(told)),
-                SessionAction::Disconnect(None) if worked => return Served::Worked,
-                SessionAction::Disconnect(None) => return Served::Failed(None),
+                SessionAction::Send(list) => list.into_iter().all(|m| stream.outbox.send(m)),
+                SessionAction::Disconnect(Some(owner)) => return StreamEnd::Failed(Some(owner)),
+                SessionAction::Disconnect(None) if welcomed => return StreamEnd::Disconnected,
+                SessionAction::Disconnect(None) => return StreamEnd::Failed(None),
             };
             if !sent {
-                return Served::Failed(None);
+                return StreamEnd::Failed(None);
             }
         }
     }
 }
 
-enum Served {
+/// How a stream to an owner ended.
+enum StreamEnd {
     /// The process ends.
-    Ended,
-    /// The owner answered for a while.
-    Worked,
-    /// It did not, and perhaps said who does.
+    Shutdown,
+    /// The owner had accepted the session.
+    Disconnected,
+    /// The session was not accepted or got stuck; the address is that of the owner
+    /// if the peer named it.
     Failed(Option<SocketAddr>),
 }
 
 struct Outbox(mpsc::Sender<wire::EntryMessage>);
 
 impl Outbox {
-    /// False when the connection is gone or stuck.
+    /// Queues a message; false when the connection is closed or stuck.
     fn send(&self, body: wire::entry_message::Body) -> bool {
         let message = wire::EntryMessage { body: Some(body) };
         self.0.try_send(message).is_ok()
@@ -409,13 +419,12 @@
 ///
 /// # Errors
 ///
-/// When it cannot be reached in time.
+/// If no connection is made in time.
 pub(super) async fn channel(link: &link::Link, address: SocketAddr) -> Result<Channel, String> {
     let limits = |e: Endpoint| {
         e.connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            // A peer that vanished without a word is noticed within three
-            // seconds.
+            // Detects within 3 s a peer that vanished without closing the connection.
             .http2_keep_alive_interval(Duration::from_secs(1))
             .keep_alive_timeout(Duration::from_secs(2))
             .keep_alive_while_idle(true)
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry process share.
+//! State shared by the tasks of an entry process.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use super::EntrySettings;
 use super::Usage;
 use super::clock::now_us;
-use super::session::Identity;
 use super::session::Session;
+use super::session::SessionConfig;
 use super::view::CatalogView;
 use crate::control::Owner;
 use crate::ids::Fingerprint;
@@ -25,35 +25,37 @@
 use crate::timeline::Recorder;
 use crate::upstream::Upstreams;
 
-/// What every request of the process uses.
+/// State shared by all requests of the process.
 pub struct State {
-    /// The settings.
+    /// The settings of the process.
     pub settings: EntrySettings,
-    /// This start of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Owners of pools as the feed tells them.
+    /// Owners of pools, from the control feed.
     pub owners: watch::Sender<BTreeMap<PoolName, Owner>>,
     /// Connections to upstreams.
     pub upstreams: Upstreams,
-    /// What teams used.
+    /// Usage of the teams.
     pub usage: Usage,
     /// The time line.
     pub recorder: Arc<Recorder>,
-    /// Requests that may still come in.
+    /// Permits for requests in flight.
     pub request_permits: Arc<Semaphore>,
-    /// Connections to our other processes.
+    /// Connects to other processes of the system.
     pub link: Link,
-    /// The log.
+    /// The logger.
     pub log: slog::Logger,
     view: RwLock<Arc<CatalogView>>,
-    /// Convicted requests and when each verdict ends, in microseconds.
-    verdicts: RwLock<BTreeMap<Fingerprint, u64>>,
+    /// Blocked requests and the end of each block, in microseconds of the entry's
+    /// clock.
+    blocked_until_us: RwLock<BTreeMap<Fingerprint, u64>>,
     sessions: Mutex<BTreeMap<PoolName, Session>>,
-    requests: AtomicU64,
+    /// Number of the last request.
+    last_request: AtomicU64,
 }
 
 impl State {
-    /// A process that has no catalog yet.
+    /// Returns the state of a process without a catalog.
     pub fn new(
         settings: EntrySettings,
         incarnation: Incarnation,
@@ -72,13 +74,13 @@
             link,
             log,
             view: RwLock::default(),
-            verdicts: RwLock::default(),
+            blocked_until_us: RwLock::default(),
             sessions: Mutex::default(),
-            requests: AtomicU64::new(0),
+            last_request: AtomicU64::new(0),
         }
     }
 
-    /// The catalog in force now.
+    /// Returns the current catalog.
     pub fn view(&self) -> Arc<CatalogView> {
         self.view
             .read()
@@ -86,7 +88,8 @@
             .clone()
     }
 
-    /// Puts a catalog in force if its revision is higher; tells whether it was.
+    /// Replaces the current catalog if the revision of `next` is higher; returns
+    /// whether it was replaced.
     pub fn install_view(&self, next: CatalogView) -> bool {
         let mut view = self.view.write().unwrap_or_else(PoisonError::into_inner);
         let higher = next.revision() > view.revision();
@@ -96,54 +99,57 @@
         higher
     }
 
-    /// Whether a request was found to crash its upstream; gives how long the
-    /// verdict still holds, in milliseconds.
+    /// Returns how long a request is still blocked because it crashes its upstream,
+    /// in milliseconds; `None` if it is not blocked.
     pub fn blocked_for_ms(&self, fingerprint: Fingerprint) -> Option<u64> {
-        let verdicts = self.verdicts.read().unwrap_or_else(PoisonError::into_inner);
-        let left = verdicts.get(&fingerprint)?.checked_sub(now_us())?;
-        Some(left / 1_000)
+        let blocked = self
+            .blocked_until_us
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
+        let left_us = blocked.get(&fingerprint)?.checked_sub(now_us())?;
+        Some(left_us / 1_000)
     }
 
-    /// Adds verdicts that hold for the given milliseconds; old ones go.
+    /// Blocks requests for the given milliseconds and removes expired blocks.
     pub fn block(&self, list: impl IntoIterator<Item = (Fingerprint, u64)>) {
         let now = now_us();
-        let mut verdicts = self
-            .verdicts
+        let mut blocked = self
+            .blocked_until_us
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        verdicts.retain(|_, until| *until > now);
+        blocked.retain(|_, until_us| *until_us > now);
         for (fingerprint, left_ms) in list {
-            let until = now.saturating_add(left_ms.saturating_mul(1_000));
-            let have = verdicts.entry(fingerprint).or_default();
-            *have = until.max(*have);
+            let until_us = now.saturating_add(left_ms.saturating_mul(1_000));
+            let current = blocked.entry(fingerprint).or_default();
+            *current = until_us.max(*current);
         }
     }
 
-    /// The session with a pool's owner.
+    /// Returns the session with a pool's owner, which is started on first use.
     pub(super) fn session(&self, pool: &PoolName) -> Session {
         let mut sessions = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(session) = sessions.get(pool) {
             return session.clone();
         }
-        let session = Session::start(pool, self.identity());
+        let session = Session::start(pool, self.session_config());
         sessions.insert(pool.clone(), session.clone());
         session
     }
 
-    fn identity(&self) -> Identity {
-        Identity {
+    fn session_config(&self) -> SessionConfig {
+        SessionConfig {
             entry: self.settings.vm.to_string(),
             incarnation: self.incarnation.0,
             controls: self.settings.controls.clone(),
             owners: self.owners.subscribe(),
-            requests: self.settings.limits.requests,
-            trust: self.link.clone(),
+            max_requests: self.settings.limits.requests,
+            link: self.link.clone(),
             log: self.log.clone(),
         }
     }
 
-    /// A number that no other request of this process has.
+    /// Returns a number that is unique among the requests of this process.
     pub fn next_request_number(&self) -> u64 {
-        self.requests.fetch_add(1, Ordering::Relaxed) + 1
+        self.last_request.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
