--- a/lib/src/entry/call.rs
+++ b/lib/src/entry/call.rs
@@ -1,5 +1,5 @@
-//! From a caller's head and body to a call: who asks for what, until when,
-//! and how often it may run.
+//! Parses a caller's request into a call, checked against the catalog: its team,
+//! pool and adapter, its deadline, and whether it may run more than once.
 
 use bytes::Bytes;
 use hyper::HeaderMap;
@@ -20,88 +20,88 @@
 use crate::ids::TeamName;
 use crate::pool::Class;
 
-/// The longest idempotency key, in bytes; it is stored in the platform.
-const MAX_KEY: usize = 255;
+/// Maximum length of an idempotency key; the platform stores the keys.
+const MAX_KEY_BYTES: usize = 255;
 
-/// What is sent on to the upstream.
+/// The content that is forwarded to the upstream.
 #[derive(Clone, Debug)]
 pub(super) enum Content {
-    /// A completion, to a model engine.
+    /// A completion for a model engine.
     Completion(Completion),
-    /// A call to a plain service.
+    /// A call to a service.
     Plain {
-        /// The caller's headers that travel on.
+        /// The caller's end-to-end headers.
         headers: HeaderMap,
         /// The caller's body.
         body: Bytes,
     },
 }
 
-/// The id of a request.
+/// The identifiers of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Id {
-    /// Unique among all entries.
+pub(super) struct RequestId {
+    /// Identifier that is unique among all entries.
     pub text: String,
-    /// Unique in this process.
+    /// Number that is unique in this process.
     pub number: u64,
 }
 
 /// A caller's request, checked against the catalog.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
-    /// Its id, for upstreams, callers and the time line.
+    /// Identifier for upstreams, callers and the time line.
     pub id: String,
-    /// Its number in this process, the same for all its tries.
+    /// Number in this process, the same for all attempts.
     pub number: u64,
-    /// Who pays.
+    /// The team that made the request.
     pub team: TeamName,
-    /// Which pool serves it.
+    /// The pool that serves it.
     pub pool: PoolName,
-    /// The exact adapter version; `None` for a plain service.
+    /// The adapter version; `None` for a service.
     pub adapter: Option<AdapterVersion>,
-    /// Its class.
+    /// The scheduling class.
     pub class: Class,
-    /// When its caller gives up, in microseconds of the entry's clock.
+    /// Deadline, in microseconds of the entry's clock.
     pub deadline: u64,
-    /// When it came in, by the same clock.
+    /// Time of arrival, in microseconds of the same clock.
     pub received: u64,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Team and idempotency key; empty is none.
+    /// Team and idempotency key; empty if there is no key.
     pub claim: String,
     /// Hash of the whole request.
     pub fingerprint: Fingerprint,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// The rest.
+    /// The content for the upstream.
     pub content: Content,
 }
 
-enum Kind {
+enum CallKind {
     Completion { chat: bool },
     Plain { pool: PoolName, idempotent: bool },
 }
 
-/// What the head of a request says; its body is read only after this passed.
-pub(super) struct Head {
+/// The checked head of a request. The body is read only if the head is valid.
+pub(super) struct CallHead {
     team: TeamName,
     class: Class,
-    /// When the caller gives up, in microseconds of the entry's clock.
+    /// Deadline, in microseconds of the entry's clock.
     pub deadline: u64,
     idempotent: bool,
     claim: String,
-    kind: Kind,
+    kind: CallKind,
 }
 
-impl Head {
-    /// Checks key, path and headers.
+impl CallHead {
+    /// Checks the bearer key, the path and the headers.
     ///
     /// # Errors
     ///
-    /// The first of them that is refused; the body need not be read then.
-    pub(super) fn read(
+    /// The error for the first of them that is invalid.
+    pub(super) fn parse(
         view: &CatalogView,
         limits: &Limits,
         parts: &request::Parts,
@@ -109,16 +109,16 @@
     ) -> Result<Self, CallerError> {
         let headers = &parts.headers;
         let team = view.authenticate(headers)?.clone();
-        let kind = read_kind(view, parts)?;
-        let key = read_key(headers)?;
-        let by_kind = match &kind {
-            Kind::Completion { .. } => true,
-            Kind::Plain { idempotent, .. } => *idempotent,
+        let kind = parse_kind(view, parts)?;
+        let key = parse_key(headers)?;
+        let default_idempotent = match &kind {
+            CallKind::Completion { .. } => true,
+            CallKind::Plain { idempotent, .. } => *idempotent,
         };
-        let idempotent = read_idempotent(headers)?.unwrap_or(by_kind) && key.is_none();
+        let idempotent = parse_idempotent(headers)?.unwrap_or(default_idempotent) && key.is_none();
         Ok(Self {
-            class: read_class(headers, &kind)?,
-            deadline: now + 1_000 * read_deadline(headers, limits)?,
+            class: parse_class(headers, &kind)?,
+            deadline: now + 1_000 * parse_deadline_ms(headers, limits)?,
             idempotent,
             claim: key.map(|k| format!("{team}/{k}")).unwrap_or_default(),
             team,
@@ -130,14 +130,14 @@
     ///
     /// # Errors
     ///
-    /// When the body is malformed, or its adapter or version cannot be served
-    /// to the team.
-    pub(super) fn call(
+    /// If the body is malformed, or its adapter or version is not served to the
+    /// team.
+    pub(super) fn into_call(
         self,
         view: &CatalogView,
         parts: request::Parts,
         body: Bytes,
-        id: Id,
+        id: RequestId,
         received: u64,
     ) -> Result<Call, CallerError> {
         let path = match parts.uri.path_and_query() {
@@ -145,14 +145,14 @@
             None => parts.uri.path().to_owned(),
         };
         let (pool, adapter, fingerprint, content) = match self.kind {
-            Kind::Completion { chat } => {
+            CallKind::Completion { chat } => {
                 let c = Completion::parse(body, chat)?;
                 let (pool, adapter) = view.resolve(&self.team, c.model())?;
                 let fingerprint = c.fingerprint(&adapter);
                 let content = Content::Completion(c);
                 (pool.clone(), Some(adapter), fingerprint, content)
             }
-            Kind::Plain { pool, .. } => {
+            CallKind::Plain { pool, .. } => {
                 let seed = xxh3_64(path.as_bytes()) ^ xxh3_64(parts.method.as_str().as_bytes());
                 let fingerprint = Fingerprint(xxh3_64_with_seed(&body, seed));
                 let headers = end_to_end_headers(parts.headers);
@@ -179,86 +179,91 @@
 }
 
 impl Call {
-    /// Whether the answer is a stream.
-    pub(super) fn stream(&self) -> bool {
+    /// Returns whether the response is a stream.
+    pub(super) fn is_stream(&self) -> bool {
         matches!(&self.content, Content::Completion(c) if c.stream)
     }
 }
 
-fn read_kind(view: &CatalogView, parts: &request::Parts) -> Result<Kind, CallerError> {
+fn parse_kind(view: &CatalogView, parts: &request::Parts) -> Result<CallKind, CallerError> {
     let path = parts.uri.path();
     let chat = match path {
         "/v1/completions" => false,
         "/v1/chat/completions" => true,
         _ => {
             let service = view.service(path)?;
-            return Ok(Kind::Plain {
+            return Ok(CallKind::Plain {
                 pool: service.pool.clone(),
                 idempotent: service.idempotent.contains(parts.method.as_str()),
             });
         }
     };
     match parts.method {
-        Method::POST => Ok(Kind::Completion { chat }),
+        Method::POST => Ok(CallKind::Completion { chat }),
         _ => Err(CallerError::new(
             Code::UnknownPath,
-            format!("{path} takes POST only"),
+            format!("{path} accepts only POST"),
         )),
     }
 }
 
-fn bad(name: &str, allowed: &str) -> CallerError {
-    CallerError::new(Code::BadHeader, format!("{name}: allowed is {allowed}"))
+fn bad_header(name: &str, allowed: &str) -> CallerError {
+    CallerError::new(
+        Code::BadHeader,
+        format!("invalid {name}: expected {allowed}"),
+    )
 }
 
-fn read_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, CallerError> {
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, CallerError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
     if values.next().is_some() {
-        return Err(bad(name, "one value"));
+        return Err(bad_header(name, "one value"));
     }
     value
-        .map(|v| v.to_str().map_err(|_| bad(name, "visible ASCII")))
+        .map(|v| v.to_str().map_err(|_| bad_header(name, "visible ASCII")))
         .transpose()
 }
 
-fn read_deadline(headers: &HeaderMap, limits: &Limits) -> Result<u64, CallerError> {
+fn parse_deadline_ms(headers: &HeaderMap, limits: &Limits) -> Result<u64, CallerError> {
     let name = "x-deadline-ms";
-    let Some(text) = read_text(headers, name)? else {
+    let Some(text) = single_value(headers, name)? else {
         return Ok(limits.default_deadline_ms);
     };
-    let most = limits.most_deadline_ms;
+    let max_ms = limits.most_deadline_ms;
     text.parse()
         .ok()
-        .filter(|ms| (1..=most).contains(ms))
-        .ok_or_else(|| bad(name, &format!("1 to {most}")))
+        .filter(|ms| (1..=max_ms).contains(ms))
+        .ok_or_else(|| bad_header(name, &format!("1 to {max_ms}")))
 }
 
-fn read_class(headers: &HeaderMap, kind: &Kind) -> Result<Class, CallerError> {
+fn parse_class(headers: &HeaderMap, kind: &CallKind) -> Result<Class, CallerError> {
     let name = "x-class";
-    match (read_text(headers, name)?, kind) {
+    match (single_value(headers, name)?, kind) {
         (Some("long"), _) => Ok(Class::Long),
-        (Some("interactive") | None, Kind::Completion { .. }) => Ok(Class::Interactive),
-        (Some("interactive") | None, Kind::Plain { .. }) => Ok(Class::Call),
-        (Some(_), _) => Err(bad(name, "interactive or long")),
+        (Some("interactive") | None, CallKind::Completion { .. }) => Ok(Class::Interactive),
+        (Some("interactive") | None, CallKind::Plain { .. }) => Ok(Class::Call),
+        (Some(_), _) => Err(bad_header(name, "interactive or long")),
     }
 }
 
-fn read_idempotent(headers: &HeaderMap) -> Result<Option<bool>, CallerError> {
+fn parse_idempotent(headers: &HeaderMap) -> Result<Option<bool>, CallerError> {
     let name = "x-idempotent";
-    match read_text(headers, name)? {
+    match single_value(headers, name)? {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(bad(name, "true or false")),
+        Some(_) => Err(bad_header(name, "true or false")),
     }
 }
 
-fn read_key(headers: &HeaderMap) -> Result<Option<&str>, CallerError> {
+fn parse_key(headers: &HeaderMap) -> Result<Option<&str>, CallerError> {
     let name = "idempotency-key";
-    let key = read_text(headers, name)?;
+    let key = single_value(headers, name)?;
     match key {
-        Some(k) if k.is_empty() || k.len() > MAX_KEY => Err(bad(name, "1 to 255 characters")),
+        Some(k) if k.is_empty() || k.len() > MAX_KEY_BYTES => {
+            Err(bad_header(name, "1 to 255 characters"))
+        }
         _ => Ok(key),
     }
 }
@@ -283,14 +288,14 @@
 
 /// Removes the headers that are not forwarded, in either direction.
 pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|n| n.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in HOP_HEADERS {
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -201,7 +201,7 @@
     let elapsed_us = now_us().saturating_sub(call.received);
     metrics::histogram!("entry_before_dispatch_seconds").record(elapsed_us as f64 / 1e6);
     held_grant.dispatch(&state.upstreams, address, &call.id, call.adapter.is_some());
-    match call.stream() {
+    match call.is_stream() {
         true => StreamRelay::start(state, call, held_grant, address, expected)
             .await
             .map(|(head, stream)| Success::Stream(head, stream)),
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: how many, how slow, and their end.
+//! Accepts callers' connections, limits their number and idle time, and shuts them
+//! down gracefully.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -30,33 +31,33 @@
 use super::settings::Limits;
 use super::state::State;
 
-/// The pause after a failed accept; the usual cause is a lack of descriptors,
-/// which the end of other connections mends.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept. The usual cause is a lack of file descriptors,
+/// which ends as other connections close.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long a refused connection may take to read why.
-const REFUSAL_TIME: Duration = Duration::from_secs(1);
+/// Time that a refused connection has to read the error.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Refused connections that are told why at the same time; more are closed
-/// without a word, so that refusing costs less than serving.
-const MOST_REFUSALS: usize = 64;
+/// Maximum concurrent refusals with an error response. Further connections are
+/// closed without one, so that a refusal stays cheaper than a request.
+const MAX_REFUSALS: usize = 64;
 
-/// Streams of one HTTP/2 connection at the same time.
-const MOST_STREAMS: u32 = 256;
+/// Maximum concurrent streams of one HTTP/2 connection.
+const MAX_STREAMS: u32 = 256;
 
-/// Serves callers until `stopping` is true, then sees requests in flight
-/// through; each is bounded by its deadline.
+/// Accepts connections until `stopping` is true, then waits for the requests in
+/// flight, each of which is bounded by its deadline.
 pub(super) async fn accept(
     state: Arc<State>,
     listener: TcpListener,
     mut stopping: watch::Receiver<bool>,
 ) {
     let limits = &state.settings.limits;
-    let door = Arc::new(Door {
-        room: Arc::new(Semaphore::new(limits.connections)),
-        refusals: Arc::new(Semaphore::new(MOST_REFUSALS)),
+    let limiter = Arc::new(ConnectionLimiter {
+        permits: Arc::new(Semaphore::new(limits.connections)),
+        refusals: Arc::new(Semaphore::new(MAX_REFUSALS)),
         per_address: limits.per_address,
-        peers: Mutex::default(),
+        open_by_address: Mutex::default(),
     });
     let graceful = GracefulShutdown::new();
     loop {
@@ -64,61 +65,69 @@
             accepted = listener.accept() => match accepted {
                 Ok(accepted) => accepted,
                 Err(_) => {
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
-            () = told(&mut stopping) => break,
+            () = stop_requested(&mut stopping) => break,
         };
-        match door.enter(address.ip()) {
-            Some(guest) => {
-                let work = connection(state.clone(), stream, graceful.watcher(), guest);
+        match limiter.admit(address.ip()) {
+            Some(permit) => {
+                let work = serve_connection(state.clone(), stream, graceful.watcher(), permit);
                 tokio::spawn(work);
             }
-            None => door.refuse(stream),
+            None => limiter.refuse(stream),
         }
     }
     drop(listener);
-    let most = Duration::from_millis(state.settings.limits.most_deadline_ms);
-    if tokio::time::timeout(most, graceful.shutdown())
+    let max_drain = Duration::from_millis(state.settings.limits.most_deadline_ms);
+    if tokio::time::timeout(max_drain, graceful.shutdown())
         .await
         .is_err()
     {
-        slog::warn!(state.log, "connections were still open at the end");
+        slog::warn!(
+            state.log,
+            "connections still open after the longest deadline"
+        );
     }
 }
 
-async fn told(stopping: &mut watch::Receiver<bool>) {
-    // Without a sender there is nobody to serve for either.
+async fn stop_requested(stopping: &mut watch::Receiver<bool>) {
+    // A dropped sender means that the entry is gone, which stops the server too.
     stopping.wait_for(|s| *s).await.ok();
 }
 
-struct Door {
-    room: Arc<Semaphore>,
+/// Limits the open connections in total and per address.
+struct ConnectionLimiter {
+    permits: Arc<Semaphore>,
     refusals: Arc<Semaphore>,
     per_address: usize,
-    peers: Mutex<BTreeMap<IpAddr, usize>>,
+    open_by_address: Mutex<BTreeMap<IpAddr, usize>>,
 }
 
-struct Guest {
-    door: Arc<Door>,
-    peer: IpAddr,
-    _room: OwnedSemaphorePermit,
+/// Permit of one open connection.
+struct ConnectionPermit {
+    limiter: Arc<ConnectionLimiter>,
+    address: IpAddr,
+    _permit: OwnedSemaphorePermit,
 }
 
-impl Door {
-    fn enter(self: &Arc<Self>, peer: IpAddr) -> Option<Guest> {
-        let room = self.room.clone().try_acquire_owned().ok()?;
-        let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
-        let open = peers.entry(peer).or_default();
+impl ConnectionLimiter {
+    fn admit(self: &Arc<Self>, address: IpAddr) -> Option<ConnectionPermit> {
+        let permit = self.permits.clone().try_acquire_owned().ok()?;
+        let mut open_by_address = self
+            .open_by_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let open = open_by_address.entry(address).or_default();
         if *open >= self.per_address {
             return None;
         }
         *open += 1;
-        Some(Guest {
-            door: self.clone(),
-            peer,
-            _room: room,
+        Some(ConnectionPermit {
+            limiter: self.clone(),
+            address,
+            _permit: permit,
         })
     }
 
@@ -128,7 +137,7 @@
             return;
         };
         tokio::spawn(async move {
-            tokio::time::timeout(REFUSAL_TIME, refuse(stream))
+            tokio::time::timeout(REFUSAL_TIMEOUT, send_refusal(stream))
                 .await
                 .ok();
             drop(permit);
@@ -136,23 +145,23 @@
     }
 }
 
-impl Drop for Guest {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut peers = self
-            .door
-            .peers
+        let mut open_by_address = self
+            .limiter
+            .open_by_address
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some(open) = peers.get_mut(&self.peer) {
+        if let Some(open) = open_by_address.get_mut(&self.address) {
             *open -= 1;
             if *open == 0 {
-                peers.remove(&self.peer);
+                open_by_address.remove(&self.address);
             }
         }
     }
 }
 
-async fn refuse(mut stream: TcpStream) -> std::io::Result<()> {
+async fn send_refusal(mut stream: TcpStream) -> std::io::Result<()> {
     let e = CallerError::new(Code::TooMany, "too many connections").with_retry_after(1_000);
     let body = e.body();
     let head = format!(
@@ -163,24 +172,29 @@
     stream.write_all(head.as_bytes()).await?;
     stream.write_all(&body).await?;
     stream.shutdown().await?;
-    // Closing with unread bytes would reset the connection before the caller
-    // has read why.
+    // Closing a socket with unread bytes resets the connection, possibly before
+    // the caller has read the response.
     let mut sink = [0; 1_024];
     while stream.read(&mut sink).await? > 0 {}
     Ok(())
 }
 
-async fn connection(state: Arc<State>, stream: TcpStream, watcher: Watcher, guest: Guest) {
-    // Small answers must not wait for more to send; a socket that refuses
-    // this still works.
+async fn serve_connection(
+    state: Arc<State>,
+    stream: TcpStream,
+    watcher: Watcher,
+    permit: ConnectionPermit,
+) {
+    // Small responses must not wait for more data. An error here only costs
+    // latency.
     stream.set_nodelay(true).ok();
     let limits = state.settings.limits.clone();
     let builder = builder(&limits);
-    let begun = Arc::new(AtomicBool::new(false));
+    let has_request = Arc::new(AtomicBool::new(false));
     let service = service_fn({
-        let begun = begun.clone();
+        let has_request = has_request.clone();
         move |request| {
-            begun.store(true, Ordering::Relaxed);
+            has_request.store(true, Ordering::Relaxed);
             serve(state.clone(), request)
         }
     });
@@ -190,14 +204,14 @@
             .into_owned(),
     );
     tokio::pin!(served);
-    let first = tokio::time::timeout(limits.header_wait(), &mut served).await;
-    // The library's own limit begins with the first byte; a caller that sends
-    // none, or half of an HTTP/2 preface, is sent away by this one.
-    if first.is_err() && begun.load(Ordering::Relaxed) {
-        // How a connection ends is told by its requests.
+    let first = tokio::time::timeout(limits.header_timeout(), &mut served).await;
+    // The header timeout of hyper starts with the first byte. This one also closes
+    // connections that send nothing or only a part of an HTTP/2 preface.
+    if first.is_err() && has_request.load(Ordering::Relaxed) {
+        // Errors of the connection are reported by its requests.
         served.await.ok();
     }
-    drop(guest);
+    drop(permit);
 }
 
 fn builder(limits: &Limits) -> auto::Builder<TokioExecutor> {
@@ -205,13 +219,13 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.header_wait())
+        .header_read_timeout(limits.header_timeout())
         .max_buf_size(limits.header);
     builder
         .http2()
         .timer(TokioTimer::new())
-        .keep_alive_interval(limits.header_wait())
+        .keep_alive_interval(limits.header_timeout())
         .max_header_list_size(u32::try_from(limits.header).unwrap_or(u32::MAX))
-        .max_concurrent_streams(MOST_STREAMS);
+        .max_concurrent_streams(MAX_STREAMS);
     builder
 }
--- a/lib/src/entry/settings.rs
+++ b/lib/src/entry/settings.rs
@@ -30,68 +30,70 @@
 #[derive(Clone, Debug, Deserialize, bon::Builder)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of this VM.
     pub zone: ZoneName,
-    /// The organisation that it serves.
+    /// Organisation that this entry serves.
     #[builder(into)]
     pub organisation: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Where the time line is read.
+    /// Address that serves the time line to other processes.
     pub internal: SocketAddr,
-    /// Where metrics are read; none when left out.
+    /// Address that serves metrics; metrics are off if it is missing.
     pub metrics: Option<SocketAddr>,
-    /// Control processes: the own VM's first, then peers.
+    /// Addresses of control processes: this VM's first, then peers.
     pub controls: Vec<SocketAddr>,
-    /// Threads that serve.
+    /// Worker threads.
     #[serde(default = "default_threads")]
     #[builder(default = default_threads())]
     pub threads: usize,
-    /// Keys for connections between our processes; plain when left out.
+    /// Keys for connections between processes of the system; they are not encrypted
+    /// if this is missing.
     pub link: Option<LinkSettings>,
-    /// How logs are written.
+    /// Log format.
     #[serde(default)]
     #[builder(default)]
     pub log: LogFormat,
-    /// Limits towards callers.
+    /// Limits for callers.
     #[serde(default)]
     #[builder(default)]
     pub limits: Limits,
 }
 
-/// More threads wake each other more often: at 4 a request costs a fifth less
-/// of a core than at 12, and a busy neighbour on one core still leaves three.
+/// With more threads, wake-ups between them cost more: a request takes a fifth less
+/// CPU time with 4 threads than with 12, and if another process keeps one core
+/// busy, three threads remain.
 const fn default_threads() -> usize {
     4
 }
 
-/// Limits towards callers.
+/// Limits for callers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// The longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header: usize,
-    /// The longest whole answer, in bytes.
+    /// Maximum size of a response that is not a stream, in bytes.
     pub answer: usize,
-    /// Open connections of callers.
+    /// Maximum open connections of callers.
     pub connections: usize,
-    /// Open connections from one address.
+    /// Maximum open connections from one address.
     pub per_address: usize,
-    /// Requests in flight.
+    /// Maximum requests in flight.
     pub requests: usize,
-    /// The longest wait for a request's head, in milliseconds.
+    /// Timeout for reading a request head, in milliseconds.
     pub header_ms: u64,
-    /// The deadline of a request that names none, in milliseconds.
+    /// Default deadline of a request, in milliseconds.
     pub default_deadline_ms: u64,
-    /// The largest deadline that a request may name, in milliseconds.
+    /// Maximum deadline of a request, in milliseconds.
     pub most_deadline_ms: u64,
-    /// Tries after the first.
+    /// Maximum retries of a request.
     pub retries: u32,
-    /// Events that the time line keeps.
+    /// Maximum events kept by the time line.
     pub events: usize,
 }
 
@@ -114,8 +116,8 @@
 }
 
 impl Limits {
-    /// The longest wait for a request's head.
-    pub fn header_wait(&self) -> Duration {
+    /// Returns the timeout for reading a request head.
+    pub fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_ms)
     }
 }
