--- a/lib/src/entry/auth.rs
+++ b/lib/src/entry/auth.rs
@@ -1,4 +1,4 @@
-//! Which team a bearer key belongs to.
+//! Authenticates callers by bearer key.
 
 use std::fmt::Write;
 
@@ -12,12 +12,11 @@
 use crate::catalog::Catalog;
 use crate::ids::TeamName;
 
-/// The team of a request.
+/// Returns the team that the bearer key of a request belongs to.
 ///
 /// # Errors
 ///
-/// [`Code::BadKey`] when the header is missing, malformed or has a key that no
-/// team has.
+/// [`Code::BadKey`] if the header is missing or malformed, or no team has the key.
 pub(super) fn authenticate<'a>(
     catalog: &'a Catalog,
     headers: &HeaderMap,
@@ -25,23 +24,23 @@
     let bad = |m: &str| CallerError::new(Code::BadKey, m);
     let key = headers
         .get(AUTHORIZATION)
-        .ok_or_else(|| bad("no Authorization header"))?
+        .ok_or_else(|| bad("missing Authorization header"))?
         .as_bytes();
     let key = key
         .strip_prefix(b"Bearer ")
         .or_else(|| key.strip_prefix(b"bearer "))
-        .ok_or_else(|| bad("Authorization is not `Bearer <key>`"))?;
-    // Only hashes are compared, so timing tells nothing of a stored key.
+        .ok_or_else(|| bad("malformed Authorization header: expected `Bearer <key>`"))?;
+    // Only hashes are compared, so response times reveal nothing about stored keys.
     let hash: [u8; 32] = Sha256::digest(key).into();
     catalog
         .team_by_key(&hex(&hash))
-        .ok_or_else(|| bad("the key is not known"))
+        .ok_or_else(|| bad("unknown bearer key"))
 }
 
 fn hex(bytes: &[u8]) -> String {
     let mut out = String::with_capacity(2 * bytes.len());
     for b in bytes {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         write!(out, "{b:02x}").ok();
     }
     out
--- a/lib/src/entry/body.rs
+++ b/lib/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! The body of a completion: what is read of it, and what is changed in it.
+//! Parses the body of a completion and rewrites its model and priority.
 
 use std::borrow::Cow;
 
@@ -15,16 +15,16 @@
 use crate::ids::Fingerprint;
 use crate::upstream::BodyChunks;
 
-/// Bytes of the prompt's head that are hashed for prefix-cache affinity.
-const PREFIX: usize = 256;
+/// Number of leading bytes of the prompt that are hashed for prefix-cache affinity.
+const PREFIX_BYTES: usize = 256;
 
-/// Bytes of prompt text that count as one token in the estimate for the owner.
+/// Bytes of prompt text per token, for the estimate that is sent to the owner.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens that a request may generate when it names no limit.
-const DEFAULT_TOKENS: u32 = 256;
+/// Default limit of the tokens that a request may generate.
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The fields that the entry reads; the others pass through unread.
+/// The fields that the entry reads; all others are passed on as they are.
 #[derive(Deserialize)]
 struct Fields<'a> {
     #[serde(borrow)]
@@ -35,42 +35,42 @@
     messages: Option<&'a RawValue>,
     max_tokens: Option<u32>,
     stream: Option<bool>,
-    #[serde(borrow, default, deserialize_with = "present")]
+    #[serde(borrow, default, deserialize_with = "some_if_present")]
     priority: Option<&'a RawValue>,
 }
 
-/// Keeps a `null` apart from a field that is not there.
-fn present<'de, D: Deserializer<'de>>(d: D) -> Result<Option<&'de RawValue>, D::Error> {
+/// Distinguishes `null` from a missing field.
+fn some_if_present<'de, D: Deserializer<'de>>(d: D) -> Result<Option<&'de RawValue>, D::Error> {
     <&RawValue>::deserialize(d).map(Some)
 }
 
-/// Where a value stands in the body.
+/// Byte range of a value in the body.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct ByteRange {
     start: usize,
     end: usize,
 }
 
-/// A completion as its caller sent it.
+/// A completion request as its caller sent it.
 #[derive(Clone, Debug)]
 pub struct Completion {
     body: Bytes,
     model: String,
-    model_at: Place,
-    priority_at: Option<Place>,
-    /// Tokens in the prompt, estimated from its length.
+    model_range: ByteRange,
+    priority_range: Option<ByteRange>,
+    /// Number of tokens in the prompt, estimated from its length.
     pub prompt_tokens: u32,
-    /// The most tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether the answer is a stream.
+    /// Whether the caller asked for a stream.
     pub stream: bool,
-    /// Hash of the prompt's head.
+    /// Hash of the first `PREFIX_BYTES` of the prompt.
     pub prefix: u64,
 }
 
 impl Completion {
-    /// Reads the few fields that the entry needs; `chat` asks for `messages`
-    /// in place of `prompt`.
+    /// Parses the fields that the entry needs. With `chat`, the prompt is read from
+    /// `messages` instead of `prompt`.
     ///
     /// ```
     /// use banyangauge::entry::Completion;
@@ -81,47 +81,47 @@
     ///
     /// # Errors
     ///
-    /// [`Code::BadRequest`] when it is not a JSON object with these fields.
+    /// [`Code::BadRequest`] if the body is not a JSON object with valid fields.
     pub fn parse(body: Bytes, chat: bool) -> Result<Self, CallerError> {
         let bad = |m: String| CallerError::new(Code::BadRequest, m);
         let f: Fields<'_> = serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?;
         let model: Cow<'_, str> = serde_json::from_str::<Text<'_>>(f.model.get())
-            .map_err(|_| bad("model is not a string".to_owned()))?
+            .map_err(|_| bad("model must be a string".to_owned()))?
             .0;
         let (name, prompt) = match chat {
             true => ("messages", f.messages),
             false => ("prompt", f.prompt),
         };
         let prompt = prompt
-            .ok_or_else(|| bad(format!("{name} is missing")))?
+            .ok_or_else(|| bad(format!("missing field {name}")))?
             .get();
-        let kind = if chat { '[' } else { '"' };
-        if !prompt.starts_with(kind) {
+        let first_char = if chat { '[' } else { '"' };
+        if !prompt.starts_with(first_char) {
             return Err(bad(format!("{name} has the wrong type")));
         }
-        let head = &prompt.as_bytes()[..prompt.len().min(PREFIX)];
-        let max_tokens = f.max_tokens.unwrap_or(DEFAULT_TOKENS);
+        let prompt_prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
+        let max_tokens = f.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         if max_tokens == 0 {
-            return Err(bad("max_tokens is 0, allowed are 1 or more".to_owned()));
+            return Err(bad("max_tokens must be at least 1, got 0".to_owned()));
         }
         Ok(Self {
             model: model.into_owned(),
-            model_at: place(&body, f.model),
-            priority_at: f.priority.map(|p| place(&body, p)),
+            model_range: range_in(&body, f.model),
+            priority_range: f.priority.map(|p| range_in(&body, p)),
             prompt_tokens: u32::try_from(prompt.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX),
             max_tokens,
             stream: f.stream.unwrap_or(false),
-            prefix: xxh3_64(head),
+            prefix: xxh3_64(prompt_prefix),
             body,
         })
     }
 
-    /// The model as the caller named it.
+    /// Returns the model as the caller named it.
     pub fn model(&self) -> &str {
         &self.model
     }
 
-    /// Hash of the adapter version and the whole body.
+    /// Returns a hash of the adapter version and the whole body.
     pub fn fingerprint(&self, adapter: &AdapterVersion) -> Fingerprint {
         let seed = xxh3_64_with_seed(
             adapter.adapter.as_str().as_bytes(),
@@ -130,17 +130,17 @@
         Fingerprint(xxh3_64_with_seed(&self.body, seed))
     }
 
-    /// The body for the engine: `model` and `priority` replaced, the rest as
-    /// views of what the caller sent.
+    /// Returns the body for the engine with `model` and `priority` replaced; the
+    /// rest shares the caller's buffer.
     pub fn rewrite(&self, adapter: &AdapterVersion, priority: i32) -> BodyChunks {
-        // Names hold no character that JSON escapes.
-        let model = (self.model_at, Bytes::from(format!("\"{adapter}\"")));
-        match self.priority_at {
-            Some(at) => {
-                let value = (at, Bytes::from(priority.to_string()));
-                let (a, b) = match at.start < model.0.start {
-                    true => (value, model),
-                    false => (model, value),
+        // Adapter names contain no characters that JSON escapes.
+        let new_model = (self.model_range, Bytes::from(format!("\"{adapter}\"")));
+        match self.priority_range {
+            Some(range) => {
+                let new_priority = (range, Bytes::from(priority.to_string()));
+                let (a, b) = match range.start < new_model.0.start {
+                    true => (new_priority, new_model),
+                    false => (new_model, new_priority),
                 };
                 BodyChunks::new([
                     self.body.slice(..a.0.start),
@@ -151,24 +151,24 @@
                 ])
             }
             None => BodyChunks::new([
-                self.body.slice(..self.model_at.start),
-                model.1,
+                self.body.slice(..self.model_range.start),
+                new_model.1,
                 Bytes::from(format!(",\"priority\":{priority}")),
-                self.body.slice(self.model_at.end..),
+                self.body.slice(self.model_range.end..),
             ]),
         }
     }
 }
 
-/// A string, borrowed where it holds no escapes.
+/// A string, borrowed if it contains no escapes.
 #[derive(Deserialize)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
 
-/// `value` was borrowed from `body`, so the difference of their addresses is
-/// its place.
-fn place(body: &Bytes, value: &RawValue) -> Place {
+/// Returns the range of `value`, which must be borrowed from `body`: its offset is
+/// the difference of the addresses.
+fn range_in(body: &Bytes, value: &RawValue) -> ByteRange {
     let start = value.get().as_ptr().addr() - body.as_ptr().addr();
-    Place {
+    ByteRange {
         start,
         end: start + value.get().len(),
     }
--- a/lib/src/entry/clock.rs
+++ b/lib/src/entry/clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which grants lapse.
+//! The clock that measures leases of grants and deadlines.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use rustix::time::clock_gettime;
 use tokio::time::Instant;
 
-/// Microseconds on a clock that never goes back and runs on while the VM is
-/// suspended, so that a grant does not outlive a pause unnoticed.
+/// Returns the microseconds since boot, including time in which the VM was
+/// suspended, so that grants also expire during a suspension.
 pub(super) fn now_us() -> u64 {
     let t = clock_gettime(ClockId::Boottime);
     // The time since boot is never negative.
     t.tv_sec.unsigned_abs() * 1_000_000 + t.tv_nsec.unsigned_abs() / 1_000
 }
 
-/// The timer's instant for a reading of this clock.
-pub(super) fn instant(at_us: u64) -> Instant {
+/// Converts a time of this clock to an instant of the timer.
+pub(super) fn to_instant(at_us: u64) -> Instant {
     Instant::now() + Duration::from_micros(at_us.saturating_sub(now_us()))
 }
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -292,7 +292,7 @@
     tokio::pin!(work);
     loop {
         let until = deadline.min(held_grant.lease.expires_at());
-        if let Ok(done) = tokio::time::timeout_at(clock::instant(until), &mut work).await {
+        if let Ok(done) = tokio::time::timeout_at(clock::to_instant(until), &mut work).await {
             return Ok(done);
         }
         let now = now_us();
--- a/lib/src/entry/errors.rs
+++ b/lib/src/entry/errors.rs
@@ -1,74 +1,74 @@
-//! Error answers to callers: code, whether the request ran, when to come back.
+//! Errors for callers: a code, whether the request ran, and when to retry.
 
 use bytes::Bytes;
 use hyper::StatusCode;
 use serde::Serialize;
 
-/// Whether a refused or failed request ran.
+/// Whether a request that was refused or failed has run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not.
+    /// It has not run.
     NotRun,
-    /// Nobody can say.
+    /// It may have run.
     Unknown,
 }
 
-/// What went wrong; `docs/design/0001-wire.md` has the table.
+/// Code of an error; `docs/design/0001-wire.md` lists them.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The body is not of the published form.
+    /// The body does not match the published format.
     BadRequest,
     /// A header has a value that is not allowed.
     BadHeader,
-    /// The bearer key is missing or not known.
+    /// The bearer key is missing or unknown.
     BadKey,
     /// The team may not use the adapter.
     WrongTeam,
-    /// No such adapter.
+    /// The adapter does not exist.
     UnknownAdapter,
-    /// No such version of it.
+    /// The adapter has no such version.
     UnknownVersion,
-    /// No such path.
+    /// No service has a prefix of the path.
     UnknownPath,
-    /// A call with the same idempotency key runs.
+    /// A call with the same idempotency key is running.
     ClaimRunning,
     /// A call with the same idempotency key was answered.
     ClaimAnswered,
     /// The outcome of a call with the same idempotency key is unknown.
     ClaimUnknown,
-    /// The body or head is too long.
+    /// The body is too large.
     TooLarge,
-    /// The request crashes its upstream.
+    /// The request is blocked because it crashes its upstream.
     Convicted,
-    /// The queue is full.
+    /// The queue of the pool is full.
     QueueFull,
-    /// The retry budget is spent.
+    /// The retry budget of the pool is exhausted.
     RetryBudget,
     /// Too many requests or connections.
     TooMany,
-    /// Nobody knows whether it ran.
+    /// The request may have run.
     OutcomeUnknown,
-    /// The same, because the deadline passed while it ran.
+    /// The request may have run: the deadline passed after its dispatch.
     #[serde(rename = "outcome_unknown")]
     Overdue,
-    /// No replica takes work.
+    /// No replica of the pool accepts requests.
     NoReplica,
     /// The adapter could not be loaded.
     LoadFailed,
-    /// This process or the owner is stopping, or has no catalog yet.
+    /// The owner of the pool is stopping.
     Draining,
-    /// The pool has no owner now.
+    /// The pool has no reachable owner, or the entry has no catalog yet.
     NoOwner,
-    /// The platform, which keyed calls need, is down.
+    /// The platform, which calls with an idempotency key need, is unavailable.
     PlatformDown,
     /// The deadline cannot be met, or passed before dispatch.
     Deadline,
 }
 
 impl Code {
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub const fn status(self) -> StatusCode {
         match self {
             Self::BadRequest | Self::BadHeader => StatusCode::BAD_REQUEST,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether a request that ends so ran.
+    /// Returns whether a request that ends with this code has run.
     pub const fn ran(self) -> Ran {
         match self {
             Self::OutcomeUnknown | Self::Overdue => Ran::Unknown,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The word for it in metrics.
+    /// Returns the name of the code in responses and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -128,19 +128,20 @@
     }
 }
 
-/// An error answer.
+/// An error that is returned to a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallerError {
-    /// What went wrong.
+    /// Code of the error.
     pub code: Code,
-    /// For a person.
+    /// Description for people.
     pub message: String,
-    /// When to come back, where time can mend it.
+    /// Delay after which a retry may succeed, in milliseconds; `None` if a retry would
+    /// fail again.
     pub retry_after_ms: Option<u64>,
 }
 
 #[derive(Serialize)]
-struct Inner<'a> {
+struct ErrorFields<'a> {
     code: &'static str,
     message: &'a str,
     ran: Ran,
@@ -149,12 +150,12 @@
 }
 
 #[derive(Serialize)]
-struct Outer<'a> {
-    error: Inner<'a>,
+struct ErrorBody<'a> {
+    error: ErrorFields<'a>,
 }
 
 impl CallerError {
-    /// An error that time does not mend.
+    /// Returns an error without a retry delay.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -163,13 +164,13 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the delay after which a retry may succeed, in milliseconds.
     pub fn with_retry_after(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// The JSON body.
+    /// Returns the JSON body of the response.
     ///
     /// ```
     /// use banyangauge::entry::{CallerError, Code};
@@ -181,21 +182,21 @@
     /// );
     /// ```
     pub fn body(&self) -> Bytes {
-        let outer = Outer {
-            error: Inner {
+        let body = ErrorBody {
+            error: ErrorFields {
                 code: self.code.as_str(),
                 message: &self.message,
                 ran: self.code.ran(),
                 retry_after_ms: self.retry_after_ms,
             },
         };
-        // Plain fields always serialise; an empty body is better than a panic.
-        serde_json::to_vec(&outer)
+        // These fields always serialize; an empty body is better than a panic.
+        serde_json::to_vec(&body)
             .map(Bytes::from)
             .unwrap_or_default()
     }
 
-    /// The value of `Retry-After`, in whole seconds, rounded up.
+    /// Returns the value of `Retry-After`, in seconds, rounded up.
     pub fn retry_after_s(&self) -> Option<u64> {
         self.retry_after_ms.map(|ms| ms.div_ceil(1_000).max(1))
     }
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -1,12 +1,14 @@
-//! The entry process: callers' HTTP in, dispatch to upstreams, answers back.
+//! The entry process: accepts callers' HTTP requests, dispatches them to upstreams
+//! and returns the responses.
 //!
-//! One request goes through these modules in order: `server` accepts
-//! its connection, `serve` reads it, `call`, `auth`, `body` and `view` check
-//! it against the catalog, `session` gets a grant for it from the owner of
-//! its pool, `dispatch` sends it to the granted upstream, and `stream` passes
-//! a streamed answer on. [`retry`] decides what follows a failure, `session_state`
-//! what a session knows, `held_grant` one grant in use. `feed` brings the catalog
-//! and takes usage away.
+//! A request goes through these modules in order: `server` accepts its connection,
+//! `serve` reads it, `call`, `auth`, `body` and `view` check it against the catalog,
+//! `session` gets a grant for it from the owner of its pool, `dispatch` sends it to
+//! the granted upstream, and `stream` relays a streamed response.
+//!
+//! [`retry`] decides what follows a failure. `session_state` holds the state of a
+//! session, `held_grant` a grant in use, and `stream_grant` the grant of a stream.
+//! `feed` receives the catalog and reports usage.
 
 mod auth;
 mod body;
--- a/lib/src/entry/program.rs
+++ b/lib/src/entry/program.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the process.
+//! Starts and stops the entry process.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,12 +23,12 @@
 use crate::timeline::EventKind;
 use crate::timeline::TimelineService;
 
-/// Why the process could not run.
+/// Error that prevents the process from running.
 #[derive(Debug)]
 pub enum EntryError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen(SocketAddr, std::io::Error),
-    /// Signals or metrics cannot be set up.
+    /// Setting up signals, metrics or keys failed.
     Start(String),
 }
 
@@ -43,22 +43,22 @@
 
 impl std::error::Error for EntryError {}
 
-/// An entry that runs inside this process.
+/// A running entry.
 pub struct Entry {
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// What its tasks share.
+    /// State shared by its tasks.
     pub state: Arc<State>,
     stopping: watch::Sender<bool>,
-    accepting: tokio::task::JoinHandle<()>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
 impl Entry {
-    /// Listens, and serves until [`Entry::stop`].
+    /// Starts an entry that serves until [`Entry::stop`].
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on.
+    /// If listening on an address or loading the keys fails.
     pub async fn start(settings: EntrySettings, log: slog::Logger) -> Result<Self, EntryError> {
         let listener = listen(settings.listen).await?;
         let internal = listen(settings.internal).await?;
@@ -69,35 +69,35 @@
             Some(keys) => Link::load(keys).map_err(|e| EntryError::Start(e.to_string()))?,
             None => Link::plain(),
         };
-        let state = State::new(settings, incarnation(), link.clone(), log);
+        let state = State::new(settings, new_incarnation(), link.clone(), log);
         let state = Arc::new(state);
         let (stopping, stopped) = watch::channel(false);
         let timeline = TimelineService::new(state.recorder.clone());
         let timeline = TimelineServer::new(timeline);
         let router = tonic::transport::Server::builder().add_service(timeline);
-        let events = link.clone();
-        tokio::spawn(async move { events.serve(router, internal).await });
-        let keys = state.clone();
-        tokio::spawn(async move { keys.link.reload_periodically(&keys.log).await });
+        let timeline_link = link.clone();
+        tokio::spawn(async move { timeline_link.serve(router, internal).await });
+        let key_state = state.clone();
+        tokio::spawn(async move { key_state.link.reload_periodically(&key_state.log).await });
         tokio::spawn(feed::follow(state.clone()));
         tokio::spawn(feed::report_usage(state.clone()));
-        let accepting = tokio::spawn(server::accept(state.clone(), listener, stopped));
-        process_event(&state, "started");
+        let accept_task = tokio::spawn(server::accept(state.clone(), listener, stopped));
+        record_process_event(&state, "started");
         Ok(Self {
             address,
             state,
             stopping,
-            accepting,
+            accept_task,
         })
     }
 
-    /// Takes no more connections, sees requests in flight through and reports
-    /// usage a last time.
+    /// Stops accepting connections, waits for the requests in flight and sends the
+    /// final usage report.
     pub async fn stop(self) {
-        process_event(&self.state, "stopping");
+        record_process_event(&self.state, "stopping");
         self.stopping.send_replace(true);
-        // A task that failed has nothing in flight any more.
-        self.accepting.await.ok();
+        // If the accept task has failed, no requests are in flight.
+        self.accept_task.await.ok();
         feed::report_final_usage(self.state.clone()).await;
     }
 }
@@ -108,7 +108,7 @@
         .map_err(|e| EntryError::Listen(address, e))
 }
 
-fn process_event(state: &State, detail: &str) {
+fn record_process_event(state: &State, detail: &str) {
     let about = EventFields {
         detail: detail.to_owned(),
         ..EventFields::default()
@@ -116,22 +116,23 @@
     state.recorder.record(EventKind::Process, about);
 }
 
-/// Differs at each start: microseconds of wall time.
-fn incarnation() -> Incarnation {
+/// Returns an incarnation that differs at each start: the wall time in microseconds.
+fn new_incarnation() -> Incarnation {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(now.map_or(1, |d| u64::try_from(d.as_micros()).unwrap_or(1)))
 }
 
-/// Runs `banyan-entry` until SIGTERM or SIGINT; a second one ends it at once.
+/// Runs `banyan-entry` until SIGTERM or SIGINT. A second signal ends the process
+/// without waiting for requests in flight.
 ///
 /// # Errors
 ///
-/// When it cannot start.
+/// If the entry cannot start.
 pub async fn run(settings: EntrySettings) -> Result<(), EntryError> {
     let log = telemetry::logger("banyan-entry", settings.log);
-    let start = |e: std::io::Error| EntryError::Start(e.to_string());
-    let mut term = signal(SignalKind::terminate()).map_err(start)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(start)?;
+    let start_error = |e: std::io::Error| EntryError::Start(e.to_string());
+    let mut term = signal(SignalKind::terminate()).map_err(start_error)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(start_error)?;
     if let Some(address) = settings.metrics {
         telemetry::start_metrics(address, &log).map_err(EntryError::Start)?;
     }
@@ -144,8 +145,8 @@
     slog::info!(log, "stopping");
     tokio::select! {
         () = entry.stop() => slog::info!(log, "stopped"),
-        _ = term.recv() => slog::warn!(log, "stopped at once"),
-        _ = interrupt.recv() => slog::warn!(log, "stopped at once"),
+        _ = term.recv() => slog::warn!(log, "stopped by a second signal without draining"),
+        _ = interrupt.recv() => slog::warn!(log, "stopped by a second signal without draining"),
     }
     Ok(())
 }
--- a/lib/src/entry/serve.rs
+++ b/lib/src/entry/serve.rs
@@ -141,7 +141,7 @@
         return Err(too_large());
     }
     let read = Limited::new(body, max_bytes).collect();
-    match tokio::time::timeout_at(clock::instant(deadline), read).await {
+    match tokio::time::timeout_at(clock::to_instant(deadline), read).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large()),
         Ok(Err(e)) => Err(CallerError::new(Code::BadRequest, e.to_string())),
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -138,7 +138,7 @@
             commands: &self.commands,
             request: Some(request),
         };
-        let reply = tokio::time::timeout_at(clock::instant(deadline), receiver).await;
+        let reply = tokio::time::timeout_at(clock::to_instant(deadline), receiver).await;
         let reply = match reply {
             Ok(Ok(reply)) => reply,
             // The session ended with the process.
--- a/lib/src/entry/stream_grant.rs
+++ b/lib/src/entry/stream_grant.rs
@@ -129,6 +129,6 @@
 
 async fn enforce_expiry(inner: Arc<Inner>) {
     while let Some(next) = inner.check(now_us()) {
-        tokio::time::sleep_until(clock::instant(next)).await;
+        tokio::time::sleep_until(clock::to_instant(next)).await;
     }
 }
--- a/lib/src/entry/usage.rs
+++ b/lib/src/entry/usage.rs
@@ -1,4 +1,4 @@
-//! Counts what each team used, where it passes to the caller.
+//! Counts the usage of teams, at the point where responses pass to callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,50 +12,51 @@
 use crate::ids::AdapterVersion;
 use crate::ids::TeamName;
 
-/// Counters of one team and adapter version; they only rise.
+/// Usage of one team and adapter version. The counts never decrease.
 #[derive(Debug, Default)]
 pub struct UsageCounter {
     requests: AtomicU64,
-    prompt: AtomicU64,
-    output: AtomicU64,
-    /// The sum of the three when they were last reported.
-    told: AtomicU64,
+    prompt_tokens: AtomicU64,
+    output_tokens: AtomicU64,
+    /// Sum of the three counts in the last acknowledged report.
+    reported_sum: AtomicU64,
 }
 
 impl UsageCounter {
-    /// Counts a request, at the first byte that its caller gets.
+    /// Counts a request, at the first byte that is sent to its caller.
     pub fn add_request(&self) {
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts the tokens of a prompt, as the engine tells them.
+    /// Adds the tokens of a prompt, as counted by the engine.
     pub fn add_prompt_tokens(&self, tokens: u64) {
-        self.prompt.fetch_add(tokens, Ordering::Relaxed);
+        self.prompt_tokens.fetch_add(tokens, Ordering::Relaxed);
     }
 
-    /// Counts tokens that were passed on.
+    /// Adds tokens that were passed to a caller.
     pub fn add_output_tokens(&self, tokens: u64) {
-        self.output.fetch_add(tokens, Ordering::Relaxed);
+        self.output_tokens.fetch_add(tokens, Ordering::Relaxed);
     }
 }
 
 type Key = (TeamName, Option<AdapterVersion>);
 
-/// All counters of the process.
+/// Usage counters of the process.
 #[derive(Debug, Default)]
 pub struct Usage {
     counters: Mutex<BTreeMap<Key, Arc<UsageCounter>>>,
 }
 
 impl Usage {
-    /// The counter of a team and what it uses; `None` is plain calls.
+    /// Returns the counter of a team and adapter version; `None` stands for calls to
+    /// services.
     pub fn counter(&self, team: &TeamName, adapter: Option<&AdapterVersion>) -> Arc<UsageCounter> {
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         let key = (team.clone(), adapter.cloned());
         counters.entry(key).or_default().clone()
     }
 
-    /// Cumulative counts of all.
+    /// Returns the cumulative counts of all teams.
     ///
     /// ```
     /// use banyangauge::entry::Usage;
@@ -65,43 +66,46 @@
     /// assert_eq!(usage.counts()[0].requests, 1);
     /// ```
     pub fn counts(&self) -> Vec<wire::UsageCount> {
-        self.pick(|_| true).counts
+        self.select(|_| true).counts
     }
 
-    /// Cumulative counts of those that rose since they were last told.
+    /// Returns the cumulative counts that changed since the last acknowledged report.
     pub fn unreported(&self) -> UsageBatch {
-        self.pick(|c| c.sum() != c.told.load(Ordering::Relaxed))
+        self.select(|c| c.sum() != c.reported_sum.load(Ordering::Relaxed))
     }
 
-    fn pick(&self, wanted: impl Fn(&UsageCounter) -> bool) -> UsageBatch {
+    fn select(&self, wanted: impl Fn(&UsageCounter) -> bool) -> UsageBatch {
         let counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         let mut report = UsageBatch::default();
         for ((team, adapter), counter) in counters.iter() {
             if wanted(counter) {
-                // Read before the counts, so that it is never too high.
+                // The sum is read before the counts, so that it is never higher than
+                // what is reported.
                 report.sums.push((counter.clone(), counter.sum()));
-                report.counts.push(count(team, adapter.as_ref(), counter));
+                report
+                    .counts
+                    .push(usage_count(team, adapter.as_ref(), counter));
             }
         }
         report
     }
 
-    /// All counters, for a control process that may know none of them.
+    /// Returns all counts, for a control process that may know none of them.
     pub fn all(&self) -> UsageBatch {
-        self.pick(|_| true)
+        self.select(|_| true)
     }
 }
 
-/// Counts to be told, and how far they tell.
+/// Counts to report, with the sums to record once they are acknowledged.
 #[derive(Debug, Default)]
 pub struct UsageBatch {
-    /// The counts.
+    /// The cumulative counts.
     pub counts: Vec<wire::UsageCount>,
     sums: Vec<(Arc<UsageCounter>, u64)>,
 }
 
 impl UsageBatch {
-    /// Notes that the report was answered.
+    /// Records that the report was acknowledged.
     ///
     /// ```
     /// use banyangauge::entry::Usage;
@@ -112,19 +116,19 @@
     /// ```
     pub fn mark_reported(self) {
         for (counter, sum) in self.sums {
-            counter.told.store(sum, Ordering::Relaxed);
+            counter.reported_sum.store(sum, Ordering::Relaxed);
         }
     }
 }
 
 impl UsageCounter {
     fn sum(&self) -> u64 {
-        let parts = [&self.requests, &self.prompt, &self.output];
+        let parts = [&self.requests, &self.prompt_tokens, &self.output_tokens];
         parts.iter().map(|p| p.load(Ordering::Relaxed)).sum()
     }
 }
 
-fn count(
+fn usage_count(
     team: &TeamName,
     adapter: Option<&AdapterVersion>,
     counter: &UsageCounter,
@@ -134,7 +138,7 @@
         adapter: adapter.map(|a| a.adapter.to_string()).unwrap_or_default(),
         version: adapter.map_or(0, |a| a.version),
         requests: counter.requests.load(Ordering::Relaxed),
-        prompt_tokens: counter.prompt.load(Ordering::Relaxed),
-        output_tokens: counter.output.load(Ordering::Relaxed),
+        prompt_tokens: counter.prompt_tokens.load(Ordering::Relaxed),
+        output_tokens: counter.output_tokens.load(Ordering::Relaxed),
     }
 }
--- a/lib/src/entry/view.rs
+++ b/lib/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! The catalog in force here, with what each request looks up in it.
+//! The current catalog, with the lookups that requests need.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,26 +16,26 @@
 use crate::ids::Revision;
 use crate::ids::TeamName;
 
-/// A plain service as requests find it.
+/// A service that callers reach by a path prefix.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its pool.
+    /// The pool that serves it.
     pub pool: PoolName,
-    /// The methods that may run more than once.
+    /// HTTP methods whose calls may run more than once.
     pub idempotent: BTreeSet<String>,
 }
 
-/// One revision of the catalog, indexed.
+/// An indexed revision of the catalog.
 #[derive(Debug, Default)]
 pub struct CatalogView {
     catalog: Catalog,
-    services: BTreeMap<String, Service>,
+    services_by_prefix: BTreeMap<String, Service>,
 }
 
 impl CatalogView {
     /// Indexes a catalog.
     pub fn new(catalog: Catalog) -> Self {
-        let services = catalog
+        let services_by_prefix = catalog
             .pools
             .iter()
             .filter_map(|(name, spec)| match &spec.kind {
@@ -49,43 +49,50 @@
                 PoolKind::Engine { .. } => None,
             })
             .collect();
-        Self { catalog, services }
+        Self {
+            catalog,
+            services_by_prefix,
+        }
     }
 
-    /// The catalog's revision; 0 is none yet.
+    /// Returns the revision of the catalog; 0 if there is none yet.
     pub fn revision(&self) -> Revision {
         self.catalog.revision
     }
 
-    /// The next revision, when `set` makes just that.
+    /// Returns the next revision, made by applying `set` to this one.
     ///
     /// # Errors
     ///
-    /// When it does not follow this revision, or the catalog refuses it.
+    /// If the change set does not follow this revision, or a change is invalid.
     pub fn apply(&self, set: &ChangeSet) -> Result<Self, String> {
         let mut catalog = self.catalog.clone();
         catalog.apply(&set.changes).map_err(|e| e.to_string())?;
         match catalog.revision == set.revision {
             true => Ok(Self::new(catalog)),
-            false => Err(format!("revision {} does not follow", set.revision.0)),
+            false => Err(format!(
+                "change set of revision {} does not follow revision {}",
+                set.revision.0,
+                self.revision().0
+            )),
         }
     }
 
-    /// The team whose bearer key a request has.
+    /// Returns the team that the bearer key of a request belongs to.
     ///
     /// # Errors
     ///
-    /// [`Code::BadKey`] when it has none that is known.
+    /// [`Code::BadKey`] if the request has no known key.
     pub fn authenticate(&self, headers: &HeaderMap) -> Result<&TeamName, CallerError> {
         auth::authenticate(&self.catalog, headers)
     }
 
-    /// The pool and exact adapter version that `model` means for `team`.
+    /// Returns the pool and the adapter version that `model` names for `team`.
     ///
     /// # Errors
     ///
-    /// When the adapter or version does not exist, the team is not served the
-    /// adapter, or the name is malformed.
+    /// If the adapter or version does not exist, or the adapter is not served to the
+    /// team.
     pub fn resolve(
         &self,
         team: &TeamName,
@@ -101,12 +108,12 @@
             .adapters
             .get_key_value(name)
             .ok_or_else(unknown)?;
-        let in_force = adapter.serving.get(team).ok_or_else(|| {
+        let current = adapter.serving.get(team).ok_or_else(|| {
             let m = format!("adapter {name} is not served to team {team}");
             CallerError::new(Code::WrongTeam, m)
         })?;
         let version = match version {
-            None => *in_force,
+            None => *current,
             Some(v) => v
                 .parse()
                 .ok()
@@ -123,17 +130,17 @@
         Ok((&adapter.pool, adapter_version))
     }
 
-    /// The service with the longest prefix that `path` begins with.
+    /// Returns the service with the longest prefix of `path`.
     ///
     /// # Errors
     ///
-    /// [`Code::UnknownPath`] when there is none.
+    /// [`Code::UnknownPath`] if no service has a prefix of it.
     pub fn service(&self, path: &str) -> Result<&Service, CallerError> {
-        self.services
+        self.services_by_prefix
             .iter()
             .filter(|(prefix, _)| path.starts_with(prefix.as_str()))
             .max_by_key(|(prefix, _)| prefix.len())
             .map(|(_, service)| service)
-            .ok_or_else(|| CallerError::new(Code::UnknownPath, "no such path"))
+            .ok_or_else(|| CallerError::new(Code::UnknownPath, "no service at this path"))
     }
 }
