--- a/cli/src/commands/timeline.rs
+++ b/cli/src/commands/timeline.rs
@@ -62,12 +62,12 @@
             eprintln!("banyan: {process}: {error}");
         }
         if let Some(file) = &self.html {
-            return output::write(file, &timeline_html(&merged.lines, merged.dropped));
+            return output::write(file, &timeline_html(&merged.events, merged.dropped));
         }
         output::print(
             self.json,
-            || timeline_text(&merged.lines),
-            || timeline_json(&merged.lines, merged.dropped),
+            || timeline_text(&merged.events),
+            || timeline_json(&merged.events, merged.dropped),
         );
         Ok(())
     }
--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug)]
 pub struct MergedTimeline {
     /// The events in order.
-    pub lines: Vec<TimelineEvent>,
+    pub events: Vec<TimelineEvent>,
     /// Events that the processes' rings had dropped.
     pub dropped: u64,
     /// Processes that did not answer, and why.
@@ -293,7 +293,7 @@
         }
         Ok(MergedTimeline {
             dropped: replies.iter().map(|r| r.dropped).sum(),
-            lines: merge(replies),
+            events: merge(replies),
             unreachable,
         })
     }
--- a/testutils/src/prove/run.rs
+++ b/testutils/src/prove/run.rs
@@ -214,7 +214,7 @@
         return String::new();
     };
     match client.timelines(&processes, &Default::default()).await {
-        Ok(merged) => timeline_text(&merged.lines),
+        Ok(merged) => timeline_text(&merged.events),
         Err(e) => e.to_string(),
     }
 }
