--- a/lib/src/timeline/mod.rs
+++ b/lib/src/timeline/mod.rs
@@ -1,7 +1,7 @@
-//! The time line: what happened, in which process, in one order.
+//! The timeline: a totally ordered record of what happened in which process.
 //!
-//! Each process keeps a bounded ring of typed events, stamped by a hybrid
-//! logical clock; `banyan timeline` merges the rings of all processes.
+//! Each process keeps typed events in a bounded ring buffer, with timestamps of a
+//! hybrid logical clock; `banyan timeline` merges the buffers of all processes.
 
 mod service;
 
@@ -14,53 +14,53 @@
 pub use service::MAX_REPLY_EVENTS;
 pub use service::TimelineService;
 
-/// What happened.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum EventKind {
-    /// A caller's request came in.
+    /// A request was received from a caller.
     Received,
-    /// The owner granted it a replica.
+    /// The pool's owner granted the request a replica.
     Granted,
-    /// It was sent to an upstream.
+    /// The request was sent to an upstream.
     Dispatched,
-    /// The first byte of its answer came.
+    /// The first byte of the response arrived from the upstream.
     FirstByte,
-    /// Its answer was passed on whole.
+    /// The response was forwarded to the caller completely.
     Answered,
-    /// It was refused, "not run".
+    /// The request was refused and has not run.
     Refused,
-    /// Its outcome is not known.
+    /// The outcome of the request is unknown.
     Unknown,
-    /// Its caller went away.
+    /// The caller disconnected.
     Cancelled,
-    /// It is tried again.
+    /// The request is retried.
     Retried,
-    /// A broken stream goes on at an index.
+    /// An interrupted stream was resumed at a token index.
     Resumed,
     /// An engine was ordered to load an adapter.
     LoadOrdered,
-    /// The order ended.
+    /// The order to load an adapter completed or failed.
     LoadEnded,
-    /// An adapter gave up its slot.
+    /// An adapter was evicted from its slot.
     Evicted,
-    /// A process became owner of a pool.
+    /// A process became the owner of a pool.
     Acquired,
-    /// It gave the pool up, or lost it.
+    /// A process released or lost its ownership of a pool.
     Lost,
-    /// A catalog revision came into force here.
+    /// A catalog revision became active in this process.
     InForce,
-    /// An upstream's or peer's state changed.
+    /// The state of an upstream or peer changed.
     Health,
-    /// A request was found to crash its upstream.
+    /// A request was identified as one that crashes upstreams.
     Convicted,
     /// The platform became reachable or unreachable.
     Platform,
-    /// The process started or stops.
+    /// The process started or is stopping.
     Process,
 }
 
 impl EventKind {
-    /// The word for it on the wire and in output.
+    /// Returns the name of the kind in messages and output.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Received => "received",
@@ -87,10 +87,10 @@
     }
 }
 
-/// What an event is about; empty text where a field does not apply.
+/// The attributes of an event; fields that do not apply are empty.
 #[derive(Clone, Debug, Default)]
 pub struct EventFields {
-    /// The request's id.
+    /// ID of the request.
     pub request: String,
     /// The adapter version.
     pub adapter: String,
@@ -98,25 +98,27 @@
     pub upstream: String,
     /// The pool.
     pub pool: String,
-    /// Anything else, for a reader.
+    /// Free text for a human reader.
     pub detail: String,
 }
 
-struct Ring {
+struct EventBuffer {
     events: VecDeque<wire::Event>,
+    /// Number of events evicted so far.
     dropped: u64,
 }
 
-/// A process's bounded ring of events; shared by its threads.
+/// Records a process's events in a bounded ring buffer; threads share it.
 pub struct Recorder {
     process: String,
-    most: usize,
+    capacity: usize,
     clock: uhlc::HLC,
-    ring: Mutex<Ring>,
+    buffer: Mutex<EventBuffer>,
 }
 
 impl Recorder {
-    /// A ring of at most `most` events; older ones give way and are counted.
+    /// Returns a recorder that keeps the latest `capacity` events and counts the
+    /// older ones that it evicts.
     ///
     /// ```
     /// use banyangauge::timeline::{EventFields, EventKind, Recorder};
@@ -127,20 +129,20 @@
     /// let reply = r.read(&Default::default());
     /// assert_eq!((reply.events.len(), reply.dropped), (2, 1));
     /// ```
-    pub fn new(process: &str, most: usize) -> Self {
+    pub fn new(process: &str, capacity: usize) -> Self {
         Self {
             process: process.to_owned(),
-            most,
+            capacity,
             clock: uhlc::HLC::default(),
-            ring: Mutex::new(Ring {
+            buffer: Mutex::new(EventBuffer {
                 events: VecDeque::new(),
                 dropped: 0,
             }),
         }
     }
 
-    /// Adds an event, stamped now.
-    pub fn record(&self, kind: EventKind, about: EventFields) {
+    /// Records an event with the current time.
+    pub fn record(&self, kind: EventKind, fields: EventFields) {
         let now = self.clock.new_timestamp();
         let event = wire::Event {
             stamp: Some(wire::Stamp {
@@ -149,45 +151,46 @@
             }),
             process: self.process.clone(),
             kind: kind.as_str().to_owned(),
-            request: about.request,
-            adapter: about.adapter,
-            upstream: about.upstream,
-            pool: about.pool,
-            detail: about.detail,
+            request: fields.request,
+            adapter: fields.adapter,
+            upstream: fields.upstream,
+            pool: fields.pool,
+            detail: fields.detail,
         };
-        let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        if ring.events.len() == self.most {
-            ring.events.pop_front();
-            ring.dropped += 1;
+        let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        if buffer.events.len() == self.capacity {
+            buffer.events.pop_front();
+            buffer.dropped += 1;
         }
-        ring.events.push_back(event);
+        buffer.events.push_back(event);
     }
 
-    /// The events that match, oldest first, the newest `most` of them.
+    /// Returns the newest `filter.most` events that match `filter`, oldest first;
+    /// 0 means no limit.
     pub fn read(&self, filter: &wire::TimelineRequest) -> wire::TimelineReply {
-        let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        let fits = |want: &str, have: &str| want.is_empty() || want == have;
-        let mut events: Vec<_> = ring
+        let buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        let matches = |wanted: &str, value: &str| wanted.is_empty() || wanted == value;
+        let mut events: Vec<_> = buffer
             .events
             .iter()
             .filter(|e| {
-                fits(&filter.request, &e.request)
-                    && fits(&filter.adapter, &e.adapter)
-                    && fits(&filter.upstream, &e.upstream)
-                    && fits(&filter.pool, &e.pool)
+                matches(&filter.request, &e.request)
+                    && matches(&filter.adapter, &e.adapter)
+                    && matches(&filter.upstream, &e.upstream)
+                    && matches(&filter.pool, &e.pool)
             })
             .cloned()
             .collect();
-        let most = match filter.most {
+        let limit = match filter.most {
             0 => usize::MAX,
             n => n as usize,
         };
-        if events.len() > most {
-            events.drain(..events.len() - most);
+        if events.len() > limit {
+            events.drain(..events.len() - limit);
         }
         wire::TimelineReply {
             events,
-            dropped: ring.dropped,
+            dropped: buffer.dropped,
         }
     }
 }
--- a/lib/src/timeline/service.rs
+++ b/lib/src/timeline/service.rs
@@ -1,4 +1,4 @@
-//! Serves a process's ring of events to `banyan timeline`.
+//! The gRPC service from which `banyan timeline` reads a process's events.
 
 use std::sync::Arc;
 
@@ -9,8 +9,9 @@
 
 use super::Recorder;
 
-/// Events in one answer at the most, which keeps it below the 4 MB that the
-/// transport accepts: an event is under 500 bytes unless a detail is long.
+/// Maximum number of events in one reply. It keeps the reply below the 4 MB that
+/// the transport accepts: an event takes less than 500 bytes unless its detail is
+/// long.
 pub const MAX_REPLY_EVENTS: u32 = 6_000;
 
 /// The gRPC service `Timeline`; entry and control processes serve it.
@@ -28,7 +29,7 @@
 }
 
 impl TimelineService {
-    /// Serves the ring of `recorder`.
+    /// Returns a service for the events of `recorder`.
     pub const fn new(recorder: Arc<Recorder>) -> Self {
         Self { recorder }
     }
