--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -22,31 +22,33 @@
 use crate::catalog::Plan;
 use crate::link::Link;
 
-/// The longest that connecting may take; a VM that is gone does not answer.
+/// Upper bound on connecting; a VM that has been removed never answers.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest that a call may take: a confirmation may need several tries at
-/// a slow platform.
+/// Upper bound on a call; a confirmation may need several attempts when the
+/// platform is slow.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// `Member.state` of a VM that is gone.
-const GONE: u32 = 3;
+/// Value of `Member.state` for a VM that has left.
+const STATE_GONE: u32 = 3;
 
-/// Why a call failed; each has an exit code of `banyan`.
+/// Why a call failed; each variant maps to an exit code of `banyan`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClientError {
-    /// The system refused, by its rules or for the operator's key.
+    /// The system rejected the call: a rule forbids it, or the operator's key is
+    /// not valid.
     Refused(String),
-    /// What was sent is not of the published form.
+    /// The input is malformed or too large.
     InvalidInput(String),
-    /// No control process or no platform answered, or the outcome is open.
+    /// No control process answered, the platform was unreachable, or the outcome
+    /// is unknown.
     Unreachable(String),
-    /// Another operator's change came first.
+    /// Another operator's change was applied first.
     Conflict(String),
 }
 
 impl ClientError {
-    /// The exit code.
+    /// Returns the exit code of `banyan` for this error.
     ///
     /// ```
     /// use banyangauge::operator::ClientError;
@@ -79,7 +81,7 @@
         let text = status.message().to_owned();
         match status.code() {
             Code::Aborted => Self::Conflict(text),
-            // Out of range: the message is larger than the process accepts.
+            // tonic reports a message above the size limit as `OutOfRange`.
             Code::InvalidArgument | Code::OutOfRange => Self::InvalidInput(text),
             Code::FailedPrecondition | Code::Unauthenticated | Code::PermissionDenied => {
                 Self::Refused(text)
@@ -89,21 +91,22 @@
     }
 }
 
-/// A merged time line.
+/// The merged timeline of several processes.
 #[derive(Clone, Debug)]
 pub struct MergedTimeline {
-    /// The events in order.
+    /// The events in the order of the hybrid logical clock.
     pub events: Vec<TimelineEvent>,
-    /// Events that the processes' rings had dropped.
+    /// Number of older events that the processes' buffers have evicted.
     pub dropped: u64,
-    /// Processes that did not answer, and why.
+    /// Processes that did not answer, with the error.
     pub unreachable: Vec<(SocketAddr, ClientError)>,
 }
 
-/// Calls one of several control processes, the first that answers.
+/// A client that calls the first of several control processes to answer.
 #[derive(Clone, Debug)]
 pub struct Client {
     addresses: Vec<SocketAddr>,
+    /// Value of the `authorization` header.
     bearer: AsciiMetadataValue,
     link: Link,
 }
@@ -111,14 +114,17 @@
 type Stub = OperatorClient<Channel>;
 
 impl Client {
-    /// A client that tries `addresses` in order and shows `key`.
+    /// Returns a client that tries `addresses` in order and authenticates with
+    /// `key`, over plain TCP.
     ///
     /// # Errors
     ///
-    /// When the key cannot stand in a header.
+    /// When the key contains characters that a header value cannot.
     pub fn new(addresses: &[SocketAddr], key: &str) -> Result<Self, ClientError> {
         let bearer = format!("Bearer {key}").parse().map_err(|_| {
-            ClientError::InvalidInput("the key holds characters not allowed".to_owned())
+            ClientError::InvalidInput(
+                "the key contains characters that are not allowed in a header".to_owned(),
+            )
         })?;
         Ok(Self {
             addresses: addresses.to_vec(),
@@ -127,7 +133,7 @@
         })
     }
 
-    /// The same client, by way of `link`.
+    /// Sets the link over which the client connects.
     #[must_use]
     pub fn with_link(mut self, link: Link) -> Self {
         self.link = link;
@@ -139,11 +145,11 @@
         channel.map_err(|e| ClientError::Unreachable(e.to_string()))
     }
 
-    /// Makes a plan of an intent; nothing takes effect.
+    /// Computes the plan of an intent without applying it.
     ///
     /// # Errors
     ///
-    /// As for each call: see [`ClientError`].
+    /// See [`ClientError`].
     pub async fn plan(&self, intent: &Intent) -> Result<Plan, ClientError> {
         let body =
             serde_json::to_vec(intent).map_err(|e| ClientError::InvalidInput(e.to_string()))?;
@@ -157,21 +163,21 @@
         serde_json::from_slice(&reply.plan).map_err(|e| malformed(&e))
     }
 
-    /// Puts a plan in force; gives its revision. Confirming it again, also at
-    /// another control process, is the same as once.
+    /// Applies a plan and returns its revision. Confirming is idempotent, also
+    /// across control processes.
     ///
     /// # Errors
     ///
-    /// As for each call: see [`ClientError`].
+    /// See [`ClientError`].
     pub async fn confirm(&self, plan: &Plan) -> Result<u64, ClientError> {
-        // The effects are for the reader; without them the message is half as
-        // large.
-        let bare = Plan {
+        // The effects are informational; without them the message is half the
+        // size.
+        let request_plan = Plan {
             effects: Vec::new(),
             ..plan.clone()
         };
-        let body =
-            serde_json::to_vec(&bare).map_err(|e| ClientError::InvalidInput(e.to_string()))?;
+        let body = serde_json::to_vec(&request_plan)
+            .map_err(|e| ClientError::InvalidInput(e.to_string()))?;
         let message = wire::ConfirmRequest {
             operator: String::new(),
             operation: plan.operation.clone(),
@@ -183,23 +189,23 @@
         Ok(reply.revision)
     }
 
-    /// What one control process sees.
+    /// Returns the status as seen by one control process.
     ///
     /// # Errors
     ///
-    /// As for each call: see [`ClientError`].
+    /// See [`ClientError`].
     pub async fn status(&self) -> Result<wire::StatusReply, ClientError> {
         let message = wire::StatusRequest::default();
         self.call(&message, async |mut s, r| s.status(r).await)
             .await
     }
 
-    /// The catalog in force, only the adapters that `filter` names when it is
-    /// not empty.
+    /// Returns the active catalog. A `filter` that is not empty limits the
+    /// adapters to those of that name, team or pool.
     ///
     /// # Errors
     ///
-    /// As for each call: see [`ClientError`].
+    /// See [`ClientError`].
     pub async fn adapters(&self, filter: &str) -> Result<Catalog, ClientError> {
         let message = wire::StatusRequest {
             filter: filter.to_owned(),
@@ -210,11 +216,11 @@
         serde_json::from_slice(&reply.catalog).map_err(|e| malformed(&e))
     }
 
-    /// Usage by team and adapter version.
+    /// Returns usage by team and adapter version.
     ///
     /// # Errors
     ///
-    /// As for each call: see [`ClientError`].
+    /// See [`ClientError`].
     pub async fn usage(&self, filter: &str) -> Result<Vec<wire::UsageCount>, ClientError> {
         let message = wire::StatusRequest {
             filter: filter.to_owned(),
@@ -225,8 +231,8 @@
         Ok(reply.counts)
     }
 
-    /// The state of the pools, each from the VM that owns it. VMs that do not
-    /// answer are passed over.
+    /// Returns the state of the pools, each as reported by the VM that owns it.
+    /// VMs that do not answer are skipped.
     ///
     /// # Errors
     ///
@@ -238,39 +244,40 @@
             let Ok(address) = member.address.parse() else {
                 continue;
             };
-            let one = Self {
+            let member_client = Self {
                 addresses: vec![address],
                 bearer: self.bearer.clone(),
                 link: self.link.clone(),
             };
-            if let Ok(status) = one.status().await {
+            if let Ok(status) = member_client.status().await {
                 pools.extend(status.pools);
             }
         }
-        // Around a change of owner two VMs may tell of a pool.
+        // During a change of owner two VMs may report the same pool: keep the
+        // report with the higher fencing token.
         pools.sort_by(|a, b| (&a.pool, b.token).cmp(&(&b.pool, a.token)));
         pools.dedup_by(|a, b| a.pool == b.pool);
         Ok(pools)
     }
 
-    /// The control processes of all VMs that are not gone, as one of them sees
-    /// them.
+    /// Returns the control processes of all VMs that have not left, as seen by
+    /// one of them.
     ///
     /// # Errors
     ///
     /// When no control process answers.
     pub async fn members(&self) -> Result<Vec<SocketAddr>, ClientError> {
         let status = self.status().await?;
-        let here = status.members.iter().filter(|m| m.state != GONE);
-        let mut all: BTreeSet<_> = here.filter_map(|m| m.address.parse().ok()).collect();
+        let present = status.members.iter().filter(|m| m.state != STATE_GONE);
+        let mut all: BTreeSet<_> = present.filter_map(|m| m.address.parse().ok()).collect();
         if all.is_empty() {
             all.extend(&self.addresses);
         }
         Ok(all.into_iter().collect())
     }
 
-    /// The rings of several processes as one time line; a process that does
-    /// not answer leaves a gap, which is told.
+    /// Returns the events of several processes as one timeline. Processes that do
+    /// not answer are listed in [`MergedTimeline::unreachable`].
     ///
     /// # Errors
     ///
@@ -298,7 +305,7 @@
         })
     }
 
-    /// The ring of one process, entry or control.
+    /// Returns the events of one entry or control process.
     ///
     /// # Errors
     ///
@@ -323,27 +330,27 @@
         request
     }
 
-    /// Calls each process in turn until one answers. An answer that refuses
-    /// ends it; one that could not reach the platform, or lost it, does not:
-    /// every call may be repeated.
+    /// Calls each process in turn until one answers. A rejection is final; after
+    /// an unreachable platform or a lost response the next process is tried,
+    /// which is safe because every call is idempotent.
     async fn call<Q, A, F>(&self, message: &Q, run: F) -> Result<A, ClientError>
     where
         Q: Clone,
         F: AsyncFn(Stub, Request<Q>) -> Result<tonic::Response<A>, Status>,
     {
-        let mut last = ClientError::Unreachable("no control process is named".to_owned());
+        let mut last = ClientError::Unreachable("no control process is configured".to_owned());
         for address in &self.addresses {
             let result = match self.connect(*address).await {
                 Ok(channel) => {
                     let stub =
                         OperatorClient::new(channel).max_decoding_message_size(MAX_SNAPSHOT_BYTES);
-                    let end = run(stub, self.request(message)).await;
-                    end.map_err(ClientError::from)
+                    let reply = run(stub, self.request(message)).await;
+                    reply.map_err(ClientError::from)
                 }
                 Err(e) => Err(e),
             };
             match result {
-                Ok(answer) => return Ok(answer.into_inner()),
+                Ok(response) => return Ok(response.into_inner()),
                 Err(ClientError::Unreachable(e)) => {
                     last = ClientError::Unreachable(format!("{address}: {e}"));
                 }
@@ -355,5 +362,5 @@
 }
 
 fn malformed(error: &serde_json::Error) -> ClientError {
-    ClientError::Unreachable(format!("the answer is malformed: {error}"))
+    ClientError::Unreachable(format!("the response is malformed: {error}"))
 }
--- a/lib/src/operator/html.rs
+++ b/lib/src/operator/html.rs
@@ -1,57 +1,62 @@
-//! A time line as one HTML page that needs no other file.
+//! Renders a timeline as a self-contained HTML page.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use super::TimelineEvent;
 
-/// Pixels between two lanes, two events and the edges.
-const LANE: usize = 220;
-const ROW: usize = 22;
-const LEFT: usize = 110;
-const TOP: usize = 50;
+/// Layout of the chart, in pixels.
+const LANE_WIDTH: usize = 220;
+const ROW_HEIGHT: usize = 22;
+const LEFT_MARGIN: usize = 110;
+const TOP_MARGIN: usize = 50;
 
 const STYLE: &str = "body{font:13px sans-serif;margin:16px}text{font:12px sans-serif}\
 .lane{stroke:#bbb}.at{fill:#666;text-anchor:end}.name{font-weight:bold}\
 circle{fill:#356}circle.bad{fill:#b22}circle.good{fill:#283}";
 
-/// A page with a lane for each process and a row for each event, in the order
-/// of the clock; every value is escaped.
+/// Renders a page with a lane per process and a row per event, in the order of
+/// `events`. All values are escaped.
 ///
 /// ```
 /// let page = banyangauge::operator::timeline_html(&[], 0);
 /// assert!(page.starts_with("<!DOCTYPE html>"));
 /// ```
-pub fn timeline_html(lines: &[TimelineEvent], dropped: u64) -> String {
+pub fn timeline_html(events: &[TimelineEvent], dropped: u64) -> String {
     let mut lanes: BTreeMap<&str, usize> = BTreeMap::new();
-    for line in lines {
-        lanes.insert(&line.event.process, 0);
+    for e in events {
+        lanes.insert(&e.event.process, 0);
     }
-    for (number, lane) in lanes.values_mut().enumerate() {
-        *lane = LEFT + number * LANE;
+    for (number, position) in lanes.values_mut().enumerate() {
+        *position = LEFT_MARGIN + number * LANE_WIDTH;
     }
-    let width = LEFT + lanes.len().max(1) * LANE + LANE;
-    let height = TOP + (lines.len() + 1) * ROW;
+    let width = LEFT_MARGIN + lanes.len().max(1) * LANE_WIDTH + LANE_WIDTH;
+    let height = TOP_MARGIN + (events.len() + 1) * ROW_HEIGHT;
     let mut page = format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
-         <title>Time line</title><style>{STYLE}</style></head><body>\
-         <p>{} events; {dropped} older ones were dropped by the processes' rings.</p>\n\
+         <title>Timeline</title><style>{STYLE}</style></head><body>\
+         <p>{} events; {dropped} older events were evicted from the processes' buffers.</p>\n\
          <svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{width}\" height=\"{height}\">\n",
-        lines.len()
+        events.len()
     );
     for (process, x) in &lanes {
-        lane(&mut page, process, *x, height);
+        write_lane(&mut page, process, *x, height);
     }
-    for (number, line) in lines.iter().enumerate() {
-        let x = lanes.get(line.event.process.as_str()).copied();
-        event(&mut page, line, x.unwrap_or(LEFT), TOP + (number + 1) * ROW);
+    for (number, e) in events.iter().enumerate() {
+        let x = lanes.get(e.event.process.as_str()).copied();
+        write_event(
+            &mut page,
+            e,
+            x.unwrap_or(LEFT_MARGIN),
+            TOP_MARGIN + (number + 1) * ROW_HEIGHT,
+        );
     }
     page.push_str("</svg></body></html>\n");
     page
 }
 
-// Writing to a string cannot fail, here and below.
-fn lane(page: &mut String, process: &str, x: usize, height: usize) {
+// Writing to a `String` cannot fail, here and in `write_event`.
+fn write_lane(page: &mut String, process: &str, x: usize, height: usize) {
     let _ = writeln!(
         page,
         "<text class=\"name\" x=\"{x}\" y=\"20\">{}</text>\
@@ -60,8 +65,8 @@
     );
 }
 
-fn event(page: &mut String, line: &TimelineEvent, x: usize, y: usize) {
-    let e = &line.event;
+fn write_event(page: &mut String, event: &TimelineEvent, x: usize, y: usize) {
+    let e = &event.event;
     let class = match e.kind.as_str() {
         "refused" | "unknown" | "convicted" | "lost" => "bad",
         "answered" | "in_force" | "acquired" => "good",
@@ -78,8 +83,8 @@
         "<text class=\"at\" x=\"{}\" y=\"{y}\">{:.3} ms</text>\
          <g><title>{}</title><circle class=\"{class}\" cx=\"{x}\" cy=\"{}\" r=\"4\"/>\
          <text x=\"{}\" y=\"{y}\">{}</text></g>",
-        LEFT - 20,
-        line.offset_ms,
+        LEFT_MARGIN - 20,
+        event.offset_ms,
         escape(&e.detail),
         y - 4,
         x + 10,
@@ -88,17 +93,17 @@
 }
 
 fn escape(text: &str) -> String {
-    let mut safe = String::with_capacity(text.len());
+    let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
         match c {
-            '&' => safe.push_str("&amp;"),
-            '<' => safe.push_str("&lt;"),
-            '>' => safe.push_str("&gt;"),
-            '"' => safe.push_str("&quot;"),
-            '\'' => safe.push_str("&#39;"),
-            c if c.is_control() => safe.push('\u{fffd}'),
-            c => safe.push(c),
+            '&' => escaped.push_str("&amp;"),
+            '<' => escaped.push_str("&lt;"),
+            '>' => escaped.push_str("&gt;"),
+            '"' => escaped.push_str("&quot;"),
+            '\'' => escaped.push_str("&#39;"),
+            c if c.is_control() => escaped.push('\u{fffd}'),
+            c => escaped.push(c),
         }
     }
-    safe
+    escaped
 }
--- a/lib/src/operator/input.rs
+++ b/lib/src/operator/input.rs
@@ -1,4 +1,4 @@
-//! What operators give: intents, plans, settings.
+//! Parses what operators provide: intents, plans and settings.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,15 +12,15 @@
 use crate::settings::BadValue;
 use crate::settings::Settings;
 
-/// Settings of `banyan`.
+/// The settings of `banyan`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientSettings {
     /// Control processes, tried in this order.
     pub control: Vec<SocketAddr>,
-    /// The file that holds the operator's key.
+    /// The file that contains the operator's key.
     pub key_file: Option<PathBuf>,
-    /// Keys for TLS; plain connections when left out.
+    /// Keys for mutual TLS; connections are plain TCP without them.
     pub link: Option<LinkSettings>,
 }
 
@@ -37,31 +37,31 @@
     }
 }
 
-/// Why an intent or a plan cannot be read.
+/// Why an intent or a plan could not be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum InputError {
-    /// The intent is neither TOML nor JSON of the published form.
+    /// The intent is not valid TOML or JSON, or does not match the schema.
     Intent(String),
-    /// The plan is not JSON of the published form.
+    /// The plan is not valid JSON, or does not match the schema.
     Plan(String),
 }
 
 impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Intent(e) => write!(f, "not an intent: {e}"),
-            Self::Plan(e) => write!(f, "not a plan: {e}"),
+            Self::Intent(e) => write!(f, "invalid intent: {e}"),
+            Self::Plan(e) => write!(f, "invalid plan: {e}"),
         }
     }
 }
 
 impl std::error::Error for InputError {}
 
-/// Reads an intent, in JSON when its first character is a brace, else in TOML.
+/// Parses an intent: as JSON if it starts with a brace, otherwise as TOML.
 ///
 /// # Errors
 ///
-/// When it is neither, or a change is unknown or incomplete.
+/// When the text is malformed, or a change is unknown or incomplete.
 ///
 /// ```
 /// let intent = banyangauge::operator::parse_intent(
@@ -82,11 +82,11 @@
     }
 }
 
-/// Reads a plan as `banyan plan` wrote it.
+/// Parses a plan in the JSON format that `banyan plan` writes.
 ///
 /// # Errors
 ///
-/// When it is not a plan.
+/// When the text is not a valid plan.
 pub fn parse_plan(text: &str) -> Result<Plan, InputError> {
     serde_json::from_str(text).map_err(|e| InputError::Plan(e.to_string()))
 }
--- a/lib/src/operator/json.rs
+++ b/lib/src/operator/json.rs
@@ -1,4 +1,4 @@
-//! JSON output of `banyan`; the names are those of `banyan.proto`.
+//! JSON output of `banyan`; field names follow `banyan.proto`.
 
 use banyangauge_proto as wire;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 
 use super::TimelineEvent;
 
-/// The status of one control process.
+/// Renders the status of one control process.
 pub fn status_json(status: &wire::StatusReply) -> Value {
     let member = |m: &wire::Member| {
         json!({"vm": m.vm, "zone": m.zone, "address": m.address, "state": m.state,
@@ -23,7 +23,7 @@
     })
 }
 
-/// Pools and their replicas.
+/// Renders pools and their replicas.
 pub fn pools_json(pools: &[wire::PoolStatus]) -> Value {
     let replica = |r: &wire::ReplicaStatus| {
         json!({"replica": r.replica, "address": r.address, "state": r.state,
@@ -38,7 +38,7 @@
     pools.iter().map(pool).collect()
 }
 
-/// Usage by team and adapter version.
+/// Renders usage by team and adapter version.
 pub fn usage_json(counts: &[wire::UsageCount]) -> Value {
     let count = |c: &wire::UsageCount| {
         json!({"team": c.team, "adapter": c.adapter, "version": c.version,
@@ -48,17 +48,17 @@
     counts.iter().map(count).collect()
 }
 
-/// A merged time line.
-pub fn timeline_json(lines: &[TimelineEvent], dropped: u64) -> Value {
-    let event = |l: &TimelineEvent| {
-        let e = &l.event;
+/// Renders a merged timeline.
+pub fn timeline_json(events: &[TimelineEvent], dropped: u64) -> Value {
+    let event = |t: &TimelineEvent| {
+        let e = &t.event;
         let stamp = e.stamp.clone().unwrap_or_default();
-        json!({"ms": l.offset_ms, "time": stamp.time, "origin": stamp.origin, "process": e.process,
+        json!({"ms": t.offset_ms, "time": stamp.time, "origin": stamp.origin, "process": e.process,
             "kind": e.kind, "request": e.request, "adapter": e.adapter,
             "upstream": e.upstream, "pool": e.pool, "detail": e.detail})
     };
     json!({
         "dropped": dropped,
-        "events": lines.iter().map(event).collect::<Vec<_>>(),
+        "events": events.iter().map(event).collect::<Vec<_>>(),
     })
 }
--- a/lib/src/operator/mod.rs
+++ b/lib/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! What operators use: a client of the control processes, the forms of intents
-//! and settings, and the output of `banyan`.
+//! Operator tooling: a client of the control processes, parsing of intents and
+//! settings, and the output of `banyan`.
 
 mod client;
 mod html;
@@ -33,5 +33,5 @@
 pub use render::usage_text;
 pub use request_history::RequestHistory;
 
-/// What `banyan timeline` asks for: only events that carry these values.
+/// Selects the events of `banyan timeline`; empty fields match every event.
 pub type Filter = banyangauge_proto::TimelineRequest;
--- a/lib/src/operator/render.rs
+++ b/lib/src/operator/render.rs
@@ -1,4 +1,4 @@
-//! Text output of `banyan`: aligned columns, one thing a line.
+//! Plain-text output of `banyan`, as tables with aligned columns.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,10 +9,10 @@
 use crate::catalog::Catalog;
 use crate::catalog::Plan;
 
-/// Space between two columns.
-const GAP: &str = "  ";
+/// Separator between columns.
+const SEPARATOR: &str = "  ";
 
-/// Lines of cells with each column as wide as its widest cell.
+/// Renders a table; each column is as wide as its widest cell.
 ///
 /// ```
 /// let text = banyangauge::operator::table(&["pool", "n"], &[vec!["a".into(), "10".into()]]);
@@ -25,32 +25,34 @@
             *width = (*width).max(cell.chars().count());
         }
     }
-    let mut text = line(&widths, head.iter().copied());
+    let mut text = table_row(&widths, head.iter().copied());
     for row in rows {
-        text += &line(&widths, row.iter().map(String::as_str));
+        text += &table_row(&widths, row.iter().map(String::as_str));
     }
     text
 }
 
-fn line<'a>(widths: &[usize], cells: impl Iterator<Item = &'a str>) -> String {
+fn table_row<'a>(widths: &[usize], cells: impl Iterator<Item = &'a str>) -> String {
     let padded: Vec<_> = widths
         .iter()
         .zip(cells)
-        .map(|(width, cell)| format!("{:<width$}", shown(cell)))
+        .map(|(width, cell)| format!("{:<width$}", replace_control(cell)))
         .collect();
-    let mut text = padded.join(GAP).trim_end().to_owned();
+    let mut text = padded.join(SEPARATOR).trim_end().to_owned();
     text.push('\n');
     text
 }
 
-/// Control characters would let a value move the terminal's cursor.
-fn shown(cell: &str) -> String {
+/// Replaces control characters, with which a value could send escape sequences
+/// to the terminal.
+fn replace_control(cell: &str) -> String {
     cell.chars()
         .map(|c| if c.is_control() { '\u{fffd}' } else { c })
         .collect()
 }
 
-/// A plan: what it changes, whom it affects, what it costs.
+/// Renders a plan: its changes, the teams they affect, and the adapter loads and
+/// slots they cost.
 pub fn plan_text(plan: &Plan) -> String {
     let rows: Vec<_> = plan
         .effects
@@ -59,8 +61,8 @@
             let teams: Vec<_> = e.teams.iter().map(ToString::to_string).collect();
             vec![
                 e.text.clone(),
-                dash(teams.join(" ")),
-                dash(e.pool.as_ref().map(ToString::to_string).unwrap_or_default()),
+                or_dash(teams.join(" ")),
+                or_dash(e.pool.as_ref().map(ToString::to_string).unwrap_or_default()),
                 e.loads.to_string(),
                 e.slots.to_string(),
             ]
@@ -68,7 +70,7 @@
         .collect();
     let mut text = format!("operation {} on revision {}\n", plan.operation, plan.base.0);
     text += &table(&["change", "teams", "pool", "loads", "slots"], &rows);
-    // Writing to a string cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
         text,
         "in all at least {} loads and {} slots; nothing takes effect before it is confirmed",
@@ -78,16 +80,19 @@
     text
 }
 
-fn dash(text: String) -> String {
+/// Returns `text`, or a dash in place of an empty cell.
+fn or_dash(text: String) -> String {
     match text.is_empty() {
         true => "-".to_owned(),
         false => text,
     }
 }
 
-const STATES: [&str; 4] = ["live", "suspect", "leaving", "gone"];
+/// Names of the values of `Member.state`.
+const MEMBER_STATES: [&str; 4] = ["live", "suspect", "leaving", "gone"];
 
-/// Which VMs are there, what each has in force, who owns which pool.
+/// Renders the status of one control process: the VMs with their active
+/// revisions, and the owner of each pool.
 pub fn status_text(status: &wire::StatusReply) -> String {
     let platform = match status.platform_up {
         true => "up",
@@ -101,14 +106,14 @@
         .members
         .iter()
         .map(|m| {
-            let state = STATES.get(m.state as usize).copied().unwrap_or("?");
+            let state = MEMBER_STATES.get(m.state as usize).copied().unwrap_or("?");
             vec![
                 m.vm.clone(),
                 m.zone.clone(),
                 m.address.clone(),
                 state.to_owned(),
                 m.revision.to_string(),
-                behind(status.revision, m.revision),
+                revision_lag(status.revision, m.revision),
             ]
         })
         .collect();
@@ -126,14 +131,15 @@
     text
 }
 
-fn behind(ours: u64, theirs: u64) -> String {
+/// Describes how many revisions a member lags; empty when it is up to date.
+fn revision_lag(ours: u64, theirs: u64) -> String {
     match ours.checked_sub(theirs) {
         Some(0) | None => String::new(),
         Some(n) => format!("{n} behind"),
     }
 }
 
-/// Adapters, their versions and whom each is served to.
+/// Renders adapters with their versions and the teams they are served to.
 pub fn adapters_text(catalog: &Catalog) -> String {
     let rows: Vec<_> = catalog
         .adapters
@@ -145,15 +151,15 @@
                 name.to_string(),
                 a.owner.to_string(),
                 a.pool.to_string(),
-                dash(versions.join(" ")),
-                dash(serving.join(" ")),
+                or_dash(versions.join(" ")),
+                or_dash(serving.join(" ")),
             ]
         })
         .collect();
     table(&["adapter", "owner", "pool", "versions", "served"], &rows)
 }
 
-/// Pools and their replicas.
+/// Renders pools and their replicas.
 pub fn pools_text(pools: &[wire::PoolStatus]) -> String {
     let rows: Vec<_> = pools
         .iter()
@@ -198,20 +204,20 @@
         replica.address.clone(),
         replica.state.clone(),
         replica.outstanding.to_string(),
-        dash(replica.loaded.join(" ")),
-        dash(replica.loading.join(" ")),
+        or_dash(replica.loaded.join(" ")),
+        or_dash(replica.loading.join(" ")),
     ]
 }
 
-/// Usage by team and adapter version, with each team's sum.
+/// Renders usage by team and adapter version, with a total per team.
 pub fn usage_text(counts: &[wire::UsageCount]) -> String {
-    let mut sums: BTreeMap<&str, [u64; 3]> = BTreeMap::new();
+    let mut totals: BTreeMap<&str, [u64; 3]> = BTreeMap::new();
     let mut rows = Vec::new();
     for c in counts {
-        let sum = sums.entry(&c.team).or_default();
-        sum[0] += c.requests;
-        sum[1] += c.prompt_tokens;
-        sum[2] += c.output_tokens;
+        let total = totals.entry(&c.team).or_default();
+        total[0] += c.requests;
+        total[1] += c.prompt_tokens;
+        total[2] += c.output_tokens;
         let name = match c.version {
             0 => c.adapter.clone(),
             v => format!("{}@{v}", c.adapter),
@@ -219,7 +225,7 @@
         let values = [c.requests, c.prompt_tokens, c.output_tokens];
         rows.push(usage_row(&c.team, name, values));
     }
-    for (team, values) in sums {
+    for (team, values) in totals {
         rows.push(usage_row(team, "all".to_owned(), values));
     }
     let head = ["team", "adapter", "requests", "prompt", "output"];
@@ -232,14 +238,14 @@
     row
 }
 
-/// A merged time line, milliseconds after its first event.
-pub fn timeline_text(lines: &[TimelineEvent]) -> String {
-    let rows: Vec<_> = lines
+/// Renders a merged timeline, with times in milliseconds since its first event.
+pub fn timeline_text(events: &[TimelineEvent]) -> String {
+    let rows: Vec<_> = events
         .iter()
-        .map(|l| {
-            let e = &l.event;
+        .map(|t| {
+            let e = &t.event;
             vec![
-                format!("{:.3}", l.offset_ms),
+                format!("{:.3}", t.offset_ms),
                 e.process.clone(),
                 e.kind.clone(),
                 e.request.clone(),
--- a/lib/src/operator/request_history.rs
+++ b/lib/src/operator/request_history.rs
@@ -1,4 +1,4 @@
-//! One request's story, from the log lines of all VMs.
+//! Reconstructs the history of one request from the log lines of all VMs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,15 +6,15 @@
 
 use serde_json::Value;
 
-/// Events of a replica or adapter that the story names, this much before its
-/// first line at the most, belong to it.
-const BEFORE_MS: i64 = 5_000;
+/// How long before the request's first log line an event of one of its replicas
+/// or adapters still counts as related.
+const LOOKBACK_MS: i64 = 5_000;
 
-/// Fields that each line begins with, or that say nothing here.
-const HIDDEN: [&str; 6] = ["msg", "level", "ts", "program", "vm", "id"];
+/// Fields that are shown elsewhere in a line or are the same in every line.
+const HIDDEN_FIELDS: [&str; 6] = ["msg", "level", "ts", "program", "vm", "id"];
 
-/// Messages of a whole VM that bear on each request.
-const OF_THE_VM: [&str; 6] = [
+/// Messages about a VM as a whole, which can affect every request on it.
+const VM_MESSAGES: [&str; 6] = [
     "configuration",
     "owners",
     "store lost",
@@ -24,29 +24,31 @@
 ];
 
 #[derive(Clone, Debug)]
-struct Line {
-    at: String,
+struct LogLine {
+    /// Time of day, `HH:MM:SS.fraction`.
+    time: String,
+    /// Milliseconds since midnight.
     ms: i64,
     fields: BTreeMap<String, Value>,
 }
 
-/// The story of one request: its own lines, and what changed of the replicas
-/// and adapters that they name shortly before.
+/// The history of one request: its own log lines, and related events of its
+/// replicas, adapters and VMs shortly before or during it.
 ///
 /// ```
 /// use banyangauge::operator::RequestHistory;
-/// let mut s = RequestHistory::new("r1");
-/// s.add_log(r#"{"msg":"refused","ts":"2026-01-01T00:00:01.5Z","vm":"a","id":"r1","why":"no_replica"}"#);
-/// assert_eq!(s.render(), "00:00:01.500 a refused why=no_replica\n");
+/// let mut history = RequestHistory::new("r1");
+/// history.add_log(r#"{"msg":"refused","ts":"2026-01-01T00:00:01.5Z","vm":"a","id":"r1","why":"no_replica"}"#);
+/// assert_eq!(history.render(), "00:00:01.500 a refused why=no_replica\n");
 /// ```
 #[derive(Debug)]
 pub struct RequestHistory {
     id: String,
-    lines: Vec<Line>,
+    lines: Vec<LogLine>,
 }
 
 impl RequestHistory {
-    /// The story of the request with this id; nothing was read yet.
+    /// Returns an empty history for the request with this id.
     pub fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Reads log lines; what stands before a line's JSON is passed over, and
-    /// so are lines without any.
+    /// Adds log lines. Any text before the JSON object of a line is skipped, and
+    /// so are lines that contain no JSON object.
     pub fn add_log(&mut self, text: &str) {
         for line in text.lines() {
             let json = line.find('{').map(|at| &line[at..]);
@@ -63,71 +65,73 @@
             let Some(fields): Option<BTreeMap<String, Value>> = fields else {
                 continue;
             };
-            let at = fields.get("ts").and_then(Value::as_str).unwrap_or_default();
-            let at = at.split_once('T').map_or(at, |(_, time)| time).to_owned();
-            if let Some(ms) = millis_of(&at) {
-                self.lines.push(Line { at, ms, fields });
+            let time = fields.get("ts").and_then(Value::as_str).unwrap_or_default();
+            let time = time.split_once('T').map_or(time, |(_, t)| t).to_owned();
+            if let Some(ms) = parse_millis(&time) {
+                self.lines.push(LogLine { time, ms, fields });
             }
         }
     }
 
-    /// The story, a line an event, in order.
+    /// Renders the history in order of time, one line per event.
     pub fn render(&self) -> String {
-        let own = |l: &&Line| text(l, "id") == Some(self.id.as_str());
+        let own = |l: &&LogLine| field(l, "id") == Some(self.id.as_str());
         let first = self.lines.iter().filter(own).map(|l| l.ms).min();
         let last = self.lines.iter().filter(own).map(|l| l.ms).max();
         let (Some(first), Some(last)) = (first, last) else {
-            return format!("no line names {}\n", self.id);
+            return format!("no log line names request {}\n", self.id);
         };
         let named = |key| {
             let lines = self.lines.iter().filter(own);
-            lines.filter_map(|l| text(l, key)).collect::<BTreeSet<_>>()
+            lines.filter_map(|l| field(l, key)).collect::<BTreeSet<_>>()
         };
         let (replicas, targets, vms) = (named("replica"), named("target"), named("vm"));
-        let bears = |l: &&Line| {
-            let about =
-                |key, names: &BTreeSet<&str>| text(l, key).is_some_and(|n| names.contains(n));
-            let near = l.ms >= first - BEFORE_MS && l.ms <= last;
-            let of_vm = text(l, "msg").is_some_and(|m| OF_THE_VM.contains(&m));
-            let other = !l.fields.contains_key("id");
-            let about = about("replica", &replicas) || about("target", &targets);
-            near && other && (about || of_vm && vms.contains(text(l, "vm").unwrap_or_default()))
+        let related = |l: &&LogLine| {
+            let names_any =
+                |key, names: &BTreeSet<&str>| field(l, key).is_some_and(|n| names.contains(n));
+            let in_window = l.ms >= first - LOOKBACK_MS && l.ms <= last;
+            let of_vm = field(l, "msg").is_some_and(|m| VM_MESSAGES.contains(&m));
+            let no_request = !l.fields.contains_key("id");
+            let of_target = names_any("replica", &replicas) || names_any("target", &targets);
+            in_window
+                && no_request
+                && (of_target || of_vm && vms.contains(field(l, "vm").unwrap_or_default()))
         };
-        let mut told: Vec<&Line> = self.lines.iter().filter(|l| own(l) || bears(l)).collect();
-        told.sort_by_key(|l| l.ms);
-        told.iter().map(|l| line(l)).collect()
+        let mut shown: Vec<&LogLine> = self.lines.iter().filter(|l| own(l) || related(l)).collect();
+        shown.sort_by_key(|l| l.ms);
+        shown.iter().map(|l| render_line(l)).collect()
     }
 }
 
-fn line(l: &Line) -> String {
-    let vm = text(l, "vm").unwrap_or("-");
-    let at = l.at.trim_end_matches('Z');
-    let (seconds, part) = at.split_once('.').unwrap_or((at, ""));
-    let mut told = format!(
-        "{seconds}.{part:0<3.3} {vm} {}",
-        text(l, "msg").unwrap_or("-")
+fn render_line(l: &LogLine) -> String {
+    let vm = field(l, "vm").unwrap_or("-");
+    let time = l.time.trim_end_matches('Z');
+    let (seconds, fraction) = time.split_once('.').unwrap_or((time, ""));
+    let mut rendered = format!(
+        "{seconds}.{fraction:0<3.3} {vm} {}",
+        field(l, "msg").unwrap_or("-")
     );
     let shown = l
         .fields
         .iter()
-        .filter(|(k, _)| !HIDDEN.contains(&k.as_str()));
+        .filter(|(k, _)| !HIDDEN_FIELDS.contains(&k.as_str()));
     for (key, value) in shown.filter(|(_, v)| !v.is_null()) {
         let value = value
             .as_str()
             .map_or_else(|| value.to_string(), str::to_owned);
-        // Writing to a string does not fail.
-        write!(told, " {key}={value}").ok();
+        // Writing to a `String` cannot fail.
+        write!(rendered, " {key}={value}").ok();
     }
-    told.push('\n');
-    told
+    rendered.push('\n');
+    rendered
 }
 
-fn text<'a>(l: &'a Line, key: &str) -> Option<&'a str> {
+fn field<'a>(l: &'a LogLine, key: &str) -> Option<&'a str> {
     l.fields.get(key).and_then(Value::as_str)
 }
 
-/// Milliseconds of a day by `HH:MM:SS.fraction`.
-fn millis_of(time: &str) -> Option<i64> {
+/// Parses `HH:MM:SS.fraction` to milliseconds since midnight.
+fn parse_millis(time: &str) -> Option<i64> {
     let mut parts = time.trim_end_matches('Z').split(':');
     let hours: i64 = parts.next()?.parse().ok()?;
     let minutes: i64 = parts.next()?.parse().ok()?;
--- a/lib/tests/test_operator_request_history.rs
+++ b/lib/tests/test_operator_request_history.rs
@@ -32,5 +32,5 @@
 fn render_unknown_request() {
     let mut history = RequestHistory::new("r9");
     history.add_log(LINES);
-    assert_eq!(history.render(), "no line names r9\n");
+    assert_eq!(history.render(), "no log line names request r9\n");
 }
