--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -6,7 +6,7 @@
 
 mod rig;
 mod test_catalog_apply;
-mod test_catalog_ledger;
+mod test_catalog_store;
 mod test_claims_journal;
 mod test_claims_owner;
 mod test_config_spread;
