--- a/lib/tests/test_catalog_apply.rs
+++ b/lib/tests/test_catalog_apply.rs
@@ -1,4 +1,4 @@
-//! The catalog's rules, and that a refused change set changes nothing.
+//! The catalog's invariants, and atomicity of change sets.
 
 use banyangauge::catalog::Catalog;
 use banyangauge::catalog::CatalogError;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn team_by_key_follows() {
+fn team_by_key_after_change() {
     let mut catalog = catalog();
     let key = laundry_key();
     assert_eq!(catalog.team_by_key(&key).unwrap().as_str(), "laundry");
@@ -149,10 +149,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Change sets take effect whole or not at all, and a catalog that went
-    /// through its shards is the same one, index included.
+    /// Change sets are atomic, and a catalog restored from its shards equals the
+    /// original, including the key index.
     #[test]
-    fn apply_whole_or_not(sets in prop::collection::vec(prop::collection::vec(any_change(), 1..6), 1..20)) {
+    fn apply_is_atomic(sets in prop::collection::vec(prop::collection::vec(any_change(), 1..6), 1..20)) {
         let mut catalog = catalog();
         for set in sets {
             let before = catalog.clone();
@@ -176,8 +176,8 @@
     }
 }
 
-/// The letter's size: 14,000 adapters of long names, 150 pools with 5,600
-/// replicas, 500 teams.
+/// Shard sizes at the maximum supported size: 14,000 adapters with long names, 150
+/// pools with 5,600 replicas, and 500 teams.
 #[test]
 fn shards_below_a_megabyte() {
     let mut changes: Vec<_> = (0..500)
--- a/lib/tests/test_catalog_store.rs
+++ b/lib/tests/test_catalog_store.rs
@@ -1,5 +1,5 @@
-//! Confirmations against a platform that loses answers, is down, or is asked
-//! by two operators at once.
+//! Confirmations against a platform that loses responses, is down, or receives
+//! concurrent confirmations.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -27,55 +27,58 @@
 use crate::rig;
 
 async fn with_basics(platform: &Platform) -> (CatalogStore, Catalog) {
-    let ledger = CatalogStore::new(platform.clone());
+    let store = CatalogStore::new(platform.clone());
     let first = rig::plan(&Catalog::default(), rig::basics());
-    let made = ledger.confirm(&first, "ana", &Catalog::default()).await;
-    (ledger, made.unwrap().applied.unwrap().1)
+    let confirmed = store.confirm(&first, "ana", &Catalog::default()).await;
+    (store, confirmed.unwrap().applied.unwrap().1)
 }
 
-async fn read(ledger: &CatalogStore) -> Catalog {
-    let root = ledger.read_root().await.unwrap().root;
-    ledger.read_catalog(&root).await.unwrap()
+async fn read(store: &CatalogStore) -> Catalog {
+    let root = store.read_root().await.unwrap().root;
+    store.read_catalog(&root).await.unwrap()
 }
 
-/// The first lost answer is a shard's, the second the root's.
+/// The response to the write of a shard is lost, then also that of the root.
 #[rstest]
 #[case::shard(1)]
 #[case::shard_and_root(2)]
 #[tokio::test]
 async fn confirm_answer_lost(#[case] lost: u32) {
     let (running, platform) = rig::platform().await;
-    let (ledger, catalog) = with_basics(&platform).await;
+    let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     rig::fault(&running, json!({"lose_after_write": lost})).await;
-    let confirmed = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
+    let confirmed = store.confirm(&plan, "ana", &catalog).await.unwrap();
     assert_eq!(confirmed.revision, Revision(2));
-    assert_eq!(read(&ledger).await.revision, Revision(2));
-    // What the shards hold is what the change set makes.
+    assert_eq!(read(&store).await.revision, Revision(2));
+    // The shards hold the result of the change set.
     let mut made = catalog.clone();
     made.apply(&plan.changes).unwrap();
-    assert_eq!(read(&ledger).await, made);
+    assert_eq!(read(&store).await, made);
 }
 
-/// Every answer to a write is lost for longer than the client tries: it says
-/// that it does not know, and the same plan settles it.
+/// Every response to a write is lost for longer than the client retries. The
+/// result is unknown, and confirming the same plan again returns it.
 #[tokio::test]
-async fn confirm_unknown_then_settled() {
+async fn confirm_unknown_then_repeated() {
     let (running, platform) = rig::platform().await;
-    let (ledger, catalog) = with_basics(&platform).await;
+    let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
-    let lossy = CatalogStore::new(Platform::new(losing_front(running.address).await));
+    let lossy = CatalogStore::new(Platform::new(lossy_proxy(running.address).await));
     let end = lossy.confirm(&plan, "ana", &catalog).await;
     assert!(matches!(end, Err(ConfirmError::Unknown(_))), "{end:?}");
-    let settled = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
-    assert_eq!(settled.revision, Revision(2));
-    assert!(settled.applied.is_none(), "the first try had taken effect");
-    assert_eq!(read(&ledger).await.revision, Revision(2));
+    let repeated = store.confirm(&plan, "ana", &catalog).await.unwrap();
+    assert_eq!(repeated.revision, Revision(2));
+    assert!(
+        repeated.applied.is_none(),
+        "the first attempt had taken effect"
+    );
+    assert_eq!(read(&store).await.revision, Revision(2));
 }
 
-/// Passes each call on and loses every answer to a change of the root, and
-/// whatever is asked of the root after it.
-async fn losing_front(real: std::net::SocketAddr) -> std::net::SocketAddr {
+/// Starts a proxy that forwards all calls, and drops the responses to updates of
+/// the root and to all later calls that concern the root.
+async fn lossy_proxy(real: std::net::SocketAddr) -> std::net::SocketAddr {
     use banyangauge_standin::http;
     use hyper_util::client::legacy::Client;
     use hyper_util::rt::TokioExecutor;
@@ -117,63 +120,63 @@
 #[tokio::test]
 async fn confirm_platform_down() {
     let (running, platform) = rig::platform().await;
-    let (ledger, catalog) = with_basics(&platform).await;
+    let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     rig::fault(&running, json!({"down": true})).await;
-    let end = ledger.confirm(&plan, "ana", &catalog).await;
+    let end = store.confirm(&plan, "ana", &catalog).await;
     let expected = ConfirmError::Platform(PlatformError::Refused(503));
     assert_eq!(end.unwrap_err(), expected);
     rig::fault(&running, json!({"down": false})).await;
-    assert_eq!(read(&ledger).await, catalog);
-    ledger.confirm(&plan, "ana", &catalog).await.unwrap();
+    assert_eq!(read(&store).await, catalog);
+    store.confirm(&plan, "ana", &catalog).await.unwrap();
 }
 
 #[tokio::test]
-async fn confirm_twice_is_once() {
+async fn confirm_is_idempotent() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, catalog) = with_basics(&platform).await;
+    let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     let back = |v| vec![rig::serve("laundry", "rosters", v)];
-    ledger.confirm(&plan, "ana", &catalog).await.unwrap();
-    let next = read(&ledger).await;
+    store.confirm(&plan, "ana", &catalog).await.unwrap();
+    let next = read(&store).await;
     let other = rig::plan(&next, back(1));
-    ledger.confirm(&other, "ben", &next).await.unwrap();
-    let again = ledger.confirm(&plan, "ana", &catalog).await.unwrap();
+    store.confirm(&other, "ben", &next).await.unwrap();
+    let again = store.confirm(&plan, "ana", &catalog).await.unwrap();
     assert_eq!(
         (again.revision, again.applied.is_none()),
         (Revision(2), true)
     );
-    let serving = &read(&ledger).await.adapters["rosters"].serving;
+    let serving = &read(&store).await.adapters["rosters"].serving;
     assert_eq!(serving["laundry"], 1);
 }
 
-/// The operator's client gave up on one control process and asked another: both
-/// confirm the same operation at once, and it takes effect once.
+/// The operator's client times out at one control process and asks another. Both
+/// confirm the same operation concurrently, and it takes effect once.
 #[tokio::test]
 async fn confirm_same_operation_at_two_vms() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, mut catalog) = with_basics(&platform).await;
+    let (store, mut catalog) = with_basics(&platform).await;
     for version in 4..14 {
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
         let other = CatalogStore::new(platform.clone());
         let (one, two) = tokio::join!(
-            ledger.confirm(&plan, "ana", &catalog),
+            store.confirm(&plan, "ana", &catalog),
             other.confirm(&plan, "ana", &catalog)
         );
         let (one, two) = (one.unwrap(), two.unwrap());
         assert_eq!(one.revision, two.revision);
         assert!(one.applied.is_some() != two.applied.is_some());
-        catalog = read(&ledger).await;
+        catalog = read(&store).await;
         assert_eq!(catalog.revision, one.revision);
     }
 }
 
-/// A process died after it had written a shard and before the root: the shard
-/// is deleted by a later confirmation, what is named stays.
+/// A process ended after it had written a shard and before it replaced the root.
+/// A later confirmation deletes the shard; referenced shards stay.
 #[tokio::test]
-async fn confirm_sweeps_orphans() {
+async fn confirm_deletes_orphans() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, mut catalog) = with_basics(&platform).await;
+    let (store, mut catalog) = with_basics(&platform).await;
     let orphan = "00-2-00112233445566aa";
     let late = "00-9000-00112233445566aa";
     for name in [orphan, late] {
@@ -185,12 +188,8 @@
     while catalog.revision.0 < 256 {
         let version = catalog.revision.0 as u32 + 3;
         let plan = rig::plan(&catalog, vec![rig::add("rosters", version)]);
-        let made = ledger
-            .confirm(&plan, "ana", &catalog)
-            .await
-            .unwrap()
-            .applied;
-        catalog = made.unwrap().1;
+        let confirmed = store.confirm(&plan, "ana", &catalog).await.unwrap().applied;
+        catalog = confirmed.unwrap().1;
     }
     let list = platform.list::<Shard>("shards").await.unwrap();
     let names: Vec<_> = list
@@ -199,17 +198,17 @@
         .map(|o| o.metadata.name.as_str())
         .collect();
     assert!(!names.contains(&orphan));
-    // It may belong to a confirmation under way.
+    // It may belong to a confirmation in progress.
     assert!(names.contains(&late));
-    assert_eq!(read(&ledger).await, catalog);
+    assert_eq!(read(&store).await, catalog);
 }
 
-/// A repeat of an operation that the root has forgotten is refused, also when
-/// everything it read looks again as it did.
+/// A repeated operation that is no longer in the root's log is refused, even if
+/// all items that it read are in the same state again.
 #[tokio::test]
-async fn confirm_repeat_forgotten() {
+async fn confirm_repeat_not_in_log_refused() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, mut catalog) = with_basics(&platform).await;
+    let (store, mut catalog) = with_basics(&platform).await;
     let old = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     let undo = banyangauge::catalog::Change::Withdraw {
         team: "laundry".parse().unwrap(),
@@ -223,42 +222,38 @@
         } else {
             rig::plan(&catalog, set)
         };
-        let made = ledger
-            .confirm(&plan, "ana", &catalog)
-            .await
-            .unwrap()
-            .applied;
-        catalog = made.unwrap().1;
+        let confirmed = store.confirm(&plan, "ana", &catalog).await.unwrap().applied;
+        catalog = confirmed.unwrap().1;
     }
     assert!(old.changed_reads(&catalog).is_empty());
-    let end = ledger.confirm(&old, "ana", &catalog).await.unwrap_err();
+    let end = store.confirm(&old, "ana", &catalog).await.unwrap_err();
     assert!(matches!(end, ConfirmError::TooOld { .. }), "{end:?}");
 }
 
 #[tokio::test]
-async fn confirm_overtaken_told_by_whom() {
+async fn confirm_read_conflict_names_operator() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, catalog) = with_basics(&platform).await;
+    let (store, catalog) = with_basics(&platform).await;
     let mine = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     let theirs = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 3)]);
     let beside = rig::plan(&catalog, vec![rig::serve("laundry", "dryers", 1)]);
-    ledger.confirm(&theirs, "ben", &catalog).await.unwrap();
-    let end = ledger.confirm(&mine, "ana", &catalog).await.unwrap_err();
+    store.confirm(&theirs, "ben", &catalog).await.unwrap();
+    let end = store.confirm(&mine, "ana", &catalog).await.unwrap_err();
     let text = end.to_string();
     let expected = format!(
         "adapter rosters was changed by ben in revision 2 (operation {})",
         theirs.operation
     );
     assert!(text.contains(&expected), "{text}");
-    // What another plan touches does not matter.
-    let made = ledger.confirm(&beside, "ana", &catalog).await.unwrap();
-    assert_eq!(made.revision, Revision(3));
+    // Changes to items that the plan did not read do not conflict.
+    let confirmed = store.confirm(&beside, "ana", &catalog).await.unwrap();
+    assert_eq!(confirmed.revision, Revision(3));
 }
 
 #[tokio::test]
-async fn confirm_changed_by_hand_refused() {
+async fn confirm_edited_plan_refused() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, catalog) = with_basics(&platform).await;
+    let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     let mut other = plan.clone();
     other.changes = vec![rig::serve("laundry", "rosters", 3)];
@@ -266,9 +261,9 @@
     unread.reads.clear();
     let mut odd = plan.clone();
     odd.operation = "../x".to_owned();
-    ledger.confirm(&plan, "ana", &catalog).await.unwrap();
+    store.confirm(&plan, "ana", &catalog).await.unwrap();
     for bad in [other, unread, odd] {
-        let end = ledger.confirm(&bad, "ana", &catalog).await.unwrap_err();
+        let end = store.confirm(&bad, "ana", &catalog).await.unwrap_err();
         assert!(
             matches!(end, ConfirmError::Plan(PlanError::Malformed(_))),
             "{end:?}"
@@ -276,23 +271,19 @@
     }
 }
 
-/// Several shards in one confirmation, and no more objects than the last two
-/// roots name.
+/// Confirmations of several shards leave only objects that the last two roots
+/// reference.
 #[tokio::test]
-async fn confirm_deletes_what_nobody_names() {
+async fn confirm_deletes_unreferenced_shards() {
     let (_running, platform) = rig::platform().await;
-    let (ledger, mut catalog) = with_basics(&platform).await;
+    let (store, mut catalog) = with_basics(&platform).await;
     for version in 4..20 {
         let set = vec![rig::add("rosters", version), rig::add("dryers", version)];
         let plan = rig::plan(&catalog, set);
-        let made = ledger
-            .confirm(&plan, "ana", &catalog)
-            .await
-            .unwrap()
-            .applied;
-        catalog = made.unwrap().1;
+        let confirmed = store.confirm(&plan, "ana", &catalog).await.unwrap().applied;
+        catalog = confirmed.unwrap().1;
     }
-    let root = ledger.read_root().await.unwrap().root;
+    let root = store.read_root().await.unwrap().root;
     let list = platform.list::<Shard>("shards").await.unwrap();
     let names: Vec<_> = list.items.iter().map(|o| &o.metadata.name).collect();
     let live = root.shards.values();
@@ -301,15 +292,16 @@
     assert!(root.retired.len() <= 4, "{:?}", root.retired);
 }
 
-/// The version in force as operators see it: a confirmation either puts its
-/// version in force or changes nothing.
+/// Sequential specification of the served version: a confirmation is a
+/// compare-and-swap that either takes effect or changes nothing.
 struct Serving;
 
 #[derive(Clone, Copy, Debug)]
 enum Operation {
     /// The version that was read.
     Read(Option<u32>),
-    /// Confirm `1` on `0`; the last tells whether it took effect.
+    /// Confirmation of the second version on top of the first, and whether it took
+    /// effect.
     Swap(u32, u32, Option<bool>),
 }
 
@@ -335,63 +327,70 @@
     serving.get("laundry").copied().unwrap_or(0)
 }
 
-/// Four operators race for one adapter, answers are lost on the way: what each
-/// was told is linearizable as a compare-and-swap of the version in force.
+/// Four operators change one adapter concurrently while responses are lost. Their
+/// results are linearizable as compare-and-swaps of the served version.
 #[tokio::test]
 async fn confirm_race_linearizable() {
     let (running, platform) = rig::platform().await;
     let (_, catalog) = with_basics(&platform).await;
     let versions: Vec<_> = (4..40).map(|v| rig::add("rosters", v)).collect();
-    let ledger = CatalogStore::new(platform.clone());
+    let store = CatalogStore::new(platform.clone());
     let more = rig::plan(&catalog, versions);
-    ledger.confirm(&more, "ana", &catalog).await.unwrap();
+    store.confirm(&more, "ana", &catalog).await.unwrap();
     let actions = Mutex::new(Vec::new());
-    let note = |who: usize, action| actions.lock().unwrap().push((who, action));
-    let operator = async |who: usize| {
-        let ledger = CatalogStore::new(platform.clone());
+    let record = |operator_id: usize, action| actions.lock().unwrap().push((operator_id, action));
+    let operator = async |operator_id: usize| {
+        let store = CatalogStore::new(platform.clone());
         for turn in 0..5_u32 {
-            note(who, Action::Call(Operation::Read(None)));
-            let catalog = read(&ledger).await;
+            record(operator_id, Action::Call(Operation::Read(None)));
+            let catalog = read(&store).await;
             let from = version_of(&catalog);
-            note(who, Action::Response(Operation::Read(Some(from))));
-            let to = who as u32 * 5 + turn + 4;
+            record(operator_id, Action::Response(Operation::Read(Some(from))));
+            let to = operator_id as u32 * 5 + turn + 4;
             let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", to)]);
             if turn == 2 {
                 rig::fault(&running, json!({"lose_after_write": 2})).await;
             }
-            note(who, Action::Call(Operation::Swap(from, to, None)));
-            let took = match ledger.confirm(&plan, &format!("o{who}"), &catalog).await {
+            record(operator_id, Action::Call(Operation::Swap(from, to, None)));
+            let took_effect = match store
+                .confirm(&plan, &format!("o{operator_id}"), &catalog)
+                .await
+            {
                 Ok(_) => true,
                 Err(ConfirmError::ReadConflict(_)) => false,
                 Err(e) => panic!("{e:?}"),
             };
-            note(who, Action::Response(Operation::Swap(from, to, Some(took))));
+            record(
+                operator_id,
+                Action::Response(Operation::Swap(from, to, Some(took_effect))),
+            );
         }
     };
     tokio::join!(operator(0), operator(1), operator(2), operator(3));
     let actions = actions.into_inner().unwrap();
-    let took = |(_, a): &&(usize, Action<Operation>)| {
+    let took_effect = |(_, a): &&(usize, Action<Operation>)| {
         matches!(a, Action::Response(Operation::Swap(_, _, Some(true))))
     };
-    let winners = actions.iter().filter(took).count();
+    let winners = actions.iter().filter(took_effect).count();
     assert!(winners >= 5, "{winners} took effect");
     let history = History::from_actions(actions);
     assert!(WGLChecker::<Serving>::is_linearizable(history));
 }
 
-/// What an operator was told of one confirmation.
-enum Told {
+/// The result of a confirmation as reported to an operator.
+enum Reported {
     InForce(u64),
     NothingChanged,
     Unknown,
 }
 
-/// Six operators confirm while answers are lost and the platform comes and
-/// goes. What each was told is true by the platform's own record: in force is
-/// there once and at that revision, "nothing changed" is not there.
+/// Six operators confirm plans while responses are lost and the platform has
+/// outages. The results match the platform's history of writes: a confirmed
+/// operation is there once and with its revision, and one that failed with
+/// "nothing changed" is not there.
 #[rstest]
 #[tokio::test]
-async fn confirm_told_the_truth(#[values(1, 2, 3, 4)] seed: u64) {
+async fn confirm_results_match_history(#[values(1, 2, 3, 4)] seed: u64) {
     let (running, platform) = rig::platform().await;
     let (_, catalog) = with_basics(&platform).await;
     let chaos = async {
@@ -404,30 +403,33 @@
         }
         rig::fault(&running, json!({"lose_after_write": 0, "down": false})).await;
     };
-    let operator = async |who: u32| {
-        let ledger = CatalogStore::new(platform.clone());
-        let mut told = Vec::new();
+    let operator = async |operator_id: u32| {
+        let store = CatalogStore::new(platform.clone());
+        let mut reported = Vec::new();
         for turn in 0..8 {
-            let known = match ledger.read_root().await {
-                Ok(read) => ledger
+            let known = match store.read_root().await {
+                Ok(read) => store
                     .read_catalog(&read.root)
                     .await
                     .unwrap_or(catalog.clone()),
                 Err(_) => catalog.clone(),
             };
-            let adapter = ["rosters", "dryers"][(who % 2) as usize];
-            let version = 4 + turn * 6 + who;
+            let adapter = ["rosters", "dryers"][(operator_id % 2) as usize];
+            let version = 4 + turn * 6 + operator_id;
             let Ok(plan) = Plan::new(&known, vec![rig::add(adapter, version)]) else {
                 continue;
             };
-            let end = match ledger.confirm(&plan, &format!("o{who}"), &known).await {
-                Ok(confirmed) => Told::InForce(confirmed.revision.0),
-                Err(ConfirmError::Unknown(_)) => Told::Unknown,
-                Err(_) => Told::NothingChanged,
+            let end = match store
+                .confirm(&plan, &format!("o{operator_id}"), &known)
+                .await
+            {
+                Ok(confirmed) => Reported::InForce(confirmed.revision.0),
+                Err(ConfirmError::Unknown(_)) => Reported::Unknown,
+                Err(_) => Reported::NothingChanged,
             };
-            told.push((plan.operation, end));
+            reported.push((plan.operation, end));
         }
-        told
+        reported
     };
     let (_, a, b, c, d, e, f) = tokio::join!(
         chaos,
@@ -440,15 +442,15 @@
     );
     let made = root_operations(&rig::history(&running).await);
     let mut in_force = 0;
-    for (operation, told) in [a, b, c, d, e, f].into_iter().flatten() {
+    for (operation, reported) in [a, b, c, d, e, f].into_iter().flatten() {
         let at: Vec<_> = made.iter().filter(|(o, _)| *o == operation).collect();
-        match told {
-            Told::InForce(revision) => {
+        match reported {
+            Reported::InForce(revision) => {
                 assert_eq!(at, [&(operation, revision)]);
                 in_force += 1;
             }
-            Told::NothingChanged => assert!(at.is_empty(), "{operation} took effect"),
-            Told::Unknown => assert!(at.len() <= 1),
+            Reported::NothingChanged => assert!(at.is_empty(), "{operation} took effect"),
+            Reported::Unknown => assert!(at.len() <= 1),
         }
     }
     assert!(in_force > 0);
@@ -457,16 +459,17 @@
         revisions.iter().copied().eq(1..=made.len() as u64),
         "{revisions:?}"
     );
-    let ledger = CatalogStore::new(platform.clone());
-    let root = ledger.read_root().await.unwrap().root;
+    let store = CatalogStore::new(platform.clone());
+    let root = store.read_root().await.unwrap().root;
     let mut replayed = Catalog::default();
     if let Some(next) = banyangauge::catalog::replay(&replayed, &root) {
         replayed = next;
-        assert_eq!(replayed, read(&ledger).await);
+        assert_eq!(replayed, read(&store).await);
     }
 }
 
-/// The operations that put each root in force, by the platform's record.
+/// Returns the operation and revision of each write of the root from the
+/// platform's history.
 fn root_operations(history: &serde_json::Value) -> Vec<(String, u64)> {
     let writes = history["writes"].as_array().unwrap().iter();
     let roots = writes.filter(|w| w["object"]["kind"] == "catalogs");
@@ -496,6 +499,7 @@
     ];
     let plan = Plan::new(&catalog, changes).unwrap();
     let costs: Vec<_> = plan.effects.iter().map(|e| (e.loads, e.slots)).collect();
-    // The second team finds the version loaded; the replica that goes had 4 slots.
+    // The version is already loaded for the second team; the removed replica had 4
+    // slots.
     assert_eq!(costs, [(1, 1), (0, 0), (4, 4)]);
 }
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -1,4 +1,5 @@
-//! Configuration in force: quickly, never lower, also without the platform.
+//! Distribution of catalog revisions: fast, never to a lower revision, and also
+//! during an outage of the platform.
 
 use banyangauge::catalog::Catalog;
 use banyangauge::catalog::CatalogStore;
@@ -20,10 +21,10 @@
     known: &Catalog,
     changes: Vec<banyangauge::catalog::Change>,
 ) -> Catalog {
-    let ledger = CatalogStore::new(platform.clone());
+    let store = CatalogStore::new(platform.clone());
     let plan = rig::plan(known, changes);
-    let made = ledger.confirm(&plan, "ana", known).await.unwrap().applied;
-    made.unwrap().1
+    let confirmed = store.confirm(&plan, "ana", known).await.unwrap().applied;
+    confirmed.unwrap().1
 }
 
 fn set(
@@ -38,7 +39,7 @@
     }
 }
 
-/// Puts the basics in force as revision 1 and `more` changes upon them.
+/// Activates `rig::basics` as revision 1, then `more` revisions on top.
 fn advance(shared: &Shared, more: u32) {
     let mut sets = vec![set(1, rig::basics())];
     sets.extend((0..more).map(|n| set(u64::from(n) + 2, vec![rig::add("rosters", n + 4)])));
@@ -49,9 +50,9 @@
     }
 }
 
-/// A change within the root's log costs no read at all: the watch brings it.
+/// A change in the root's log arrives with the watch and needs no read of shards.
 #[tokio::test]
-async fn run_follows_by_log() {
+async fn run_applies_log() {
     let (running, platform) = rig::platform().await;
     let mut catalog = confirm(&platform, &Catalog::default(), rig::basics()).await;
     let shared = rig::shared("vm-1", &platform, &[]);
@@ -67,7 +68,7 @@
     assert!(rig::calls(&running, "catalogs", "list").await <= 3);
 }
 
-/// A VM that was away for longer than the root's log reaches reads the shards.
+/// A VM whose revision is older than the root's log reads the shards.
 #[tokio::test]
 async fn run_reads_shards_when_log_is_short() {
     let (running, platform) = rig::platform().await;
@@ -82,7 +83,7 @@
     assert!(rig::calls(&running, "shards", "get").await > 0);
 }
 
-/// A platform that lists and watches an older root lowers nothing.
+/// An older root returned by the platform's list and watch is ignored.
 #[tokio::test]
 async fn run_never_reverts() {
     let (_running, platform) = rig::platform().await;
@@ -118,10 +119,10 @@
     assert!(!seen.has_changed().unwrap());
 }
 
-/// A VM that starts during an outage learns from the peers of its settings,
-/// from the highest of them, and goes on following them.
+/// A VM that starts during an outage fetches the highest revision from its
+/// configured peers and continues to follow them.
 #[tokio::test]
-async fn run_starts_in_an_outage() {
+async fn run_starts_during_outage() {
     let (running, platform) = rig::platform().await;
     rig::fault(&running, json!({"down": true})).await;
     let ahead = rig::shared("vm-2", &platform, &[]);
@@ -147,10 +148,10 @@
     rig::in_force(&shared, 302).await;
 }
 
-/// A heartbeat that tells of a higher revision is enough, although the
-/// platform answers with an older one.
+/// A heartbeat with a higher revision triggers a fetch from the peer, even though
+/// the platform has no catalog.
 #[tokio::test]
-async fn run_follows_a_heartbeat() {
+async fn run_fetches_after_heartbeat() {
     let (_running, platform) = rig::platform().await;
     let ahead = rig::shared("vm-2", &platform, &[]);
     advance(&ahead, 20);
@@ -174,10 +175,10 @@
     );
 }
 
-/// Three VMs of a zone watch, the others learn from them; nine VMs cost the
-/// platform three watches and a change costs it nothing more.
+/// Three VMs per zone watch the root and the others fetch from them, so that nine
+/// VMs cause three watches, and a change causes no more.
 #[tokio::test]
-async fn run_watches_a_few_a_zone() {
+async fn run_limits_watches_per_zone() {
     let (running, platform) = rig::platform().await;
     let mut catalog = confirm(&platform, &Catalog::default(), rig::basics()).await;
     let all: Vec<_> = (0..9)
@@ -187,21 +188,21 @@
     for shared in &all {
         addresses.push(rig::serve_peer(shared).await);
     }
-    let spread = |all: &[Shared]| {
+    let publish_members = |all: &[Shared]| {
         for shared in all {
             let table = all.iter().zip(&addresses);
             let table = table.map(|(m, a)| (m.vm.clone(), rig::member(m, *a, "suva-a")));
             shared.state.members.send_replace(table.collect());
         }
     };
-    spread(&all);
+    publish_members(&all);
     for shared in &all {
         tokio::spawn(config::run(shared.clone()));
     }
     for version in 4..9 {
         let at = catalog.revision.0;
         rig::until(|| {
-            spread(&all);
+            publish_members(&all);
             all.iter()
                 .all(|s| s.state.catalog.borrow().revision.0 == at)
         })
@@ -226,7 +227,8 @@
     assert_eq!(read, **shared.state.catalog.borrow());
 }
 
-/// An entry gets a snapshot, then deltas; another one only what it lacks.
+/// A new entry receives a snapshot, then deltas; one that has a recent revision
+/// receives only the missing deltas.
 #[tokio::test]
 async fn subscribe_snapshot_then_deltas() {
     let (_running, platform) = rig::platform().await;
--- a/lib/tests/test_members_table.rs
+++ b/lib/tests/test_members_table.rs
@@ -1,4 +1,4 @@
-//! The member table.
+//! The membership table of the gossip protocol.
 
 use banyangauge::control::MemberState;
 use banyangauge::control::Members;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn silence_makes_suspect_then_gone() {
+fn detect_failures_suspect_then_gone() {
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 5)]);
     for (t, expected) in [
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn old_news_prove_nothing() {
+fn merge_ignores_old_heartbeats() {
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 5)]);
     m.merge(ms(9_000), &[member(2, 1, 5), member(2, 1, 4)]);
     m.detect_failures(ms(10_000));
     assert_eq!(state(&m, 2), Some(MemberState::Gone as u32));
-    // Nor does a gone member travel on.
+    // A gone member is not included in digests.
     assert_eq!(m.digest(ms(10_000), true, &[]).len(), 1);
 }
 
 #[test]
-fn restart_is_a_new_incarnation() {
+fn merge_prefers_higher_incarnation() {
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 500)]);
     m.detect_failures(ms(10_000));
@@ -74,55 +74,55 @@
 }
 
 #[test]
-fn brief_word_of_a_known_member() {
+fn digest_without_location() {
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 5)]);
-    // Young members are named in full, later ones in brief.
+    // New members are sent with address and zone, later without.
     assert!(
         m.digest(ms(9_999), false, &[])[1]
             .address
             .starts_with("127")
     );
-    let mut brief = m.digest(ms(10_000), false, &[])[1].clone();
-    assert_eq!((brief.address.as_str(), brief.zone.as_str()), ("", ""));
+    let mut record = m.digest(ms(10_000), false, &[])[1].clone();
+    assert_eq!((record.address.as_str(), record.zone.as_str()), ("", ""));
     assert!(
         m.digest(ms(10_000), true, &[])[1]
             .address
             .starts_with("127")
     );
-    brief.heartbeat = 6;
-    m.merge(ms(1_500), &[brief.clone()]);
+    record.heartbeat = 6;
+    m.merge(ms(1_500), &[record.clone()]);
     m.detect_failures(ms(3_000));
     let vm = VmName::new("vm-2").unwrap();
     assert_eq!(m.view()[&vm].address, "127.0.0.1:7002");
     assert_eq!(state(&m, 2), Some(MemberState::Live as u32));
-    // To one that does not know the member it tells nothing.
+    // A process that does not know the member ignores the record.
     let mut other = table(3);
-    other.merge(ms(0), &[brief]);
+    other.merge(ms(0), &[record]);
     assert_eq!(state(&other, 2), None);
 }
 
 #[test]
-fn answer_tells_news_only() {
+fn digest_omits_known_records() {
     let mut m = table(1);
     m.merge(ms(0), &[member(2, 1, 5), member(3, 1, 7)]);
-    let told = [member(2, 1, 5), member(3, 1, 6), member(1, 1, 0)];
-    let answer = m.digest(ms(1), false, &told);
+    let received = [member(2, 1, 5), member(3, 1, 6), member(1, 1, 0)];
+    let answer = m.digest(ms(1), false, &received);
     let names: Vec<&str> = answer.iter().map(|m| m.vm.as_str()).collect();
     assert_eq!(names, ["vm-3"]);
 }
 
 #[test]
-fn nobody_speaks_for_me() {
+fn merge_ignores_records_of_self() {
     let mut m = table(1);
-    let mut lie = member(1, 9, 9);
-    lie.state = MemberState::Gone as u32;
-    m.merge(ms(1), &[lie]);
+    let mut record = member(1, 9, 9);
+    record.state = MemberState::Gone as u32;
+    m.merge(ms(1), &[record]);
     assert_eq!(state(&m, 1), Some(MemberState::Live as u32));
 }
 
 #[test]
-fn leaving_is_no_candidate() {
+fn candidates_exclude_leaving() {
     let mut m = table(1);
     let mut other = table(2);
     other.advance_heartbeat(ms(1), Revision(7), true);
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn heartbeats_reach_everyone_through_others() {
-    // A ring: each hears of all others only through its neighbour.
+fn heartbeats_reach_all_members() {
+    // In a ring each process receives digests only from its neighbour.
     let mut tables: Vec<Members> = (0..9).map(table).collect();
     for round in 0..20 {
         for n in 0..9 {
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -1,12 +1,12 @@
-//! Usage counted once, whatever is repeated, lost or written by two.
+//! Usage is counted once, even if reports or writes are repeated, lost or made by
+//! two processes.
 //!
-//! The cases of stopping processes tell of usage that was charged to no team:
-//! seed 40490 of `no_evict_in_use` stops a control process while the platform is
-//! away, and 18 to 51 tokens were given and not charged. The history showed the
-//! last report answered by the process that stopped, and none after it: it had
-//! handed its counters to its peer before, so that nobody had them. Reports and
-//! copies that nobody would write are refused now, and what is held is written or
-//! handed on by whoever ends.
+//! The tests of stopping processes guard against usage that is charged to no team
+//! (seed 40490 of `no_evict_in_use`: 18 to 51 tokens not charged). A control
+//! process that stopped during an outage of the platform still acknowledged a
+//! report after it had sent its counters to its peer, so that no process had them.
+//! A stopping process therefore refuses reports and copies, and writes or forwards
+//! what it holds.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     }
 }
 
-fn row(adapter: &str) -> UsageKey {
+fn key(adapter: &str) -> UsageKey {
     UsageKey {
         team: "laundry".to_owned(),
         adapter: adapter.to_owned(),
@@ -49,11 +49,11 @@
 async fn sum(platform: &Platform, adapter: &str) -> u64 {
     let empty = rig::shared("reader", platform, &[]).state.usage.clone();
     let all = usage::read_all(platform, &empty).await.unwrap();
-    totals(&all).get(&row(adapter)).map_or(0, |c| c.requests)
+    totals(&all).get(&key(adapter)).map_or(0, |c| c.requests)
 }
 
 #[tokio::test]
-async fn take_lower_sequence_changes_nothing() {
+async fn record_ignores_lower_sequence() {
     let (_running, platform) = rig::platform().await;
     let store = rig::shared("vm-1", &platform, &[]).state.usage.clone();
     assert_eq!(
@@ -77,7 +77,7 @@
             .sequence,
         5
     );
-    // A higher report may leave out what did not rise, and never lowers.
+    // A newer report may omit counters that did not increase, and never lowers one.
     store.record(report("vm-1", 6, &[("dryers", 1), ("rosters", 2)]));
     let sums = totals(&store.counts());
     let three = Count {
@@ -85,14 +85,14 @@
         prompt: 30,
         output: 300,
     };
-    assert_eq!(sums[&row("rosters")], three);
-    assert_eq!(sums[&row("dryers")].requests, 1);
+    assert_eq!(sums[&key("rosters")], three);
+    assert_eq!(sums[&key("dryers")].requests, 1);
 }
 
-/// The answer to the write is lost, the write is repeated, and a restarted
-/// control process that knows only the last report writes as well.
+/// The response to a write is lost and the write repeated, and a restarted control
+/// process that has only the last report writes the object as well.
 #[tokio::test]
-async fn flush_once_whatever_is_repeated() {
+async fn flush_is_idempotent() {
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = &shared.state.usage;
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn flush_waits_out_an_outage() {
+async fn flush_retries_after_outage() {
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = &shared.state.usage;
@@ -126,7 +126,7 @@
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
 
-/// More rows than one object holds.
+/// More counters than one object holds are split into several objects.
 #[tokio::test]
 async fn flush_in_parts() {
     let (_running, platform) = rig::platform().await;
@@ -141,10 +141,10 @@
     assert_eq!(sum(&platform, "adapter-04499").await, 1);
 }
 
-/// The VM is lost before it wrote anything: the peer in another zone writes
-/// for it, and what both wrote counts once.
+/// A VM is lost before it wrote anything. The peer in another zone writes its
+/// counters, and writing them twice counts them once.
 #[tokio::test]
-async fn run_peer_writes_for_a_lost_vm() {
+async fn run_peer_writes_for_lost_vm() {
     let (_running, platform) = rig::platform().await;
     let holder = rig::shared("vm-2", &platform, &[]);
     let near = rig::shared("vm-3", &platform, &[]);
@@ -157,28 +157,32 @@
         all.extend(members.into_iter().map(|m| (m.vm.parse().unwrap(), m)));
     });
     let store = shared.state.usage.clone();
-    let lost = tokio::spawn(usage::run(shared.clone(), store.clone(), usage_every()));
+    let lost = tokio::spawn(usage::run(shared.clone(), store.clone(), flush_interval()));
     store.record(report("vm-1", 1, &[("rosters", 3)]));
     store.record(report("vm-1", 2, &[("rosters", 5)]));
     rig::until(|| {
         totals(&holder.state.usage.counts())
-            .get(&row("rosters"))
+            .get(&key("rosters"))
             .is_some_and(|c| c.requests == 5)
     })
     .await;
     assert!(near.state.usage.counts().is_empty());
     lost.abort();
     usage::flush(&holder, &holder.state.usage, usage::SOURCE_TIMEOUT).await;
-    assert_eq!(sum(&platform, "rosters").await, 0, "the VM may be live");
+    assert_eq!(
+        sum(&platform, "rosters").await,
+        0,
+        "the VM may still be live"
+    );
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 5);
 }
 
-/// An entry whose own control process is down reports to another VM's, and
-/// that one writes its usage while the reports go on.
+/// An entry whose control process is down reports to another VM's, which writes
+/// the usage; copies held for a live peer are not written.
 #[tokio::test]
-async fn flush_writes_what_a_foreign_entry_reported() {
+async fn flush_writes_reports_of_other_vms() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
     let store = &shared.state.usage;
@@ -189,14 +193,14 @@
     assert_eq!(sum(&platform, "dryers").await, 0, "its own VM writes it");
 }
 
-fn usage_every() -> Duration {
+fn flush_interval() -> Duration {
     Duration::from_secs(10)
 }
 
-/// A process is stopped while the platform is away, right after a report: its
-/// peer has what cannot be written, and writes it later.
+/// A process stops during an outage of the platform, right after a report. Its
+/// peer receives the counters that cannot be written and writes them later.
 #[tokio::test]
-async fn run_stopping_process_hands_over_its_last_report() {
+async fn run_copies_last_report_while_stopping() {
     let (running, platform) = rig::platform().await;
     let holder = rig::shared("vm-2", &platform, &[]);
     let shared = rig::shared("vm-1", &platform, &[]);
@@ -218,43 +222,43 @@
     assert_eq!(sum(&platform, "rosters").await, 5);
 }
 
-/// What a stopping process would take after its last copy went to the peer,
-/// nobody would write: its entry reports it to another.
+/// A stopping process refuses reports after its last copy, because they would not
+/// be written; the entry reports to another process instead.
 #[tokio::test]
-async fn take_refused_by_a_stopping_process() {
+async fn record_refused_while_stopping() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = shared.state.usage.clone();
     assert!(store.record(report("vm-1", 1, &[("rosters", 3)])).is_some());
     shared.state.stopping.send_replace(true);
-    usage::run(shared.clone(), store.clone(), usage_every()).await;
+    usage::run(shared.clone(), store.clone(), flush_interval()).await;
     assert!(store.record(report("vm-1", 2, &[("rosters", 5)])).is_none());
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
 
-/// A copy that a stopping process would hold after its last write, nobody would
-/// write: the peer that hands it over, and may stop as well, must be refused.
+/// A stopping process refuses copies after its last write, because they would not
+/// be written; the peer that sends them may be stopping as well.
 #[tokio::test]
-async fn hold_refused_by_a_stopping_process() {
+async fn hold_copy_refused_while_stopping() {
     let (_running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
     let store = shared.state.usage.clone();
     let held = store.hold_copy(report("vm-1", 1, &[("rosters", 3)]));
     assert!(held.is_some());
     shared.state.stopping.send_replace(true);
-    usage::run(shared.clone(), store.clone(), usage_every()).await;
+    usage::run(shared.clone(), store.clone(), flush_interval()).await;
     let held = store.hold_copy(report("vm-1", 2, &[("rosters", 5)]));
-    assert!(held.is_none(), "it is held by who ends");
+    assert!(held.is_none(), "copy accepted by a stopping process");
 }
 
-/// A process was stopped while the platform was away, and its peer, which holds
-/// its last counters, is stopped a few seconds later as well: by then the
-/// platform is back, or another peer takes them.
+/// A process stopped during an outage of the platform, and the peer that holds its
+/// last counters stops soon after. The platform is back by then, or another peer
+/// receives them.
 #[rstest]
 #[case::platform_back(false)]
-#[case::platform_still_away(true)]
+#[case::platform_still_down(true)]
 #[tokio::test]
-async fn run_stopping_holder_hands_copies_on(#[case] away: bool) {
+async fn run_forwards_copies_while_stopping(#[case] down: bool) {
     let (running, platform) = rig::platform().await;
     let shared = rig::shared("vm-2", &platform, &[]);
     let third = rig::shared("vm-3", &platform, &[]);
@@ -264,26 +268,26 @@
     });
     let store = shared.state.usage.clone();
     let _ = store.hold_copy(report("vm-1", 1, &[("rosters", 3)]));
-    rig::fault(&running, json!({"down": away})).await;
+    rig::fault(&running, json!({"down": down})).await;
     shared.state.stopping.send_replace(true);
-    usage::run(shared.clone(), store.clone(), usage_every()).await;
+    usage::run(shared.clone(), store.clone(), flush_interval()).await;
     rig::fault(&running, json!({"down": false})).await;
     usage::flush(&third, &third.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
 
-/// The peer that ranks first cannot be reached, and the platform is away: the
-/// next peer takes the last counters.
+/// The preferred peer does not respond during an outage of the platform. The next
+/// peer receives the last counters.
 #[tokio::test]
-async fn run_stopping_process_finds_another_peer() {
+async fn run_tries_next_peer_while_stopping() {
     let (running, platform) = rig::platform().await;
     let holder = rig::shared("vm-2", &platform, &[]);
     let shared = rig::shared("vm-1", &platform, &[]);
     let near = rig::member(&holder, rig::serve_peer(&holder).await, "suva-a");
     let gone = rig::shared("vm-3", &platform, &[]);
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    // It is silent: it takes connections and answers nothing.
-    let far = rig::member(&gone, nobody.local_addr().unwrap(), "suva-b");
+    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    // It accepts connections and never responds.
+    let far = rig::member(&gone, silent.local_addr().unwrap(), "suva-b");
     shared.state.members.send_modify(|all| {
         for member in [near, far] {
             all.insert(member.vm.parse().unwrap(), member);
@@ -293,7 +297,7 @@
     let store = shared.state.usage.clone();
     store.record(report("vm-1", 1, &[("rosters", 3)]));
     shared.state.stopping.send_replace(true);
-    usage::run(shared.clone(), store.clone(), usage_every()).await;
+    usage::run(shared.clone(), store.clone(), flush_interval()).await;
     rig::fault(&running, json!({"down": false})).await;
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
