--- a/lib/src/pool/adapter.rs
+++ b/lib/src/pool/adapter.rs
@@ -26,8 +26,8 @@
     pub(super) lane_queues: [BTreeSet<(u64, Ticket)>; 2],
     /// Number of waiting requests that must run isolated.
     pub(super) isolated: u32,
-    /// When the oldest run of waiting requests began: set when a request
-    /// arrives while no other waits.
+    /// Time since which at least one request has been waiting: set when a
+    /// request arrives while no other waits.
     pub(super) waiting_since: Moment,
     pub(super) demand: Demand,
     /// Replicas that hold the adapter, live or not.
@@ -46,8 +46,11 @@
 /// removed.
 #[derive(Clone, Copy, Debug)]
 struct IndexKeys {
+    /// Order key of the request rate per copy, see [`Demand::order_key`].
     rate: i64,
+    /// Time of the last request.
     used: Moment,
+    /// Time from which the next request is overdue.
     due: Moment,
 }
 
@@ -81,6 +84,8 @@
         &self.lane_queues[lane.index()]
     }
 
+    /// Returns whether no request waits for the adapter, no replica holds it and
+    /// no load of it is in flight.
     fn idle(&self) -> bool {
         self.waiting() == 0 && self.holders.is_empty() && self.pending_loads == 0
     }
@@ -94,14 +99,15 @@
     /// Adapters that need a load, by the most urgent lane that waits and then
     /// by load key; the lowest key is loaded first.
     load_queues: [BTreeSet<(i64, AdapterVersion)>; 2],
-    /// Evictable slots, the lowest request rate first.
+    /// Evictable slots, the lowest request rate per copy first: the rate of the
+    /// adapter divided by the number of its holders.
     by_rate: BTreeSet<(i64, ReplicaName, AdapterVersion)>,
     /// Evictable slots, the least recently requested first.
     by_use: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
     /// Evictable slots, the earliest overdue time first.
     by_due: BTreeSet<(Moment, ReplicaName, AdapterVersion)>,
-    /// Known adapters that no live replica holds, the lowest request rate
-    /// first.
+    /// Known adapters that no live replica holds, the lowest request rate per
+    /// copy first.
     unloaded: BTreeSet<(i64, AdapterVersion)>,
 }
 
@@ -157,7 +163,8 @@
         a.load_key = new;
     }
 
-    /// Returns evictable slots by ascending request rate.
+    /// Returns evictable slots, the lowest request rate per copy first: the rate
+    /// of the adapter divided by the number of its holders.
     pub(super) fn least_requested(&self) -> impl Iterator<Item = (&ReplicaName, &AdapterVersion)> {
         self.by_rate.iter().map(|(_, r, a)| (r, a))
     }
@@ -181,8 +188,8 @@
     }
 
     /// Returns adapters that no live replica holds, the highest request rate
-    /// first.
-    pub(super) fn hottest_unloaded(&self) -> impl Iterator<Item = &AdapterVersion> {
+    /// per copy first.
+    pub(super) fn most_requested_unloaded(&self) -> impl Iterator<Item = &AdapterVersion> {
         self.unloaded.iter().rev().map(|(_, a)| a)
     }
 
@@ -203,14 +210,14 @@
         }
     }
 
-    /// Adds an adapter to the indexes. `idle` returns whether its slot at a
+    /// Adds an adapter to the indexes. `evictable` returns whether its slot at a
     /// replica may be evicted.
     pub(super) fn index(
         &mut self,
         adapter: &AdapterVersion,
         half_life: f64,
         live: impl Fn(&ReplicaName) -> bool,
-        idle: impl Fn(&ReplicaName) -> bool,
+        evictable: impl Fn(&ReplicaName) -> bool,
     ) {
         let Some(a) = self.all.get_mut(&Some(adapter.clone())) else {
             return;
@@ -222,7 +229,7 @@
         if !a.holders.iter().any(live) {
             self.unloaded.insert((rate, adapter.clone()));
         }
-        for r in a.holders.iter().filter(|r| idle(r)) {
+        for r in a.holders.iter().filter(|r| evictable(r)) {
             self.by_rate.insert((rate, r.clone(), adapter.clone()));
             self.by_use.insert((used, r.clone(), adapter.clone()));
             self.by_due.insert((due, r.clone(), adapter.clone()));
@@ -232,6 +239,7 @@
         }
     }
 
+    /// Forgets the idle adapter with the lowest request rate.
     fn forget_idle(&mut self) {
         let idle = |a: &&(i64, AdapterVersion)| {
             self.all
--- a/lib/src/pool/admission.rs
+++ b/lib/src/pool/admission.rs
@@ -24,7 +24,7 @@
     /// Checks whether a request may wait. Returns the reason and retry time if
     /// it may not.
     ///
-    /// Covers bursts and full saturation. A request that would wait past its
+    /// Handles bursts and full saturation. A request that would wait past its
     /// deadline takes the place of one that would not, and its caller learns
     /// too late that it did not run. If it is refused at once, the caller can
     /// go elsewhere or retry. Each team has its own queue limit, so that a
@@ -166,9 +166,9 @@
     /// Removes a waiting request that will not run, and gives the replica that
     /// was reserved for it other work.
     pub(super) fn cancel_waiting(&mut self, now: Moment, ticket: Ticket) -> Option<QueuedRequest> {
-        let kept = self.reserved.get(&ticket).cloned();
+        let reserved = self.reserved.get(&ticket).cloned();
         let w = self.dequeue(now, ticket);
-        if let Some(name) = kept {
+        if let Some(name) = reserved {
             self.fill_replica(now, &name);
         }
         w
@@ -184,6 +184,7 @@
         }
     }
 
+    /// Refuses a request that is in no queue.
     pub(super) fn refuse(&mut self, ticket: Ticket, reason: Reason, retry_after: Span) {
         self.commands.push(Command::Refuse {
             ticket,
--- a/lib/src/pool/dispatch.rs
+++ b/lib/src/pool/dispatch.rs
@@ -46,7 +46,7 @@
 
     /// Returns the least loaded replica that can run a request.
     ///
-    /// Covers skewed load and a slow upstream while load reports lag. The pool
+    /// Handles skewed load and a slow upstream while load reports lag. The pool
     /// counts its own dispatches, so a burst between two reports does not go
     /// entirely to the replica that the last report showed as idle. The
     /// measured time per token scales the score, so a slow replica gets only
@@ -62,9 +62,9 @@
                 && (lane == Lane::Short || self.batch_ready(now, r, 1));
             fit.then_some(r)
         };
-        let near = self.prefixes.replica(a.prefix).filter(|_| a.prefix != 0);
+        let prefix_holder = self.prefixes.replica(a.prefix).filter(|_| a.prefix != 0);
         let score = |name: &ReplicaName, r: &Replica| {
-            let bonus = if near == Some(name) {
+            let bonus = if prefix_holder == Some(name) {
                 PREFIX_BONUS
             } else {
                 0.0
@@ -77,15 +77,19 @@
             return fit.min_by_key(|(n, r)| score(n, r)).map(|(n, _)| n.clone());
         }
         let first = self.available.iter().take(PROBED_REPLICAS).map(|(_, n)| n);
-        let fit = first.chain(near).filter_map(|n| Some((n, usable(n)?)));
+        let fit = first
+            .chain(prefix_holder)
+            .filter_map(|n| Some((n, usable(n)?)));
         fit.min_by_key(|(n, r)| score(n, r)).map(|(n, _)| n.clone())
     }
 
+    /// Returns whether a replica has room for a request of a lane. The caller
+    /// checks that the replica holds the target if it is an adapter.
     fn can_run(&self, r: &Replica, lane: Lane, target: &Target) -> bool {
         let s = &self.settings;
-        let other = lane == Lane::Short && self.long_work_waits(r, target);
+        let long_waits = lane == Lane::Short && self.long_work_waits(r, target);
         let slot = lane == Lane::Short || r.long_slot_allowed(target, s.long_slots);
-        slot && r.has_room(lane, s.long_part(), s.long_floor, other)
+        slot && r.has_room(lane, s.effective_long_cap(), s.long_floor, long_waits)
     }
 
     /// Returns whether a replica has room for a lane, regardless of long work
@@ -93,7 +97,7 @@
     pub(super) fn has_lane_room(&self, r: &Replica, lane: Lane) -> bool {
         r.has_room(
             lane,
-            self.settings.long_part(),
+            self.settings.effective_long_cap(),
             self.settings.long_floor,
             false,
         )
@@ -153,20 +157,21 @@
         let entries: Vec<_> = entries.filter(|(_, e)| e.waiting() > 0).collect();
         let s = &self.settings;
         let slot = |t: &Target, lane| lane == Lane::Short || r.long_slot_allowed(t, s.long_slots);
-        let mut longs = entries.iter().filter(|(t, _)| slot(t, Lane::Long));
-        let long = longs.any(|(_, e)| !e.lane_queue(Lane::Long).is_empty());
+        let mut long_entries = entries.iter().filter(|(t, _)| slot(t, Lane::Long));
+        let long_waiting = long_entries.any(|(_, e)| !e.lane_queue(Lane::Long).is_empty());
         let lanes = Lane::ALL.into_iter();
-        let mut open = lanes.filter(|lane| r.has_room(*lane, s.long_part(), s.long_floor, long));
-        open.find_map(|lane| {
+        let mut open_lanes = lanes
+            .filter(|lane| r.has_room(*lane, s.effective_long_cap(), s.long_floor, long_waiting));
+        open_lanes.find_map(|lane| {
             if lane == Lane::Long && !self.batch_ready(now, r, 0) {
                 return None;
             }
             let usable = entries.iter().filter(|(t, _)| slot(t, lane));
-            let heads = usable.flat_map(|(_, e)| {
-                let turns = e.lane_queue(lane).iter().take(PROBED_REQUESTS);
-                turns.filter(|(_, t)| self.may_run(*t, name)).take(1)
+            let first_runnable = usable.flat_map(|(_, e)| {
+                let candidates = e.lane_queue(lane).iter().take(PROBED_REQUESTS);
+                candidates.filter(|(_, t)| self.may_run(*t, name)).take(1)
             });
-            heads.min().map(|(_, ticket)| *ticket)
+            first_runnable.min().map(|(_, ticket)| *ticket)
         })
     }
 
@@ -179,7 +184,7 @@
     /// Returns whether a request must not run at a replica: the replica is on
     /// its avoid list, and another live replica could run it.
     fn avoids(&self, a: &Arrival, name: &ReplicaName) -> bool {
-        let other = |n: &ReplicaName| {
+        let alternative = |n: &ReplicaName| {
             let r = self.replicas.get(n);
             r.is_some_and(|r| r.live()) && !a.avoid.contains(n)
         };
@@ -189,9 +194,9 @@
         match a.adapter {
             Some(_) => {
                 let entry = self.adapters.get(&a.adapter);
-                entry.is_some_and(|e| e.holders.iter().any(other))
+                entry.is_some_and(|e| e.holders.iter().any(alternative))
             }
-            None => self.replicas.keys().any(other),
+            None => self.replicas.keys().any(alternative),
         }
     }
 
--- a/lib/src/pool/eviction.rs
+++ b/lib/src/pool/eviction.rs
@@ -16,13 +16,22 @@
 /// waiting requests.
 const SCANNED_SLOTS: usize = 64;
 
-/// Candidates worth at most this many times the least are compared by their
-/// replicas instead.
+/// Candidates whose value is at most this many times the lowest are compared by
+/// their replicas instead: those that accept work first, then by placement cost.
 const SIMILAR_VALUE_RATIO: f64 = 2.0;
 
 impl Pool {
-    /// Returns replicas with a vacant slot, the least loaded first, and then
-    /// those with a slot that holds an unconfirmed adapter, with that adapter.
+    /// Returns the replicas that can load an adapter without giving up a loaded
+    /// one, with the adapter to evict first, if any.
+    ///
+    /// Replicas with a vacant slot come first: those that accept work before
+    /// the others, then by placement cost and by number of loaded adapters.
+    /// They are followed by replicas without a vacant slot that hold an
+    /// unconfirmed adapter which no dispatch uses, see
+    /// [`Replica::unconfirmed`]; that adapter is evicted. These are sorted by
+    /// the adapter and then in the same way, and are left out while evictions
+    /// are frozen. Replicas that cannot take an order now, or are reserved for
+    /// isolation or run an isolated request, are left out in any case.
     pub(super) fn vacancies(&self, now: Moment) -> Vec<(ReplicaName, Option<AdapterVersion>)> {
         let all = self.replicas.iter();
         let candidates = all.filter(|(_, r)| r.orderable() && r.isolated.is_none());
@@ -74,7 +83,7 @@
 
     /// Returns the evictable slot with the least value.
     ///
-    /// Covers popularity that shifts without warning. The value of a slot is
+    /// Handles popularity that shifts without warning. The value of a slot is
     /// the expected request rate of its adapter per copy: the decayed rate,
     /// bounded by the time since the last request. Because the value is the
     /// smaller of the two, the candidates are taken from the indexes by rate
--- a/lib/src/pool/health.rs
+++ b/lib/src/pool/health.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Removes a replica and its adapters.
     fn forget_replica(&mut self, now: Moment, name: &ReplicaName) {
         let loaded = self.replicas.get(name).map(|r| r.loaded.clone());
         for adapter in loaded.unwrap_or_default() {
@@ -82,7 +83,7 @@
     /// Resets a replica on its first report or the first one of a new
     /// incarnation.
     ///
-    /// Covers an engine that restarts empty. Its loaded adapters and running
+    /// Handles an engine that restarts empty. Its loaded adapters and running
     /// requests are lost, the entries report the ends of these requests, and an
     /// order in flight there has no effect.
     pub(super) fn reset_replica(&mut self, now: Moment, name: &ReplicaName, report: LoadReport) {
@@ -138,6 +139,7 @@
         }
     }
 
+    /// Removes a replica that is reset from the holders of an adapter.
     fn forget_holder(&mut self, now: Moment, name: &ReplicaName, adapter: &AdapterVersion) {
         self.adapters.unindex(adapter);
         let entry = self.adapters.entry(&Some(adapter.clone()));
@@ -148,7 +150,7 @@
 
     /// Applies a further report of the same incarnation.
     ///
-    /// Covers reports that lag. A report observed before the end of the last
+    /// Handles reports that lag. A report observed before the end of the last
     /// order would restore adapters that were evicted and remove adapters that
     /// were loaded, so its slots are ignored.
     pub(super) fn apply_report(&mut self, now: Moment, name: &ReplicaName, report: LoadReport) {
@@ -180,6 +182,8 @@
         self.fill_replica(now, name);
     }
 
+    /// Replaces the adapters that the replica is recorded to hold by those that
+    /// it reported.
     fn reconcile_slots(
         &mut self,
         now: Moment,
@@ -228,7 +232,7 @@
     /// Marks every request that ran at the replica as a suspect, or blocks the
     /// request if it ran isolated.
     ///
-    /// Covers a request that crashes each upstream that runs it and is retried:
+    /// Handles a request that crashes each upstream that runs it and is retried:
     /// each try also fails the other requests of the batch. If it runs
     /// isolated, the next crash identifies it with certainty.
     fn record_break(&mut self, now: Moment, run: &Dispatch) {
@@ -255,7 +259,7 @@
 
     /// Suspends dispatch to a replica until its next report.
     ///
-    /// Covers an upstream that is down and refuses requests at once. It would
+    /// Without this, an upstream that is down and refuses requests at once would
     /// finish its work faster than any other replica, appear the least loaded,
     /// and attract all requests, which would all be refused.
     fn suspend_replica(&mut self, now: Moment, run: &Dispatch) {
--- a/lib/src/pool/loads.rs
+++ b/lib/src/pool/loads.rs
@@ -24,9 +24,9 @@
 /// that the wait of an adapter needed by one caller stays bounded.
 const MAX_RATE_CREDIT_US: f64 = 40_000_000.0;
 
-/// Delay in the load queue of a second copy, in microseconds: requests that
-/// wait for it will also be served by the first copy, other waiting requests by
-/// none.
+/// Delay in the load queue of a further copy, in microseconds: the first copy
+/// will serve its waiting requests as well, while adapters without a copy
+/// cannot serve theirs at all.
 const COPY_PENALTY_US: f64 = 2_000_000.0;
 
 /// One load in this many goes to long work even if short work waits.
@@ -107,7 +107,7 @@
     /// either no live replica holds it, or all live holders are full while
     /// other replicas are available.
     ///
-    /// Covers a hot adapter whose replica is full. A second copy takes a slot
+    /// Handles a hot adapter whose replica is full. A second copy takes a slot
     /// from another adapter for good, so it is loaded only if the queued work
     /// exceeds what the holders finish during one load, or during
     /// [`MAX_LONG_WAIT`] for long work.
@@ -154,11 +154,11 @@
         }
         let vacant = self.vacancies(now);
         let probed = |lane| self.adapters.load_queue(lane).take(PROBED_LOADS);
-        let turn = match self.loads_ordered % LONG_LOAD_INTERVAL {
+        let lanes = match self.loads_ordered % LONG_LOAD_INTERVAL {
             0 => [Lane::Long, Lane::Short],
             _ => Lane::ALL,
         };
-        let wanted = turn.into_iter().flat_map(probed);
+        let wanted = lanes.into_iter().flat_map(probed);
         let first = wanted.cloned().find_map(|adapter| {
             let (name, evict) = self.choose_slot(now, &adapter, &vacant)?;
             Some((adapter, name, evict))
@@ -168,16 +168,20 @@
         }
     }
 
+    /// Returns whether a load order is in flight. An order without a result for
+    /// [`ORDER_TIMEOUT_LOADS`] load times does not count.
     fn store_busy(&self, now: Moment) -> bool {
         let timeout = Span(self.load_time().0 * ORDER_TIMEOUT_LOADS);
         let sent_at = |name| {
             let r = self.replicas.get(name)?;
             r.order.as_ref().map(|o| o.sent_at)
         };
-        let mut under_way = self.orders.values().filter_map(sent_at);
-        under_way.any(|sent_at| sent_at.after(timeout) > now)
+        let mut in_flight = self.orders.values().filter_map(sent_at);
+        in_flight.any(|sent_at| sent_at.after(timeout) > now)
     }
 
+    /// Orders a load of an adapter into a slot of a replica, after the eviction
+    /// of `evict`.
     pub(super) fn order_load(
         &mut self,
         now: Moment,
@@ -221,6 +225,8 @@
         self.order_next_load(now);
     }
 
+    /// Ends an order if it is still the one in flight at the replica, and updates
+    /// the slots there.
     fn complete_order(&mut self, now: Moment, name: &ReplicaName, order: OrderId, end: OrderEnd) {
         let Some(r) = self.replicas.get_mut(name) else {
             return;
@@ -262,7 +268,7 @@
     /// Delays further loads of an adapter whose load failed, without delaying
     /// other adapters.
     ///
-    /// Covers loads that fail for one adapter or for all. If retried at once, a
+    /// Handles loads that fail for one adapter or for all. If retried at once, a
     /// broken adapter would use up the whole load rate of the weight store.
     fn back_off(&mut self, now: Moment, adapter: &AdapterVersion, end: OrderEnd) {
         let entry = self.adapters.entry(&Some(adapter.clone()));
@@ -279,6 +285,7 @@
         }
     }
 
+    /// Refuses the requests that wait for an adapter which cannot be loaded.
     fn refuse_failed(&mut self, now: Moment, adapter: &AdapterVersion, after: Span) {
         let target = Some(adapter.clone());
         for ticket in self.queue.matching(|a| a.adapter == target) {
--- a/lib/src/pool/poison.rs
+++ b/lib/src/pool/poison.rs
@@ -8,18 +8,20 @@
 use crate::ids::Incarnation;
 use crate::ids::ReplicaName;
 
-/// How long a request stays suspected if nothing settles it: longer than the
-/// retries of a caller last, and short enough that an innocent request does not
-/// stay slow.
+/// How long a request stays suspected if it is neither cleared nor blocked:
+/// longer than the retries of a caller last, and short enough that a harmless
+/// request is not delayed by isolation for long.
 const SUSPICION_TTL: Span = Span::from_millis(120_000);
 
 /// Maximum number of suspected and of blocked fingerprints, so that a flood of
 /// them cannot exhaust memory. Expired ones are dropped first, then any.
 const MAX_FINGERPRINTS: usize = 8_192;
 
+/// A request suspected of crashing its upstream.
 #[derive(Debug)]
 struct Suspect {
     until: Moment,
+    /// Replica and incarnation of the last crash.
     replica: ReplicaName,
     incarnation: Incarnation,
     /// Number of distinct upstream crashes during which the request ran.
@@ -28,12 +30,13 @@
 
 /// Tracks requests that may crash their upstream.
 ///
-/// Covers a single request that crashes each engine that runs it and is retried
-/// by its caller. If it were not blocked, each try would also fail the other
-/// requests of its batch.
+/// Handles a single request that crashes each engine that runs it and is
+/// retried by its caller. If it were not blocked, each try would also fail the
+/// other requests of its batch.
 #[derive(Debug, Default)]
 pub(super) struct PoisonTracker {
     suspects: BTreeMap<Fingerprint, Suspect>,
+    /// When the block of each request ends.
     blocked: BTreeMap<Fingerprint, Moment>,
 }
 
--- a/lib/src/pool/prefetch.rs
+++ b/lib/src/pool/prefetch.rs
@@ -17,7 +17,7 @@
     /// Loads the adapter with the highest expected rate that no live replica
     /// holds, while no request waits for a load.
     ///
-    /// Covers an engine that restarts empty and the time after a shift of
+    /// Handles an engine that restarts empty and the time after a shift of
     /// popularity. The weight store has loads to spare, and each adapter that
     /// is loaded before its next request avoids a stall. Prefetching pays only
     /// if the loaded adapter is requested much more often than the evicted one.
@@ -34,7 +34,7 @@
                 e.backoff_until <= now && e.pending_loads == 0 && e.demand.overdue_at(half) > now;
             eligible.then(|| e.demand.expected_rate(now, half, MAX_SILENT_INTERVALS))
         };
-        let unloaded = self.adapters.hottest_unloaded().take(PROBED_LOADS);
+        let unloaded = self.adapters.most_requested_unloaded().take(PROBED_LOADS);
         let best = unloaded.filter_map(|a| Some((expected(a)?, a)));
         let Some((gain, adapter)) = best.max_by(|a, b| a.0.total_cmp(&b.0)) else {
             return;
--- a/lib/src/pool/prefix.rs
+++ b/lib/src/pool/prefix.rs
@@ -9,8 +9,8 @@
 /// Maximum number of prefixes remembered; the caches of the engines hold fewer.
 const MAX_PREFIXES: usize = 16_384;
 
-/// Maps prompt prefixes to the replica that ran them last; the oldest entry is
-/// dropped first.
+/// Maps each prompt prefix to the replica that ran it last; the least recently
+/// recorded prefix is dropped first.
 #[derive(Debug, Default)]
 pub(super) struct Prefixes {
     replicas: BTreeMap<u64, (Moment, ReplicaName)>,
@@ -18,6 +18,7 @@
 }
 
 impl Prefixes {
+    /// Returns the replica that last ran a prefix.
     pub(super) fn replica(&self, prefix: u64) -> Option<&ReplicaName> {
         self.replicas.get(&prefix).map(|(_, name)| name)
     }
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Drops the prefixes of a replica whose cache is empty again.
+    /// Drops the prefixes of a replica that restarted with an empty cache.
     pub(super) fn forget_replica(&mut self, name: &ReplicaName) {
         let replicas = &mut self.replicas;
         replicas.retain(|_, (_, replica)| replica != name);
--- a/lib/src/pool/replica.rs
+++ b/lib/src/pool/replica.rs
@@ -117,6 +117,7 @@
         self.configured && matches!(self.health, Health::Live | Health::Suspect)
     }
 
+    /// Returns the number of dispatches in flight.
     pub(super) fn outstanding(&self) -> u32 {
         self.tickets.len() as u32
     }
@@ -131,9 +132,9 @@
     /// the largest part of the batch that long work may hold, and `floor` the
     /// part reserved for it while long work waits, both in percent.
     ///
-    /// Covers long work next to short work. Without the cap, long work that
-    /// arrives in a quiet minute holds the whole batch for seconds and delays
-    /// short work. Without the floor, steady short work starves long work.
+    /// Without the cap, long work that arrives while there is little short work
+    /// holds the whole batch for seconds and delays the short work that follows.
+    /// Without the floor, steady short work starves long work.
     pub(super) fn has_room(&self, lane: Lane, cap: u32, floor: u32, long_waits: bool) -> bool {
         if !self.accepts_work() {
             return false;
@@ -194,7 +195,7 @@
     /// Returns whether long work may use the slot of an adapter: it uses the
     /// slot already, or it uses fewer than `cap` percent of the slots.
     ///
-    /// Covers saturation by long work. If long work used every slot, no adapter
+    /// Handles saturation by long work. If long work used every slot, no adapter
     /// could be evicted for seconds, and short work for an adapter that is not
     /// loaded would wait for all of it.
     pub(super) fn long_slot_allowed(&self, target: &Option<AdapterVersion>, cap: u32) -> bool {
@@ -226,6 +227,7 @@
         }
     }
 
+    /// Counts one more use of an adapter.
     pub(super) fn acquire(&mut self, adapter: &AdapterVersion) {
         *self.in_use.entry(adapter.clone()).or_insert(0) += 1;
     }
--- a/lib/src/pool/retry_budget.rs
+++ b/lib/src/pool/retry_budget.rs
@@ -6,11 +6,12 @@
 
 /// Retry budget replenished by answers.
 ///
-/// Covers an upstream failure at full load. If each failed request were
+/// Handles an upstream failure at full load. If each failed request were
 /// retried, the retries would add to the overload that made them fail. Retries
 /// are limited to a percentage of the answers plus a small reserve.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
+    /// Retries that may still be spent.
     saved: f64,
 }
 
--- a/lib/src/pool/settings.rs
+++ b/lib/src/pool/settings.rs
@@ -9,7 +9,7 @@
 use super::types::Span;
 use crate::settings::BadValue;
 
-/// Settings of a pool; all other parameters are derived from its load.
+/// Settings of a pool.
 ///
 /// ```
 /// use banyangauge::pool::PoolSettings;
@@ -22,6 +22,7 @@
 /// assert!(s.check().is_ok());
 /// assert_eq!(s.queue_limit, PoolSettings::default().queue_limit);
 /// ```
+// Stored settings keep the older key names, which the `rename` attributes list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Builder)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolSettings {
@@ -98,8 +99,8 @@
 }
 
 impl PoolSettings {
-    /// Returns the half-life of the request rate of an adapter, in
-    /// microseconds.
+    /// Returns `half_life` in microseconds, or the default of the objective if
+    /// it is 0.
     ///
     /// A short half-life follows a shift sooner; a long one distinguishes
     /// adapters that are requested about once a minute. Long work can wait for
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Returns the largest part of a batch that long work may hold, in percent.
+    /// Returns `long_cap`, or the default of the objective if it is 0.
     ///
     /// With the stalls objective a quarter stays free for short work. With the
     /// batch objective nothing does: short work goes first when the next place
     /// becomes free, which in a batch full of long work takes a fraction of a
     /// second.
-    pub(super) fn long_part(&self) -> u32 {
+    pub(super) fn effective_long_cap(&self) -> u32 {
         match (self.long_cap, self.objective) {
             (0, Objective::Stalls) => 75,
             (0, Objective::Batch) => 100,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Checks that all values are in range.
+    /// Checks the values that have a limited range.
     ///
     /// # Errors
     ///
@@ -160,7 +161,7 @@
         if self.batch_fill > 100 {
             return bad("gather", self.batch_fill.to_string(), "0 to 100");
         }
-        if self.long_floor > self.long_part() {
+        if self.long_floor > self.effective_long_cap() {
             return bad("long_floor", self.long_floor.to_string(), "0 to long_cap");
         }
         Ok(())
--- a/lib/src/pool/slots.rs
+++ b/lib/src/pool/slots.rs
@@ -25,7 +25,8 @@
 const RETENTION: Span = Span::from_millis(6_000);
 
 impl Pool {
-    /// Returns the half-life of request rates, in microseconds.
+    /// Returns the configured half-life of request rates, or the default of the
+    /// objective, in microseconds.
     pub(super) fn half_life(&self) -> f64 {
         self.settings.half_life_us()
     }
@@ -49,12 +50,12 @@
         let half = self.half_life();
         self.adapters.unindex(adapter);
         let replicas = &self.replicas;
-        let idle = |name: &ReplicaName| {
+        let evictable = |name: &ReplicaName| {
             let r = replicas.get(name);
-            r.is_some_and(|r| evictable(r, adapter))
+            r.is_some_and(|r| is_evictable(r, adapter))
         };
         let live = |name: &ReplicaName| replicas.get(name).is_some_and(|r| r.live());
-        self.adapters.index(adapter, half, live, idle);
+        self.adapters.index(adapter, half, live, evictable);
     }
 
     /// Adds or removes a replica as holder of an adapter and updates the
@@ -137,7 +138,7 @@
 
     /// Retains the slot of a dispatch that may still run in its engine.
     ///
-    /// Covers connections that break and callers that disconnect. The engine
+    /// Handles connections that break and callers that disconnect. The engine
     /// keeps such a stream for some seconds, and an eviction would fail a
     /// request that still runs or is resumed.
     pub(super) fn retain_slot(&mut self, now: Moment, ticket: Ticket, run: Dispatch) {
@@ -166,6 +167,6 @@
 /// Returns whether an adapter may be evicted from a replica: the replica is
 /// live and nothing uses the adapter. An adapter with a running or granted
 /// request is never evicted, as the request would fail.
-fn evictable(r: &Replica, adapter: &AdapterVersion) -> bool {
+fn is_evictable(r: &Replica, adapter: &AdapterVersion) -> bool {
     r.live() && !r.in_use.contains_key(adapter)
 }
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -111,7 +111,8 @@
     NoReplica,
     /// The adapter could not be loaded.
     LoadFailed,
-    /// The request is blocked because it crashes its upstream.
+    /// The request is blocked because it crashes its upstream. Callers see the
+    /// name `convicted`.
     Convicted,
     /// The retry budget is spent.
     RetryBudget,
@@ -291,9 +292,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Few requests that wait for a load of their adapter (Tavuki).
+    /// Few requests that wait for a load of their adapter.
     Stalls,
-    /// Full engine steps (Rezago).
+    /// Full engine steps.
     Batch,
 }
 
