--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -20,7 +20,7 @@
     // `None` if an earlier owner recorded the claim.
     claimant: Option<Claimant>,
     state: State,
-    // The segment that contains it, once it is durable.
+    // The segment that contains the claim, once it is durable.
     segment: Option<u64>,
     // The call may have run, so its key must not be freed.
     started: bool,
@@ -31,7 +31,7 @@
 struct SegmentState {
     // `None` until the segment is created.
     version: Option<String>,
-    // Since when it has unwritten changes.
+    // When the oldest unwritten change was made.
     dirty_since: Option<Moment>,
 }
 
@@ -153,7 +153,7 @@
         self.ready && !self.deposed
     }
 
-    /// Returns whether a later owner has fenced this one off.
+    /// Returns whether a segment written by a later owner was found.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
@@ -202,8 +202,9 @@
         }
     }
 
-    /// Frees the key of a refused request, unless an earlier dispatch of it may
-    /// have run.
+    /// Frees the key of a request that was refused, cancelled or not run, so that it
+    /// can be claimed again. If an earlier dispatch of the request may have run, the
+    /// claim becomes `Unknown` instead.
     pub fn free(&mut self, now: Moment, key: &ClaimKey) {
         self.pending.remove(key);
         if self.claims.get(key).is_some_and(|c| c.started) {
@@ -268,8 +269,8 @@
     /// Processes the outcome of a write. Returns the keys that it was to make
     /// durable, and whether it did.
     ///
-    /// If it did not, the keys are free again; should the write take effect
-    /// later, the next write to the segment removes them.
+    /// If it did not, the keys are free again; if the write takes effect later, the
+    /// next write to the segment removes them.
     pub fn write_done(&mut self, now: Moment, outcome: WriteOutcome) -> (Vec<ClaimKey>, bool) {
         let Some((number, keys)) = self.in_flight.take() else {
             return (Vec::new(), false);
@@ -287,7 +288,7 @@
             }
         };
         for (key, claimant) in &keys {
-            // Also if another request has claimed the key by now: the written
+            // This includes a key that another request has claimed since: the written
             // segment contains it.
             if done && let Some(claim) = self.claims.get_mut(key) {
                 claim.segment = Some(number);
@@ -393,8 +394,8 @@
         }
     }
 
-    // Takes over the version that was read back: an earlier write of this owner
-    // may have taken effect late.
+    // Adopts the version that was read back: an earlier write of this owner may have
+    // taken effect late. A higher token in the segment deposes this owner.
     fn update_version(&mut self, number: u64, found: Option<(Segment, String)>) {
         let Some((segment, version)) = found else {
             return;
--- a/lib/src/claims/segment.rs
+++ b/lib/src/claims/segment.rs
@@ -39,19 +39,19 @@
 /// The state of a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum State {
-    /// Granted, and not known to have ended.
+    /// Claimed; the outcome is not known yet.
     #[serde(rename = "r")]
     Running,
     /// The caller received an answer.
     #[serde(rename = "a")]
     Answered,
-    /// Granted, and not known whether it ran.
+    /// It is not known whether the call ran.
     #[serde(rename = "u")]
     Unknown,
 }
 
 impl State {
-    /// Returns the name used on the wire.
+    /// Returns the name reported to entries; segments store a single letter.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Running => "running",
@@ -62,6 +62,9 @@
 }
 
 /// One segment of the journal, stored as the object `<pool>-<number>`.
+///
+/// Contains claimed keys with their states, but no times: a new owner starts the
+/// retention of all claims again.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
     /// The fencing token of the owner that wrote it last.
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -64,7 +64,7 @@
     Durable,
     /// A later commit makes it durable.
     Pending,
-    /// The journal does not contain it; the request must not be granted.
+    /// The journal does not contain the claim; the request must not be granted.
     Missing,
 }
 
@@ -80,9 +80,9 @@
 /// The outcome of a write, after reading back where that was needed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// It took effect; contains the new version.
+    /// The write took effect; contains the new version.
     Done(String),
-    /// It had no effect, or that is not known. Contains the segment as read back,
-    /// if that succeeded.
+    /// The write had no effect, or its effect is not known. Contains the segment and
+    /// its version as read back, if that succeeded.
     Unconfirmed(Option<(Segment, String)>),
 }
--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -50,8 +50,8 @@
 use crate::upstream::OrderClient;
 use crate::upstream::OrderError;
 
-/// The stream to an entry. A full one means that the entry does not read it;
-/// then its requests are refused.
+/// The channel for messages to an entry. If it is full because the entry does not
+/// read them, the owner drops it and refuses the entry's requests.
 pub(super) type Outbox = mpsc::Sender<Result<wire::OwnerMessage, tonic::Status>>;
 
 /// An event that an owner processes.
@@ -63,7 +63,7 @@
         session: SessionId,
         /// Its first message.
         hello: wire::Hello,
-        /// The stream for answers.
+        /// The channel for messages to the entry.
         out: mpsc::Sender<Result<wire::OwnerMessage, tonic::Status>>,
     },
     /// An entry sent a message.
@@ -169,10 +169,10 @@
     pub(super) report_client: OrderClient,
     // Blocked request fingerprints, each with the uptime in ms at which its block
     // ends.
-    pub(super) verdicts: BTreeMap<Fingerprint, u64>,
+    pub(super) blocked: BTreeMap<Fingerprint, u64>,
     pub(super) pending_unloads: u32,
     pub(super) draining: bool,
-    // There is, or may be, a successor: no grants and orders any more.
+    // There is or may be a successor, so no grants or orders are sent.
     pub(super) deposed: bool,
     // No order may be sent.
     pub(super) frozen: bool,
@@ -242,7 +242,7 @@
             orphans: Vec::new(),
             outboxes: BTreeMap::new(),
             replicas: BTreeMap::new(),
-            verdicts: BTreeMap::new(),
+            blocked: BTreeMap::new(),
             pending_unloads: 0,
             draining: false,
             deposed: false,
@@ -286,7 +286,7 @@
         self.update_external(now);
         self.check_ownership();
         self.apply_catalog(now);
-        self.apply_verdicts(now);
+        self.apply_blocks(now);
         self.update_replicas(now);
         self.expire_grants(now);
         self.update_freeze(now);
@@ -295,7 +295,7 @@
         self.pool.tick(now);
     }
 
-    // Tells every entry that this process is not the owner any more, and stops
+    // Notifies every entry that this process is no longer the owner, and stops
     // polling replicas.
     fn redirect_entries(&mut self) {
         for (_, out) in std::mem::take(&mut self.outboxes) {
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -28,7 +28,7 @@
 use crate::upstream::OrderClient;
 use crate::upstream::OrderError;
 
-/// One load order with the unload that precedes it.
+/// A load order, preceded by an unload if an adapter is evicted.
 struct Load {
     local: Arc<OwnershipState>,
     orders: OrderClient,
@@ -87,6 +87,8 @@
         }
     }
 
+    /// Grants a request if the safety rules allow it; a request with a key is
+    /// granted once its claim is durable. Refuses the request otherwise.
     fn grant(
         &mut self,
         now: Moment,
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Sends a grant, which counts as in use from then on.
+    /// Sends a grant if it is still allowed and the entry is connected, and records
+    /// it as held by the entry. Refuses the request otherwise.
     pub(super) fn send_grant(&mut self, now: Moment, ticket: Ticket, grant: wire::Grant) {
         let session = self
             .requests
@@ -155,6 +158,8 @@
             .mark_granted(ticket, grant, now.after(self.grant_ttl()));
     }
 
+    /// Starts a load order. The order fails at once if the replica has restarted or
+    /// its slots must not be changed.
     fn start_load(
         &mut self,
         now: Moment,
@@ -216,6 +221,7 @@
         });
     }
 
+    /// Passes the end of an order to the pool.
     pub(super) fn handle_order_end(&mut self, now: Moment, order: OrderId, end: OrderEnd) {
         self.record_event(EventKind::LoadEnded, None, "", &format!("{end:?}"));
         if end == OrderEnd::Fenced {
@@ -227,6 +233,7 @@
         self.pool.order_end(now, order, end);
     }
 
+    /// Records an event of this pool in the timeline.
     pub(super) fn record_event(
         &self,
         kind: EventKind,
@@ -261,8 +268,8 @@
 }
 
 // Checks, on a clock that also runs during suspension, that this process still
-// holds the lease. Called immediately before each order; the remaining race is
-// the time from here to the sending, which the lease's margin covers.
+// holds the lease. Called immediately before each order is sent; the margin of the
+// lease covers the time between this check and the sending.
 fn check_lease(load: &Load) -> Result<(), OrderError> {
     let now = clock::now();
     let leases = load.local.leases.borrow();
--- a/lib/src/control/owner/journal.rs
+++ b/lib/src/control/owner/journal.rs
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// Any failure of the call to the platform.
+/// Returns any failure of the call to the platform.
 pub(super) async fn read_segments(
     platform: &Platform,
     pool: &PoolName,
@@ -50,11 +50,11 @@
 }
 
 /// Carries out the writes that fence off an earlier owner. Returns the new
-/// versions.
+/// versions in the order of the writes.
 ///
 /// # Errors
 ///
-/// Any failure of a write; the journal is then read again.
+/// Returns the first failure of a write; the journal must then be read again.
 pub(super) async fn write_seal(
     platform: &Platform,
     pool: &PoolName,
@@ -121,6 +121,8 @@
 }
 
 impl OwnerActor {
+    /// Drops expired claims, deletes segments without claims, and starts to read the
+    /// journal if that is still to be done.
     pub(super) fn maintain_journal(&mut self, now: Moment) {
         let numbers = self.journal.expire(now);
         if !numbers.is_empty() {
@@ -136,6 +138,8 @@
         }
     }
 
+    /// Loads the journal and starts to seal it against the earlier owner. Deposes this
+    /// owner if a segment has a higher token.
     pub(super) fn handle_journal_read(
         &mut self,
         now: Moment,
@@ -155,6 +159,7 @@
         });
     }
 
+    /// Makes the journal ready once it is sealed; reads it again after a failure.
     pub(super) fn handle_journal_sealed(
         &mut self,
         now: Moment,
@@ -169,11 +174,13 @@
         }
     }
 
+    /// Schedules the next attempt to read the journal.
     pub(super) fn schedule_journal_read(&mut self, now: Moment) {
         self.recovering = false;
         self.recover_at = now.after(JOURNAL_RETRY_DELAY);
     }
 
+    /// Starts the next commit, if one is due.
     pub(super) fn commit_journal(&mut self, now: Moment) {
         let Some(write) = self.journal.next_write(now) else {
             return;
@@ -185,6 +192,8 @@
         tokio::spawn(commit(address, platform, pool, write));
     }
 
+    /// Sends the grants whose claims a commit made durable, or refuses their requests
+    /// if it failed.
     pub(super) fn handle_commit(&mut self, now: Moment, outcome: WriteOutcome) {
         let (keys, done) = self.journal.write_done(now, outcome);
         for key in keys {
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -11,11 +11,15 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How far ahead the pool's slots are frozen: several ticks, and the most by
-/// which the slots are unfrozen late.
+/// Each tick freezes the pool's slots until this much later. Spans several ticks,
+/// so that the freeze has no gap; a freeze outlasts its reason by at most this
+/// time.
 pub(super) const FREEZE_AHEAD: Span = Span::from_millis(500);
 
 impl OwnerActor {
+    /// Updates the state that the safety rules depend on: the last contact with a
+    /// majority of the peers, whether the predecessor's VM is gone, and which entries
+    /// have reported their grants.
     pub(super) fn update_external(&mut self, now: Moment) {
         let left = match &self.safety.lease().predecessor {
             Predecessor::Lapsed(vm) => self.local.departed.borrow().contains(vm.as_str()),
@@ -28,8 +32,11 @@
         };
     }
 
-    // In an outage of the platform peers may report an owner with a higher token
-    // before the lease object shows it.
+    /// Passes a renewal of the lease on to the safety rules. Stops granting if the
+    /// lease is lost or a higher token is known.
+    ///
+    /// In an outage of the platform peers may report an owner with a higher token
+    /// before the lease object shows it.
     pub(super) fn check_ownership(&mut self) {
         let token = self.token();
         let valid_until = {
@@ -47,8 +54,8 @@
         }
     }
 
-    /// Stops issuing grants and sending orders, because there is or may be a
-    /// successor.
+    /// Stops issuing grants and sending orders, and refuses waiting requests, because
+    /// there is or may be a successor.
     pub(super) fn depose(&mut self) {
         if self.deposed {
             return;
@@ -58,32 +65,36 @@
         self.local.deposed.send_modify(|d| {
             d.insert(self.name.clone(), token);
         });
-        slog::warn!(self.shared.log, "lost ownership of the pool"; "pool" => %self.name,
-            "token" => self.token().0);
+        slog::warn!(self.shared.log, "stopped granting: the lease ended or a higher token is known";
+            "pool" => %self.name, "token" => self.token().0);
         self.pool.drain(clock::now());
     }
 
-    pub(super) fn apply_verdicts(&mut self, now: Moment) {
-        let board = self.shared.state.verdicts.borrow().clone();
-        if board == self.verdicts {
+    /// Passes new and extended blocks of requests to the pool.
+    pub(super) fn apply_blocks(&mut self, now: Moment) {
+        let current = self.shared.state.verdicts.borrow().clone();
+        if current == self.blocked {
             return;
         }
         let uptime = uptime_ms();
-        for (fingerprint, until) in &board {
-            if self.verdicts.get(fingerprint) != Some(until) {
-                let left = Span::from_millis(until.saturating_sub(uptime));
+        for (fingerprint, blocked_until) in &current {
+            if self.blocked.get(fingerprint) != Some(blocked_until) {
+                let left = Span::from_millis(blocked_until.saturating_sub(uptime));
                 self.pool.block(now, *fingerprint, left);
             }
         }
-        self.verdicts = board;
+        self.blocked = current;
     }
 
-    // The pool's slots are frozen a little ahead, so that it plans no change that
-    // is not allowed; should a tick come later than that, `start_load` refuses.
-    //
-    // While an earlier owner's grants may be in use, engines that honour tokens
-    // still get loads into free slots: they refuse the earlier owner's orders, and
-    // such a load evicts nothing that a request may use.
+    /// Freezes the slots, or only evictions, while the safety rules require it, and
+    /// publishes when no earlier owner's grant can be in use any more.
+    ///
+    /// The pool plans no change during the freeze. If the next tick comes later than
+    /// [`FREEZE_AHEAD`], `start_load` rejects the orders that are not allowed.
+    ///
+    /// While an earlier owner's grants may be in use, engines that honour tokens
+    /// still get loads into free slots: they refuse the earlier owner's orders, and
+    /// such a load evicts nothing that a request may use.
     pub(super) fn update_freeze(&mut self, now: Moment) {
         let replicas: BTreeSet<_> = self.replicas.keys().cloned().collect();
         let slots_frozen = self.safety.is_frozen(now, &replicas, &self.external);
@@ -106,8 +117,8 @@
         }
     }
 
-    // When the process stops, ends grants and orders first and then publishes
-    // that, so that the election can release the lease.
+    /// When the process stops, stops granting and ordering first, and then publishes
+    /// that it has, so that the election can release the lease.
     pub(super) fn drain_if_stopping(&mut self, now: Moment) {
         if !*self.shared.state.stopping.borrow() {
             return;
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -52,6 +52,8 @@
         self.adopt_orphans(now);
     }
 
+    // Polls each replica of the specification, and stops polling those that left it
+    // or have another address.
     fn watch_replicas(&mut self) {
         let listed = &self.spec.replicas;
         self.replicas.retain(|name, w| {
@@ -80,6 +82,8 @@
         }
     }
 
+    /// Processes the result of a poll: counts failures, and asks the engine to confirm
+    /// the token before its report is accepted, if that is due.
     pub(super) fn handle_report(
         &mut self,
         now: Moment,
@@ -117,6 +121,8 @@
         ));
     }
 
+    /// Processes the answer to a fence request; an engine that has seen a higher token
+    /// deposes this owner.
     pub(super) fn handle_fence(
         &mut self,
         now: Moment,
@@ -207,6 +213,7 @@
         );
     }
 
+    // Publishes the replicas that report to be leaving.
     fn publish_leaving(&self) {
         let leaving: BTreeSet<SocketAddr> = self
             .replicas
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -15,9 +15,9 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How long an owner with an expired lease may grant on a replica after asking
-/// an engine that then confirmed to have seen no higher token. Four polls; a
-/// successor waits this much longer.
+/// How long an owner with an expired lease may grant on a replica after it sent a
+/// fence request that the engine confirmed. Four polls; a successor waits this
+/// much longer.
 pub(super) const FENCE_MAX_AGE: Span = Span::from_millis(1_000);
 
 /// The greatest age of the last answers of a majority of peers at which an owner
@@ -28,7 +28,7 @@
 /// contains it.
 pub(super) const PUBLISH_DELAY: Span = Span::from_millis(100);
 
-/// State outside the owner that its rules depend on, at one moment.
+/// A snapshot of the state outside the owner that its rules depend on.
 #[derive(Clone, Debug, Default)]
 pub struct ExternalState {
     /// A majority of the configured peers has answered exchanges that began at
@@ -48,8 +48,8 @@
     lease: HeldLease,
     margin: Span,
     quarantine: Span,
-    // Per replica the incarnation that is fenced, and when its first and last
-    // confirmations were requested.
+    // The fenced incarnation of each replica, and when its first and its last
+    // confirmation were requested.
     fenced: BTreeMap<ReplicaName, (Incarnation, Moment, Moment)>,
     // When this owner found that a majority of the peers knows its lease.
     announced: Option<Moment>,
--- a/lib/src/control/owner/sessions.rs
+++ b/lib/src/control/owner/sessions.rs
@@ -36,6 +36,9 @@
 const MAX_REPORTED_GRANTS: usize = 65_536;
 
 impl OwnerActor {
+    /// Opens a stream from an entry. Ends the entry's requests on its earlier stream,
+    /// except the grants that the hello lists, adopts those grants and answers with
+    /// a welcome. A deposed or draining owner answers `NotOwner` instead.
     pub(super) fn open_session(
         &mut self,
         now: Moment,
@@ -67,6 +70,7 @@
         self.send(session, OwnerBody::Welcome(welcome));
     }
 
+    /// Closes a stream and cancels the requests that wait on it.
     pub(super) fn close_session(&mut self, now: Moment, session: SessionId) {
         self.outboxes.remove(&session);
         for ticket in self.requests.close(session) {
@@ -74,6 +78,8 @@
         }
     }
 
+    /// Processes a message of an entry; ignores it if a newer stream of the entry has
+    /// replaced this one.
     pub(super) fn handle_message(&mut self, now: Moment, session: SessionId, body: EntryBody) {
         let Some(entry) = self.requests.entry_of(session).map(str::to_owned) else {
             return;
@@ -92,6 +98,8 @@
         }
     }
 
+    // Adopts a grant that an entry reports in its hello. Ignores a malformed grant
+    // and one with a higher token than this owner's.
     fn adopt_grant(&mut self, now: Moment, entry: &str, grant: &wire::Grant) {
         let expires = now.after(self.grant_ttl());
         let Ok(replica) = ReplicaName::new(&grant.replica) else {
@@ -132,6 +140,7 @@
         }
     }
 
+    // Passes a request to the pool, or refuses it.
     fn acquire(&mut self, now: Moment, session: SessionId, entry: &str, acquire: wire::Acquire) {
         let request = acquire.request;
         let Ok(team) = TeamName::new(&acquire.team) else {
@@ -140,8 +149,8 @@
         if self.deposed || self.draining {
             return self.send_refusal(session, request, Reason::Draining.as_str(), "");
         }
-        // Dispatched at most once, since it is unknown whether the first attempt
-        // ran.
+        // A retry of a request that is neither idempotent nor claimed by key is
+        // refused: its first attempt may have run.
         if !acquire.idempotent && acquire.claim.is_empty() && acquire.attempt > 0 {
             return self.send_refusal(session, request, Reason::RetryBudget.as_str(), "");
         }
@@ -200,6 +209,7 @@
         }
     }
 
+    // Ends a grant that its entry has released.
     fn release(&mut self, now: Moment, entry: &str, release: &wire::Release) {
         let ticket = Ticket(release.grant);
         let Some(tracked) = self.requests.get(ticket).filter(|r| r.entry == entry) else {
@@ -226,6 +236,8 @@
         );
     }
 
+    // Records the final state of a claim, as reported by the entry or, if `reported`
+    // is empty, as the outcome of the dispatch implies.
     fn settle_claim(&mut self, now: Moment, key: &ClaimKey, outcome: Outcome, reported: &str) {
         match (reported, outcome) {
             ("answered", _) | ("", Outcome::Answered) => {
@@ -238,6 +250,8 @@
         }
     }
 
+    // Renews the grants that an entry lists, if granting is still allowed, and
+    // answers which were renewed and which are unknown.
     fn renew(&mut self, now: Moment, session: SessionId, entry: &str, renew: &wire::Renew) {
         let expires = now.after(self.grant_ttl());
         let mut renewed = wire::Renewed::default();
@@ -340,8 +354,8 @@
         self.send(session, OwnerBody::Refused(refusal));
     }
 
-    /// Sends a message to an entry. If its stream is full or closed, closes it and
-    /// returns false; the entry then reconnects and reports its grants again.
+    /// Sends a message to an entry. If its channel is full or closed, drops the
+    /// channel and returns false; an entry that reconnects reports its grants again.
     pub(super) fn send(&mut self, session: SessionId, body: OwnerBody) -> bool {
         let Some(out) = self.outboxes.get(&session) else {
             return false;
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -20,8 +20,9 @@
 use crate::lease::HeldLease;
 use crate::pool::Moment;
 
-/// How many events may wait for an owner. A full mailbox applies backpressure to
-/// the streams of the entries, which refuse the waiting requests by deadline.
+/// The maximum number of events queued for one owner. A full mailbox applies
+/// backpressure to the streams of entries; an entry refuses a request itself when
+/// the deadline passes meanwhile.
 const MAILBOX_CAPACITY: usize = 4_096;
 
 /// The owners that run in this process.
@@ -43,7 +44,8 @@
     }
 }
 
-/// Starts an owner when a lease is acquired and stops it when it is lost.
+/// Starts an owner for each lease that is acquired, and stops the owner of each
+/// lease that is lost.
 pub async fn run(shared: Shared, local: Arc<OwnershipState>, registry: Arc<Registry>) {
     let mut leases = local.leases.subscribe();
     loop {
@@ -85,6 +87,7 @@
 ) {
     let token = lease.token;
     let owner = OwnerActor::new(shared.clone(), Arc::clone(local), pool.clone(), lease);
+    // Not in the catalog.
     let Some(owner) = owner else { return };
     let next_tick = owner.next_tick();
     let address = xtra::spawn_tokio(owner, Mailbox::bounded(MAILBOX_CAPACITY));
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -14,8 +14,8 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// How many writes keep their sending time, so that the expiry of one that took
-/// effect late is still known; more than are ever in flight at once.
+/// Number of writes whose sending time is kept, so that the lease's expiry is known
+/// when a write takes effect late; more than are ever in flight at once.
 const MAX_SENT: usize = 8;
 
 /// The latest known state of the lease object.
@@ -44,16 +44,19 @@
     // The record of the last write, until its effect is known.
     pending: Option<Record>,
     call_in_flight: bool,
-    // Sending times by operation.
+    // When each of the latest writes was sent, by operation.
     sent: BTreeMap<String, Moment>,
     write_count: u64,
     last_write: Moment,
     retry_at: Moment,
     held: Option<HeldLease>,
-    // The previous holder and its grant TTL, from a takeover until it is
-    // observed to have taken effect.
+    // How the previous holder gave up the lease, and its grant TTL; set when this
+    // process sends a write to take the lease over, and taken when it observes that
+    // it holds the lease.
     takeover: Option<(Predecessor, Span)>,
+    // No grant of an earlier holder can be in use any more.
     settled: bool,
+    // The token of the lease that was given up without a release.
     resigned: Option<FencingToken>,
 }
 
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Gives the current holder a whole TTL again when the platform is reachable
-    /// after an outage, in which the holder could not renew either. Otherwise
+    /// Restarts the TTL of the current holder when the platform is reachable again
+    /// after an outage, during which the holder could not renew either. Otherwise
     /// every pool would change its owner at the end of each outage.
     pub fn restart_ttl(&mut self, now: Moment) {
         if let Some(observed) = &mut self.observed {
@@ -228,8 +231,8 @@
             self.held = None;
             return;
         }
-        // Without the sending time of the write its expiry is unknown, so the
-        // lease is not valid before its next renewal.
+        // Without the sending time of the write the expiry of the lease is unknown,
+        // so the lease is not valid before its next renewal.
         let sent = self.sent.get(&record.operation).copied();
         let valid_until = sent.map_or(Moment(0), |s| {
             Moment(s.0 + self.timing.ttl.0 - self.margin())
@@ -362,8 +365,9 @@
         }
         self.last_write = now;
         self.call_in_flight = true;
-        // Kept until the lease is observed to be held: in the answer, in a watch
-        // event before it, or in a read after the answer was lost.
+        // Kept until this process observes that it holds the lease: by the answer to
+        // the write, by a watch event before it, or by a read after the answer was
+        // lost.
         if takeover.is_some() {
             self.takeover = takeover;
         }
--- a/lib/src/lease/mod.rs
+++ b/lib/src/lease/mod.rs
@@ -9,9 +9,9 @@
 //! lease from *before* it sent the write, less a margin, and a contender counts
 //! from *after* it saw the write. Whatever the delays of the network, the
 //! holder's end, `sent + ttl - margin`, is before the contender's earliest
-//! takeover, `seen + ttl`. Second, a takeover is a conditional update on the version whose age was
-//! measured, so a holder that renewed in the meantime wins. The margin covers
-//! clocks that run at different rates (200 parts per million over 3 s are
+//! takeover, `seen + ttl`. Second, a takeover is a conditional update on the
+//! version whose age was measured, so a holder that renewed in the meantime wins.
+//! The margin covers clocks that run at different rates (200 parts per million over 3 s are
 //! 0.6 ms) and the time between checking the lease and sending an order.
 
 mod elector;
--- a/lib/src/lease/record.rs
+++ b/lib/src/lease/record.rs
@@ -13,9 +13,9 @@
 /// A control process that can hold leases.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// The VM it runs on.
+    /// The VM that the process runs on.
     pub vm: VmName,
-    /// The address it listens on; bound by one process at a time.
+    /// The address the process listens on; bound by one process at a time.
     pub address: SocketAddr,
     /// Identifies this start of the process.
     pub incarnation: Incarnation,
@@ -36,8 +36,8 @@
     pub ttl_ms: u64,
     /// Set on a planned stop; any candidate may then acquire the lease at once.
     pub released: bool,
-    /// The longest time that a grant of this holder stays valid unless renewed,
-    /// in milliseconds.
+    /// The longest time, in milliseconds, for which a grant of this holder stays
+    /// valid without a renewal.
     pub granted_ttl: u64,
     /// Set until the holder can rule out that grants of earlier holders are
     /// still in use; a successor then has to wait as long as this holder would.
@@ -58,7 +58,7 @@
         self.holder == me.vm && self.address == me.address && self.incarnation == me.incarnation
     }
 
-    /// Returns whether an earlier process on the same VM and address holds it.
+    /// Returns whether an earlier process on the same VM and address holds the lease.
     ///
     /// The process that listens on the address now can be sure that the earlier
     /// one has ended: a paused process would still have the address bound.
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -73,8 +73,8 @@
     pub acquired_at: Moment,
     /// How the previous holder gave it up.
     pub predecessor: Predecessor,
-    /// The longest time that a grant of the previous holder stays valid unless
-    /// renewed.
+    /// The longest time for which a grant of the previous holder stays valid without
+    /// a renewal.
     pub predecessor_ttl: Span,
 }
 
@@ -97,9 +97,9 @@
 /// The outcome of a write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// It took effect; contains the new version.
+    /// The write took effect; contains the new version.
     Done(String),
-    /// It had no effect.
+    /// The write had no effect.
     NotApplied,
     /// The object has another version, perhaps from an earlier write of this
     /// process whose answer was lost.
