--- a/lib/tests/test_serving_access.rs
+++ b/lib/tests/test_serving_access.rs
@@ -50,8 +50,8 @@
     #[case] expected: Result<Option<&str>, Denial>,
 ) {
     let key = KeyDigest::of(key.as_bytes());
-    let freshness = aged(confirmed, estimated);
-    let admitted = bounds(true).admit(Some(&keys()), public, Some(&key), &freshness);
+    let config_age = aged(confirmed, estimated);
+    let admitted = bounds(true).admit(Some(&keys()), public, Some(&key), &config_age);
     let admitted = admitted.map(|o| o.map(|o| o.name.to_string()));
     assert_eq!(admitted, expected.map(|o| o.map(str::to_owned)));
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn admit_where_nobody_needs_keys() {
+fn admit_if_keys_are_not_in_use() {
     let admitted = bounds(true).admit(None, false, None, &ConfigAge::default());
     assert_eq!(admitted, Ok(None));
 }
@@ -71,7 +71,7 @@
 /// If only VMs that can reach the store must enforce revocations, the others keep
 /// admitting requests.
 #[test]
-fn admit_where_revocation_is_not_strict() {
+fn admit_if_revocation_is_not_strict() {
     let key = KeyDigest::of(b"one");
     let admitted = bounds(false).admit(Some(&keys()), false, Some(&key), &aged(None, 60_000));
     assert!(admitted.is_ok_and(|o| o.is_some()));
--- a/lib/tests/test_serving_adapter_planner.rs
+++ b/lib/tests/test_serving_adapter_planner.rs
@@ -18,7 +18,7 @@
 
 use super::test_serving_place::listing;
 
-fn ms(ms: u64) -> Moment {
+fn at(ms: u64) -> Moment {
     Moment(10_000_000).after(Span::from_millis(ms))
 }
 
@@ -33,6 +33,7 @@
     }
 }
 
+/// The owner of one replica, with its planner.
 struct Owner {
     planner: AdapterPlanner,
     versions: Versions,
@@ -45,7 +46,7 @@
     fn new(held: &[&str], accepted: u64) -> Self {
         let listing: ReplicaInfo = listing("i-1", "llm", "z-a", held);
         let mut planner = AdapterPlanner::default();
-        planner.track(ms(0), &listing, 2);
+        planner.track(at(0), &listing, 2);
         let mut owner = Self {
             planner,
             versions: Versions::default(),
@@ -53,40 +54,41 @@
             model: ModelName::new("base").unwrap(),
         };
         assert_eq!(owner.next(0), Some(ReplicaAction::Inspect));
-        let here = held.iter().map(|t| (target(t), 1)).collect();
+        let loaded = held.iter().map(|t| (target(t), 1)).collect();
         let report = ReplicaReport {
             accepted,
-            loaded: here,
+            loaded,
             weights_cached: true,
             ..ReplicaReport::default()
         };
         owner
             .planner
-            .finish_inspection(ms(0), &owner.name, Some(report));
+            .finish_inspection(at(0), &owner.name, Some(report));
         owner
     }
 
-    fn next(&mut self, at: u64) -> Option<ReplicaAction> {
+    fn next(&mut self, ms: u64) -> Option<ReplicaAction> {
         let model = Some(&self.model);
         self.planner
-            .next_action(ms(at), &self.name, &self.versions, model)
+            .next_action(at(ms), &self.name, &self.versions, model)
     }
 
-    fn request(&mut self, at: u64, adapter: &str) {
+    fn request(&mut self, ms: u64, adapter: &str) {
         self.planner
-            .request_load(ms(at), &self.name, &target(adapter));
+            .request_load(at(ms), &self.name, &target(adapter));
     }
 
-    fn end(&mut self, at: u64, step: &ReplicaAction, end: OrderOutcome) {
-        self.planner.finish_order(ms(at), &self.name, step, end);
+    fn finish(&mut self, ms: u64, action: &ReplicaAction, outcome: OrderOutcome) {
+        self.planner
+            .finish_order(at(ms), &self.name, action, outcome);
     }
 
-    /// Requests an adapter and loads it.
-    fn load(&mut self, at: u64, adapter: &str) {
-        self.request(at, adapter);
-        let step = self.next(at).unwrap();
-        self.end(at, &step, OrderOutcome::Accepted);
-        self.end(at + 250, &step, OrderOutcome::InEffect);
+    /// Requests an adapter and completes its load after 250 ms.
+    fn load(&mut self, ms: u64, adapter: &str) {
+        self.request(ms, adapter);
+        let action = self.next(ms).unwrap();
+        self.finish(ms, &action, OrderOutcome::Accepted);
+        self.finish(ms + 250, &action, OrderOutcome::InEffect);
     }
 }
 
@@ -115,13 +117,13 @@
 /// Orders are sent one at a time: the next one's expected count depends on the
 /// outcome.
 #[test]
-fn order_under_way_lets_the_next_wait() {
+fn orders_are_sent_one_at_a_time() {
     let mut owner = Owner::new(&["base"], 3);
     owner.request(0, "base/a1");
     owner.request(0, "base/a2");
     let first = owner.next(0).unwrap();
     assert_eq!(owner.next(1), None);
-    owner.end(2, &first, OrderOutcome::Accepted);
+    owner.finish(2, &first, OrderOutcome::Accepted);
     assert_eq!(owner.next(2), load("base/a2", 4));
 }
 
@@ -134,12 +136,16 @@
     let name = owner.name.clone();
     owner
         .planner
-        .record_use(ms(0), &name, &vm, &target("base/a1"), 0, 5);
+        .record_use(at(0), &name, &vm, &target("base/a1"), 0, 5);
     owner
         .planner
-        .record_use(ms(0), &name, &vm, &target("base/a2"), 0, 1);
+        .record_use(at(0), &name, &vm, &target("base/a2"), 0, 1);
     owner.request(500, "base/a3");
-    assert_eq!(owner.next(500), None, "both were used just now");
+    assert_eq!(
+        owner.next(500),
+        None,
+        "both adapters were used within the report delay"
+    );
     owner.request(1_000, "base/a3");
     assert_eq!(owner.next(1_000), unload("base/a2", 0));
 }
@@ -152,10 +158,10 @@
     for adapter in ["base/a1", "base/a2"] {
         owner
             .planner
-            .record_use(ms(0), &name, &vm, &target(adapter), 0, 1);
+            .record_use(at(0), &name, &vm, &target(adapter), 0, 1);
         owner
             .planner
-            .record_use(ms(1_500), &name, &vm, &target(adapter), 1, 0);
+            .record_use(at(1_500), &name, &vm, &target(adapter), 1, 0);
     }
     owner.request(2_500, "base/a3");
     assert_eq!(owner.next(2_500), None);
@@ -163,12 +169,12 @@
 
 /// An immediate unload counts as an accepted order.
 #[test]
-fn unload_at_once_counts_as_an_order() {
+fn immediate_unload_counts_as_an_order() {
     let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
     owner.request(1_000, "base/a3");
-    let step = owner.next(1_000).unwrap();
-    assert_eq!(Some(step.clone()), unload("base/a1", 7));
-    owner.end(1_001, &step, OrderOutcome::InEffect);
+    let action = owner.next(1_000).unwrap();
+    assert_eq!(Some(action.clone()), unload("base/a1", 7));
+    owner.finish(1_001, &action, OrderOutcome::InEffect);
     assert_eq!(owner.next(1_001), load("base/a3", 8));
 }
 
@@ -176,22 +182,22 @@
 fn unload_that_waited_counts_once() {
     let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
     owner.request(1_000, "base/a3");
-    let step = owner.next(1_000).unwrap();
-    owner.end(1_001, &step, OrderOutcome::Accepted);
+    let action = owner.next(1_000).unwrap();
+    owner.finish(1_001, &action, OrderOutcome::Accepted);
     owner.request(1_400, "base/a3");
     let again = owner.next(1_400).unwrap();
     assert_eq!(Some(again.clone()), unload("base/a1", 8));
-    owner.end(1_400, &again, OrderOutcome::InEffect);
+    owner.finish(1_400, &again, OrderOutcome::InEffect);
     assert_eq!(owner.next(1_400), load("base/a3", 8));
 }
 
 /// The replica refuses any other order while an unload waits for its runs.
 #[test]
-fn unload_that_waits_holds_up_the_others() {
+fn waiting_unload_blocks_other_orders() {
     let mut owner = Owner::new(&["base", "base/a1", "base/a2"], 7);
     owner.request(1_000, "base/a3");
-    let step = owner.next(1_000).unwrap();
-    owner.end(1_001, &step, OrderOutcome::Accepted);
+    let action = owner.next(1_000).unwrap();
+    owner.finish(1_001, &action, OrderOutcome::Accepted);
     owner.request(1_100, "base/a4");
     assert_eq!(owner.next(1_100), None);
 }
@@ -208,12 +214,12 @@
 
 /// After a restart of the VM replicas may be listed before the configuration.
 #[test]
-fn configuration_that_comes_late_opens_the_slots() {
+fn late_configuration_enables_the_slots() {
     let listing = listing("i-1", "llm", "z-a", &["base"]);
     let mut planner = AdapterPlanner::default();
-    planner.track(ms(0), &listing, 0);
+    planner.track(at(0), &listing, 0);
     let mut owner = Owner::new(&["base"], 0);
-    planner.track(ms(10), &listing, 2);
+    planner.track(at(10), &listing, 2);
     owner.planner = planner;
     assert_eq!(owner.next(10), Some(ReplicaAction::Inspect));
     let report = ReplicaReport {
@@ -222,28 +228,28 @@
     };
     owner
         .planner
-        .finish_inspection(ms(11), &owner.name, Some(report));
+        .finish_inspection(at(11), &owner.name, Some(report));
     owner.request(20, "base/a1");
     assert_eq!(owner.next(20), load("base/a1", 0));
 }
 
 /// A poll of a load is answered like an order, but does not count as one.
 #[test]
-fn poll_of_a_load_counts_no_order() {
+fn poll_of_a_load_is_not_counted_as_an_order() {
     let mut owner = Owner::new(&["base"], 3);
     owner.request(0, "base/a1");
-    let step = owner.next(0).unwrap();
-    owner.end(0, &step, OrderOutcome::Accepted);
+    let action = owner.next(0).unwrap();
+    owner.finish(0, &action, OrderOutcome::Accepted);
     let again = owner.next(300).unwrap();
     assert_eq!(Some(again.clone()), load("base/a1", 4));
-    owner.end(300, &again, OrderOutcome::Accepted);
+    owner.finish(300, &again, OrderOutcome::Accepted);
     assert_eq!(owner.next(400), load("base/a1", 4));
 }
 
-/// With more concurrent fetches than the weight store serves at full speed, all
-/// of them only end later.
+/// No more adapters are fetched concurrently than the weight store serves at full
+/// speed: beyond that all fetches end later.
 #[test]
-fn fetches_wait_for_the_weight_store() {
+fn fetches_are_limited_by_the_weight_store() {
     let mut owner = Owner::new(&["base"], 0);
     owner.planner.set_fetches(8, 0);
     owner.request(0, "base/a1");
@@ -259,9 +265,9 @@
     owner.load(0, "base/a1");
     owner.load(300, "base/a2");
     owner.request(2_000, "base/a3");
-    let step = owner.next(2_000).unwrap();
-    assert_eq!(Some(step.clone()), unload("base/a1", 2));
-    owner.end(2_000, &step, OrderOutcome::InEffect);
+    let action = owner.next(2_000).unwrap();
+    assert_eq!(Some(action.clone()), unload("base/a1", 2));
+    owner.finish(2_000, &action, OrderOutcome::InEffect);
     owner.planner.set_fetches(20, 0);
     owner.request(2_010, "base/a1");
     assert_eq!(owner.next(2_010), load("base/a1", 3));
@@ -291,17 +297,17 @@
 #[rstest]
 #[case::wide(24.0, 22)]
 #[case::narrow(8.0, 6)]
-fn fetch_limiter_learns_capacity_at_start(#[case] width: f64, #[case] least: usize) {
+fn fetch_limiter_learns_capacity_at_start(#[case] store_capacity: f64, #[case] min: usize) {
     let mut limiter = FetchLimiter::default();
-    let mut most = 0;
+    let mut max = 0;
     for _ in 0..24 {
         let n = limiter.capacity();
-        most = most.max(n);
-        let slowed = (n as f64 / width).max(1.0);
+        max = max.max(n);
+        let slowed = (n as f64 / store_capacity).max(1.0);
         limiter.observe(duration((250.0 * slowed) as u64), n);
     }
-    assert!(limiter.capacity() >= least, "{}", limiter.capacity());
-    assert!(most as f64 <= width * 1.5, "{most}");
+    assert!(limiter.capacity() >= min, "{}", limiter.capacity());
+    assert!(max as f64 <= store_capacity * 1.5, "{max}");
 }
 
 /// A load whose end was seen late may have been fast and is ignored.
@@ -335,13 +341,13 @@
 /// order count, so that the replica carries out at most one of them. After
 /// several unanswered orders the replica's report is read first.
 #[test]
-fn order_without_answer_is_given_again() {
+fn unanswered_order_is_repeated() {
     let mut owner = Owner::new(&["base"], 3);
     owner.request(0, "base/a1");
     for i in 0..5 {
-        let step = owner.next(80 * i).unwrap();
-        assert_eq!(Some(step.clone()), load("base/a1", 3));
-        owner.end(80 * i + 80, &step, OrderOutcome::Unknown);
+        let action = owner.next(80 * i).unwrap();
+        assert_eq!(Some(action.clone()), load("base/a1", 3));
+        owner.finish(80 * i + 80, &action, OrderOutcome::Unknown);
     }
     owner.request(400, "base/a1");
     assert_eq!(owner.next(400), None);
@@ -354,10 +360,10 @@
 fn conflict_after_unanswered_order_reads_report() {
     let mut owner = Owner::new(&["base"], 3);
     owner.request(0, "base/a1");
-    let step = owner.next(0).unwrap();
-    owner.end(80, &step, OrderOutcome::Unknown);
-    let step = owner.next(80).unwrap();
-    owner.end(85, &step, OrderOutcome::Conflict);
+    let action = owner.next(0).unwrap();
+    owner.finish(80, &action, OrderOutcome::Unknown);
+    let action = owner.next(80).unwrap();
+    owner.finish(85, &action, OrderOutcome::Conflict);
     assert_eq!(owner.next(90), None);
     assert_eq!(owner.next(400), Some(ReplicaAction::Inspect));
 }
@@ -370,19 +376,19 @@
     let mut ready: Option<u64> = None;
     while now < 12_000 {
         owner.request(now, &format!("base/b{loads}"));
-        let Some(step) = owner.next(now) else {
+        let Some(action) = owner.next(now) else {
             now += 10;
             continue;
         };
-        assert!(step != ReplicaAction::Inspect, "at {now}");
+        assert!(action != ReplicaAction::Inspect, "at {now}");
         orders += 1;
         if orders % one_in == 0 {
             now += 80;
-            owner.end(now, &step, OrderOutcome::Unknown);
+            owner.finish(now, &action, OrderOutcome::Unknown);
             continue;
         }
         now += 4;
-        let done = match (&step, ready) {
+        let done = match (&action, ready) {
             (ReplicaAction::Load { .. }, None) => {
                 ready = Some(now + 250);
                 false
@@ -390,26 +396,26 @@
             (ReplicaAction::Load { .. }, Some(at)) => at <= now,
             _ => true,
         };
-        let end = if done {
+        let outcome = if done {
             OrderOutcome::InEffect
         } else {
             OrderOutcome::Accepted
         };
-        if done && matches!(step, ReplicaAction::Load { .. }) {
+        if done && matches!(action, ReplicaAction::Load { .. }) {
             ready = None;
             loads += 1;
         }
-        owner.end(now, &step, end);
+        owner.finish(now, &action, outcome);
     }
     loads
 }
 
 /// With two thirds of the orders answered, at least 60 % of the loads complete.
 #[test]
-fn loads_go_on_while_orders_are_left_unanswered() {
+fn loads_continue_while_orders_are_unanswered() {
     let all = loads_with_unanswered(1_000_000);
     let some = loads_with_unanswered(3);
-    assert!(some * 10 >= all * 6, "{some} in place of {all}");
+    assert!(some * 10 >= all * 6, "{some} loads instead of {all}");
 }
 
 /// A restarted replica is empty and loads its model before any adapter.
@@ -417,12 +423,12 @@
 fn empty_replica_loads_its_model_first() {
     let mut owner = Owner::new(&[], 0);
     owner.request(0, "base/a1");
-    let step = owner.next(0);
-    assert_eq!(step, load("base", 0));
-    owner.end(0, &step.unwrap(), OrderOutcome::Accepted);
+    let action = owner.next(0);
+    assert_eq!(action, load("base", 0));
+    owner.finish(0, &action.unwrap(), OrderOutcome::Accepted);
     owner.request(100, "base/a1");
     assert_eq!(owner.next(100), None);
-    owner.end(900, &load("base", 1).unwrap(), OrderOutcome::InEffect);
+    owner.finish(900, &load("base", 1).unwrap(), OrderOutcome::InEffect);
     owner.request(900, "base/a1");
     assert_eq!(owner.next(900), load("base/a1", 1));
 }
@@ -430,24 +436,24 @@
 #[test]
 fn new_version_replaces_the_old_one() {
     let mut owner = Owner::new(&["base", "base/a1"], 0);
-    let news = AnnouncedVersion {
+    let announced = AnnouncedVersion {
         target: target("base/a1"),
         version: 2,
     };
-    assert!(owner.versions.announce(ms(0), &news));
-    let step = owner.next(0).unwrap();
+    assert!(owner.versions.announce(at(0), &announced));
+    let action = owner.next(0).unwrap();
     let ReplicaAction::Load {
         target: t, version, ..
-    } = &step
+    } = &action
     else {
-        panic!("{step:?}");
+        panic!("{action:?}");
     };
     assert_eq!((t.to_string().as_str(), *version), ("base/a1", Some(2)));
-    owner.end(0, &step, OrderOutcome::Accepted);
-    owner.end(250, &step, OrderOutcome::InEffect);
+    owner.finish(0, &action, OrderOutcome::Accepted);
+    owner.finish(250, &action, OrderOutcome::InEffect);
     assert_eq!(owner.next(251), None);
-    let held = owner.planner.residency(&owner.name).unwrap();
-    assert_eq!(held.loaded.get(&target("base/a1")), Some(&2));
+    let residency = owner.planner.residency(&owner.name).unwrap();
+    assert_eq!(residency.loaded.get(&target("base/a1")), Some(&2));
 }
 
 /// With many VMs beacons are less frequent and uses are known later: an adapter
@@ -460,7 +466,7 @@
     let name = owner.name.clone();
     for adapter in ["base/a1", "base/a2"] {
         let used = target(adapter);
-        owner.planner.record_use(ms(1_000), &name, &vm, &used, 0, 1);
+        owner.planner.record_use(at(1_000), &name, &vm, &used, 0, 1);
     }
     owner.request(2_900, "base/a3");
     assert_eq!(owner.next(2_900), None);
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -88,14 +88,15 @@
     }
 }
 
-struct Scene {
+/// A VM's view of the replicas, and the circumstances of the next request.
+struct Fixture {
     fleet: Fleet,
     avoid: BTreeSet<ReplicaName>,
     loadable: BTreeSet<ReplicaName>,
     waited: Option<Span>,
 }
 
-impl Scene {
+impl Fixture {
     fn new(listings: &[ReplicaInfo]) -> Self {
         let mut fleet = Fleet::new("z-a".parse().unwrap());
         fleet.configure(&config());
@@ -128,7 +129,8 @@
         self.fleet.place(now, &want, |n| self.loadable.contains(n))
     }
 
-    fn sent(&self, now: Moment, service: &str, target: Option<&str>) -> String {
+    /// Returns the replica that a request is sent to, or what is done instead.
+    fn destination(&self, now: Moment, service: &str, target: Option<&str>) -> String {
         match self.place(now, service, target) {
             Placement::Send { at, .. } => at.to_string(),
             other => format!("{other:?}"),
@@ -143,11 +145,11 @@
 };
 
 #[test]
-fn request_goes_where_its_adapter_is() {
+fn request_is_sent_to_holder_of_adapter() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
     let b = listing("i-b", "llm", "z-b", &["base", "base/x"]);
-    let scene = Scene::new(&[a, b]);
-    assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
+    let fixture = Fixture::new(&[a, b]);
+    assert_eq!(fixture.destination(at(0), "llm", Some("base/x")), "i-b");
 }
 
 /// All VMs choose the same home for an adapter, in whichever order they learn of
@@ -158,10 +160,10 @@
         .map(|n| listing(&format!("i-{n}"), "llm", "z-a", &["base"]))
         .collect();
     let reversed: Vec<_> = all.iter().rev().cloned().collect();
-    let (one, other, fewer) = (
-        Scene::new(&all),
-        Scene::new(&reversed),
-        Scene::new(&all[..5]),
+    let (one, other, smaller) = (
+        Fixture::new(&all),
+        Fixture::new(&reversed),
+        Fixture::new(&all[..5]),
     );
     let mut moved = 0;
     for n in 0..60 {
@@ -169,9 +171,9 @@
         let home = one.place(at(0), "llm", Some(&adapter));
         assert!(matches!(home, Placement::Load { .. }));
         assert_eq!(home, other.place(at(0), "llm", Some(&adapter)));
-        moved += usize::from(home != fewer.place(at(0), "llm", Some(&adapter)));
+        moved += usize::from(home != smaller.place(at(0), "llm", Some(&adapter)));
     }
-    assert!(moved <= 20, "{moved} of 60 moved");
+    assert!(moved <= 20, "{moved} of 60 homes moved");
 }
 
 /// A replica whose owner cannot order loads, or that holds no model, is no home.
@@ -181,12 +183,12 @@
 fn home_must_be_able_to_load(#[case] held: &[&str], #[case] loadable: bool) {
     let a = listing("i-a", "llm", "z-a", held);
     let b = listing("i-b", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a.clone(), b]);
+    let mut fixture = Fixture::new(&[a.clone(), b]);
     if !loadable {
-        scene.loadable.remove(&a.name);
+        fixture.loadable.remove(&a.name);
     }
     for n in 0..20 {
-        let place = scene.place(at(0), "llm", Some(&format!("base/a{n}")));
+        let place = fixture.place(at(0), "llm", Some(&format!("base/a{n}")));
         let at = "i-b".parse().unwrap();
         assert_eq!(place, Placement::Load { at });
     }
@@ -196,42 +198,42 @@
 /// and a load there waits. A request that has waited for longer than a load takes
 /// goes to another replica.
 #[test]
-fn home_moves_to_where_an_adapter_is_idle() {
+fn home_moves_to_replica_with_idle_adapter() {
     let all: Vec<_> = (0..4)
         .map(|n| listing(&format!("i-{n}"), "llm", "z-a", &["base"]))
         .collect();
-    let mut scene = Scene::new(&all);
+    let mut fixture = Fixture::new(&all);
     for busy in ["i-0", "i-1", "i-2"] {
         // Two adapters fit, and two requests do not make it the busiest.
-        scene.fleet.begin_run(&busy.parse().unwrap(), COST);
-        scene.fleet.begin_run(&busy.parse().unwrap(), COST);
+        fixture.fleet.begin_run(&busy.parse().unwrap(), COST);
+        fixture.fleet.begin_run(&busy.parse().unwrap(), COST);
     }
-    let home = |scene: &Scene, n: u32| scene.place(at(0), "llm", Some(&format!("base/a{n}")));
+    let home = |fixture: &Fixture, n: u32| fixture.place(at(0), "llm", Some(&format!("base/a{n}")));
     let idle = Placement::Load {
         at: "i-3".parse().unwrap(),
     };
-    scene.waited = Some(Span::from_millis(100));
-    assert!((0..20).any(|n| home(&scene, n) != idle));
-    scene.waited = Some(Span::from_millis(500));
-    assert!((0..20).all(|n| home(&scene, n) == idle));
+    fixture.waited = Some(Span::from_millis(100));
+    assert!((0..20).any(|n| home(&fixture, n) != idle));
+    fixture.waited = Some(Span::from_millis(500));
+    assert!((0..20).all(|n| home(&fixture, n) == idle));
     // If no adapter is idle anywhere, a replica is still chosen.
-    scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
-    scene.fleet.begin_run(&"i-3".parse().unwrap(), COST);
-    assert!(matches!(home(&scene, 1), Placement::Load { .. }));
+    fixture.fleet.begin_run(&"i-3".parse().unwrap(), COST);
+    fixture.fleet.begin_run(&"i-3".parse().unwrap(), COST);
+    assert!(matches!(home(&fixture, 1), Placement::Load { .. }));
 }
 
 /// A burst within one beacon interval: requests that this VM sends count at once.
 #[test]
-fn burst_spreads_by_own_count() {
+fn burst_spreads_by_local_load() {
     let held: Vec<_> = ["i-a", "i-b", "i-c"]
         .iter()
         .map(|n| listing(n, "app", "z-a", &[]))
         .collect();
-    let mut scene = Scene::new(&held);
+    let mut fixture = Fixture::new(&held);
     let mut counts = BTreeMap::<String, u32>::new();
     for _ in 0..12 {
-        let name = scene.sent(at(0), "app", None);
-        scene.fleet.begin_run(&name.parse().unwrap(), COST);
+        let name = fixture.destination(at(0), "app", None);
+        fixture.fleet.begin_run(&name.parse().unwrap(), COST);
         *counts.entry(name).or_default() += 1;
     }
     assert!(counts.values().all(|n| *n == 4), "{counts:?}");
@@ -241,7 +243,7 @@
 fn peer_loads_count_and_expire() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-a", &[]);
-    let mut scene = Scene::new(&[a, b]);
+    let mut fixture = Fixture::new(&[a, b]);
     let vm: VmName = "vm-2".parse().unwrap();
     let load = Load {
         requests: 5,
@@ -249,54 +251,54 @@
         prefill: 0,
     };
     let counts = BTreeMap::from([("i-a".parse().unwrap(), load)]);
-    scene.fleet.apply_peer_loads(at(0), &vm, &counts);
-    assert_eq!(scene.sent(at(100), "app", None), "i-b");
-    assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
+    fixture.fleet.apply_peer_loads(at(0), &vm, &counts);
+    assert_eq!(fixture.destination(at(100), "app", None), "i-b");
+    assert_eq!(fixture.destination(at(5_000), "app", None), "i-a");
 }
 
 /// Full replicas get no requests that would only wait there.
 #[test]
-fn full_replicas_are_full() {
+fn full_replica_gets_no_request() {
     let a = listing("i-a", "app", "z-a", &[]);
-    let mut scene = Scene::new(&[a]);
+    let mut fixture = Fixture::new(&[a]);
     for _ in 0..16 {
-        assert_eq!(scene.sent(at(0), "app", None), "i-a");
-        scene.fleet.begin_run(&"i-a".parse().unwrap(), COST);
+        assert_eq!(fixture.destination(at(0), "app", None), "i-a");
+        fixture.fleet.begin_run(&"i-a".parse().unwrap(), COST);
     }
-    assert_eq!(scene.place(at(0), "app", None), Placement::Full);
+    assert_eq!(fixture.place(at(0), "app", None), Placement::Full);
 }
 
 #[test]
-fn memory_limits_an_engine() {
+fn kv_cache_limits_an_engine() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a]);
+    let mut fixture = Fixture::new(&[a]);
     let large = Load {
         requests: 1,
         tokens: 89_500,
         prefill: 0,
     };
-    scene.fleet.begin_run(&"i-a".parse().unwrap(), large);
-    assert_eq!(scene.place(at(0), "llm", Some("base")), Placement::Full);
+    fixture.fleet.begin_run(&"i-a".parse().unwrap(), large);
+    assert_eq!(fixture.place(at(0), "llm", Some("base")), Placement::Full);
 }
 
 /// Pending prefill delays the next requests at an engine.
 #[test]
-fn unread_prompts_weigh_more_than_runs() {
+fn pending_prefill_weighs_more_than_runs() {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base", "base/x"]);
-    let mut scene = Scene::new(&[a, b]);
-    let unread = Load {
+    let mut fixture = Fixture::new(&[a, b]);
+    let load = Load {
         requests: 1,
         tokens: 9_000,
         prefill: 9_000,
     };
-    scene.fleet.begin_run(&"i-a".parse().unwrap(), unread);
+    fixture.fleet.begin_run(&"i-a".parse().unwrap(), load);
     for _ in 0..5 {
-        scene.fleet.begin_run(&"i-b".parse().unwrap(), COST);
+        fixture.fleet.begin_run(&"i-b".parse().unwrap(), COST);
     }
-    assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-b");
-    scene.fleet.finish_prefill(&"i-a".parse().unwrap(), 9_000);
-    assert_eq!(scene.sent(at(0), "llm", Some("base/x")), "i-a");
+    assert_eq!(fixture.destination(at(0), "llm", Some("base/x")), "i-b");
+    fixture.fleet.finish_prefill(&"i-a".parse().unwrap(), 9_000);
+    assert_eq!(fixture.destination(at(0), "llm", Some("base/x")), "i-a");
 }
 
 /// A second copy of a hot adapter is requested only when the queue of its single
@@ -304,22 +306,22 @@
 #[rstest]
 #[case::in_time(24_000, None)]
 #[case::late(36_000, Some("i-b"))]
-fn busy_holder_wants_a_copy(#[case] unread: u64, #[case] expected: Option<&str>) {
+fn busy_holder_causes_a_copy(#[case] prefill: u64, #[case] expected: Option<&str>) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a, b]);
-    let copy = |s: &Scene| match s.place(at(0), "llm", Some("base/x")) {
+    let mut fixture = Fixture::new(&[a, b]);
+    let copy = |f: &Fixture| match f.place(at(0), "llm", Some("base/x")) {
         Placement::Send { copy, .. } => copy.map(|n| n.to_string()),
         other => panic!("{other:?}"),
     };
-    assert_eq!(copy(&scene), None);
-    let unread = Load {
+    assert_eq!(copy(&fixture), None);
+    let load = Load {
         requests: 2,
-        tokens: unread,
-        prefill: unread,
+        tokens: prefill,
+        prefill,
     };
-    scene.fleet.begin_run(&"i-a".parse().unwrap(), unread);
-    assert_eq!(copy(&scene).as_deref(), expected);
+    fixture.fleet.begin_run(&"i-a".parse().unwrap(), load);
+    assert_eq!(copy(&fixture).as_deref(), expected);
 }
 
 /// A burst on one adapter while its single holder prefills long prompts. A request
@@ -335,27 +337,27 @@
     at: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::behind_seconds(Some(460), 60_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::long_queue(Some(460), 60_000, Placement::Load { at: "i-b".parse().unwrap() })]
 #[case::holder_soon_free(Some(0), 24_000, Placement::Send {
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
 fn request_waits_for_copy_of_overloaded_holder(
     #[case] waited: Option<u64>,
-    #[case] unread: u64,
+    #[case] prefill: u64,
     #[case] expected: Placement,
 ) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a, b]);
-    scene.waited = waited.map(Span::from_millis);
+    let mut fixture = Fixture::new(&[a, b]);
+    fixture.waited = waited.map(Span::from_millis);
     let prompts = Load {
         requests: 2,
-        tokens: unread,
-        prefill: unread,
+        tokens: prefill,
+        prefill,
     };
-    scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
-    let place = scene.place(at(0), "llm", Some("base/x"));
+    fixture.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
+    let place = fixture.place(at(0), "llm", Some("base/x"));
     assert_eq!(place, expected);
 }
 
@@ -365,7 +367,7 @@
     let all: Vec<_> = (0..4)
         .map(|n| listing(&format!("i-{n}"), "llm", "z-a", &["base", "base/x"]))
         .collect();
-    let scene = Scene::new(&all);
+    let fixture = Fixture::new(&all);
     let target = Target::parse("base/x").unwrap();
     let service = "llm".parse().unwrap();
     let at_key = |key: u64| {
@@ -377,14 +379,14 @@
             body_kb: 1.0,
             objective_ms: 1_000.0,
             waited: None,
-            avoid: &scene.avoid,
+            avoid: &fixture.avoid,
         };
-        scene.fleet.place(at(0), &want, |_| true)
+        fixture.fleet.place(at(0), &want, |_| true)
     };
     let places: Vec<_> = (0..40).map(at_key).collect();
     assert_eq!(places, (0..40).map(at_key).collect::<Vec<_>>());
     let first = places.iter().filter(|p| **p == places[0]).count();
-    assert!(first < 25, "{first} of 40 beginnings at one replica");
+    assert!(first < 25, "{first} of 40 prefixes at one replica");
 }
 
 /// A crashed replica refuses at once and would appear the least loaded.
@@ -395,31 +397,31 @@
 fn failing_replica_is_avoided(#[case] end: RunOutcome) {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
-    let mut scene = Scene::new(&[a, b]);
+    let mut fixture = Fixture::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
-    assert_eq!(scene.sent(at(0), "app", None), "i-a");
-    scene.fleet.record_outcome(at(0), &name, end);
-    assert_eq!(scene.sent(at(100), "app", None), "i-b");
+    assert_eq!(fixture.destination(at(0), "app", None), "i-a");
+    fixture.fleet.record_outcome(at(0), &name, end);
+    assert_eq!(fixture.destination(at(100), "app", None), "i-b");
 }
 
 /// After its back-off a failed replica gets one request at a time.
 #[test]
-fn failed_replica_is_tried_by_one() {
+fn failed_replica_gets_one_request_at_a_time() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
-    let mut scene = Scene::new(&[a, b]);
+    let mut fixture = Fixture::new(&[a, b]);
     let name: ReplicaName = "i-a".parse().unwrap();
-    scene
+    fixture
         .fleet
         .record_outcome(at(0), &name, RunOutcome::Unreached);
-    assert_eq!(scene.sent(at(5_000), "app", None), "i-a");
-    scene.fleet.begin_run(&name, COST);
-    assert_eq!(scene.sent(at(5_000), "app", None), "i-b");
-    scene
+    assert_eq!(fixture.destination(at(5_000), "app", None), "i-a");
+    fixture.fleet.begin_run(&name, COST);
+    assert_eq!(fixture.destination(at(5_000), "app", None), "i-b");
+    fixture
         .fleet
         .record_outcome(at(5_010), &name, RunOutcome::Answered);
-    scene.fleet.end_run(&name, COST);
-    assert_eq!(scene.sent(at(5_010), "app", None), "i-a");
+    fixture.fleet.end_run(&name, COST);
+    assert_eq!(fixture.destination(at(5_010), "app", None), "i-a");
 }
 
 /// A replica that accepts requests and sends nothing is not used.
@@ -427,28 +429,37 @@
 fn unresponsive_replica_is_avoided() {
     let a = listing("i-a", "app", "z-a", &[]);
     let b = listing("i-b", "app", "z-b", &[]);
-    let mut scene = Scene::new(&[a, b]);
-    scene
+    let mut fixture = Fixture::new(&[a, b]);
+    fixture
         .fleet
         .await_first_byte(at(0), &"i-a".parse().unwrap(), 1);
-    assert_eq!(scene.sent(at(1_000), "app", None), "i-a");
-    assert_eq!(scene.sent(at(1_700), "app", None), "i-b");
+    assert_eq!(fixture.destination(at(1_000), "app", None), "i-a");
+    assert_eq!(fixture.destination(at(1_700), "app", None), "i-b");
 }
 
 #[test]
-fn old_version_serves_until_the_new_one_can_have_come() {
+fn old_version_serves_until_the_new_one_can_be_loaded() {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
-    let mut scene = Scene::new(&[a]);
-    let news = AnnouncedVersion {
+    let mut fixture = Fixture::new(&[a]);
+    let announced = AnnouncedVersion {
         target: Target::parse("base/x").unwrap(),
         version: 2,
     };
-    scene.fleet.versions.announce(at(0), &news);
-    assert_eq!(scene.sent(at(1_000), "llm", Some("base/x")), "i-a");
-    assert_eq!(scene.fleet.versions.required(at(1_000), &news.target), None);
-    assert_ne!(scene.sent(at(3_000), "llm", Some("base/x")), "i-a");
+    fixture.fleet.versions.announce(at(0), &announced);
+    assert_eq!(fixture.destination(at(1_000), "llm", Some("base/x")), "i-a");
     assert_eq!(
-        scene.fleet.versions.required(at(3_000), &news.target),
+        fixture
+            .fleet
+            .versions
+            .required(at(1_000), &announced.target),
+        None
+    );
+    assert_ne!(fixture.destination(at(3_000), "llm", Some("base/x")), "i-a");
+    assert_eq!(
+        fixture
+            .fleet
+            .versions
+            .required(at(3_000), &announced.target),
         Some(2)
     );
 }
@@ -460,17 +471,17 @@
 #[case::without_outage(false, 0, false)]
 fn missing_replica_is_kept(#[case] outage: bool, #[case] ms: u64, #[case] kept: bool) {
     let a = listing("i-a", "app", "z-a", &[]);
-    let mut scene = Scene::new(&[a]);
-    scene.fleet.replace_listings(at(0), Vec::new(), outage);
-    scene.fleet.remove_expired(at(ms));
-    assert_eq!(scene.sent(at(ms), "app", None) == "i-a", kept);
+    let mut fixture = Fixture::new(&[a]);
+    fixture.fleet.replace_listings(at(0), Vec::new(), outage);
+    fixture.fleet.remove_expired(at(ms));
+    assert_eq!(fixture.destination(at(ms), "app", None) == "i-a", kept);
 }
 
 /// The owner's load of a replica includes this VM's requests as last reported;
 /// they must not be counted twice.
 #[test]
-fn own_load_is_counted_once() {
-    let mut scene = Scene::new(&[
+fn local_load_is_counted_once() {
+    let mut fixture = Fixture::new(&[
         listing("i-1", "app", "z-a", &[]),
         listing("i-2", "app", "z-a", &[]),
     ]);
@@ -480,41 +491,41 @@
         tokens: 0,
         prefill: 0,
     };
-    scene.fleet.begin_run(&one, requests(14));
-    assert_eq!(scene.fleet.take_report(&one), requests(14));
-    scene.fleet.apply_owner_load(at(0), &one, requests(14));
-    // The owner's load consists of this VM's requests only.
-    let only = |scene: &Scene, now| {
-        let total = scene.fleet.total_load(now, &one).unwrap();
+    fixture.fleet.begin_run(&one, requests(14));
+    assert_eq!(fixture.fleet.take_report(&one), requests(14));
+    fixture.fleet.apply_owner_load(at(0), &one, requests(14));
+    // The owner's total consists of this VM's requests only.
+    let total_requests = |fixture: &Fixture, now| {
+        let total = fixture.fleet.total_load(now, &one).unwrap();
         total.requests
     };
-    assert_eq!(only(&scene, at(10)), 14);
-    scene.fleet.end_run(&one, requests(4));
-    assert_eq!(only(&scene, at(10)), 10);
-    scene.fleet.apply_owner_load(at(20), &one, requests(20));
-    assert_eq!(only(&scene, at(20)), 16);
+    assert_eq!(total_requests(&fixture, at(10)), 14);
+    fixture.fleet.end_run(&one, requests(4));
+    assert_eq!(total_requests(&fixture, at(10)), 10);
+    fixture.fleet.apply_owner_load(at(20), &one, requests(20));
+    assert_eq!(total_requests(&fixture, at(20)), 16);
     // After the owner's report expired only this VM's own load is known.
-    assert_eq!(only(&scene, at(9_000)), 10);
+    assert_eq!(total_requests(&fixture, at(9_000)), 10);
 }
 
 /// The period of the previous version starts with each announcement: an adapter
 /// with frequent announcements would otherwise serve its first version for ever.
 #[test]
-fn required_while_versions_follow_each_other() {
+fn required_version_under_frequent_announcements() {
     let mut versions = Versions::default();
     let target = Target::parse("base/a1").unwrap();
     for version in 2..12 {
-        let news = AnnouncedVersion {
+        let announced = AnnouncedVersion {
             target: target.clone(),
             version,
         };
         let ms = u64::from(version) * 1_000;
-        assert!(versions.announce(at(ms), &news));
-        assert!(!versions.announce(at(ms + 10), &news));
+        assert!(versions.announce(at(ms), &announced));
+        assert!(!versions.announce(at(ms + 10), &announced));
         let required = versions.required(at(ms + 900), &target);
-        let due = (version > 2).then(|| version - 1);
+        let expected = (version > 2).then(|| version - 1);
         assert_eq!(
-            required, due,
+            required, expected,
             "{version} is 0.9 s old, the one before 1.9 s"
         );
         assert_eq!(versions.newest(&target), Some(version));
@@ -524,27 +535,27 @@
 /// A replica that already holds a newer version must not be asked for the
 /// required one.
 #[test]
-fn expected_version_is_the_one_that_is_held() {
-    let mut scene = Scene::new(&[]);
+fn expected_version_is_at_least_the_loaded_one() {
+    let mut fixture = Fixture::new(&[]);
     let target = Target::parse("base/a1").unwrap();
     for (ms, version) in [(0, 2), (2_000, 3)] {
-        let news = AnnouncedVersion {
+        let announced = AnnouncedVersion {
             target: target.clone(),
             version,
         };
-        scene.fleet.versions.announce(at(ms), &news);
+        fixture.fleet.versions.announce(at(ms), &announced);
     }
     let name: ReplicaName = "i-1".parse().unwrap();
     let mut entry = listing("i-1", "llm", "z-a", &["base", "base/a1"]);
     for (held, expected) in [(1, 2), (2, 2), (3, 3)] {
         entry.adapters.insert(target.clone(), held);
-        scene.fleet.apply_listing(entry.clone());
-        let version = scene.fleet.expected_version(at(2_100), &name, &target);
+        fixture.fleet.apply_listing(entry.clone());
+        let version = fixture.fleet.expected_version(at(2_100), &name, &target);
         assert_eq!(version, Some(expected));
     }
 }
 
-/// Placement with mechanisms switched off.
+/// Placement with mechanisms switched off: each case lists those that are off.
 #[rstest]
 #[case::whole(&[], Placement::Load { at: "i-b".parse().unwrap() })]
 #[case::copy_waits(&[Mechanism::CopyWaits], Placement::Send {
@@ -555,12 +566,12 @@
     at: "i-a".parse().unwrap(),
     copy: None,
 })]
-fn place_without(#[case] off: &[Mechanism], #[case] expected: Placement) {
+fn place_with_mechanism_off(#[case] off: &[Mechanism], #[case] expected: Placement) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a, b]);
-    scene.waited = Some(Span::from_millis(0));
-    scene.fleet.set_experiment(&Experiment {
+    let mut fixture = Fixture::new(&[a, b]);
+    fixture.waited = Some(Span::from_millis(0));
+    fixture.fleet.set_experiment(&Experiment {
         off: off.iter().copied().collect(),
     });
     let prompts = Load {
@@ -568,22 +579,22 @@
         tokens: 36_000,
         prefill: 36_000,
     };
-    scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
-    assert_eq!(scene.place(at(0), "llm", Some("base/x")), expected);
+    fixture.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
+    assert_eq!(fixture.place(at(0), "llm", Some("base/x")), expected);
 }
 
 /// Without a preference for its own zone a VM uses all replicas alike.
 #[rstest]
 #[case::whole(&[], "i-near")]
 #[case::near_zone(&[Mechanism::NearZone], "i-far")]
-fn zone_without(#[case] off: &[Mechanism], #[case] expected: &str) {
+fn zone_with_mechanism_off(#[case] off: &[Mechanism], #[case] expected: &str) {
     let far = listing("i-far", "app", "z-b", &[]);
     let near = listing("i-near", "app", "z-a", &[]);
-    let mut scene = Scene::new(&[far, near]);
-    scene.fleet.set_experiment(&Experiment {
+    let mut fixture = Fixture::new(&[far, near]);
+    fixture.fleet.set_experiment(&Experiment {
         off: off.iter().copied().collect(),
     });
-    assert_eq!(scene.sent(at(0), "app", None), expected);
+    assert_eq!(fixture.destination(at(0), "app", None), expected);
 }
 
 /// A request that waits in the queue of a busy engine begins later than it is
@@ -591,55 +602,58 @@
 #[rstest]
 #[case::free(0, "i-a")]
 #[case::crowded(4_000, "Load { at: ReplicaName(\"i-b\") }")]
-fn old_version_is_not_queued_for(#[case] wait_ms: u64, #[case] expected: &str) {
+fn old_version_is_not_used_behind_a_long_queue(#[case] wait_ms: u64, #[case] expected: &str) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a, b]);
+    let mut fixture = Fixture::new(&[a, b]);
     let announced = AnnouncedVersion {
         target: Target::parse("base/x").unwrap(),
         version: 2,
     };
-    scene.fleet.versions.announce(at(0), &announced);
+    fixture.fleet.versions.announce(at(0), &announced);
     let prompts = Load {
         requests: 1,
         tokens: 0,
         prefill: wait_ms * 40,
     };
     if wait_ms > 0 {
-        scene.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
+        fixture.fleet.begin_run(&"i-a".parse().unwrap(), prompts);
     }
-    assert_eq!(scene.sent(at(1_500), "llm", Some("base/x")), expected);
+    assert_eq!(
+        fixture.destination(at(1_500), "llm", Some("base/x")),
+        expected
+    );
 }
 
 /// A VM that learned from another VM that a replica is draining still announces
 /// the entry when it reads it: not all VMs know it.
 #[rstest]
-#[case::told(true)]
-#[case::not_told(false)]
-fn draining_entry_is_always_an_update(#[case] told: bool) {
+#[case::reported_by_a_peer(true)]
+#[case::not_reported(false)]
+fn draining_entry_is_always_an_update(#[case] reported: bool) {
     let mut a = listing("i-a", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(&[a.clone()]);
-    assert!(!scene.fleet.is_update(&a));
+    let mut fixture = Fixture::new(&[a.clone()]);
+    assert!(!fixture.fleet.is_update(&a));
     let replica = Instance {
         name: a.name.clone(),
         started_ms: a.started_ms,
     };
-    if told {
-        assert!(scene.fleet.mark_draining(&replica));
+    if reported {
+        assert!(fixture.fleet.mark_draining(&replica));
     }
     a.draining = true;
-    assert!(scene.fleet.is_update(&a));
+    assert!(fixture.fleet.is_update(&a));
 }
 
 /// A change of the adapters alone is not announced: the owner reports those.
 #[test]
 fn adapters_alone_are_no_update() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
-    let scene = Scene::new(&[a]);
+    let fixture = Fixture::new(&[a]);
     let loaded = listing("i-a", "llm", "z-a", &["base", "base/x"]);
-    assert!(!scene.fleet.is_update(&loaded));
+    assert!(!fixture.fleet.is_update(&loaded));
     let moved = listing("i-a", "llm", "z-b", &["base"]);
-    assert!(scene.fleet.is_update(&moved));
+    assert!(fixture.fleet.is_update(&moved));
 }
 
 /// An entry that expired in a store outage reappears unchanged. It must be
@@ -648,9 +662,9 @@
 #[test]
 fn reappearance_of_an_expired_entry_is_an_update() {
     let a = listing("i-a", "llm", "z-a", &["base"]);
-    let mut scene = Scene::new(std::slice::from_ref(&a));
-    scene.fleet.mark_expired(at(0), &a.name);
-    assert!(scene.fleet.is_update(&a));
-    scene.fleet.apply_listing(a.clone());
-    assert!(!scene.fleet.is_update(&a));
+    let mut fixture = Fixture::new(std::slice::from_ref(&a));
+    fixture.fleet.mark_expired(at(0), &a.name);
+    assert!(fixture.fleet.is_update(&a));
+    fixture.fleet.apply_listing(a.clone());
+    assert!(!fixture.fleet.is_update(&a));
 }
--- a/lib/tests/test_serving_prefill_turns.rs
+++ b/lib/tests/test_serving_prefill_turns.rs
@@ -19,7 +19,8 @@
     }
 }
 
-fn numbers(turns: &mut PrefillTurns, ms: u64) -> Vec<u64> {
+/// Returns the numbers of the turns that begin at `ms` milliseconds.
+fn granted(turns: &mut PrefillTurns, ms: u64) -> Vec<u64> {
     turns
         .take_grants(at(ms))
         .iter()
@@ -29,15 +30,15 @@
 
 /// Between two prompts every stream of the replica gets its next event.
 #[test]
-fn prompts_are_read_one_by_one_with_a_pause() {
+fn prompts_are_prefilled_one_by_one_with_a_gap() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     turns.request(at(0), &r, id(1), 9_000);
     turns.request(at(1), &r, id(2), 9_000);
-    assert_eq!(numbers(&mut turns, 1), [1]);
-    assert!(numbers(&mut turns, 150).is_empty());
+    assert_eq!(granted(&mut turns, 1), [1]);
+    assert!(granted(&mut turns, 150).is_empty());
     turns.finish(at(200), &r, &id(1));
-    assert!(numbers(&mut turns, 201).is_empty());
-    assert_eq!(numbers(&mut turns, 230), [2]);
+    assert!(granted(&mut turns, 201).is_empty());
+    assert_eq!(granted(&mut turns, 230), [2]);
 }
 
 #[test]
@@ -46,52 +47,53 @@
     for n in 1..=3 {
         turns.request(at(0), &r, id(n), 3_000);
     }
-    assert_eq!(numbers(&mut turns, 0), [1, 2]);
+    assert_eq!(granted(&mut turns, 0), [1, 2]);
 }
 
 /// If a VM died or its end message was lost, the turn times out.
 #[test]
-fn turn_whose_end_was_lost_is_over() {
+fn turn_without_end_message_times_out() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     turns.request(at(0), &r, id(1), 4_000);
-    assert_eq!(numbers(&mut turns, 0), [1]);
+    assert_eq!(granted(&mut turns, 0), [1]);
     turns.request(at(300), &r, id(2), 4_000);
-    assert!(numbers(&mut turns, 320).is_empty());
+    assert!(granted(&mut turns, 320).is_empty());
     assert_eq!(turns.next_wake(), Some(at(350)));
-    assert_eq!(numbers(&mut turns, 350), [2]);
+    assert_eq!(granted(&mut turns, 350), [2]);
 }
 
+/// A prompt whose wait is over was sent without a turn and must not get one.
 #[test]
-fn prompt_that_waits_no_more_is_passed_over() {
+fn expired_wait_is_skipped() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     turns.request(at(0), &r, id(1), 90_000);
-    assert_eq!(numbers(&mut turns, 0), [1]);
+    assert_eq!(granted(&mut turns, 0), [1]);
     turns.request(at(1), &r, id(2), 9_000);
     turns.request(at(500), &r, id(3), 9_000);
     turns.finish(at(900), &r, &id(1));
     assert!(MAX_TURN_WAIT < Span::from_millis(900));
-    assert_eq!(numbers(&mut turns, 930), [3]);
+    assert_eq!(granted(&mut turns, 930), [3]);
 }
 
 /// Prompts arrive faster than they are prefilled: one every 150 ms, at 200 ms
 /// each. Their order is kept, each is sent after a bounded wait, and streams get a
 /// gap between prompts.
 #[test]
-fn saturation_keeps_the_order_and_the_pause() {
+fn saturation_keeps_the_order_and_the_gap() {
     let (mut turns, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
-    let (mut reading, mut order, mut next) = (None, Vec::new(), 0);
+    let (mut active, mut order, mut next) = (None, Vec::new(), 0);
     for ms in 0..6_000 {
         if ms % 150 == 0 {
             next += 1;
             turns.request(at(ms), &r, id(next), 9_000);
         }
-        if reading.is_some_and(|(_, end)| end <= ms) {
-            let (number, _) = reading.take().unwrap();
+        if active.is_some_and(|(_, end)| end <= ms) {
+            let (number, _) = active.take().unwrap();
             turns.finish(at(ms), &r, &id(number));
         }
-        for number in numbers(&mut turns, ms) {
-            assert!(reading.is_none(), "two prompts at a time");
-            reading = Some((number, ms + 200));
+        for number in granted(&mut turns, ms) {
+            assert!(active.is_none(), "two prompts at a time");
+            active = Some((number, ms + 200));
             order.push(number);
         }
     }
@@ -106,15 +108,15 @@
         // One stalled stream in fifty does not activate turns.
         assert!(!detector.record_stream(at(n), 8, n % 50 == 0));
     }
-    let reason = (0..20).any(|n| detector.record_stream(at(300 + n), 8, true));
-    assert!(reason && detector.is_active(at(400)));
+    let activated = (0..20).any(|n| detector.record_stream(at(300 + n), 8, true));
+    assert!(activated && detector.is_active(at(400)));
     assert!(!detector.is_active(at(300_000)));
 }
 
 /// Returns the longest gap between stream events, in milliseconds, on an engine
 /// that gets six prompts of 9,200 tokens at once. A step prefills up to 4,096
 /// pending tokens at 35 per millisecond, plus 6 ms; an event takes `steps` steps.
-fn longest_event(steps: usize, turns: bool) -> u64 {
+fn longest_event_ms(steps: usize, turns: bool) -> u64 {
     let (mut turns_queue, r): (_, ReplicaName) = (PrefillTurns::default(), "i-1".parse().unwrap());
     let mut queue: Vec<(u64, u64)> = Vec::new();
     for number in 0..6 {
@@ -123,27 +125,31 @@
             false => queue.push((number, 9_200)),
         }
     }
-    let (mut now, mut took) = (0, Vec::new());
+    let (mut now, mut step_times) = (0, Vec::new());
     while now < 6_000 {
         queue.extend(
-            numbers(&mut turns_queue, now)
+            granted(&mut turns_queue, now)
                 .into_iter()
                 .map(|n| (n, 9_200)),
         );
-        let mut room = 4_096;
-        while let Some((number, left)) = queue.first_mut().filter(|_| room > 0) {
-            let read = (*left).min(room);
-            (*left, room) = (*left - read, room - read);
-            if *left == 0 {
+        let mut budget = 4_096;
+        while let Some((number, remaining)) = queue.first_mut().filter(|_| budget > 0) {
+            let chunk = (*remaining).min(budget);
+            (*remaining, budget) = (*remaining - chunk, budget - chunk);
+            if *remaining == 0 {
                 turns_queue.finish(at(now), &r, &id(*number));
                 queue.remove(0);
             }
         }
-        let step = 6 + (4_096 - room) / 35;
-        took.push(step);
+        let step = 6 + (4_096 - budget) / 35;
+        step_times.push(step);
         now += step;
     }
-    took.windows(steps).map(|w| w.iter().sum()).max().unwrap()
+    step_times
+        .windows(steps)
+        .map(|w| w.iter().sum())
+        .max()
+        .unwrap()
 }
 
 /// Without turns a burst of long prompts fills all steps of a stream event. Events
@@ -151,12 +157,20 @@
 /// do not.
 #[test]
 fn burst_of_prompts_stalls_streams() {
-    assert!(longest_event(5, false) > 600, "{}", longest_event(5, false));
-    assert!(longest_event(5, true) <= 600, "{}", longest_event(5, true));
     assert!(
-        longest_event(4, false) <= 600,
+        longest_event_ms(5, false) > 600,
         "{}",
-        longest_event(4, false)
+        longest_event_ms(5, false)
+    );
+    assert!(
+        longest_event_ms(5, true) <= 600,
+        "{}",
+        longest_event_ms(5, true)
+    );
+    assert!(
+        longest_event_ms(4, false) <= 600,
+        "{}",
+        longest_event_ms(4, false)
     );
 }
 
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -39,7 +39,7 @@
 };
 
 /// Permitted use beyond the limit: a tenth, plus what three large requests take.
-const ALLOWANCE: Overshoot = Overshoot {
+const OVERSHOOT: Overshoot = Overshoot {
     window: 8.0,
     over: 0.1,
     slack: 300.0,
@@ -51,7 +51,7 @@
 
 /// Creates a lender that has been first in the order until `until` milliseconds.
 fn lender(until: u64) -> Lender {
-    let mut lender = Lender::new(ALLOWANCE);
+    let mut lender = Lender::new(OVERSHOOT);
     for ms in (0..=until).step_by(300) {
         lender.renew(at(ms), 1.0, [(&name(), &LIMIT)].into_iter());
     }
@@ -66,23 +66,23 @@
     assert_eq!(
         lent(9_000, 500.0),
         LendReply::Exhausted(Span::from_millis(500)),
-        "the time at which it fits"
+        "the delay until the limit allows it"
     );
     assert_eq!(lent(9_500, 500.0), LendReply::Lent(500.0));
 }
 
 /// Retry delays are spread, so that callers do not all retry at the same time.
 #[test]
-fn lender_spreads_those_who_come_back() {
+fn lender_spreads_retry_delays() {
     let mut lender = lender(9_000);
-    let mut told = |need| lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
-    told(1_000.0);
-    assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(200)));
-    assert_eq!(told(200.0), LendReply::Exhausted(Span::from_millis(400)));
+    let mut reply = |need| lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
+    reply(1_000.0);
+    assert_eq!(reply(200.0), LendReply::Exhausted(Span::from_millis(200)));
+    assert_eq!(reply(200.0), LendReply::Exhausted(Span::from_millis(400)));
 }
 
 #[test]
-fn lender_request_larger_than_the_bucket_runs_on_debt() {
+fn lender_request_larger_than_the_bucket_leaves_debt() {
     let mut lender = lender(9_000);
     let mut lent = |ms, need| lender.lend(at(ms), &name(), &LIMIT, 1.0, true, ask(need, 0.0));
     assert_eq!(lent(9_000, 1_500.0), LendReply::Lent(1_500.0));
@@ -91,28 +91,28 @@
 }
 
 #[test]
-fn lender_keeps_half_of_the_bucket_for_requests_at_hand() {
+fn lender_reserves_half_of_the_bucket_for_current_requests() {
     let mut lender = lender(9_000);
-    let answer = lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
-    assert_eq!(answer, LendReply::Lent(500.0));
+    let reply = lender.lend(at(9_000), &name(), &LIMIT, 1.0, true, ask(100.0, 900.0));
+    assert_eq!(reply, LendReply::Lent(500.0));
 }
 
 #[test]
-fn lender_lowered_limit_takes_what_is_there() {
+fn lender_lowered_limit_applies_to_tokens_in_the_bucket() {
     let mut lender = lender(9_000);
     let low = RateLimit {
         rate: 100.0,
         burst: 100.0,
         ..LIMIT
     };
-    let answer = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert_eq!(answer, LendReply::Lent(100.0));
-    let answer = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
-    assert!(matches!(answer, LendReply::Exhausted(_)));
+    let reply = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
+    assert_eq!(reply, LendReply::Lent(100.0));
+    let reply = lender.lend(at(9_000), &name(), &low, 1.0, true, ask(100.0, 0.0));
+    assert!(matches!(reply, LendReply::Exhausted(_)));
 }
 
 #[test]
-fn borrower_asks_ahead_where_requests_come_often() {
+fn borrower_borrows_ahead_if_requests_are_frequent() {
     let mut borrower = Borrower::default();
     for i in 0..50 {
         let now = at(i * 20);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn borrower_what_was_lent_ends() {
+fn borrower_lent_tokens_expire() {
     let mut borrower = Borrower::default();
     borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(30.0));
     assert!(matches!(
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn borrower_what_did_not_run_is_used_by_another() {
+fn borrower_refunded_tokens_are_used_again() {
     let mut borrower = Borrower::default();
     assert!(borrower.apply_reply(at(0), &name(), 10.0, LendReply::Lent(10.0)));
     borrower.refund(at(50), &name(), 10.0);
@@ -152,15 +152,15 @@
 }
 
 #[test]
-fn borrower_goes_by_the_lenders_word_for_a_moment() {
+fn borrower_caches_exhausted_reply() {
     let mut borrower = Borrower::default();
     let after = Span::from_millis(700);
     borrower.apply_reply(at(0), &name(), 10.0, LendReply::Exhausted(after));
-    let Spend::Exhausted(told) = borrower.spend(at(50), &name(), 10.0) else {
-        panic!("it asks again at once");
+    let Spend::Exhausted(retry_after) = borrower.spend(at(50), &name(), 10.0) else {
+        panic!("the lender is asked again at once");
     };
-    assert_eq!(told, after);
-    // A smaller one may fit.
+    assert_eq!(retry_after, after);
+    // A smaller request may still be within the limit.
     assert!(matches!(
         borrower.spend(at(50), &name(), 5.0),
         Spend::Ask(_)
@@ -182,14 +182,14 @@
 /// Percentage of datagrams lost in an ordinary scenario.
 const LOSS: u32 = 3;
 
-/// The safeguard that is left out.
+/// A safeguard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Guard {
-    /// Nothing.
+    /// No safeguard is left out.
     None,
     /// A VM lends only the fraction of the rate that matches the VMs it can reach,
     /// and nothing without a majority.
-    Part,
+    Reachable,
     /// A VM that stands in for the first lender lends none of the rate.
     Standby,
     /// Without a lender each VM uses its local share only.
@@ -202,11 +202,11 @@
     members: Members,
     lender: Lender,
     borrower: Borrower,
-    /// Partitioned from all others, down or suspended, until then.
+    /// Until when it is partitioned from all others, down or suspended.
     away_until: u64,
-    /// Whether it serves callers meanwhile.
+    /// Whether it serves callers during that time.
     serves: bool,
-    /// Its side of a partition.
+    /// On which side of a partition it is.
     side: bool,
 }
 
@@ -217,8 +217,9 @@
     loss: u32,
     vms: Vec<Vm>,
     partition_until: u64,
-    /// Use by time: milliseconds, and weight.
+    /// Admitted requests: time in milliseconds, and weight.
     used: Vec<(u64, f64)>,
+    /// Total weight of the refused requests.
     refused: f64,
 }
 
@@ -240,7 +241,7 @@
     /// fails.
     fn run(mut self, times: f64, calm: bool) -> Self {
         let weight = 40.0;
-        let a_ms = times * LIMIT.rate / weight / 1e3;
+        let requests_per_ms = times * LIMIT.rate / weight / 1e3;
         for ms in 0..SCENARIO_MS {
             if !calm {
                 self.inject_faults(ms);
@@ -250,10 +251,10 @@
                     self.send_beacons(ms, i);
                 }
                 if ms.is_multiple_of(300) {
-                    self.keep(ms, i);
+                    self.renew(ms, i);
                 }
             }
-            if ms > 4_000 && self.rng.random_bool(a_ms.min(1.0)) {
+            if ms > 4_000 && self.rng.random_bool(requests_per_ms.min(1.0)) {
                 // Callers are spread unevenly over the VMs.
                 let i = self
                     .rng
@@ -270,14 +271,14 @@
     fn inject_faults(&mut self, ms: u64) {
         if self.partition_until <= ms && self.rng.random_range(0..6_000) == 0 {
             // Up to 45 % are on the other side.
-            let most = VMS * 45 / 100;
-            let count = self.rng.random_range(1..=most);
-            let mut there = BTreeSet::new();
-            while there.len() < count {
-                there.insert(self.rng.random_range(0..VMS));
+            let max = VMS * 45 / 100;
+            let count = self.rng.random_range(1..=max);
+            let mut other_side = BTreeSet::new();
+            while other_side.len() < count {
+                other_side.insert(self.rng.random_range(0..VMS));
             }
             for (i, vm) in self.vms.iter_mut().enumerate() {
-                vm.side = there.contains(&i);
+                vm.side = other_side.contains(&i);
             }
             self.partition_until = ms + self.rng.random_range(500..5_000);
         }
@@ -304,11 +305,13 @@
         }
     }
 
+    /// Returns whether a VM runs and is not partitioned from all others.
     fn is_connected(&self, ms: u64, i: usize) -> bool {
         self.vms[i].away_until <= ms
     }
 
-    fn reach(&self, ms: u64, a: usize, b: usize) -> bool {
+    /// Returns whether datagrams pass between two VMs.
+    fn can_reach(&self, ms: u64, a: usize, b: usize) -> bool {
         let cut = self.partition_until > ms && self.vms[a].side != self.vms[b].side;
         a == b || self.is_connected(ms, a) && self.is_connected(ms, b) && !cut
     }
@@ -323,7 +326,7 @@
         let name = self.vms[from].name.clone();
         for to in 0..VMS {
             let lost = self.rng.random_range(0..100) < self.loss;
-            if to != from && self.reach(ms, from, to) && !lost {
+            if to != from && self.can_reach(ms, from, to) && !lost {
                 let members = &mut self.vms[to].members;
                 members.record_beacon(at(ms), &name, stamp, false);
                 members.set_lends(&name, lends);
@@ -331,64 +334,68 @@
         }
     }
 
-    fn part(&self, ms: u64, i: usize) -> f64 {
+    /// Returns the fraction of the VMs that a VM can reach.
+    fn reachable(&self, ms: u64, i: usize) -> f64 {
         match self.guard {
-            Guard::Part => 1.0,
+            Guard::Reachable => 1.0,
             _ => self.vms[i].members.reachable_fraction(at(ms)),
         }
     }
 
+    /// Returns the lenders that a VM would ask, in their order.
     fn lenders(&self, ms: u64, i: usize) -> Vec<usize> {
         let vm = &self.vms[i];
         let names = vm.members.lenders(at(ms), 7);
         let index = |name: &VmName| self.vms.iter().position(|v| v.name == *name);
         let mut all: Vec<_> = names.into_iter().filter_map(index).collect();
-        if self.guard == Guard::Part && all.is_empty() {
+        if self.guard == Guard::Reachable && all.is_empty() {
             all.push(i);
         }
         all
     }
 
-    fn keep(&mut self, ms: u64, i: usize) {
+    /// Renews the lender of a VM.
+    fn renew(&mut self, ms: u64, i: usize) {
         if self.vms[i].away_until > ms && !self.vms[i].serves {
             return;
         }
-        let part = self.part(ms, i);
+        let reachable = self.reachable(ms, i);
         let lenders = self.lenders(ms, i);
         let first = lenders.first() == Some(&i) || self.guard == Guard::Standby;
-        let kept = [(&name(), &LIMIT)];
-        let kept = kept.into_iter().filter(|_| first);
-        self.vms[i].lender.renew(at(ms), part, kept);
+        let limits = [(&name(), &LIMIT)];
+        let limits = limits.into_iter().filter(|_| first);
+        self.vms[i].lender.renew(at(ms), reachable, limits);
     }
 
     fn request(&mut self, ms: u64, i: usize, weight: f64) {
         let now = at(ms);
-        for place in [0, 0, 1] {
+        for rank in [0, 0, 1] {
             let need = match self.vms[i].borrower.spend(now, &name(), weight) {
                 Spend::Spent => return self.used.push((ms, weight)),
                 Spend::Exhausted(_) => return self.refused += weight,
                 Spend::Ask(need) => need,
             };
-            let Some(lender) = self.lenders(ms, i).get(place).copied() else {
+            let Some(lender) = self.lenders(ms, i).get(rank).copied() else {
                 continue;
             };
             let lost = self.rng.random_range(0..100) < self.loss;
-            let its_place = self.lenders(ms, lender).iter().position(|l| *l == lender);
-            let (true, Some(its_place), false) = (self.reach(ms, i, lender), its_place, lost)
+            let lender_rank = self.lenders(ms, lender).iter().position(|l| *l == lender);
+            let (true, Some(lender_rank), false) =
+                (self.can_reach(ms, i, lender), lender_rank, lost)
             else {
                 continue;
             };
-            let part = self.part(ms, lender);
-            let first = its_place == 0 || self.guard == Guard::Standby;
-            let lent = &mut self.vms[lender].lender;
-            let answer = lent.lend(now, &name(), &LIMIT, part, first, need);
+            let reachable = self.reachable(ms, lender);
+            let first = lender_rank == 0 || self.guard == Guard::Standby;
+            let lending = &mut self.vms[lender].lender;
+            let reply = lending.lend(now, &name(), &LIMIT, reachable, first, need);
             if self.vms[i]
                 .borrower
-                .apply_reply(now, &name(), weight, answer)
+                .apply_reply(now, &name(), weight, reply)
             {
                 return self.used.push((ms, weight));
             }
-            if matches!(answer, LendReply::Exhausted(_)) {
+            if matches!(reply, LendReply::Exhausted(_)) {
                 return self.refused += weight;
             }
         }
@@ -407,19 +414,19 @@
 
     /// Returns the maximum use in any window minus the permitted use.
     fn excess(&self) -> f64 {
-        let a = ALLOWANCE;
-        let allowed = (LIMIT.rate * a.window + LIMIT.burst) * (1.0 + a.over) + a.slack;
-        let window = (a.window * 1e3) as u64;
-        let (mut first, mut sum, mut most) = (0, 0.0, 0.0_f64);
+        let o = OVERSHOOT;
+        let allowed = (LIMIT.rate * o.window + LIMIT.burst) * (1.0 + o.over) + o.slack;
+        let window = (o.window * 1e3) as u64;
+        let (mut first, mut sum, mut max) = (0, 0.0, 0.0_f64);
         for (ms, weight) in &self.used {
             sum += weight;
             while self.used[first].0 + window < *ms {
                 sum -= self.used[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            max = max.max(sum);
         }
-        most - allowed
+        max - allowed
     }
 }
 
@@ -433,7 +440,7 @@
         name: name(i),
         incarnation,
         members,
-        lender: Lender::new(ALLOWANCE),
+        lender: Lender::new(OVERSHOOT),
         borrower: Borrower::default(),
         away_until: 0,
         serves: false,
@@ -443,8 +450,8 @@
 
 /// Returns the number of scenarios; `SEARCH_SEEDS` sets more for manual runs.
 fn seeds() -> u64 {
-    let asked = std::env::var("SEARCH_SEEDS").ok();
-    asked.and_then(|n| n.parse().ok()).unwrap_or(40)
+    let count = std::env::var("SEARCH_SEEDS").ok();
+    count.and_then(|n| n.parse().ok()).unwrap_or(40)
 }
 
 /// Returns the maximum excess over all seeds, and its seed.
@@ -463,28 +470,31 @@
 #[rstest]
 #[case::some_datagrams_lost(LOSS, 1)]
 #[case::many_datagrams_lost(30, 4)]
-fn quota_search_stays_within_the_limit(#[case] loss: u32, #[case] fewer: u64) {
-    let (excess, seed) = worst(seeds() / fewer, Guard::None, loss);
+fn quota_search_stays_within_the_limit(#[case] loss: u32, #[case] divisor: u64) {
+    let (excess, seed) = worst(seeds() / divisor, Guard::None, loss);
     assert!(excess <= 0.0, "seed {seed}: {excess} beyond the limit");
 }
 
 #[rstest]
-#[case::part_heard(Guard::Part, LOSS)]
+#[case::reachable(Guard::Reachable, LOSS)]
 #[case::standby(Guard::Standby, 30)]
-#[case::own_part(Guard::LocalShare, LOSS)]
-fn quota_search_without_guard(#[case] guard: Guard, #[case] loss: u32) {
+#[case::local_share(Guard::LocalShare, LOSS)]
+fn quota_search_exceeds_the_limit_without_guard(#[case] guard: Guard, #[case] loss: u32) {
     let breaks = |seed| Scenario::new(seed, guard, loss).run(8.0, false).excess() > 0.0;
-    assert!((0..200).any(breaks), "{guard:?} is not missed");
+    assert!(
+        (0..200).any(breaks),
+        "no scenario exceeds the limit without {guard:?}"
+    );
 }
 
-/// Without failures an organisation that uses half of its limit gets everything,
-/// and one that sends several times its limit gets nearly all of the limit.
+/// Without failures an organisation that uses about half of its limit is refused
+/// nothing, and one that sends four times its limit gets nearly all of the limit.
 #[rstest]
 #[case::below(0.55, 0.0, 0.001)]
 #[case::far_above(4.0, 0.74, 0.80)]
-fn quota_calm_day_refuses(#[case] times: f64, #[case] least: f64, #[case] most: f64) {
+fn quota_refused_fraction_without_failures(#[case] times: f64, #[case] min: f64, #[case] max: f64) {
     let scenario = Scenario::new(5, Guard::None, LOSS).run(times, true);
     let used: f64 = scenario.used.iter().map(|(_, w)| w).sum();
-    let part = scenario.refused / (used + scenario.refused);
-    assert!((least..=most).contains(&part), "{part} refused");
+    let fraction = scenario.refused / (used + scenario.refused);
+    assert!((min..=max).contains(&fraction), "{fraction} refused");
 }
--- a/lib/tests/test_serving_reservations.rs
+++ b/lib/tests/test_serving_reservations.rs
@@ -24,7 +24,7 @@
 /// 200 VMs with a report that a replica is idle all choose it at the same time:
 /// one gets the reservation, the others must look elsewhere.
 #[test]
-fn herd_is_stopped_at_the_first() {
+fn herd_gets_one_reservation() {
     let mut reservations = Reservations::default();
     let grants = (0..200).filter(|_| {
         let idle = Load::default();
@@ -36,13 +36,13 @@
 /// A sender that knows the replica's actual load may send to it: it has no better
 /// choice.
 #[test]
-fn informed_choice_is_granted() {
+fn sender_with_current_load_is_granted() {
     let mut reservations = Reservations::default();
-    let believed = PROMPT.busy_ms();
-    assert!(reservations.try_reserve(at(0), &replica(), PROMPT, believed, PROMPT));
-    assert!(!reservations.try_reserve(at(0), &replica(), PROMPT, believed, PROMPT));
-    let believed = PROMPT.plus(PROMPT).busy_ms();
-    assert!(reservations.try_reserve(at(0), &replica(), PROMPT, believed, PROMPT));
+    let assumed_ms = PROMPT.busy_ms();
+    assert!(reservations.try_reserve(at(0), &replica(), PROMPT, assumed_ms, PROMPT));
+    assert!(!reservations.try_reserve(at(0), &replica(), PROMPT, assumed_ms, PROMPT));
+    let assumed_ms = PROMPT.plus(PROMPT).busy_ms();
+    assert!(reservations.try_reserve(at(0), &replica(), PROMPT, assumed_ms, PROMPT));
 }
 
 /// A reservation counts until its VM has reported the request itself.
--- a/lib/tests/test_serving_retry_budget.rs
+++ b/lib/tests/test_serving_retry_budget.rs
@@ -26,7 +26,7 @@
 /// Every request of ten VMs fails for half a minute: the retries of all VMs stay
 /// within the limits in every window.
 #[test]
-fn budget_holds_over_all_vms() {
+fn retries_stay_within_budget_over_all_vms() {
     let service: ServiceName = "llm".parse().unwrap();
     let mut vms: Vec<_> = (0..10).map(|_| RetryBudget::new(LIMITS)).collect();
     let mut retries = Vec::new();
@@ -56,7 +56,7 @@
 #[rstest]
 #[case::not_sent(AttemptFailure::NotSent, 503)]
 #[case::broken(AttemptFailure::Broken, 502)]
-#[case::overdue(AttemptFailure::TimedOut, 504)]
+#[case::timed_out(AttemptFailure::TimedOut, 504)]
 fn refusal_status_by_failure(#[case] failure: AttemptFailure, #[case] status: u16) {
     let mut attempts = Attempts::default();
     attempts.record(failure);
@@ -66,7 +66,7 @@
 /// The request may have run in an earlier attempt, whatever the last one was
 /// refused for.
 #[test]
-fn refusal_after_a_run_promises_nothing() {
+fn refusal_after_a_possible_run_is_not_retryable() {
     let mut attempts = Attempts::default();
     attempts.record(AttemptFailure::Broken);
     attempts.record(AttemptFailure::NotSent);
@@ -81,20 +81,13 @@
     }
 }
 
-/// A replica that restarts under its name is crashed three times.
+/// Three crashes of one replica, which restarts under the same name, count as three.
 #[test]
 fn poison_after_three_crashes_of_one_replica() {
     let mut tracker = CrashTracker::default();
-    for born in 1..=3 {
+    for started_ms in 1..=3 {
         let name = "i-1".parse().unwrap();
-        tracker.record(
-            at(0),
-            Fingerprint(1),
-            &Instance {
-                name,
-                started_ms: born,
-            },
-        );
+        tracker.record(at(0), Fingerprint(1), &Instance { name, started_ms });
     }
     assert!(tracker.is_poison(at(0), Fingerprint(1), |r| r.started_ms < 4));
     assert!(!tracker.is_poison(at(0), Fingerprint(1), |r| r.started_ms < 3));
@@ -129,7 +122,7 @@
         recent.iter().map(|(f, _)| f.0).collect()
     };
     assert_eq!(reported(&tracker), [2]);
-    // A report of an own record by another VM changes neither owner nor age.
+    // A report by another VM of a crash that this VM saw does not change its record.
     tracker.record_remote(at(9), Fingerprint(2), &replica);
     assert_eq!(reported(&tracker), [2]);
     assert!(tracker.recent(at(10), Span::from_millis(5)).is_empty());
@@ -147,7 +140,7 @@
     assert_eq!(reported[0].0, Fingerprint(999));
 }
 
-/// Crashes that other VMs saw count as much.
+/// Crashes that other VMs saw count like those that this VM saw.
 #[test]
 fn remote_crashes_count() {
     let mut tracker = CrashTracker::default();
