--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -86,7 +86,7 @@
 /// Returns the incarnation named by a response of wrong identity; 0 if none.
 pub fn seen_incarnation(failure: &Failure) -> u64 {
     match failure {
-        Failure::Run(RunError::WrongIdentity { seen, .. }) => *seen,
+        Failure::Run(RunError::WrongIdentity { incarnation, .. }) => *incarnation,
         _ => 0,
     }
 }
--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -266,7 +266,7 @@
                 Source::Closed => return Poll::Ready(Ok(None)),
                 Source::Draining(response) => {
                     // Data after `[DONE]` is not passed on.
-                    if matches!(ready!(response.poll_data(cx)), None | Some(Err(_))) {
+                    if matches!(ready!(response.poll_chunk(cx)), None | Some(Err(_))) {
                         self.source = Source::Closed;
                     }
                     continue;
@@ -278,7 +278,7 @@
                     }
                     Err(e) => self.resume_error(e),
                 },
-                Source::Open(response) => match ready!(response.poll_data(cx)) {
+                Source::Open(response) => match ready!(response.poll_chunk(cx)) {
                     Some(Ok(chunk)) => match self.check(chunk) {
                         Ok(Some(batch)) => return Poll::Ready(Ok(Some(batch))),
                         Ok(None) => continue,
@@ -334,7 +334,7 @@
         match fault {
             StreamFault::Identity(what) => RunError::WrongIdentity {
                 what,
-                seen: self.expected.incarnation,
+                incarnation: self.expected.incarnation,
             },
             StreamFault::Malformed(text) => self.broken_error(text),
         }
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -138,12 +138,12 @@
                         .unwrap_or(self.routed.route.objective);
                     let check_at = tokio::time::Instant::now() + gap * GAPS_BEFORE_CHECK;
                     let wake_at = to_instant(self.request.deadline).min(check_at);
-                    tokio::time::timeout_at(wake_at, started.answer.data()).await
+                    tokio::time::timeout_at(wake_at, started.answer.next_chunk()).await
                 }
                 _ => {
                     tokio::time::timeout_at(
                         to_instant(self.request.deadline),
-                        started.answer.data(),
+                        started.answer.next_chunk(),
                     )
                     .await
                 }
--- a/lib/src/upstream/body.rs
+++ b/lib/src/upstream/body.rs
@@ -1,4 +1,5 @@
-//! A request body made of views, so that a changed field copies nothing else.
+//! A request body made of several buffers, so that replacing a field copies nothing
+//! else.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -11,7 +12,7 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-/// A body of known length in several views.
+/// A body of known length in several buffers.
 ///
 /// ```
 /// use banyangauge::upstream::BodyChunks;
@@ -20,25 +21,25 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct BodyChunks {
-    parts: VecDeque<Bytes>,
+    chunks: VecDeque<Bytes>,
 }
 
 impl BodyChunks {
-    /// Joins views without copying them; empty ones are left out.
-    pub fn new(parts: impl IntoIterator<Item = Bytes>) -> Self {
+    /// Joins buffers without copying them; empty ones are left out.
+    pub fn new(chunks: impl IntoIterator<Item = Bytes>) -> Self {
         Self {
-            parts: parts.into_iter().filter(|p| !p.is_empty()).collect(),
+            chunks: chunks.into_iter().filter(|c| !c.is_empty()).collect(),
         }
     }
 
-    /// Bytes in all views.
+    /// Returns the length of the body, in bytes.
     pub fn len(&self) -> usize {
-        self.parts.iter().map(Bytes::len).sum()
+        self.chunks.iter().map(Bytes::len).sum()
     }
 
-    /// Whether there is nothing to send.
+    /// Returns whether no bytes are left to send.
     pub fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.chunks.is_empty()
     }
 }
 
@@ -56,11 +57,11 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        Poll::Ready(self.parts.pop_front().map(|p| Ok(Frame::data(p))))
+        Poll::Ready(self.chunks.pop_front().map(|c| Ok(Frame::data(c))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.parts.is_empty()
+        self.chunks.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -1,8 +1,8 @@
-//! Connections to upstreams, kept for reuse.
+//! A pool of connections to upstreams.
 //!
-//! The client of `hyper-util` sends a request again by itself, or hides
-//! whether a stale connection took it. This one gives the request back when
-//! not a byte of it was sent, which is what "not run" rests on.
+//! The client of `hyper-util` may send a request again by itself, and does not report
+//! whether a stale connection has sent it. This pool returns the request if no byte
+//! of it was sent, which is the basis of every "not run".
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,42 +27,42 @@
 
 use super::BodyChunks;
 
-/// The longest wait for a connection; upstreams are about a millisecond away.
+/// Timeout of a connection attempt; upstreams are about a millisecond away.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection unused for longer is closed: upstreams close theirs after
-/// some tens of seconds, and a stale one costs a try.
+/// Time after which an idle connection is closed. Upstreams close idle connections
+/// after some tens of seconds, and using a stale one costs an attempt.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An upstream that names the time for which it keeps an idle connection
-/// closes it around then; a request sent so shortly before may get lost.
+/// Margin before the idle time that an upstream names in `Keep-Alive`. A request
+/// sent shortly before the upstream closes the connection may be lost.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Idle connections an upstream; an engine's batch is a few dozen.
-const MAX_IDLE: usize = 128;
+/// Maximum idle connections per upstream; an engine's batch is a few dozen requests.
+const MAX_IDLE_PER_UPSTREAM: usize = 128;
 
-/// Why a request got no answer.
+/// Error of a request that got no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// Not a byte was sent.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// Something may have been sent.
+    /// The request may have been sent.
     Broken(String),
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<BodyChunks>,
-    until: Instant,
+    expires_at: Instant,
 }
 
-type Shelf = Arc<Mutex<BTreeMap<SocketAddr, Vec<Idle>>>>;
+type IdleConnections = Arc<Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>>;
 
 /// Connections to all upstreams; clones share them.
 #[derive(Clone)]
 pub struct Upstreams {
-    idle: Shelf,
-    connect: Duration,
-    keep: Duration,
+    idle: IdleConnections,
+    connect_timeout: Duration,
+    default_idle_time: Duration,
 }
 
 impl Default for Upstreams {
@@ -72,44 +72,44 @@
 }
 
 impl Upstreams {
-    /// No connections yet.
+    /// Returns a pool without connections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// No connections yet; one is waited for as long as `connect`, and kept
-    /// unused as long as the upstream says, or `keep` where it says nothing.
-    pub fn with_timeouts(connect: Duration, keep: Duration) -> Self {
+    /// Returns a pool without connections. An idle connection is kept for the time that
+    /// its upstream names, or for `default_idle_time` if it names none.
+    pub fn with_timeouts(connect_timeout: Duration, default_idle_time: Duration) -> Self {
         Self {
-            idle: Shelf::default(),
-            connect,
-            keep,
+            idle: IdleConnections::default(),
+            connect_timeout,
+            default_idle_time,
         }
     }
 
-    /// Sends a request once and waits for the head of its answer.
+    /// Sends a request once and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// [`SendError::NotSent`] when the upstream provably got nothing.
+    /// [`SendError::NotSent`] only if the upstream has received no byte of the request.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut request: Request<BodyChunks>,
     ) -> Result<UpstreamResponse, SendError> {
-        while let Some(sender) = self.take(address) {
+        while let Some(sender) = self.take_idle(address) {
             match self.send_on(address, sender, request).await {
-                Ok(answer) => return Ok(answer),
-                Err((Some(back), _)) => request = back,
+                Ok(response) => return Ok(response),
+                Err((Some(unsent), _)) => request = unsent,
                 Err((None, e)) => return Err(SendError::Broken(e)),
             }
         }
-        let sender = connect(address, self.connect)
+        let sender = connect(address, self.connect_timeout)
             .await
             .map_err(SendError::NotSent)?;
         self.send_on(address, sender, request)
             .await
-            .map_err(|(back, e)| match back {
+            .map_err(|(unsent, e)| match unsent {
                 Some(_) => SendError::NotSent(e),
                 None => SendError::Broken(e),
             })
@@ -124,39 +124,39 @@
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, body) = response.into_parts();
-                let kept = Kept {
+                let connection = PooledConnection {
                     sender,
                     address,
-                    shelf: self.idle.clone(),
-                    time: idle_time(&head).unwrap_or(self.keep),
+                    idle: self.idle.clone(),
+                    idle_time: idle_time(&head).unwrap_or(self.default_idle_time),
                 };
                 Ok(UpstreamResponse {
                     head,
                     body,
-                    kept: Some(kept),
+                    connection: Some(connection),
                 })
             }
             Err(mut e) => {
-                let back = e.take_message();
-                Err((back, e.into_error().to_string()))
+                let unsent = e.take_message();
+                Err((unsent, e.into_error().to_string()))
             }
         }
     }
 
-    /// The connection that was used last; the others age, and go.
-    fn take(&self, address: SocketAddr) -> Option<SendRequest<BodyChunks>> {
+    /// Takes the most recently used idle connection, so that surplus ones expire.
+    fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<BodyChunks>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = idle.get_mut(&address)?;
         let now = Instant::now();
-        list.retain(|i| i.until > now);
-        // One that has just been given back may not be ready yet.
-        let at = list.iter().rposition(|i| i.sender.is_ready())?;
-        Some(list.remove(at).sender)
+        list.retain(|i| i.expires_at > now);
+        // A connection that was just returned may not be ready yet.
+        let index = list.iter().rposition(|i| i.sender.is_ready())?;
+        Some(list.remove(index).sender)
     }
 }
 
-/// How long the upstream keeps the connection, less the time in which it may
-/// close it while a request is on its way.
+/// Returns how long the connection may be reused: the idle time in the response's
+/// `Keep-Alive` header less `CLOSE_MARGIN`; `None` if it names none.
 fn idle_time(head: &response::Parts) -> Option<Duration> {
     let value = head.headers.get("keep-alive")?.to_str().ok()?;
     let mut fields = value.split(',').map(str::trim);
@@ -167,60 +167,63 @@
 
 async fn connect(
     address: SocketAddr,
-    longest: Duration,
+    timeout: Duration,
 ) -> Result<SendRequest<BodyChunks>, String> {
     let work = async {
         let stream = TcpStream::connect(address).await.map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(text)?;
-        // An error of the connection reaches the request that runs on it.
+        // Errors of the connection are returned to the request that uses it.
         tokio::spawn(async move { connection.await.ok() });
         sender.ready().await.map_err(text)?;
         Ok(sender)
     };
-    tokio::time::timeout(longest, work)
+    tokio::time::timeout(timeout, work)
         .await
-        .unwrap_or_else(|_| Err("no connection in time".to_owned()))
+        .unwrap_or_else(|_| Err(format!("no connection within {timeout:?}")))
 }
 
 fn text(e: impl std::fmt::Display) -> String {
     e.to_string()
 }
 
-/// The head of an answer, with its body still to come. Dropping it before its
-/// end closes the connection.
+/// A response whose head was read. The connection returns to the pool once the body
+/// is read to its end; dropping the response before closes the connection.
 pub struct UpstreamResponse {
     /// Status and headers.
     pub head: response::Parts,
     body: Incoming,
-    kept: Option<Kept>,
+    connection: Option<PooledConnection>,
 }
 
-/// A connection that goes back to the shelf after the answer's end.
-struct Kept {
+/// A connection that returns to the pool at the end of a response.
+struct PooledConnection {
     sender: SendRequest<BodyChunks>,
     address: SocketAddr,
-    shelf: Shelf,
-    time: Duration,
+    idle: IdleConnections,
+    idle_time: Duration,
 }
 
 impl UpstreamResponse {
-    /// The next piece of the body; `None` at its proper end.
-    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, hyper::Error>>> {
+    /// Polls the next chunk of the body; `None` at its end.
+    pub fn poll_chunk(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, hyper::Error>>> {
         loop {
             let frame = ready!(std::pin::Pin::new(&mut self.body).poll_frame(cx));
             match frame {
                 None => {
-                    self.keep();
+                    self.return_connection();
                     return Poll::Ready(None);
                 }
                 Some(Err(e)) => {
-                    self.kept = None;
+                    self.connection = None;
                     return Poll::Ready(Some(Err(e)));
                 }
                 Some(Ok(frame)) => {
-                    // Trailers carry nothing of ours.
+                    // Trailers are ignored.
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(Ok(data)));
                     }
@@ -229,30 +232,33 @@
         }
     }
 
-    /// The next piece of the body; `None` at its proper end.
+    /// Returns the next chunk of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// When the connection broke before the end.
-    pub async fn data(&mut self) -> Option<Result<Bytes, hyper::Error>> {
-        std::future::poll_fn(|cx| self.poll_data(cx)).await
+    /// If the connection broke before the end.
+    pub async fn next_chunk(&mut self) -> Option<Result<Bytes, hyper::Error>> {
+        std::future::poll_fn(|cx| self.poll_chunk(cx)).await
     }
 
-    /// The value of a header, if it is readable text.
+    /// Returns the value of a header if it is visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
 
-    fn keep(&mut self) {
-        let Some(kept) = self.kept.take() else {
+    fn return_connection(&mut self) {
+        let Some(connection) = self.connection.take() else {
             return;
         };
-        let mut idle = kept.shelf.lock().unwrap_or_else(PoisonError::into_inner);
-        let list = idle.entry(kept.address).or_default();
-        if list.len() < MAX_IDLE && !kept.sender.is_closed() {
-            list.push(Idle {
-                sender: kept.sender,
-                until: Instant::now() + kept.time,
+        let mut idle = connection
+            .idle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let list = idle.entry(connection.address).or_default();
+        if list.len() < MAX_IDLE_PER_UPSTREAM && !connection.sender.is_closed() {
+            list.push(IdleConnection {
+                sender: connection.sender,
+                expires_at: Instant::now() + connection.idle_time,
             });
         }
     }
--- a/lib/src/upstream/errors.rs
+++ b/lib/src/upstream/errors.rs
@@ -1,52 +1,58 @@
-//! What can go wrong with a dispatch, by what it says about "did it run".
+//! Errors of a dispatch. The variants differ in whether the request may have run.
 
 use std::fmt;
 
-/// Why an upstream does not run a request now.
+/// Reason why an upstream refuses a request for now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Unready {
     /// The adapter version is not loaded.
     NotLoaded,
-    /// The engine is full.
+    /// The engine is at capacity.
     Full,
-    /// The upstream is leaving.
+    /// The upstream is shutting down.
     Leaving,
 }
 
-/// Why there is no answer to pass on.
+/// Error of a dispatch, in place of a response to pass on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RunError {
-    /// Not a byte of the request was sent: it did not run.
+    /// No byte of the request was sent, so it did not run.
     NotSent(String),
-    /// The upstream refused it before running it.
+    /// The upstream refused the request without running it.
     Unready(Unready),
-    /// The upstream says that the request itself is wrong; it did not run.
+    /// The upstream rejected the request as invalid, with this status and error code;
+    /// it did not run.
     Rejected(u16, String),
-    /// The connection broke, or the answer is malformed or a failure, before
-    /// anything of it was read: the request may have run.
+    /// The connection broke, or the response is malformed or a failure, before any
+    /// part of it was read. The request may have run.
     BrokenEarly(String),
-    /// The same, after a part of the answer was read.
+    /// The same after a part of the response was read. The request may have run.
     BrokenLate(String),
-    /// The answer is another request's, adapter's, version's or incarnation's.
+    /// The response belongs to another request, model or incarnation.
     WrongIdentity {
-        /// What differs.
+        /// The part of the identity that differs.
         what: &'static str,
-        /// The incarnation that the answer told; 0 is not known.
-        seen: u64,
+        /// Incarnation named by the response; 0 if not known.
+        incarnation: u64,
     },
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(e) => write!(f, "the upstream could not be reached: {e}"),
-            Self::Unready(Unready::NotLoaded) => write!(f, "the adapter is not loaded"),
-            Self::Unready(Unready::Full) => write!(f, "the upstream is full"),
-            Self::Unready(Unready::Leaving) => write!(f, "the upstream is leaving"),
-            Self::Rejected(status, e) => write!(f, "the upstream answered {status}: {e}"),
-            Self::BrokenEarly(e) => write!(f, "no answer came: {e}"),
-            Self::BrokenLate(e) => write!(f, "the answer broke off: {e}"),
-            Self::WrongIdentity { what, .. } => write!(f, "the answer has another {what}"),
+            Self::NotSent(e) => write!(f, "the request was not sent to the upstream: {e}"),
+            Self::Unready(Unready::NotLoaded) => {
+                write!(f, "the adapter is not loaded on the upstream")
+            }
+            Self::Unready(Unready::Full) => write!(f, "the upstream is at capacity"),
+            Self::Unready(Unready::Leaving) => write!(f, "the upstream is shutting down"),
+            Self::Rejected(status, e) => write!(
+                f,
+                "the upstream rejected the request with status {status}: {e}"
+            ),
+            Self::BrokenEarly(e) => write!(f, "the upstream failed before its response: {e}"),
+            Self::BrokenLate(e) => write!(f, "the response is incomplete or malformed: {e}"),
+            Self::WrongIdentity { what, .. } => write!(f, "the response has the wrong {what}"),
         }
     }
 }
--- a/lib/src/upstream/mod.rs
+++ b/lib/src/upstream/mod.rs
@@ -1,4 +1,8 @@
-//! The border to the upstreams: model engines and plain services.
+//! Client side of the upstreams: model engines and services.
+//!
+//! `connections` sends requests over reused connections, `run` and `sse` check that a
+//! response is complete and belongs to its request, `orders` and `report` are the
+//! control calls to engines.
 
 mod body;
 mod connections;
--- a/lib/src/upstream/run.rs
+++ b/lib/src/upstream/run.rs
@@ -1,4 +1,4 @@
-//! One run of a request on an upstream, and the check of whose answer it is.
+//! Sends a request to an upstream and checks the identity of the response.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 use super::UpstreamResponse;
 use super::Upstreams;
 
-/// The longest error body that is read for its code.
-const MAX_ERROR: usize = 16 << 10;
+/// Maximum size of an error body that is read for its code.
+const MAX_ERROR_BYTES: usize = 16 << 10;
 
-/// What an answer must name to be passed on.
+/// Identity that a response must have to be passed on.
 #[derive(Clone, Debug)]
 pub struct ExpectedIdentity {
-    /// The request's id.
+    /// Identifier of the request.
     pub request: String,
-    /// `adapter@version`; empty for a plain service.
+    /// `adapter@version`; empty for a service.
     pub model: String,
-    /// The engine's incarnation by the grant; 0 is not known.
+    /// Incarnation of the engine, from the grant; 0 if not known.
     pub incarnation: u64,
 }
 
-/// Tokens by the upstream's own count.
+/// Number of tokens, as counted by the upstream.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 pub struct TokenUsage {
-    /// In the prompt.
+    /// Tokens in the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// In the answer.
+    /// Generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
 }
@@ -53,18 +53,19 @@
     error: ErrorCode<'a>,
 }
 
-/// Sends a request and checks the head of its answer.
+/// Sends a request and checks the head of its response.
 ///
 /// # Errors
 ///
-/// See [`RunError`]; only its first three mean that the request did not run.
+/// See [`RunError`]; only `NotSent`, `Unready` and `Rejected` mean that the request
+/// did not run.
 pub async fn run(
     upstreams: &Upstreams,
     address: SocketAddr,
     request: Request<BodyChunks>,
     expected: &ExpectedIdentity,
 ) -> Result<UpstreamResponse, RunError> {
-    let answer = upstreams
+    let response = upstreams
         .send(address, request)
         .await
         .map_err(|e| match e {
@@ -72,79 +73,82 @@
             SendError::Broken(e) => RunError::BrokenEarly(e),
         })?;
     match expected.model.is_empty() {
-        true => check_service(answer, expected).await,
-        false => check_engine(answer, expected).await,
+        true => check_service(response, expected).await,
+        false => check_engine(response, expected).await,
     }
 }
 
 async fn check_engine(
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
     expected: &ExpectedIdentity,
 ) -> Result<UpstreamResponse, RunError> {
-    let status = answer.head.status.as_u16();
+    let status = response.head.status.as_u16();
     if status != 200 {
-        return Err(refused(status, answer).await);
+        return Err(error_from_body(status, response).await);
     }
-    check_head(&answer, expected)?;
-    Ok(answer)
+    check_head(&response, expected)?;
+    Ok(response)
 }
 
 async fn check_service(
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
     expected: &ExpectedIdentity,
 ) -> Result<UpstreamResponse, RunError> {
-    // A leaving service says so with the code; any other failure is its answer.
-    let status = answer.head.status.as_u16();
-    if status == 503 && answer.header("x-request-id").is_none() {
-        return Err(refused(status, answer).await);
+    // A service that is shutting down sends a 503 with an error code. Other failures
+    // are responses of the service and are passed on.
+    let status = response.head.status.as_u16();
+    if status == 503 && response.header("x-request-id").is_none() {
+        return Err(error_from_body(status, response).await);
     }
-    check_request(&answer, expected, 0)?;
-    Ok(answer)
+    check_request(&response, expected, 0)?;
+    Ok(response)
 }
 
-/// The engine's incarnation by its answer; 0 when it tells none.
-pub fn incarnation(answer: &UpstreamResponse) -> u64 {
-    answer
+/// Returns the incarnation that a response names; 0 if it names none.
+pub fn incarnation(response: &UpstreamResponse) -> u64 {
+    response
         .header("x-engine-incarnation")
         .and_then(|v| v.parse().ok())
         .unwrap_or(0)
 }
 
-fn check_head(answer: &UpstreamResponse, expected: &ExpectedIdentity) -> Result<(), RunError> {
-    let seen = incarnation(answer);
-    check_request(answer, expected, seen)?;
-    let wrong = |what| Err(RunError::WrongIdentity { what, seen });
-    if answer.header("x-served-model") != Some(expected.model.as_str()) {
+fn check_head(response: &UpstreamResponse, expected: &ExpectedIdentity) -> Result<(), RunError> {
+    let incarnation = incarnation(response);
+    check_request(response, expected, incarnation)?;
+    let wrong = |what| Err(RunError::WrongIdentity { what, incarnation });
+    if response.header("x-served-model") != Some(expected.model.as_str()) {
         return wrong("model");
     }
-    if seen == 0 || (expected.incarnation != 0 && seen != expected.incarnation) {
+    if incarnation == 0 || (expected.incarnation != 0 && incarnation != expected.incarnation) {
         return wrong("incarnation");
     }
     Ok(())
 }
 
 fn check_request(
-    answer: &UpstreamResponse,
+    response: &UpstreamResponse,
     expected: &ExpectedIdentity,
-    seen: u64,
+    incarnation: u64,
 ) -> Result<(), RunError> {
-    match answer.header("x-request-id") == Some(expected.request.as_str()) {
+    match response.header("x-request-id") == Some(expected.request.as_str()) {
         true => Ok(()),
         false => Err(RunError::WrongIdentity {
             what: "request",
-            seen,
+            incarnation,
         }),
     }
 }
 
-async fn refused(status: u16, mut answer: UpstreamResponse) -> RunError {
-    let body = read_body(&mut answer, MAX_ERROR).await.unwrap_or_default();
+async fn error_from_body(status: u16, mut response: UpstreamResponse) -> RunError {
+    let body = read_body(&mut response, MAX_ERROR_BYTES)
+        .await
+        .unwrap_or_default();
     let code = serde_json::from_slice::<ErrorBody<'_>>(&body)
         .map(|b| b.error.code.into_owned())
         .unwrap_or_default();
     match (status, code.as_str()) {
-        // Only the published codes say "not run": a bare 503 may come from
-        // anything on the way, after the request ran.
+        // Only the published codes mean that the request did not run. A 503 without
+        // a code may come from an intermediary after the request ran.
         (404, "model_not_found") => RunError::Unready(Unready::NotLoaded),
         (429, "engine_full") => RunError::Unready(Unready::Full),
         (503, "draining") => RunError::Unready(Unready::Leaving),
@@ -153,33 +157,38 @@
     }
 }
 
-/// Reads a whole body of at most `most` bytes.
+/// Reads a body of at most `max_bytes` bytes to its end.
 ///
 /// # Errors
 ///
-/// [`RunError::BrokenEarly`] or [`RunError::BrokenLate`] when it broke off or
-/// is longer.
-pub async fn read_body(answer: &mut UpstreamResponse, most: usize) -> Result<Bytes, RunError> {
+/// [`RunError::BrokenEarly`] or [`RunError::BrokenLate`] if the connection broke or
+/// the body is longer.
+pub async fn read_body(
+    response: &mut UpstreamResponse,
+    max_bytes: usize,
+) -> Result<Bytes, RunError> {
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
-    while let Some(piece) = answer.data().await {
+    while let Some(chunk) = response.next_chunk().await {
         let read = first.len() + rest.len();
-        let piece = piece.map_err(|e| match read {
+        let chunk = chunk.map_err(|e| match read {
             0 => RunError::BrokenEarly(e.to_string()),
             _ => RunError::BrokenLate(e.to_string()),
         })?;
-        if read + piece.len() > most {
-            return Err(RunError::BrokenLate("the answer is too long".to_owned()));
+        if read + chunk.len() > max_bytes {
+            return Err(RunError::BrokenLate(format!(
+                "the body is longer than {max_bytes} bytes"
+            )));
         }
-        // Most answers come in one piece, which needs no copy.
+        // Most bodies come in one chunk, which needs no copy.
         match first.is_empty() && rest.is_empty() {
-            true => first = piece,
+            true => first = chunk,
             false => {
                 if rest.is_empty() {
                     rest.extend_from_slice(&first);
                     first = Bytes::new();
                 }
-                rest.extend_from_slice(&piece);
+                rest.extend_from_slice(&chunk);
             }
         }
     }
@@ -190,7 +199,7 @@
 }
 
 #[derive(Deserialize)]
-struct Whole<'a> {
+struct CompletionBody<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
     #[serde(borrow)]
@@ -204,7 +213,7 @@
     finish_reason: Option<serde::de::IgnoredAny>,
 }
 
-/// Checks that a whole answer of an engine is complete and the expected one.
+/// Checks that an engine's response body is complete and has the expected identity.
 ///
 /// ```
 /// use banyangauge::upstream::{ExpectedIdentity, check_completion};
@@ -217,38 +226,40 @@
 ///
 /// # Errors
 ///
-/// [`RunError::BrokenLate`] when it is not complete JSON of the published
-/// form, [`RunError::WrongIdentity`] when it is another's.
+/// [`RunError::BrokenLate`] if the body is not complete JSON of the published format,
+/// [`RunError::WrongIdentity`] if it belongs to another request or model.
 pub fn check_completion(body: &[u8], expected: &ExpectedIdentity) -> Result<TokenUsage, RunError> {
-    let whole: Whole<'_> =
+    let completion: CompletionBody<'_> =
         serde_json::from_slice(body).map_err(|e| RunError::BrokenLate(e.to_string()))?;
-    let seen = expected.incarnation;
-    if whole.id != expected.request {
+    let incarnation = expected.incarnation;
+    if completion.id != expected.request {
         return Err(RunError::WrongIdentity {
             what: "request",
-            seen,
+            incarnation,
         });
     }
-    if whole.model != expected.model {
+    if completion.model != expected.model {
         return Err(RunError::WrongIdentity {
             what: "model",
-            seen,
+            incarnation,
         });
     }
-    match whole
+    match completion
         .choices
         .first()
         .is_some_and(|c| c.finish_reason.is_some())
     {
-        true => Ok(whole.usage),
-        false => Err(RunError::BrokenLate("no finish_reason".to_owned())),
+        true => Ok(completion.usage),
+        false => Err(RunError::BrokenLate(
+            "the completion has no finish_reason".to_owned(),
+        )),
     }
 }
 
-/// Asks an engine to end a request and waits until it has, or until
-/// `CANCEL_TIMEOUT`, when the engine has ended it by itself.
+/// Cancels a request on an engine. Waits until the engine has confirmed it, or for
+/// `CANCEL_TIMEOUT`, after which the engine has ended the request by itself.
 pub async fn cancel(upstreams: &Upstreams, address: SocketAddr, request: &str) {
-    let Ok(message) = Request::builder()
+    let Ok(cancel_request) = Request::builder()
         .method(Method::DELETE)
         .uri(format!("/v1/requests/{request}"))
         .header("host", address.to_string())
@@ -257,14 +268,14 @@
         return;
     };
     let work = async {
-        if let Ok(mut answer) = upstreams.send(address, message).await {
-            // Reading to the end lets the connection be used again.
-            read_body(&mut answer, MAX_ERROR).await.ok();
+        if let Ok(mut response) = upstreams.send(address, cancel_request).await {
+            // The connection can be reused only after the body is read to its end.
+            read_body(&mut response, MAX_ERROR_BYTES).await.ok();
         }
     };
     tokio::time::timeout(CANCEL_TIMEOUT, work).await.ok();
 }
 
-/// The longest time a cancel may take; after 5 s the engine gives up a stream
-/// that lost its connection by itself.
+/// Timeout of a cancellation. An engine ends a stream by itself 5 s after its
+/// connection was lost.
 const CANCEL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
