--- a/lib/src/entry/stream.rs
+++ b/lib/src/entry/stream.rs
@@ -297,7 +297,7 @@
     /// Converts an error of opening the stream: if tokens were already passed on, a
     /// failed resumption means that the stream broke after its first token.
     fn resume_error(&self, e: RunError) -> RunError {
-        match (self.checker.next(), e) {
+        match (self.checker.next_index(), e) {
             (0, e) => e,
             (_, e @ RunError::WrongIdentity { .. }) => e,
             (_, e) => RunError::BrokenLate(e.to_string()),
@@ -305,7 +305,7 @@
     }
 
     fn broken_error(&self, text: String) -> RunError {
-        match self.checker.next() {
+        match self.checker.next_index() {
             0 => RunError::BrokenEarly(text),
             _ => RunError::BrokenLate(text),
         }
@@ -343,7 +343,7 @@
     /// Resumes a broken stream on the same replica, if this cannot run the request
     /// twice; returns whether it does.
     fn resume(&mut self, error: &RunError) -> bool {
-        let next = self.checker.next();
+        let next = self.checker.next_index();
         let broken = matches!(error, RunError::BrokenEarly(_) | RunError::BrokenLate(_));
         // Before the first token another replica can serve the request as well, and
         // the owner chooses it.
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: load, unload, fence.
+//! Control calls to engines: load, unload, fence.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,55 +20,55 @@
 use crate::ids::AdapterVersion;
 use crate::ids::FencingToken;
 
-/// The header that carries the owner's fencing token.
+/// Header with the owner's fencing token.
 const TOKEN_HEADER: &str = "x-fencing-token";
 
-/// The longest answer to an order or report, in bytes; a report names a few
-/// dozen adapters.
-const MAX_ANSWER: usize = 256 << 10;
+/// Maximum size of a response to an order or report; a report names a few dozen
+/// adapters.
+const MAX_RESPONSE_BYTES: usize = 256 << 10;
 
-/// Why an order or report failed.
+/// Error of an order or a load report.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderError {
-    /// The engine has seen a higher token: this owner is deposed.
+    /// The engine has seen a higher fencing token, so this owner was superseded.
     Fenced,
-    /// All slots are full.
+    /// All adapter slots are in use.
     Full,
-    /// The engine refused with this status; it did nothing.
+    /// The engine refused the order with this status; it had no effect.
     Refused(u16),
-    /// It cannot be reached; nothing was done.
+    /// The engine could not be reached; the order had no effect.
     Unreachable(String),
-    /// The order was sent and its answer lost: it may have taken effect.
+    /// The order was sent but its response was lost; it may have taken effect.
     Lost(String),
-    /// The answer is not of the published form.
+    /// The response does not match the published format.
     Malformed(String),
 }
 
 impl fmt::Display for OrderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Fenced => write!(f, "the engine holds a higher fencing token"),
-            Self::Full => write!(f, "all slots are full"),
-            Self::Refused(code) => write!(f, "refused with {code}"),
-            Self::Unreachable(e) => write!(f, "cannot be reached: {e}"),
-            Self::Lost(e) => write!(f, "the answer was lost: {e}"),
-            Self::Malformed(e) => write!(f, "the answer is malformed: {e}"),
+            Self::Fenced => write!(f, "the engine has seen a higher fencing token"),
+            Self::Full => write!(f, "all adapter slots are in use"),
+            Self::Refused(code) => write!(f, "refused with status {code}"),
+            Self::Unreachable(e) => write!(f, "unreachable: {e}"),
+            Self::Lost(e) => write!(f, "response lost: {e}"),
+            Self::Malformed(e) => write!(f, "malformed response: {e}"),
         }
     }
 }
 
 impl std::error::Error for OrderError {}
 
-/// What an engine says of its fence.
+/// An engine's reply to a fence order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceReply {
-    /// The highest token that it has seen, this one included.
+    /// The highest token that the engine has seen, including this one.
     Highest(FencingToken),
-    /// It ignores tokens.
+    /// The engine does not support fencing tokens.
     Unsupported,
 }
 
-/// A client for the control side of upstreams; clones share connections.
+/// A client for control calls to upstreams; clones share connections.
 #[derive(Clone, Debug)]
 pub struct OrderClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -76,7 +76,7 @@
 }
 
 impl OrderClient {
-    /// A client whose calls take `timeout` at the most.
+    /// Returns a client whose calls are bounded by `timeout`.
     pub fn new(timeout: Duration) -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(Duration::from_secs(20))
@@ -88,7 +88,8 @@
     ///
     /// # Errors
     ///
-    /// Those of [`OrderError`]; after `Lost` the next load report tells.
+    /// Those of [`OrderError`]; after `Lost`, the next load report shows whether the
+    /// order took effect.
     pub async fn load(
         &self,
         to: SocketAddr,
@@ -101,11 +102,12 @@
         Ok(())
     }
 
-    /// Unloads an adapter version; one that is not loaded is no error.
+    /// Unloads an adapter version; succeeds if it is not loaded.
     ///
     /// # Errors
     ///
-    /// Those of [`OrderError`]; after `Lost` the next load report tells.
+    /// Those of [`OrderError`]; after `Lost`, the next load report shows whether the
+    /// order took effect.
     pub async fn unload(
         &self,
         to: SocketAddr,
@@ -119,37 +121,37 @@
         }
     }
 
-    /// Raises the engine's fence to `token`.
+    /// Raises the engine's fence to `token`, so that it refuses lower tokens.
     ///
     /// # Errors
     ///
-    /// Those of [`OrderError`]; `Fenced` when a higher token was seen.
+    /// Those of [`OrderError`]; `Fenced` if the engine has seen a higher token.
     pub async fn fence(
         &self,
         to: SocketAddr,
         token: FencingToken,
     ) -> Result<FenceReply, OrderError> {
         #[derive(Deserialize)]
-        struct Answer {
+        struct FenceBody {
             token: u64,
         }
-        let answer = self
+        let result = self
             .post(to, "/v1/fence", token, &json!({"token": token.0}))
             .await;
-        match answer {
+        match result {
             Err(OrderError::Refused(404)) => Ok(FenceReply::Unsupported),
             Err(e) => Err(e),
             Ok(body) => {
-                let answer: Answer = parse(&body)?;
-                match answer.token > token.0 {
+                let reply: FenceBody = parse(&body)?;
+                match reply.token > token.0 {
                     true => Err(OrderError::Fenced),
-                    false => Ok(FenceReply::Highest(FencingToken(answer.token))),
+                    false => Ok(FenceReply::Highest(FencingToken(reply.token))),
                 }
             }
         }
     }
 
-    /// Reads a path.
+    /// Sends a GET request and returns the body of the response.
     pub(super) async fn get(&self, to: SocketAddr, path: &str) -> Result<Bytes, OrderError> {
         let request = Request::builder()
             .method(Method::GET)
@@ -189,7 +191,7 @@
                         false => OrderError::Lost(e.to_string()),
                     })?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MAX_ANSWER)
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|e| OrderError::Lost(e.to_string()))?
@@ -203,7 +205,7 @@
         };
         tokio::time::timeout(self.timeout, work)
             .await
-            .map_err(|_| OrderError::Lost("no answer in time".to_owned()))?
+            .map_err(|_| OrderError::Lost(format!("no response within {:?}", self.timeout)))?
     }
 }
 
--- a/lib/src/upstream/report.rs
+++ b/lib/src/upstream/report.rs
@@ -13,30 +13,30 @@
 use crate::pool::LoadReport;
 use crate::pool::Span;
 
-/// What `GET /load` answers.
+/// The body of a response to `GET /load`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EngineReport {
-    /// The upstream's start.
+    /// Incarnation of the upstream.
     pub incarnation: u64,
-    /// How old the numbers are, in milliseconds.
+    /// Age of the report's figures, in milliseconds.
     #[serde(default)]
     pub age_ms: u64,
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     #[serde(default)]
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests in the queue.
     #[serde(default)]
     pub waiting: u32,
-    /// Adapter versions in the slots; names that are none are passed over.
+    /// Adapter versions in the slots; malformed names are ignored.
     #[serde(default)]
     pub loaded: BTreeSet<String>,
-    /// Whether the upstream is leaving.
+    /// Whether the upstream is shutting down.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl EngineReport {
-    /// The report as the pool takes it.
+    /// Converts the report for the pool.
     ///
     /// ```
     /// use banyangauge::ids::ReplicaName;
@@ -58,14 +58,14 @@
     }
 }
 
-/// Reads an upstream's load report.
+/// Fetches the load report of an upstream.
 ///
 /// # Errors
 ///
 /// Those of [`OrderError`].
 pub async fn read_report(
-    orders: &OrderClient,
+    client: &OrderClient,
     from: SocketAddr,
 ) -> Result<EngineReport, OrderError> {
-    parse(&orders.get(from, "/load").await?)
+    parse(&client.get(from, "/load").await?)
 }
--- a/lib/src/upstream/sse.rs
+++ b/lib/src/upstream/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of an engine: cut into whole events, each one checked.
+//! Splits an engine's stream into server-sent events and checks each of them.
 
 use std::borrow::Cow;
 
@@ -9,27 +9,28 @@
 use super::ExpectedIdentity;
 use super::TokenUsage;
 
-/// The longest event; a token with its frame is some hundred bytes.
-const MAX_EVENT: usize = 256 << 10;
+/// Maximum size of an event; the event of a token is a few hundred bytes.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// What is wrong with a stream.
+/// Error in the content of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StreamFault {
-    /// An event is another request's or model's, or its index is not the next.
+    /// An event belongs to another request or model, or is not the next token.
     Identity(&'static str),
-    /// An event is not of the published form.
+    /// An event does not match the published format.
     Malformed(String),
 }
 
-/// Cuts pieces of a body into runs of whole events, without copying events
-/// that came in one piece.
+/// Splits the chunks of a body at event boundaries, without copying events that came
+/// in one chunk.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    /// The beginning of an incomplete event.
+    partial: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes the next piece; gives all whole events up to its end.
+    /// Adds a chunk and returns the complete events up to its end.
     ///
     /// ```
     /// use banyangauge::upstream::EventSplitter;
@@ -40,46 +41,48 @@
     ///
     /// # Errors
     ///
-    /// When an event is longer than 256 KiB.
-    pub fn push(&mut self, mut piece: Bytes) -> Result<Bytes, StreamFault> {
-        if self.rest.is_empty() {
-            let whole = piece.split_to(last_end(&piece));
-            self.keep(&piece)?;
-            return Ok(whole);
+    /// If an event is longer than 256 KiB.
+    pub fn push(&mut self, mut chunk: Bytes) -> Result<Bytes, StreamFault> {
+        if self.partial.is_empty() {
+            let complete = chunk.split_to(last_event_end(&chunk));
+            self.append(&chunk)?;
+            return Ok(complete);
         }
-        self.keep(&piece)?;
-        let end = last_end(&self.rest);
-        Ok(self.rest.split_to(end).freeze())
+        self.append(&chunk)?;
+        let end = last_event_end(&self.partial);
+        Ok(self.partial.split_to(end).freeze())
     }
 
-    /// Whether no event is begun.
+    /// Returns whether there is no incomplete event.
     pub fn is_empty(&self) -> bool {
-        self.rest.is_empty()
+        self.partial.is_empty()
     }
 
-    /// Forgets the beginning of an event that broke off.
+    /// Discards the incomplete event, before a stream is resumed.
     pub fn reset(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 
-    fn keep(&mut self, piece: &[u8]) -> Result<(), StreamFault> {
-        if self.rest.len() + piece.len() > MAX_EVENT {
-            return Err(StreamFault::Malformed("an event is too long".to_owned()));
+    fn append(&mut self, bytes: &[u8]) -> Result<(), StreamFault> {
+        if self.partial.len() + bytes.len() > MAX_EVENT_BYTES {
+            return Err(StreamFault::Malformed(format!(
+                "an event is longer than {MAX_EVENT_BYTES} bytes"
+            )));
         }
-        self.rest.extend_from_slice(piece);
+        self.partial.extend_from_slice(bytes);
         Ok(())
     }
 }
 
-/// Where the last whole event ends.
-fn last_end(b: &[u8]) -> usize {
+/// Returns the end of the last complete event; 0 if there is none.
+fn last_event_end(b: &[u8]) -> usize {
     b.windows(2)
         .rposition(|w| w == b"\n\n")
         .map_or(0, |at| at + 2)
 }
 
 #[derive(Deserialize)]
-struct Token<'a> {
+struct TokenEvent<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
     #[serde(borrow)]
@@ -94,51 +97,52 @@
     finish_reason: Option<serde::de::IgnoredAny>,
 }
 
-/// What a run of events brought.
+/// What checked events contain.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Progress {
-    /// Tokens in it.
+    /// Number of tokens.
     pub tokens: u64,
-    /// The upstream's own count, with the last token.
+    /// Token usage as counted by the upstream, sent with the last token.
     pub usage: Option<TokenUsage>,
     /// Whether the stream is complete.
     pub done: bool,
 }
 
-/// Checks the events of one stream, over resumed connections too.
+/// Checks the events of one stream, also across resumptions.
 #[derive(Debug, Default)]
 pub struct StreamChecker {
-    next: u64,
+    next_index: u64,
+    /// Whether the last token was read.
     finished: bool,
 }
 
 impl StreamChecker {
-    /// The index of the next token, at which a broken stream is resumed.
-    pub fn next(&self) -> u64 {
-        self.next
+    /// Returns the index of the next token, from which a broken stream is resumed.
+    pub fn next_index(&self) -> u64 {
+        self.next_index
     }
 
-    /// Checks a run of whole events.
+    /// Checks complete events.
     ///
     /// # Errors
     ///
-    /// The first event that is not the expected next one; nothing of the run
-    /// may be passed on then.
+    /// The fault of the first event that is not the expected next one. None of
+    /// `events` may then be passed on.
     pub fn check(
         &mut self,
-        run: &[u8],
+        events: &[u8],
         expected: &ExpectedIdentity,
     ) -> Result<Progress, StreamFault> {
         let mut progress = Progress::default();
-        let mut rest = run;
+        let mut rest = events;
         while let Some(end) = rest.windows(2).position(|w| w == b"\n\n") {
-            self.check_one(&rest[..end], expected, &mut progress)?;
+            self.check_event(&rest[..end], expected, &mut progress)?;
             rest = &rest[end + 2..];
         }
         Ok(progress)
     }
 
-    fn check_one(
+    fn check_event(
         &mut self,
         event: &[u8],
         expected: &ExpectedIdentity,
@@ -148,11 +152,11 @@
             return Ok(());
         }
         if progress.done {
-            return Err(StreamFault::Malformed("an event after [DONE]".to_owned()));
+            return Err(StreamFault::Malformed("event after [DONE]".to_owned()));
         }
-        let data = event
-            .strip_prefix(b"data: ")
-            .ok_or_else(|| StreamFault::Malformed("an event without data".to_owned()))?;
+        let data = event.strip_prefix(b"data: ").ok_or_else(|| {
+            StreamFault::Malformed("event does not start with \"data: \"".to_owned())
+        })?;
         if data == b"[DONE]" {
             progress.done = true;
             return match self.finished {
@@ -162,10 +166,10 @@
                 )),
             };
         }
-        let token: Token<'_> =
+        let token: TokenEvent<'_> =
             serde_json::from_slice(data).map_err(|e| StreamFault::Malformed(e.to_string()))?;
         self.check_token(&token, expected)?;
-        self.next += 1;
+        self.next_index += 1;
         self.finished = token
             .choices
             .first()
@@ -177,7 +181,7 @@
 
     fn check_token(
         &self,
-        token: &Token<'_>,
+        token: &TokenEvent<'_>,
         expected: &ExpectedIdentity,
     ) -> Result<(), StreamFault> {
         if token.id != expected.request {
@@ -186,7 +190,7 @@
         if token.model != expected.model {
             return Err(StreamFault::Identity("model"));
         }
-        if token.token_index != self.next || self.finished {
+        if token.token_index != self.next_index || self.finished {
             return Err(StreamFault::Identity("token index"));
         }
         Ok(())
--- a/lib/tests/test_upstream_sse.rs
+++ b/lib/tests/test_upstream_sse.rs
@@ -1,4 +1,4 @@
-//! Events of a stream: cut and checked.
+//! Splitting and checking of the events of a stream.
 
 use banyangauge::upstream::EventSplitter;
 use banyangauge::upstream::ExpectedIdentity;
@@ -29,7 +29,7 @@
     let text = event(0, "null") + ": comment\n\n" + &event(1, "\"stop\"") + "data: [DONE]\n\n";
     let progress = checker.check(text.as_bytes(), &expected()).unwrap();
     assert_eq!(
-        (progress.tokens, progress.done, checker.next()),
+        (progress.tokens, progress.done, checker.next_index()),
         (2, true, 2)
     );
 }
@@ -56,33 +56,33 @@
 }
 
 #[test]
-fn scanner_endless_event() {
-    let mut scanner = EventSplitter::default();
-    let piece = Bytes::from(vec![b'x'; 64 << 10]);
-    let ends = (0..8).map(|_| scanner.push(piece.clone()).is_err());
-    assert!(ends.last().unwrap());
+fn splitter_endless_event() {
+    let mut splitter = EventSplitter::default();
+    let chunk = Bytes::from(vec![b'x'; 64 << 10]);
+    let errors = (0..8).map(|_| splitter.push(chunk.clone()).is_err());
+    assert!(errors.last().unwrap());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// However the network cuts a stream, the same whole events come out.
+    /// The same events result wherever the network splits a stream.
     #[test]
-    fn scanner_any_cuts(mut cuts in prop::collection::vec(0_usize..400, 0..12)) {
+    fn splitter_any_splits(mut splits in prop::collection::vec(0_usize..400, 0..12)) {
         let text = event(0, "null") + &event(1, "null") + &event(2, "\"stop\"") + "data: [DONE]\n\n";
-        cuts.push(text.len());
-        cuts.sort_unstable();
-        let mut scanner = EventSplitter::default();
+        splits.push(text.len());
+        splits.sort_unstable();
+        let mut splitter = EventSplitter::default();
         let mut checker = StreamChecker::default();
         let (mut out, mut from) = (Vec::new(), 0);
-        for cut in cuts {
-            let cut = cut.min(text.len());
-            let run = scanner.push(Bytes::copy_from_slice(&text.as_bytes()[from..cut])).unwrap();
-            checker.check(&run, &expected()).unwrap();
-            out.extend_from_slice(&run);
-            from = cut;
+        for split in splits {
+            let split = split.min(text.len());
+            let events = splitter.push(Bytes::copy_from_slice(&text.as_bytes()[from..split])).unwrap();
+            checker.check(&events, &expected()).unwrap();
+            out.extend_from_slice(&events);
+            from = split;
         }
         prop_assert_eq!(out, text.as_bytes());
-        prop_assert_eq!(checker.next(), 3);
+        prop_assert_eq!(checker.next_index(), 3);
     }
 }
