--- a/lib/src/catalog/confirm.rs
+++ b/lib/src/catalog/confirm.rs
@@ -74,7 +74,7 @@
             Self::Plan(e) => write!(f, "nothing changed: {e}"),
             Self::Busy => write!(
                 f,
-                "nothing changed: other operators won each round; try again"
+                "nothing changed: conflicting confirmations in each round; try again"
             ),
             Self::Platform(e) => write!(f, "nothing changed: {e}"),
             Self::Unknown(e) => write!(
--- a/lib/src/catalog/plan.rs
+++ b/lib/src/catalog/plan.rs
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// If adapter_spec are no changes or too many, or if the catalog refuses one.
+    /// If there are no changes or too many, or if the catalog refuses one.
     ///
     /// ```
     /// use banyangauge::catalog::{Catalog, Change, Plan};
--- a/lib/src/catalog/rules.rs
+++ b/lib/src/catalog/rules.rs
@@ -180,9 +180,9 @@
     let others = catalog.pools.iter().filter(|(name, _)| *name != pool);
     for (other, other_spec) in others {
         for replica in &other_spec.replicas {
-            if let Some(mine) = addresses.get(&replica.address) {
+            if let Some(own_name) = addresses.get(&replica.address) {
                 return Err(CatalogError::Exists(format!(
-                    "pool {pool}: replica {mine}: address {} of replica {} in pool {other}",
+                    "pool {pool}: replica {own_name}: address {} of replica {} in pool {other}",
                     replica.address, replica.name
                 )));
             }
@@ -194,21 +194,30 @@
 /// Checks that the prefix overlaps no other service's, which would make routing
 /// ambiguous.
 fn check_prefix(catalog: &Catalog, pool: &PoolName, spec: &PoolSpec) -> Result<(), CatalogError> {
-    let PoolKind::Service { prefix: mine, .. } = &spec.kind else {
+    let PoolKind::Service {
+        prefix: own_prefix, ..
+    } = &spec.kind
+    else {
         return Ok(());
     };
-    if mine.starts_with("/v1/") {
+    if own_prefix.starts_with("/v1/") {
         return invalid(format!(
-            "pool {pool}: prefix {mine} is reserved for completions"
+            "pool {pool}: prefix {own_prefix} is reserved for completions"
         ));
     }
     for (other, other_spec) in catalog.pools.iter().filter(|(name, _)| *name != pool) {
-        let PoolKind::Service { prefix: theirs, .. } = &other_spec.kind else {
+        let PoolKind::Service {
+            prefix: other_prefix,
+            ..
+        } = &other_spec.kind
+        else {
             continue;
         };
-        if mine.starts_with(theirs.as_str()) || theirs.starts_with(mine.as_str()) {
+        if own_prefix.starts_with(other_prefix.as_str())
+            || other_prefix.starts_with(own_prefix.as_str())
+        {
             return Err(CatalogError::Exists(format!(
-                "pool {pool}: prefix {mine} overlaps {theirs} of pool {other}"
+                "pool {pool}: prefix {own_prefix} overlaps {other_prefix} of pool {other}"
             )));
         }
     }
--- a/lib/src/control/config/follow.rs
+++ b/lib/src/control/config/follow.rs
@@ -41,7 +41,7 @@
 /// Interval at which a VM that does not watch checks whether it should.
 const RANK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Delay higher_ranked a watch is reopened, so that a platform that closes every watch
+/// Delay before a watch is reopened, so that a platform that closes every watch
 /// at once is not flooded.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -129,14 +129,14 @@
     fn merge_one(&mut self, now: Moment, vm: VmName, member: &wire::Member) {
         let known = self.table.get(&vm);
         let version = |m: &wire::Member| (m.incarnation, m.heartbeat);
-        if known.is_some_and(|s| version(&s.member) >= version(member)) {
+        if known.is_some_and(|r| version(&r.member) >= version(member)) {
             return;
         }
-        let same = known.filter(|s| s.member.incarnation == member.incarnation);
+        let same = known.filter(|r| r.member.incarnation == member.incarnation);
         let mut member = member.clone();
-        if let Some(s) = same.filter(|_| member.address.is_empty()) {
-            member.address.clone_from(&s.member.address);
-            member.zone.clone_from(&s.member.zone);
+        if let Some(r) = same.filter(|_| member.address.is_empty()) {
+            member.address.clone_from(&r.member.address);
+            member.zone.clone_from(&r.member.zone);
         }
         if member.address.parse::<SocketAddr>().is_err() {
             return;
@@ -144,7 +144,7 @@
         if member.state != MemberState::Leaving as u32 {
             member.state = MemberState::Live as u32;
         }
-        let first_seen = same.map_or(now, |s| s.first_seen);
+        let first_seen = same.map_or(now, |r| r.first_seen);
         let last_heartbeat = now;
         self.table.insert(
             vm,
@@ -158,15 +158,15 @@
 
     /// Whether a process started less than [`WARM_UP`] ago or is unknown.
     pub fn is_warming_up(&self, now: Moment, vm: &str) -> bool {
-        self.table.get(vm).is_none_or(|s| s.is_warming_up(now))
+        self.table.get(vm).is_none_or(|r| r.is_warming_up(now))
     }
 
     /// Marks members without recent heartbeats as suspect or gone, and removes
     /// those that have been gone for long.
     pub fn detect_failures(&mut self, now: Moment) {
         let (me, suspect_after, gone_after) = (&self.me, self.suspect_after, self.gone_after);
-        self.table.retain(|vm, s| {
-            vm == me || now.since(s.last_heartbeat) < Span(gone_after.0 + GONE_RETENTION.0)
+        self.table.retain(|vm, r| {
+            vm == me || now.since(r.last_heartbeat) < Span(gone_after.0 + GONE_RETENTION.0)
         });
         for (vm, record) in &mut self.table {
             let silent = now.since(record.last_heartbeat);
@@ -185,7 +185,7 @@
     pub fn view(&self) -> BTreeMap<VmName, wire::Member> {
         self.table
             .iter()
-            .map(|(vm, s)| (vm.clone(), s.member.clone()))
+            .map(|(vm, r)| (vm.clone(), r.member.clone()))
             .collect()
     }
 
@@ -195,25 +195,25 @@
     /// recently, every record has its address and zone; otherwise only those of
     /// this process and of members that started recently.
     pub fn digest(&self, now: Moment, full: bool, received: &[wire::Member]) -> Vec<wire::Member> {
-        let mine = |s: &Record| s.member.vm == self.me.as_str();
+        let is_self = |r: &Record| r.member.vm == self.me.as_str();
         let version = |m: &wire::Member| (m.incarnation, m.heartbeat);
-        let is_newer = |s: &&Record| {
-            let known = received.iter().find(|m| m.vm == s.member.vm);
-            known.is_none_or(|m| version(m) < version(&s.member))
+        let is_newer = |r: &&Record| {
+            let known = received.iter().find(|m| m.vm == r.member.vm);
+            known.is_none_or(|m| version(m) < version(&r.member))
         };
         let mut records: Vec<&Record> = self
             .table
             .values()
-            .filter(|s| s.member.state != MemberState::Gone as u32)
+            .filter(|r| r.member.state != MemberState::Gone as u32)
             .filter(is_newer)
             .collect();
-        records.sort_by_key(|s| (!mine(s), std::cmp::Reverse(s.last_heartbeat)));
+        records.sort_by_key(|r| (!is_self(r), std::cmp::Reverse(r.last_heartbeat)));
         records.truncate(MAX_DIGEST_MEMBERS);
         records
             .into_iter()
-            .map(|s| match full || mine(s) || s.is_warming_up(now) {
-                true => s.member.clone(),
-                false => s.without_location(),
+            .map(|r| match full || is_self(r) || r.is_warming_up(now) {
+                true => r.member.clone(),
+                false => r.without_location(),
             })
             .collect()
     }
@@ -222,8 +222,8 @@
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.table
             .iter()
-            .filter(|(vm, s)| **vm != self.me && s.member.state != MemberState::Gone as u32)
-            .filter_map(|(_, s)| s.member.address.parse().ok())
+            .filter(|(vm, r)| **vm != self.me && r.member.state != MemberState::Gone as u32)
+            .filter_map(|(_, r)| r.member.address.parse().ok())
             .collect()
     }
 }
--- a/lib/src/control/usage/mod.rs
+++ b/lib/src/control/usage/mod.rs
@@ -164,12 +164,12 @@
             return Ok(());
         }
         let updated = usage_object(source, counts);
-        let end = match version.as_str() {
+        let result = match version.as_str() {
             "" => platform.create(KIND, &name, &updated).await,
             v => platform.replace(KIND, &name, v, &updated).await,
         };
         attempts += 1;
-        match end {
+        match result {
             Ok(_) => {
                 store.mark_written(source, part, &held);
                 return Ok(());
--- a/lib/tests/test_catalog_store.rs
+++ b/lib/tests/test_catalog_store.rs
@@ -234,19 +234,22 @@
 async fn confirm_read_conflict_names_operator() {
     let (_running, platform) = rig::platform().await;
     let (store, catalog) = with_basics(&platform).await;
-    let mine = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
-    let theirs = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 3)]);
-    let beside = rig::plan(&catalog, vec![rig::serve("laundry", "dryers", 1)]);
-    store.confirm(&theirs, "ben", &catalog).await.unwrap();
-    let end = store.confirm(&mine, "ana", &catalog).await.unwrap_err();
+    let stale = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
+    let applied_first = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 3)]);
+    let unrelated = rig::plan(&catalog, vec![rig::serve("laundry", "dryers", 1)]);
+    store
+        .confirm(&applied_first, "ben", &catalog)
+        .await
+        .unwrap();
+    let end = store.confirm(&stale, "ana", &catalog).await.unwrap_err();
     let text = end.to_string();
     let expected = format!(
         "adapter rosters was changed by ben in revision 2 (operation {})",
-        theirs.operation
+        applied_first.operation
     );
     assert!(text.contains(&expected), "{text}");
     // Changes to items that the plan did not read do not conflict.
-    let confirmed = store.confirm(&beside, "ana", &catalog).await.unwrap();
+    let confirmed = store.confirm(&unrelated, "ana", &catalog).await.unwrap();
     assert_eq!(confirmed.revision, Revision(3));
 }
 
@@ -257,12 +260,12 @@
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
     let mut other = plan.clone();
     other.changes = vec![rig::serve("laundry", "rosters", 3)];
-    let mut unread = plan.clone();
-    unread.reads.clear();
-    let mut odd = plan.clone();
-    odd.operation = "../x".to_owned();
+    let mut missing_reads = plan.clone();
+    missing_reads.reads.clear();
+    let mut malformed = plan.clone();
+    malformed.operation = "../x".to_owned();
     store.confirm(&plan, "ana", &catalog).await.unwrap();
-    for bad in [other, unread, odd] {
+    for bad in [other, missing_reads, malformed] {
         let end = store.confirm(&bad, "ana", &catalog).await.unwrap_err();
         assert!(
             matches!(end, ConfirmError::Plan(PlanError::Malformed(_))),
