--- a/cli/src/bin/banyan-control.rs
+++ b/cli/src/bin/banyan-control.rs
@@ -1,4 +1,4 @@
-//! The control process of a VM.
+//! `banyan-control`: runs the control process of a VM.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,17 +8,17 @@
 use banyangauge::control::ControlSettings;
 use banyangauge::settings;
 
-/// Owns pools, spreads configuration, keeps usage.
+/// Own pools, distribute the configuration and record usage on one VM.
 #[derive(FromArgs)]
-struct Args {
+struct Options {
     /// settings file, TOML; settings/control.toml explains each key
     #[argh(option)]
     settings: PathBuf,
 }
 
 fn main() -> ExitCode {
-    let args: Args = argh::from_env();
-    let settings: ControlSettings = match settings::load(&args.settings) {
+    let options: Options = argh::from_env();
+    let settings: ControlSettings = match settings::load(&options.settings) {
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("banyan-control: {e}");
--- a/cli/src/bin/banyan-entry.rs
+++ b/cli/src/bin/banyan-entry.rs
@@ -1,4 +1,4 @@
-//! `banyan-entry`: callers' HTTP in, dispatch to upstreams, answers back.
+//! `banyan-entry`: accepts callers' HTTP requests and forwards them to upstreams.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,7 +8,7 @@
 use banyangauge::entry::EntrySettings;
 use banyangauge::settings;
 
-/// Serves callers on one VM.
+/// Serve callers' requests on one VM.
 #[derive(FromArgs)]
 struct Options {
     /// settings file; settings/entry.toml is a commented example
--- a/cli/src/bin/banyan-serve.rs
+++ b/cli/src/bin/banyan-serve.rs
@@ -12,17 +12,17 @@
 use banyangauge_platform::SETTINGS_VARIABLE;
 use banyangauge_platform::load_settings;
 
-/// Serves callers' requests on one VM; BANYANGAUGE_CONFIG names the settings file.
+/// Serve callers' requests on one VM; BANYANGAUGE_CONFIG names the settings file.
 #[derive(FromArgs)]
 struct Options {
-    /// settings file; overrides the one that BANYANGAUGE_CONFIG names
+    /// settings file; overrides BANYANGAUGE_CONFIG
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// address on which to serve metrics; no metrics when left out
+    /// address on which to serve metrics; metrics are disabled without it
     #[argh(option)]
     metrics: Option<SocketAddr>,
-    /// a TOML file whose table `experiment` switches mechanisms off, to measure
-    /// their effect
+    /// TOML file whose table `experiment` disables mechanisms, to measure their
+    /// effect
     #[argh(option)]
     experiment: Option<PathBuf>,
     /// check the settings and exit
@@ -42,8 +42,8 @@
 }
 
 fn start(options: &Options) -> Result<(), Box<dyn std::error::Error>> {
-    let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-    let path = options.settings.clone().or(named);
+    let from_env = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    let path = options.settings.clone().or(from_env);
     let path = path.ok_or(format!(
         "no settings file: pass --settings or set {SETTINGS_VARIABLE}"
     ))?;
@@ -62,13 +62,13 @@
         .enable_all()
         .build()?;
     let tasks = tokio::task::LocalSet::new();
-    let served = async {
+    let server = async {
         if let Some(address) = options.metrics {
             start_metrics(address, &log)?;
         }
-        let served = serving::run(settings, codec, store, log.clone(), reload);
-        served.await.map_err(|e| e.to_string())
+        let run = serving::run(settings, codec, store, log.clone(), reload);
+        run.await.map_err(|e| e.to_string())
     };
-    tasks.block_on(&runtime, served)?;
+    tasks.block_on(&runtime, server)?;
     Ok(())
 }
--- a/cli/src/bin/banyan.rs
+++ b/cli/src/bin/banyan.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line client.
+//! `banyan`: the operators' command-line client.
 
 use std::process::ExitCode;
 
@@ -7,8 +7,9 @@
 #[path = "../commands/mod.rs"]
 mod commands;
 
-/// Wrong usage; `argh` alone would use 1, which means "refused" here.
-const USAGE: u8 = 2;
+/// Exit code for wrong usage. The default of `argh` is 1, which here means that
+/// the system refused.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments: Vec<_> = std::env::args().skip(1).collect();
@@ -23,7 +24,7 @@
                 }
                 Err(()) => {
                     eprintln!("{}", exit.output);
-                    ExitCode::from(USAGE)
+                    ExitCode::from(USAGE_EXIT_CODE)
                 }
             };
         }
--- a/cli/src/commands/adapters.rs
+++ b/cli/src/commands/adapters.rs
@@ -8,11 +8,11 @@
 use super::CommandError;
 use super::output;
 
-/// List adapters, their versions and whom each is served to.
+/// List adapters, their versions and the teams that they are served to.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "adapters")]
 pub(super) struct Adapters {
-    /// only those of this name, team or pool
+    /// show only adapters of this name, team or pool
     #[argh(positional)]
     filter: Option<String>,
     /// print JSON
--- a/cli/src/commands/check_settings.rs
+++ b/cli/src/commands/check_settings.rs
@@ -18,11 +18,11 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-settings")]
 pub(super) struct CheckSettings {
-    /// the settings file
+    /// settings file
     #[argh(positional)]
     file: PathBuf,
-    /// the program it is for: banyan, banyan-control or banyan-entry; each is
-    /// tried when left out
+    /// program that the file is for: banyan, banyan-control or banyan-entry;
+    /// tries each in turn by default
     #[argh(option)]
     program: Option<String>,
     /// print JSON
@@ -30,21 +30,21 @@
     json: bool,
 }
 
-/// The programs that have settings.
+/// The programs whose settings can be checked.
 const PROGRAMS: [&str; 3] = ["banyan", "banyan-control", "banyan-entry"];
 
 impl CheckSettings {
     pub(super) fn run(&self) -> Result<(), CommandError> {
-        let wanted = self.program.as_deref();
-        if let Some(other) = wanted.filter(|p| !PROGRAMS.contains(p)) {
+        let only = self.program.as_deref();
+        if let Some(other) = only.filter(|p| !PROGRAMS.contains(p)) {
             return Err(CommandError::Usage(format!(
-                "--program: found {other}, allowed are {}",
+                "--program: found {other}, expected one of {}",
                 PROGRAMS.join(", ")
             )));
         }
         let mut errors = Vec::new();
         for program in PROGRAMS {
-            if wanted.is_some_and(|w| w != program) {
+            if only.is_some_and(|o| o != program) {
                 continue;
             }
             match check(program, &self.file) {
@@ -52,7 +52,7 @@
                     self.print(program);
                     return Ok(());
                 }
-                Err(e) => errors.push(format!("not settings of {program}: {e}")),
+                Err(e) => errors.push(format!("invalid settings for {program}: {e}")),
             }
         }
         Err(CommandError::Usage(errors.join("\n")))
@@ -61,7 +61,7 @@
     fn print(&self, program: &str) {
         output::print(
             self.json,
-            || format!("{}: good settings of {program}\n", self.file.display()),
+            || format!("{}: valid settings for {program}\n", self.file.display()),
             || json!({"file": self.file, "program": program}),
         );
     }
--- a/cli/src/commands/confirm.rs
+++ b/cli/src/commands/confirm.rs
@@ -10,11 +10,11 @@
 use super::CommandError;
 use super::output;
 
-/// Put a plan in force; twice is the same as once.
+/// Apply a plan; confirming it more than once has no further effect.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "confirm")]
 pub(super) struct Confirm {
-    /// the plan that `plan --out` wrote
+    /// plan file written by `plan --out`
     #[argh(positional)]
     plan: PathBuf,
     /// print the result as JSON
@@ -30,7 +30,7 @@
         let revision = client.confirm(&plan).await?;
         output::print(
             self.json,
-            || format!("in force as revision {revision}\n"),
+            || format!("applied as revision {revision}\n"),
             || json!({"revision": revision, "operation": plan.operation}),
         );
         Ok(())
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of `banyan`, one a module.
+//! The commands of `banyan`, one per module.
 
 mod adapters;
 mod check_settings;
@@ -20,35 +20,38 @@
 use banyangauge::operator::ClientError;
 use banyangauge::operator::ClientSettings;
 
-/// Names the control processes when `--control` does not.
+/// Environment variable with the control processes, used without `--control`.
 const CONTROL_VARIABLE: &str = "BANYAN_CONTROL";
 
-/// Holds the operator's key when `--key` does not.
+/// Environment variable with the operator's key, used without `--key`.
 const KEY_VARIABLE: &str = "BANYAN_KEY";
 
-/// Plan and confirm changes, and see what the system does.
+/// Plan and confirm changes, and inspect the state of the system.
 #[derive(FromArgs)]
 #[argh(
     note = "Intents are TOML or JSON. Without --control, --key or --settings, the
-variables BANYAN_CONTROL and BANYAN_KEY are taken. Options of this list go
-before the command, the others after it.",
+environment variables BANYAN_CONTROL and BANYAN_KEY are used. The options above
+go before the command, the options of a command after it.",
     example = "{command_name} --control 10.0.0.1:7100 plan serve.toml --out plan.json
 {command_name} --control 10.0.0.1:7100 confirm plan.json",
-    error_code(0, "done"),
-    error_code(1, "refused: by the rules, or for the operator's key"),
+    error_code(0, "success"),
+    error_code(1, "rejected: a rule forbids it, or the operator's key is not valid"),
     error_code(2, "wrong usage, or a file that cannot be read"),
-    error_code(3, "no control process or platform answered, or the outcome is open"),
-    error_code(4, "another operator's change came first; plan again")
+    error_code(
+        3,
+        "no control process or platform answered, or the outcome is unknown"
+    ),
+    error_code(4, "another operator's change was applied first; plan again")
 )]
 pub(crate) struct Banyan {
-    /// control processes, tried in order: ADDR[,ADDR...]
+    /// control processes to try in order: ADDR[,ADDR...]
     #[argh(option)]
     control: Option<String>,
-    /// the operator's key
+    /// operator's key
     #[argh(option)]
     key: Option<String>,
-    /// settings file in TOML: control = [ADDR...], key_file = FILE,
-    /// and for TLS a table link with authority, certificate, key = FILE
+    /// settings file in TOML: control = [ADDR...], key_file = FILE, and for TLS
+    /// a table link with the keys authority, certificate and key = FILE
     #[argh(option)]
     settings: Option<PathBuf>,
     #[argh(subcommand)]
@@ -71,14 +74,14 @@
 
 /// Why a command failed.
 pub(crate) enum CommandError {
-    /// A file cannot be read or written, or an argument is wrong.
+    /// A file cannot be read or written, or an argument is invalid.
     Usage(String),
-    /// A call failed.
+    /// A call to a control process failed.
     Call(ClientError),
 }
 
 impl CommandError {
-    /// The exit code.
+    /// Returns the exit code for this error.
     pub(crate) const fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) => 2,
@@ -107,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// Why it failed; the error tells the exit code.
+    /// When the command fails; see [`CommandError::exit_code`].
     pub(crate) async fn run(self) -> Result<(), CommandError> {
         match &self.command {
             Command::CheckSettings(command) => return command.run(),
@@ -138,18 +141,18 @@
         };
         let variable = |name| std::env::var(name).ok();
         let control = match self.control.clone() {
-            Some(text) => addresses(&text)?,
+            Some(text) => parse_addresses(&text)?,
             None => match &settings {
                 Some(s) => s.control.clone(),
-                None => addresses(&variable(CONTROL_VARIABLE).unwrap_or_default())?,
+                None => parse_addresses(&variable(CONTROL_VARIABLE).unwrap_or_default())?,
             },
         };
         let link = match settings.as_ref().and_then(|s| s.link.as_ref()) {
             Some(keys) => Link::load(keys).map_err(|e| CommandError::Usage(e.to_string()))?,
             None => Link::plain(),
         };
-        let file = settings.and_then(|s| s.key_file);
-        let key = match (self.key.clone(), file) {
+        let key_file = settings.and_then(|s| s.key_file);
+        let key = match (self.key.clone(), key_file) {
             (Some(key), _) => key,
             (None, Some(file)) => output::read(&file)?.trim().to_owned(),
             (None, None) => variable(KEY_VARIABLE).unwrap_or_default(),
@@ -158,13 +161,14 @@
     }
 }
 
-/// Reads `ADDR[,ADDR...]`.
-fn addresses(text: &str) -> Result<Vec<SocketAddr>, CommandError> {
+/// Parses `ADDR[,ADDR...]`.
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, CommandError> {
     let parts = text.split(',').map(str::trim).filter(|p| !p.is_empty());
     parts
         .map(|p| {
-            p.parse()
-                .map_err(|_| CommandError::Usage(format!("{p:?} is not an address and a port")))
+            p.parse().map_err(|_| {
+                CommandError::Usage(format!("{p:?} is not a socket address, expected IP:PORT"))
+            })
         })
         .collect()
 }
--- a/cli/src/commands/output.rs
+++ b/cli/src/commands/output.rs
@@ -1,4 +1,4 @@
-//! Reading files, writing results.
+//! Reads input files and writes results.
 
 use std::path::Path;
 
@@ -15,7 +15,7 @@
     std::fs::write(file, text).map_err(|e| CommandError::Usage(format!("{}: {e}", file.display())))
 }
 
-/// Prints either form of a result.
+/// Prints a result as JSON or as text; only the chosen form is computed.
 pub(super) fn print(json: bool, text: impl FnOnce() -> String, value: impl FnOnce() -> Value) {
     match json {
         true => println!("{}", value()),
--- a/cli/src/commands/plan.rs
+++ b/cli/src/commands/plan.rs
@@ -11,14 +11,14 @@
 use super::CommandError;
 use super::output;
 
-/// Make a plan of an intent: what changes, who is affected, what it costs.
+/// Compute the plan of an intent: changes, affected teams and costs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub(super) struct Plan {
-    /// the intent, TOML or JSON
+    /// intent file, TOML or JSON
     #[argh(positional)]
     file: PathBuf,
-    /// where to write the plan, for confirm
+    /// write the plan to this file, for confirm
     #[argh(option)]
     out: Option<PathBuf>,
     /// print the plan as JSON
--- a/cli/src/commands/pools.rs
+++ b/cli/src/commands/pools.rs
@@ -8,7 +8,7 @@
 use super::CommandError;
 use super::output;
 
-/// Show each pool and its replicas as the pool's owner sees them.
+/// Show each pool and its replicas as seen by the pool's owner.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "pools")]
 pub(super) struct Pools {
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -8,7 +8,7 @@
 use super::CommandError;
 use super::output;
 
-/// Show the VMs, the revision that each has in force, and who owns which pool.
+/// Show the VMs, the active revision of each, and the owner of each pool.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(super) struct Status {
--- a/cli/src/commands/timeline.rs
+++ b/cli/src/commands/timeline.rs
@@ -10,33 +10,33 @@
 use banyangauge::operator::timeline_text;
 
 use super::CommandError;
-use super::addresses;
 use super::output;
+use super::parse_addresses;
 
-/// Merge the events of all processes into one time line.
+/// Merge the events of all processes into one timeline.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "timeline")]
 pub(super) struct Timeline {
-    /// entry and control processes to ask: ADDR[,ADDR...]; the control
-    /// processes of all VMs when left out
+    /// entry and control processes to query: ADDR[,ADDR...]; the control
+    /// processes of all VMs by default
     #[argh(option)]
     processes: Option<String>,
-    /// only this request
+    /// show only events of this request
     #[argh(option, default = "String::new()")]
     request: String,
-    /// only this adapter, as adapter@version
+    /// show only events of this adapter: ADAPTER@VERSION
     #[argh(option, default = "String::new()")]
     adapter: String,
-    /// only this upstream
+    /// show only events of this upstream
     #[argh(option, default = "String::new()")]
     upstream: String,
-    /// only this pool
+    /// show only events of this pool
     #[argh(option, default = "String::new()")]
     pool: String,
-    /// events of each process at the most
+    /// maximum number of events per process; 0 for as many as a reply can hold
     #[argh(option, default = "0")]
     most: u32,
-    /// write one self-contained HTML page to this file
+    /// write a self-contained HTML page to this file
     #[argh(option)]
     html: Option<PathBuf>,
     /// print JSON
@@ -47,7 +47,7 @@
 impl Timeline {
     pub(super) async fn run(&self, client: &Client) -> Result<(), CommandError> {
         let processes = match &self.processes {
-            Some(text) => addresses(text)?,
+            Some(text) => parse_addresses(text)?,
             None => client.members().await?,
         };
         let filter = Filter {
--- a/cli/src/commands/usage.rs
+++ b/cli/src/commands/usage.rs
@@ -8,11 +8,11 @@
 use super::CommandError;
 use super::output;
 
-/// Show what each team used, by adapter version.
+/// Show the usage of each team by adapter version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "usage")]
 pub(super) struct Usage {
-    /// only this team or adapter
+    /// show only this team or adapter
     #[argh(positional)]
     filter: Option<String>,
     /// print JSON
--- a/cli/src/commands/why.rs
+++ b/cli/src/commands/why.rs
@@ -8,34 +8,34 @@
 
 use super::CommandError;
 
-/// Tell one request's story from the log lines of all VMs.
+/// Reconstruct the history of a request from the log lines of all VMs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "why")]
 pub(super) struct Why {
-    /// the request's id, as its caller sent it
+    /// request ID, as the caller sent it
     #[argh(positional)]
     id: String,
-    /// files of log lines; standard input when left out
+    /// log files; standard input by default
     #[argh(positional)]
     files: Vec<PathBuf>,
 }
 
 impl Why {
     pub(super) fn run(&self) -> Result<(), CommandError> {
-        let mut story = RequestHistory::new(&self.id);
+        let mut history = RequestHistory::new(&self.id);
         for file in &self.files {
             let text = std::fs::read_to_string(file)
                 .map_err(|e| CommandError::Usage(format!("{}: {e}", file.display())))?;
-            story.add_log(&text);
+            history.add_log(&text);
         }
         if self.files.is_empty() {
             let mut text = String::new();
             std::io::stdin()
                 .read_to_string(&mut text)
                 .map_err(|e| CommandError::Usage(format!("standard input: {e}")))?;
-            story.add_log(&text);
+            history.add_log(&text);
         }
-        print!("{}", story.render());
+        print!("{}", history.render());
         Ok(())
     }
 }
