--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -5,7 +5,7 @@
     reason = "a helper of a test fails by a panic, as the test itself does"
 )]
 
-mod proof;
+mod promise;
 mod test_banyan;
 mod test_convicted;
 mod test_output;
--- a/cli/tests/test_promise_leaving_drains.rs
+++ b/cli/tests/test_promise_leaving_drains.rs
@@ -3,7 +3,7 @@
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
 
-use crate::proof::assert_kept;
+use crate::promise::assert_kept;
 
 #[rstest]
 #[case::one_fault(1, false)]
