--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -2,7 +2,7 @@
 
 #![expect(
     clippy::unwrap_used,
-    reason = "a helper of a test fails by a panic, as the test itself does"
+    reason = "a panic in a test helper fails the test, as intended"
 )]
 
 mod promise;
--- a/cli/tests/test_banyan.rs
+++ b/cli/tests/test_banyan.rs
@@ -1,4 +1,4 @@
-//! `banyan` against a control process's operator service and a platform.
+//! `banyan` against a control process's operator service and a platform stand-in.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -38,7 +38,8 @@
 share = 1
 "#;
 
-/// One control process's services, a platform, a folder for files.
+/// The services of one control process, a platform stand-in and a directory for
+/// files.
 struct Rig {
     shared: Shared,
     address: SocketAddr,
@@ -104,13 +105,13 @@
             .unwrap()
     }
 
-    /// Makes a plan of an intent and gives its file.
+    /// Plans an intent and returns the path of the plan file.
     async fn plan(&self, name: &str, intent: &str) -> PathBuf {
         let (intent, plan) = (self.file("intent", intent), self.path(name));
-        let end = self
+        let output = self
             .banyan(&["plan", text(&intent), "--out", text(&plan)])
             .await;
-        assert_eq!(code(&end), 0, "{}", error(&end));
+        assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
         plan
     }
 }
@@ -119,16 +120,16 @@
     path.to_str().unwrap()
 }
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().unwrap()
 }
 
-fn error(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-fn answer(output: &Output) -> Value {
-    assert_eq!(code(output), 0, "{}", error(output));
+fn json_output(output: &Output) -> Value {
+    assert_eq!(exit_code(output), 0, "{}", stderr(output));
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
@@ -140,26 +141,26 @@
         .plan("second", &INTENT.replace("share = 1", "share = 2"))
         .await;
     for _ in 0..2 {
-        let end = rig.banyan(&["confirm", text(&first), "--json"]).await;
-        assert_eq!(answer(&end)["revision"], 1);
+        let output = rig.banyan(&["confirm", text(&first), "--json"]).await;
+        assert_eq!(json_output(&output)["revision"], 1);
     }
-    let end = rig.banyan(&["confirm", text(&second)]).await;
-    assert_eq!(code(&end), 4);
+    let output = rig.banyan(&["confirm", text(&second)]).await;
+    assert_eq!(exit_code(&output), 4);
     assert!(
-        error(&end).contains("team laundry was changed by ana in revision 1"),
+        stderr(&output).contains("team laundry was changed by ana in revision 1"),
         "{}",
-        error(&end)
+        stderr(&output)
     );
     assert_eq!(
-        answer(&rig.banyan(&["status", "--json"]).await)["revision"],
+        json_output(&rig.banyan(&["status", "--json"]).await)["revision"],
         1
     );
-    let whole = answer(&rig.banyan(&["adapters", "--json"]).await);
-    let catalog: Catalog = serde_json::from_value(whole).unwrap();
+    let reply = json_output(&rig.banyan(&["adapters", "--json"]).await);
+    let catalog: Catalog = serde_json::from_value(reply).unwrap();
     assert_eq!(catalog, **rig.shared.state.catalog.borrow());
 }
 
-/// All adapters of the letter in one plan.
+/// A plan with 14,000 adapters, the number that the system must support.
 #[tokio::test(flavor = "multi_thread")]
 async fn confirm_fourteen_thousand_adapters() {
     let rig = rig().await;
@@ -179,23 +180,26 @@
     }
     let intent = json!({"changes": changes}).to_string();
     let plan = rig.plan("plan", &intent).await;
-    let end = rig.banyan(&["confirm", text(&plan), "--json"]).await;
-    assert_eq!(answer(&end)["revision"], 1);
+    let output = rig.banyan(&["confirm", text(&plan), "--json"]).await;
+    assert_eq!(json_output(&output)["revision"], 1);
     assert_eq!(rig.shared.state.catalog.borrow().adapters.len(), 14_000);
 }
 
-/// The first control process of the list is gone.
+/// The first control process of the list is unreachable.
 #[tokio::test(flavor = "multi_thread")]
 async fn control_tried_in_order() {
     let rig = rig().await;
-    let gone = TcpListener::bind("127.0.0.1:0")
+    let unreachable = TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let both = format!("{gone},{}", rig.address);
-    assert_eq!(code(&rig.run(&both, KEY, &["status"]).await), 0);
-    assert_eq!(code(&rig.run(&gone.to_string(), KEY, &["status"]).await), 3);
+    let both = format!("{unreachable},{}", rig.address);
+    assert_eq!(exit_code(&rig.run(&both, KEY, &["status"]).await), 0);
+    assert_eq!(
+        exit_code(&rig.run(&unreachable.to_string(), KEY, &["status"]).await),
+        3
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -205,27 +209,30 @@
     let status = rig
         .run(&rig.address.to_string(), "wrong", &["status"])
         .await;
-    assert_eq!(code(&status), 1);
-    assert!(!error(&status).contains("wrong"));
+    assert_eq!(exit_code(&status), 1);
+    assert!(!stderr(&status).contains("wrong"));
     let share = rig.file("bad", &INTENT.replace("share = 1", "share = 0"));
-    assert_eq!(code(&rig.banyan(&["plan", text(&share)]).await), 1);
+    assert_eq!(exit_code(&rig.banyan(&["plan", text(&share)]).await), 1);
     let broken = rig.file("broken", "changes = 7");
-    assert_eq!(code(&rig.banyan(&["plan", text(&broken)]).await), 2);
-    assert_eq!(code(&rig.banyan(&["confirm", "/nonexistent"]).await), 2);
-    assert_eq!(code(&rig.banyan(&["bogus"]).await), 2);
+    assert_eq!(exit_code(&rig.banyan(&["plan", text(&broken)]).await), 2);
+    assert_eq!(
+        exit_code(&rig.banyan(&["confirm", "/nonexistent"]).await),
+        2
+    );
+    assert_eq!(exit_code(&rig.banyan(&["bogus"]).await), 2);
     rig.platform.begin_stop();
     let stopped = rig.banyan(&["confirm", text(&plan)]).await;
-    assert_eq!(code(&stopped), 3, "{}", error(&stopped));
+    assert_eq!(exit_code(&stopped), 3, "{}", stderr(&stopped));
     assert!(
-        error(&stopped).contains("nothing changed"),
+        stderr(&stopped).contains("nothing changed"),
         "{}",
-        error(&stopped)
+        stderr(&stopped)
     );
-    assert_eq!(code(&rig.banyan(&["usage"]).await), 3);
+    assert_eq!(exit_code(&rig.banyan(&["usage"]).await), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn check_settings_and_use_them() {
+async fn settings_checked_and_used() {
     let rig = rig().await;
     let key = rig.file("key", &format!("{KEY}\n"));
     let good = format!(
@@ -235,41 +242,44 @@
     );
     let good = rig.file("good.toml", &good);
     let bad = rig.file("bad.toml", "control = []\n");
-    assert_eq!(code(&rig.banyan(&["check-settings", text(&good)]).await), 0);
+    assert_eq!(
+        exit_code(&rig.banyan(&["check-settings", text(&good)]).await),
+        0
+    );
     let settings = Path::new(env!("CARGO_MANIFEST_DIR")).join("../settings");
     for program in ["control", "entry"] {
         let file = settings.join(format!("{program}.toml"));
-        let end = rig.banyan(&["check-settings", text(&file), "--json"]).await;
-        assert_eq!(answer(&end)["program"], format!("banyan-{program}"));
+        let output = rig.banyan(&["check-settings", text(&file), "--json"]).await;
+        assert_eq!(json_output(&output)["program"], format!("banyan-{program}"));
     }
-    let end = rig.banyan(&["check-settings", text(&bad)]).await;
-    assert_eq!(code(&end), 2);
+    let output = rig.banyan(&["check-settings", text(&bad)]).await;
+    assert_eq!(exit_code(&output), 2);
     assert!(
-        error(&end).contains("control: found none"),
+        stderr(&output).contains("control: found none"),
         "{}",
-        error(&end)
+        stderr(&output)
     );
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_banyan"));
     command.args(["--settings", text(&good), "status"]);
-    let end = tokio::task::spawn_blocking(move || command.output().unwrap());
-    assert_eq!(code(&end.await.unwrap()), 0);
+    let output = tokio::task::spawn_blocking(move || command.output().unwrap());
+    assert_eq!(exit_code(&output.await.unwrap()), 0);
 }
 
-/// The page holds every event and lets no value become markup.
+/// The page contains every event, and event values are escaped.
 #[tokio::test(flavor = "multi_thread")]
-async fn timeline_page_escaped() {
+async fn timeline_html_escaped() {
     let rig = rig().await;
     for request in ["r-1", "<script>alert(1)</script>"] {
-        let about = EventFields {
+        let fields = EventFields {
             request: request.to_owned(),
             detail: "\"&'".to_owned(),
             ..EventFields::default()
         };
-        rig.shared.recorder.record(EventKind::Received, about);
+        rig.shared.recorder.record(EventKind::Received, fields);
     }
     let page = rig.path("page.html");
-    let end = rig.banyan(&["timeline", "--html", text(&page)]).await;
-    assert_eq!(code(&end), 0, "{}", error(&end));
+    let output = rig.banyan(&["timeline", "--html", text(&page)]).await;
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     let page = std::fs::read_to_string(page).unwrap();
     assert!(page.contains("r-1") && page.contains("&lt;script&gt;"));
     assert!(!page.contains("<script") && !page.contains("http://127"));
@@ -284,5 +294,5 @@
             &address,
         ])
         .await;
-    assert_eq!(answer(&one)["events"].as_array().unwrap().len(), 1);
+    assert_eq!(json_output(&one)["events"].as_array().unwrap().len(), 1);
 }
--- a/cli/tests/test_convicted.rs
+++ b/cli/tests/test_convicted.rs
@@ -1,5 +1,5 @@
-//! A request that crashes each upstream that runs it is found and refused
-//! everywhere, and nothing else is.
+//! A request that crashes every upstream that runs it is identified and refused
+//! by all entry processes, and no other request is.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,12 +13,14 @@
 use banyangauge_testutils::rig::TEAMS;
 use serde_json::json;
 
-/// Sendings until the verdict must stand; each runs an engine down at the most.
-const SENDINGS: usize = 12;
+/// Number of attempts within which every entry process must refuse the request;
+/// each attempt crashes at most one engine.
+const MAX_ATTEMPTS: usize = 12;
 
-/// Engines that one request may take down: the first crash makes all that ran
-/// there suspects, the second convicts; one more when it was alone by chance.
-const CRASHES_MOST: usize = 3;
+/// Number of engines that one request may crash. The first crash makes every
+/// request that ran on the engine a suspect, and the second one convicts. One
+/// more is allowed for a request that happened to run alone.
+const MAX_CRASHES: usize = 3;
 
 fn call(id: &str) -> Call {
     Call {
@@ -48,7 +50,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn conviction_everywhere() {
+async fn crashing_request_refused_by_all_entries() {
     let rig = Rig::start(Size::default()).await.unwrap();
     for i in 0..rig.size.engines {
         let marker = json!({"crash_on": "call=evil"});
@@ -56,13 +58,13 @@
     }
     let caller = Caller::new(Instant::now());
     let mut refused = vec![false; rig.size.entries];
-    for n in 0..SENDINGS {
+    for n in 0..MAX_ATTEMPTS {
         let entry = n % rig.size.entries;
-        let (evil, good) = tokio::join!(
+        let (crashing, good) = tokio::join!(
             caller.send(rig.entry(entry), call("evil")),
             caller.send(rig.entry(entry), call(&format!("good{n}"))),
         );
-        refused[entry] |= is_convicted(&evil.told);
+        refused[entry] |= is_convicted(&crashing.told);
         assert!(!is_convicted(&good.told), "{:?}", good.told);
         if refused.iter().all(|r| *r) {
             break;
@@ -70,7 +72,7 @@
     }
     assert_eq!(refused, vec![true; rig.size.entries]);
     let crashed = crashes(&rig).await;
-    assert!(crashed <= CRASHES_MOST, "{crashed} crashes");
+    assert!(crashed <= MAX_CRASHES, "{crashed} crashes");
     let last = caller.send(rig.entry(0), call("after")).await;
     assert!(
         matches!(last.told, Told::Answered { .. }),
--- a/cli/tests/test_output.rs
+++ b/cli/tests/test_output.rs
@@ -1,4 +1,4 @@
-//! Text output.
+//! Text output of `banyan`, and parsing of its input.
 
 use banyangauge::catalog::Catalog;
 use banyangauge::catalog::Change;
--- a/cli/tests/test_promise_config_in_force.rs
+++ b/cli/tests/test_promise_config_in_force.rs
@@ -1,4 +1,5 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! A confirmed configuration becomes active everywhere within seconds and never
+//! reverts.
 
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
@@ -8,6 +9,6 @@
 #[rstest]
 #[case::one_fault(1, false)]
 #[case::two_faults(2, true)]
-fn config_in_force_under(#[case] seed: u64, #[case] pairs: bool) {
+fn config_in_force_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::ConfigInForce, seed, pairs);
 }
--- a/cli/tests/test_promise_graceful_stop.rs
+++ b/cli/tests/test_promise_graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request in flight.
+//! A planned stop does not interrupt any request in flight.
 
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
@@ -10,6 +10,6 @@
 #[case::two_faults(2, true)]
 #[case::leaving_beside_a_stop(6, true)]
 #[case::leaving_beside_a_stop_of_control(3, true)]
-fn graceful_stop_under(#[case] seed: u64, #[case] pairs: bool) {
+fn graceful_stop_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::GracefulStop, seed, pairs);
 }
--- a/cli/tests/test_promise_leaving_drains.rs
+++ b/cli/tests/test_promise_leaving_drains.rs
@@ -1,4 +1,4 @@
-//! An upstream that is leaving receives no new work after a few seconds.
+//! A draining upstream receives no new requests after a few seconds.
 
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
@@ -9,6 +9,6 @@
 #[case::one_fault(1, false)]
 #[case::two_faults(2, true)]
 #[case::leaving_by_the_list_only(14, false)]
-fn leaving_drains_under(#[case] seed: u64, #[case] pairs: bool) {
+fn leaving_drains_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::LeavingDrains, seed, pairs);
 }
--- a/cli/tests/test_promise_no_evict_in_use.rs
+++ b/cli/tests/test_promise_no_evict_in_use.rs
@@ -9,6 +9,6 @@
 #[case::one_fault(1, false)]
 #[case::two_faults(2, true)]
 #[case::frozen_owner_in_an_outage(5, true)]
-fn no_evict_in_use_under(#[case] seed: u64, #[case] pairs: bool) {
+fn no_evict_in_use_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::NoEvictInUse, seed, pairs);
 }
--- a/cli/tests/test_promise_not_run_true.rs
+++ b/cli/tests/test_promise_not_run_true.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true.
+//! A request that was refused as "not run" was never run.
 
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
@@ -9,6 +9,6 @@
 #[case::one_fault(1, false)]
 #[case::two_faults(2, true)]
 #[case::lost_answers_of_a_service(5, false)]
-fn not_run_true_under(#[case] seed: u64, #[case] pairs: bool) {
+fn not_run_true_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::NotRunTrue, seed, pairs);
 }
--- a/cli/tests/test_promise_usage_attributed.rs
+++ b/cli/tests/test_promise_usage_attributed.rs
@@ -1,4 +1,4 @@
-//! Every team's use is attributed to that team.
+//! Usage is attributed to the team that caused it.
 
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
@@ -9,6 +9,6 @@
 #[case::one_fault(1, false)]
 #[case::two_faults(2, true)]
 #[case::foreign_control(6, true)]
-fn usage_attributed_under(#[case] seed: u64, #[case] pairs: bool) {
+fn usage_attributed_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::UsageAttributed, seed, pairs);
 }
--- a/cli/tests/test_promise_whole_answer.rs
+++ b/cli/tests/test_promise_whole_answer.rs
@@ -1,4 +1,5 @@
-//! A caller gets the whole answer to its own request, and no one else's.
+//! A caller receives the complete response to its own request, and never one to
+//! another request.
 
 use banyangauge_testutils::prove::Promise;
 use rstest::rstest;
@@ -8,6 +9,6 @@
 #[rstest]
 #[case::crossed_answers(1, false)]
 #[case::two_faults(2, true)]
-fn whole_answer_under(#[case] seed: u64, #[case] pairs: bool) {
+fn whole_answer_under_faults(#[case] seed: u64, #[case] pairs: bool) {
     assert_kept(Promise::WholeAnswer, seed, pairs);
 }
