--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -93,11 +93,11 @@
 
 /// Waits until the catalog here has a revision; fails after a bounded count.
 pub(crate) async fn in_force(shared: &Shared, revision: u64) {
-    until(|| shared.state.catalog.borrow().revision.0 >= revision).await;
+    wait_until(|| shared.state.catalog.borrow().revision.0 >= revision).await;
 }
 
 /// Looks until something holds; fails after a bounded count of looks.
-pub(crate) async fn until(holds: impl Fn() -> bool) {
+pub(crate) async fn wait_until(holds: impl Fn() -> bool) {
     for _ in 0..LOOKS {
         if holds() {
             return;
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -114,7 +114,7 @@
     advance(&shared, 3);
     let seen = shared.state.catalog.subscribe();
     tokio::spawn(config::run(shared.clone()));
-    rig::until(|| asked.load(std::sync::atomic::Ordering::SeqCst) >= 6).await;
+    rig::wait_until(|| asked.load(std::sync::atomic::Ordering::SeqCst) >= 6).await;
     assert_eq!(shared.state.catalog.borrow().revision.0, 4);
     assert!(!seen.has_changed().unwrap());
 }
@@ -201,7 +201,7 @@
     }
     for version in 4..9 {
         let at = catalog.revision.0;
-        rig::until(|| {
+        rig::wait_until(|| {
             publish_members(&all);
             all.iter()
                 .all(|s| s.state.catalog.borrow().revision.0 == at)
--- a/lib/tests/test_link_tls.rs
+++ b/lib/tests/test_link_tls.rs
@@ -226,13 +226,13 @@
         .confirm(&plan, "ana", &Catalog::default())
         .await
         .unwrap();
-    rig::until(|| entry.state.view().revision().0 == 1).await;
+    rig::wait_until(|| entry.state.view().revision().0 == 1).await;
     let live = |n: usize| {
         let members = controls[n].shared.state.members.borrow();
         let live = members.values().filter(|m| m.state == 0);
         live.map(|m| m.vm.clone()).collect::<Vec<_>>()
     };
-    rig::until(|| live(0) == ["vm-0", "vm-1"] && live(1) == ["vm-0", "vm-1"]).await;
+    rig::wait_until(|| live(0) == ["vm-0", "vm-1"] && live(1) == ["vm-0", "vm-1"]).await;
     assert_eq!(live(2), ["vm-2"]);
     let link = Link::load(&settings_of(folder.path())).unwrap();
     let untrusted_link = Link::load(&settings_of(foreign.path())).unwrap();
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -160,7 +160,7 @@
     let lost = tokio::spawn(usage::run(shared.clone(), store.clone(), flush_interval()));
     store.record(report("vm-1", 1, &[("rosters", 3)]));
     store.record(report("vm-1", 2, &[("rosters", 5)]));
-    rig::until(|| {
+    rig::wait_until(|| {
         totals(&holder.state.usage.counts())
             .get(&key("rosters"))
             .is_some_and(|c| c.requests == 5)
@@ -213,7 +213,7 @@
     let ends = usage::run(shared.clone(), store.clone(), Duration::from_secs(60));
     let ends = tokio::spawn(ends);
     store.record(report("vm-1", 1, &[("rosters", 3)]));
-    rig::until(|| !holder.state.usage.counts().is_empty()).await;
+    rig::wait_until(|| !holder.state.usage.counts().is_empty()).await;
     store.record(report("vm-1", 2, &[("rosters", 5)]));
     shared.state.stopping.send_replace(true);
     ends.await.unwrap();
