--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -92,7 +92,7 @@
 }
 
 /// Waits until the catalog here has a revision; fails after a bounded count.
-pub(crate) async fn in_force(shared: &Shared, revision: u64) {
+pub(crate) async fn wait_for_revision(shared: &Shared, revision: u64) {
     wait_until(|| shared.state.catalog.borrow().revision.0 >= revision).await;
 }
 
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -57,11 +57,11 @@
     let mut catalog = confirm(&platform, &Catalog::default(), rig::basics()).await;
     let shared = rig::shared("vm-1", &platform, &[]);
     tokio::spawn(config::run(shared.clone()));
-    rig::in_force(&shared, 1).await;
+    rig::wait_for_revision(&shared, 1).await;
     let before = rig::calls(&running, "shards", "get").await;
     for version in 4..14 {
         catalog = confirm(&platform, &catalog, vec![rig::add("rosters", version)]).await;
-        rig::in_force(&shared, catalog.revision.0).await;
+        rig::wait_for_revision(&shared, catalog.revision.0).await;
     }
     assert_eq!(**shared.state.catalog.borrow(), catalog);
     assert_eq!(rig::calls(&running, "shards", "get").await, before);
@@ -78,7 +78,7 @@
     }
     let shared = rig::shared("vm-1", &platform, &[]);
     tokio::spawn(config::run(shared.clone()));
-    rig::in_force(&shared, catalog.revision.0).await;
+    rig::wait_for_revision(&shared, catalog.revision.0).await;
     assert_eq!(**shared.state.catalog.borrow(), catalog);
     assert!(rig::calls(&running, "shards", "get").await > 0);
 }
@@ -135,7 +135,7 @@
     ];
     let shared = rig::shared("vm-1", &platform, &peers);
     tokio::spawn(config::run(shared.clone()));
-    rig::in_force(&shared, 301).await;
+    rig::wait_for_revision(&shared, 301).await;
     assert!(!*shared.state.platform_up.borrow());
     assert_eq!(
         *shared.state.catalog.borrow(),
@@ -145,7 +145,7 @@
     let change = vec![rig::add("dryers", 9)];
     next.apply(&change).unwrap();
     config::activate(&ahead, next, &[set(302, change)]);
-    rig::in_force(&shared, 302).await;
+    rig::wait_for_revision(&shared, 302).await;
 }
 
 /// A heartbeat with a higher revision triggers a fetch from the peer, even though
@@ -163,7 +163,7 @@
     shared.state.members.send_modify(|m| {
         m.insert(ahead.vm.clone(), member);
     });
-    rig::in_force(&shared, 21).await;
+    rig::wait_for_revision(&shared, 21).await;
     assert_eq!(
         shared
             .state
