--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -163,7 +163,7 @@
 }
 
 /// A team, a pool and two adapters, each with versions 1 to 3.
-pub(crate) fn basics() -> Vec<Change> {
+pub(crate) fn base_changes() -> Vec<Change> {
     let mut changes = vec![put_team("laundry"), engine_pool("assistant", 2)];
     for adapter in ["rosters", "dryers"] {
         changes.push(create(adapter, "laundry", "assistant"));
--- a/lib/tests/test_catalog_apply.rs
+++ b/lib/tests/test_catalog_apply.rs
@@ -14,7 +14,7 @@
 
 fn catalog() -> Catalog {
     let mut catalog = Catalog::default();
-    catalog.apply(&rig::basics()).unwrap();
+    catalog.apply(&rig::base_changes()).unwrap();
     catalog
         .apply(&[rig::serve("laundry", "rosters", 1)])
         .unwrap();
--- a/lib/tests/test_catalog_store.rs
+++ b/lib/tests/test_catalog_store.rs
@@ -28,7 +28,7 @@
 
 async fn with_basics(platform: &Platform) -> (CatalogStore, Catalog) {
     let store = CatalogStore::new(platform.clone());
-    let first = rig::plan(&Catalog::default(), rig::basics());
+    let first = rig::plan(&Catalog::default(), rig::base_changes());
     let confirmed = store.confirm(&first, "ana", &Catalog::default()).await;
     (store, confirmed.unwrap().applied.unwrap().1)
 }
@@ -491,7 +491,7 @@
 #[test]
 fn plan_effects() {
     let mut catalog = Catalog::default();
-    catalog.apply(&rig::basics()).unwrap();
+    catalog.apply(&rig::base_changes()).unwrap();
     catalog
         .apply(&[rig::put_team("b"), rig::serve("laundry", "rosters", 1)])
         .unwrap();
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -39,9 +39,9 @@
     }
 }
 
-/// Activates `rig::basics` as revision 1, then `more` revisions on top.
+/// Activates `rig::base_changes` as revision 1, then `more` revisions on top.
 fn advance(shared: &Shared, more: u32) {
-    let mut sets = vec![set(1, rig::basics())];
+    let mut sets = vec![set(1, rig::base_changes())];
     sets.extend((0..more).map(|n| set(u64::from(n) + 2, vec![rig::add("rosters", n + 4)])));
     for one in sets {
         let mut next = Catalog::clone(&shared.state.catalog.borrow());
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn run_applies_log() {
     let (running, platform) = rig::platform().await;
-    let mut catalog = confirm(&platform, &Catalog::default(), rig::basics()).await;
+    let mut catalog = confirm(&platform, &Catalog::default(), rig::base_changes()).await;
     let shared = rig::shared("vm-1", &platform, &[]);
     tokio::spawn(config::run(shared.clone()));
     rig::wait_for_revision(&shared, 1).await;
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn run_reads_shards_when_log_is_short() {
     let (running, platform) = rig::platform().await;
-    let mut catalog = confirm(&platform, &Catalog::default(), rig::basics()).await;
+    let mut catalog = confirm(&platform, &Catalog::default(), rig::base_changes()).await;
     for version in 4..80 {
         catalog = confirm(&platform, &catalog, vec![rig::add("rosters", version)]).await;
     }
@@ -87,7 +87,7 @@
 #[tokio::test]
 async fn run_never_reverts() {
     let (_running, platform) = rig::platform().await;
-    confirm(&platform, &Catalog::default(), rig::basics()).await;
+    confirm(&platform, &Catalog::default(), rig::base_changes()).await;
     let old = CatalogStore::new(platform.clone())
         .read_root()
         .await
@@ -180,7 +180,7 @@
 #[tokio::test]
 async fn run_limits_watches_per_zone() {
     let (running, platform) = rig::platform().await;
-    let mut catalog = confirm(&platform, &Catalog::default(), rig::basics()).await;
+    let mut catalog = confirm(&platform, &Catalog::default(), rig::base_changes()).await;
     let all: Vec<_> = (0..9)
         .map(|n| rig::shared(&format!("vm-{n}"), &platform, &[]))
         .collect();
--- a/lib/tests/test_link_tls.rs
+++ b/lib/tests/test_link_tls.rs
@@ -220,7 +220,7 @@
     let entry = Entry::start(toml::from_str(&text).unwrap(), log)
         .await
         .unwrap();
-    let plan = rig::plan(&Catalog::default(), rig::basics());
+    let plan = rig::plan(&Catalog::default(), rig::base_changes());
     let store = CatalogStore::new(platform.clone());
     store
         .confirm(&plan, "ana", &Catalog::default())
