--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -60,7 +60,7 @@
     serde_json::from_slice(&body).unwrap()
 }
 
-pub(crate) async fn fault(running: &Running, switches: Value) {
+pub(crate) async fn set_faults(running: &Running, switches: Value) {
     control_call(running, "POST /faults", switches).await;
 }
 
--- a/lib/tests/test_catalog_store.rs
+++ b/lib/tests/test_catalog_store.rs
@@ -47,7 +47,7 @@
     let (running, platform) = rig::platform().await;
     let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
-    rig::fault(&running, json!({"lose_after_write": lost})).await;
+    rig::set_faults(&running, json!({"lose_after_write": lost})).await;
     let confirmed = store.confirm(&plan, "ana", &catalog).await.unwrap();
     assert_eq!(confirmed.revision, Revision(2));
     assert_eq!(read(&store).await.revision, Revision(2));
@@ -122,11 +122,11 @@
     let (running, platform) = rig::platform().await;
     let (store, catalog) = with_basics(&platform).await;
     let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", 2)]);
-    rig::fault(&running, json!({"down": true})).await;
+    rig::set_faults(&running, json!({"down": true})).await;
     let end = store.confirm(&plan, "ana", &catalog).await;
     let expected = ConfirmError::Platform(PlatformError::Refused(503));
     assert_eq!(end.unwrap_err(), expected);
-    rig::fault(&running, json!({"down": false})).await;
+    rig::set_faults(&running, json!({"down": false})).await;
     assert_eq!(read(&store).await, catalog);
     store.confirm(&plan, "ana", &catalog).await.unwrap();
 }
@@ -352,7 +352,7 @@
             let to = operator_id as u32 * 5 + turn + 4;
             let plan = rig::plan(&catalog, vec![rig::serve("laundry", "rosters", to)]);
             if turn == 2 {
-                rig::fault(&running, json!({"lose_after_write": 2})).await;
+                rig::set_faults(&running, json!({"lose_after_write": 2})).await;
             }
             record(operator_id, Action::Call(Operation::Swap(from, to, None)));
             let took_effect = match store
@@ -401,10 +401,10 @@
         for _ in 0..16 {
             let lost = rng.random_range(0..5);
             let switches = json!({"lose_after_write": lost, "down": rng.random_bool(0.4)});
-            rig::fault(&running, switches).await;
+            rig::set_faults(&running, switches).await;
             tokio::time::sleep(Duration::from_millis(rng.random_range(5..200))).await;
         }
-        rig::fault(&running, json!({"lose_after_write": 0, "down": false})).await;
+        rig::set_faults(&running, json!({"lose_after_write": 0, "down": false})).await;
     };
     let operator = async |operator_id: u32| {
         let store = CatalogStore::new(platform.clone());
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -124,7 +124,7 @@
 #[tokio::test]
 async fn run_starts_during_outage() {
     let (running, platform) = rig::platform().await;
-    rig::fault(&running, json!({"down": true})).await;
+    rig::set_faults(&running, json!({"down": true})).await;
     let ahead = rig::shared("vm-2", &platform, &[]);
     let behind = rig::shared("vm-3", &platform, &[]);
     advance(&ahead, 300);
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -97,7 +97,7 @@
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = &shared.state.usage;
     store.record(report("vm-1", 1, &[("rosters", 3), ("dryers", 2)]));
-    rig::fault(&running, json!({"lose_after_write": 1})).await;
+    rig::set_faults(&running, json!({"lose_after_write": 1})).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
@@ -118,10 +118,10 @@
     let shared = rig::shared("vm-1", &platform, &[]);
     let store = &shared.state.usage;
     store.record(report("vm-1", 1, &[("rosters", 3)]));
-    rig::fault(&running, json!({"down": true})).await;
+    rig::set_faults(&running, json!({"down": true})).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert!(usage::read_all(&platform, store).await.is_err());
-    rig::fault(&running, json!({"down": false})).await;
+    rig::set_faults(&running, json!({"down": false})).await;
     usage::flush(&shared, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
@@ -208,7 +208,7 @@
     shared.state.members.send_modify(|all| {
         all.insert(member.vm.parse().unwrap(), member);
     });
-    rig::fault(&running, json!({"down": true})).await;
+    rig::set_faults(&running, json!({"down": true})).await;
     let store = shared.state.usage.clone();
     let ends = usage::run(shared.clone(), store.clone(), Duration::from_secs(60));
     let ends = tokio::spawn(ends);
@@ -217,7 +217,7 @@
     store.record(report("vm-1", 2, &[("rosters", 5)]));
     shared.state.stopping.send_replace(true);
     ends.await.unwrap();
-    rig::fault(&running, json!({"down": false})).await;
+    rig::set_faults(&running, json!({"down": false})).await;
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 5);
 }
@@ -268,10 +268,10 @@
     });
     let store = shared.state.usage.clone();
     let _ = store.hold_copy(report("vm-1", 1, &[("rosters", 3)]));
-    rig::fault(&running, json!({"down": down})).await;
+    rig::set_faults(&running, json!({"down": down})).await;
     shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), flush_interval()).await;
-    rig::fault(&running, json!({"down": false})).await;
+    rig::set_faults(&running, json!({"down": false})).await;
     usage::flush(&third, &third.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
@@ -293,12 +293,12 @@
             all.insert(member.vm.parse().unwrap(), member);
         }
     });
-    rig::fault(&running, json!({"down": true})).await;
+    rig::set_faults(&running, json!({"down": true})).await;
     let store = shared.state.usage.clone();
     store.record(report("vm-1", 1, &[("rosters", 3)]));
     shared.state.stopping.send_replace(true);
     usage::run(shared.clone(), store.clone(), flush_interval()).await;
-    rig::fault(&running, json!({"down": false})).await;
+    rig::set_faults(&running, json!({"down": false})).await;
     usage::flush(&holder, &holder.state.usage, Duration::ZERO).await;
     assert_eq!(sum(&platform, "rosters").await, 3);
 }
