--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -70,7 +70,7 @@
 }
 
 /// Calls of a kind and method that the platform has seen.
-pub(crate) async fn calls(running: &Running, kind: &str, method: &str) -> u64 {
+pub(crate) async fn call_count(running: &Running, kind: &str, method: &str) -> u64 {
     history(running).await["calls"][kind][method]
         .as_u64()
         .unwrap_or(0)
--- a/lib/tests/test_config_spread.rs
+++ b/lib/tests/test_config_spread.rs
@@ -58,14 +58,14 @@
     let shared = rig::shared("vm-1", &platform, &[]);
     tokio::spawn(config::run(shared.clone()));
     rig::wait_for_revision(&shared, 1).await;
-    let before = rig::calls(&running, "shards", "get").await;
+    let before = rig::call_count(&running, "shards", "get").await;
     for version in 4..14 {
         catalog = confirm(&platform, &catalog, vec![rig::add("rosters", version)]).await;
         rig::wait_for_revision(&shared, catalog.revision.0).await;
     }
     assert_eq!(**shared.state.catalog.borrow(), catalog);
-    assert_eq!(rig::calls(&running, "shards", "get").await, before);
-    assert!(rig::calls(&running, "catalogs", "list").await <= 3);
+    assert_eq!(rig::call_count(&running, "shards", "get").await, before);
+    assert!(rig::call_count(&running, "catalogs", "list").await <= 3);
 }
 
 /// A VM whose revision is older than the root's log reads the shards.
@@ -80,7 +80,7 @@
     tokio::spawn(config::run(shared.clone()));
     rig::wait_for_revision(&shared, catalog.revision.0).await;
     assert_eq!(**shared.state.catalog.borrow(), catalog);
-    assert!(rig::calls(&running, "shards", "get").await > 0);
+    assert!(rig::call_count(&running, "shards", "get").await > 0);
 }
 
 /// An older root returned by the platform's list and watch is ignored.
@@ -209,7 +209,7 @@
         .await;
         catalog = confirm(&platform, &catalog, vec![rig::add("rosters", version)]).await;
     }
-    assert_eq!(rig::calls(&running, "catalogs", "watch").await, 3);
+    assert_eq!(rig::call_count(&running, "catalogs", "watch").await, 3);
 }
 
 #[tokio::test]
--- a/lib/tests/test_usage_store.rs
+++ b/lib/tests/test_usage_store.rs
@@ -107,9 +107,9 @@
     usage::flush(&restarted, store, usage::SOURCE_TIMEOUT).await;
     assert_eq!(sum(&platform, "rosters").await, 4);
     assert_eq!(sum(&platform, "dryers").await, 2);
-    let before = rig::calls(&running, "usages", "replace").await;
+    let before = rig::call_count(&running, "usages", "replace").await;
     usage::flush(&restarted, store, usage::SOURCE_TIMEOUT).await;
-    assert_eq!(rig::calls(&running, "usages", "replace").await, before);
+    assert_eq!(rig::call_count(&running, "usages", "replace").await, before);
 }
 
 #[tokio::test]
