--- a/lib/tests/rig/mod.rs
+++ b/lib/tests/rig/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of catalog, configuration and usage start from.
+//! Shared fixtures: a platform stand-in, control process state, catalog changes
+//! and peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,10 +34,10 @@
 use wire::peers_server::Peers;
 use wire::peers_server::PeersServer;
 
-/// Looks at a value that changes, at most so often.
-const LOOKS: u32 = 1_000;
+/// Maximum number of polls in [`wait_until`].
+const MAX_POLLS: u32 = 1_000;
 
-/// A platform stand-in with rates that no test here meets.
+/// Starts a platform stand-in with rate limits that no test here reaches.
 pub(crate) async fn platform() -> (Running, Platform) {
     let args = PlatformArgs::builder()
         .writes_per_s(100_000.0)
@@ -54,29 +55,30 @@
         .body(Full::new(Bytes::from(body.to_string())))
         .unwrap();
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let answer = client.request(request).await.unwrap();
-    assert!(answer.status().is_success());
-    let body = answer.into_body().collect().await.unwrap().to_bytes();
+    let response = client.request(request).await.unwrap();
+    assert!(response.status().is_success());
+    let body = response.into_body().collect().await.unwrap().to_bytes();
     serde_json::from_slice(&body).unwrap()
 }
 
+/// Sets the platform's fault switches.
 pub(crate) async fn set_faults(running: &Running, switches: Value) {
     control_call(running, "POST /faults", switches).await;
 }
 
-/// What the platform has seen.
+/// Returns the platform's record of the calls that it received.
 pub(crate) async fn history(running: &Running) -> Value {
     control_call(running, "GET /history", json!({})).await
 }
 
-/// Calls of a kind and method that the platform has seen.
+/// Returns how many calls of an object kind and method the platform received.
 pub(crate) async fn call_count(running: &Running, kind: &str, method: &str) -> u64 {
     history(running).await["calls"][kind][method]
         .as_u64()
         .unwrap_or(0)
 }
 
-/// What a control process on `vm` holds.
+/// Returns the state of a control process on `vm`.
 pub(crate) fn shared(vm: &str, platform: &Platform, peers: &[SocketAddr]) -> Shared {
     Shared {
         vm: vm.parse().unwrap(),
@@ -91,20 +93,20 @@
     }
 }
 
-/// Waits until the catalog here has a revision; fails after a bounded count.
+/// Waits until the catalog has reached `revision`; see [`wait_until`].
 pub(crate) async fn wait_for_revision(shared: &Shared, revision: u64) {
     wait_until(|| shared.state.catalog.borrow().revision.0 >= revision).await;
 }
 
-/// Looks until something holds; fails after a bounded count of looks.
-pub(crate) async fn wait_until(holds: impl Fn() -> bool) {
-    for _ in 0..LOOKS {
-        if holds() {
+/// Polls until `condition` holds; panics after [`MAX_POLLS`] polls, 10 ms apart.
+pub(crate) async fn wait_until(condition: impl Fn() -> bool) {
+    for _ in 0..MAX_POLLS {
+        if condition() {
             return;
         }
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
-    panic!("did not come to hold in {LOOKS} looks");
+    panic!("condition did not hold within {MAX_POLLS} polls");
 }
 
 pub(crate) fn put_team(team: &str) -> Change {
@@ -162,7 +164,7 @@
     }
 }
 
-/// A team, a pool and two adapters, each with versions 1 to 3.
+/// Changes that add a team, a pool and two adapters, each with versions 1 to 3.
 pub(crate) fn base_changes() -> Vec<Change> {
     let mut changes = vec![put_team("laundry"), engine_pool("assistant", 2)];
     for adapter in ["rosters", "dryers"] {
@@ -176,7 +178,7 @@
     Plan::new(catalog, changes).unwrap()
 }
 
-/// A peer that gives its configuration, as a control process does.
+/// A peer that serves its configuration, as a control process does.
 struct Peer(Shared);
 
 #[tonic::async_trait]
@@ -192,16 +194,16 @@
         &self,
         request: tonic::Request<wire::FetchRequest>,
     ) -> Result<tonic::Response<wire::Snapshot>, tonic::Status> {
-        let answer = config::fetch_catalog(&self.0, request.get_ref());
-        Ok(tonic::Response::new(answer))
+        let reply = config::fetch_catalog(&self.0, request.get_ref());
+        Ok(tonic::Response::new(reply))
     }
 
     async fn fetch_changes(
         &self,
         request: tonic::Request<wire::FetchRequest>,
     ) -> Result<tonic::Response<wire::Changes>, tonic::Status> {
-        let answer = config::fetch_changes(&self.0, request.get_ref());
-        Ok(tonic::Response::new(answer))
+        let reply = config::fetch_changes(&self.0, request.get_ref());
+        Ok(tonic::Response::new(reply))
     }
 
     async fn hold_usage(
@@ -214,7 +216,7 @@
     }
 }
 
-/// Serves a control process's `Peers`; ends with the test's runtime.
+/// Serves a control process's `Peers` service until the test's runtime ends.
 pub(crate) async fn serve_peer(shared: &Shared) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -224,7 +226,7 @@
     address
 }
 
-/// How other members see a control process.
+/// Returns a control process as the other members see it.
 pub(crate) fn member(shared: &Shared, address: SocketAddr, zone: &str) -> wire::Member {
     wire::Member {
         vm: shared.vm.to_string(),
--- a/lib/tests/runner.rs
+++ b/lib/tests/runner.rs
@@ -1,7 +1,7 @@
-//! All tests of the library crate.
+//! The integration tests of the library crate, in one binary.
 #![expect(
     clippy::unwrap_used,
-    reason = "a failed step of a test's helper fails the test"
+    reason = "a panic in a test helper fails the test, as intended"
 )]
 
 mod rig;
