--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Overshoot {
     /// Window length in seconds.
-    pub window: f64,
+    pub window_s: f64,
     /// Permitted overshoot as a fraction of the limit.
-    pub over: f64,
+    pub ratio: f64,
     /// Additional permitted overshoot, in the unit of the limit.
     pub slack: f64,
 }
@@ -146,7 +146,7 @@
     /// Returns the initial level of a new lender's bucket.
     fn start(&self, limit: &RateLimit) -> f64 {
         let o = &self.overshoot;
-        let permitted = o.over * (limit.rate * o.window + limit.burst) + o.slack;
+        let permitted = o.ratio * (limit.rate * o.window_s + limit.burst) + o.slack;
         limit.burst.min(permitted * START_FRACTION)
     }
 
--- a/lib/tests/test_serving_quota.rs
+++ b/lib/tests/test_serving_quota.rs
@@ -40,8 +40,8 @@
 
 /// Permitted use beyond the limit: a tenth, plus what three large requests take.
 const OVERSHOOT: Overshoot = Overshoot {
-    window: 8.0,
-    over: 0.1,
+    window_s: 8.0,
+    ratio: 0.1,
     slack: 300.0,
 };
 
@@ -415,8 +415,8 @@
     /// Returns the maximum use in any window minus the permitted use.
     fn excess(&self) -> f64 {
         let o = OVERSHOOT;
-        let allowed = (LIMIT.rate * o.window + LIMIT.burst) * (1.0 + o.over) + o.slack;
-        let window = (o.window * 1e3) as u64;
+        let allowed = (LIMIT.rate * o.window_s + LIMIT.burst) * (1.0 + o.ratio) + o.slack;
+        let window = (o.window_s * 1e3) as u64;
         let (mut first, mut sum, mut max) = (0, 0.0, 0.0_f64);
         for (ms, weight) in &self.used {
             sum += weight;
