--- a/lib/src/serving/decisions/adapter_planner/replica_plan.rs
+++ b/lib/src/serving/decisions/adapter_planner/replica_plan.rs
@@ -121,6 +121,7 @@
 /// The contents and pending load requests of one owned replica.
 #[derive(Debug)]
 pub(super) struct ReplicaPlan {
+    /// Number of adapters that it may hold.
     pub(super) max_adapters: usize,
     /// Start time of the incarnation that this plan is for.
     pub(super) started_ms: u64,
@@ -130,6 +131,7 @@
     accepted: Option<u64>,
     /// When its report may be read next.
     inspect_from: Moment,
+    /// Models and adapters that it holds, loads or unloads.
     slots: BTreeMap<Target, Slot>,
     uses: BTreeMap<Target, Use>,
     /// Load requests: when first made, and when last renewed.
@@ -251,7 +253,8 @@
         loading.count()
     }
 
-    /// Returns whether it holds no model and is loading none.
+    /// Returns whether its report was read, and it holds no model and is loading
+    /// none.
     pub(super) fn needs_model(&self) -> bool {
         self.accepted.is_some() && self.slots.keys().all(|t| t.adapter.is_some())
     }
@@ -292,7 +295,7 @@
         not_loading && self.is_cached(target) == Some(false)
     }
 
-    /// Records an adapter that the replica will keep in its memory when it is
+    /// Records an adapter that the replica keeps in its memory after the adapter is
     /// unloaded.
     fn record_cached(&mut self, target: &Target) {
         self.cached.retain(|t| t != target);
--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -44,6 +44,7 @@
 /// Health of one replica: back-off state and failure rate.
 #[derive(Debug, Default)]
 pub(super) struct Health {
+    /// Back-offs since the replica last responded.
     consecutive_failures: u32,
     backoff_until: Moment,
     last_received: Moment,
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 struct Replica {
     listing: ReplicaInfo,
-    /// Hash of its address, by which the homes of adapters are ranked.
+    /// Hash of its address, by which replicas are ranked as homes of adapters.
     seed: u64,
     /// Load of this VM's own requests.
     local_load: Load,
@@ -123,7 +123,7 @@
     /// Targets that it refused as not loaded, and until when it is not used for them.
     missing: BTreeMap<Target, Moment>,
     health: Health,
-    /// Since when it is missing from the store's list.
+    /// When its entry expired, or was first missing from the store's list.
     expired_at: Option<Moment>,
 }
 
@@ -424,7 +424,7 @@
         engines.map(|e| e.load_rate).fold(0.0, f64::max)
     }
 
-    /// Returns whether no replica is known.
+    /// Returns whether no replica is listed.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
@@ -550,7 +550,7 @@
         }
     }
 
-    /// Counts a request that is sent to a replica.
+    /// Adds the load of a request that is sent to a replica.
     pub fn begin_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.local_load.add(cost);
@@ -564,7 +564,7 @@
         }
     }
 
-    /// Removes a run that ended, with any outcome.
+    /// Removes the load of a run that ended with any outcome.
     pub fn end_run(&mut self, name: &ReplicaName, cost: Load) {
         if let Some(r) = self.replicas.get_mut(name) {
             r.local_load.remove(cost);
