--- a/lib/src/serving/mod.rs
+++ b/lib/src/serving/mod.rs
@@ -62,7 +62,7 @@
 pub use path::codec::NotRun;
 pub use path::codec::ObjectKinds;
 pub use path::codec::Order;
-pub use path::codec::Reply;
+pub use path::codec::ReplicaReply;
 pub use path::routes::Routes;
 pub use path::routes::pick_service;
 pub use path::types::*;
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -75,7 +75,7 @@
 
 /// Classification of a response by its status and headers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reply {
+pub enum ReplicaReply {
     /// The replica's response to this request.
     Answer,
     /// The replica's response to this request, reporting that the replica failed.
@@ -121,7 +121,7 @@
     pub set_headers: fn(&mut HeaderMap, &ForwardHeaders<'_>),
     /// Classifies a response by its status and headers, given the request ID and the
     /// replica that were addressed.
-    pub classify_response: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> Reply,
+    pub classify_response: fn(StatusCode, &HeaderMap, &str, &ReplicaName) -> ReplicaReply,
     /// Parses a configuration.
     pub parse_config: fn(&Item) -> Result<Config, BadRecord>,
     /// Parses a replica's record.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -26,7 +26,7 @@
 use crate::serving::decisions::retry::AttemptFailure;
 use crate::serving::path::charge::Charge;
 use crate::serving::path::codec::ForwardHeaders;
-use crate::serving::path::codec::Reply;
+use crate::serving::path::codec::ReplicaReply;
 use crate::serving::path::prefill::PrefillTurn;
 use crate::serving::path::prefill::wait_for_turn;
 use crate::serving::path::types::Instance;
@@ -208,22 +208,22 @@
     run.on_data();
     let classify = node.codec.classify_response;
     match classify(answer.head.status, &answer.head.headers, &req.id, replica) {
-        Reply::Answer => Ok(StartedResponse {
+        ReplicaReply::Answer => Ok(StartedResponse {
             answer,
             run,
             failed: false,
         }),
-        Reply::Failed => Ok(StartedResponse {
+        ReplicaReply::Failed => Ok(StartedResponse {
             answer,
             run,
             failed: true,
         }),
-        Reply::NotRun(reason) => {
+        ReplicaReply::NotRun(reason) => {
             send.inspect(|s| s.revert());
             record_refusal(node, req, &run, reason);
             Err(AttemptFailure::NotRun(reason))
         }
-        Reply::Invalid(reason) => {
+        ReplicaReply::Invalid(reason) => {
             run.record_end(RunOutcome::Broken);
             Err(AttemptFailure::InvalidReply(reason))
         }
