--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -104,19 +104,19 @@
     /// Send the request to a replica.
     Send {
         /// The replica.
-        at: ReplicaName,
+        replica: ReplicaName,
         /// The replica that should load a second copy of the adapter.
         copy: Option<ReplicaName>,
     },
     /// Have the adapter loaded at a replica, and wait.
     Load {
         /// The replica.
-        at: ReplicaName,
+        replica: ReplicaName,
     },
     /// The adapter is already being loaded at a replica.
     Loading {
         /// The replica.
-        at: ReplicaName,
+        replica: ReplicaName,
     },
     /// The replicas that could run it are full.
     Full,
@@ -166,7 +166,10 @@
             let scored = with_room.map(|(n, r)| (score(n, r), *n));
             let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
             let best = best.map(|(_, at)| at.clone());
-            return best.map_or(Placement::Full, |at| Placement::Send { at, copy: None });
+            return best.map_or(Placement::Full, |at| Placement::Send {
+                replica: at,
+                copy: None,
+            });
         };
         let holders = available
             .iter()
@@ -196,7 +199,7 @@
         let best = best.map(|(_, score, name)| (score, name.clone()));
         if target.adapter.is_none() {
             return best.map_or(Placement::Full, |(_, at)| Placement::Send {
-                at,
+                replica: at,
                 copy: None,
             });
         }
@@ -215,7 +218,10 @@
             // No replica is less busy than an idle one, so the score alone shows
             // that no copy is needed.
             if best_score <= copy_slack || !self.experiment.is_enabled(Mechanism::SecondCopies) {
-                return Placement::Send { at, copy: None };
+                return Placement::Send {
+                    replica: at,
+                    copy: None,
+                };
             }
             let candidates = load_candidates();
             let scores = candidates.iter().map(|(_, _, score)| *score);
@@ -230,17 +236,17 @@
                 is_worth_waiting(best_score - min_score, waited)
             });
             return match copy {
-                Some(at) if wait => Placement::Load { at },
-                copy => Placement::Send { at, copy },
+                Some(at) if wait => Placement::Load { replica: at },
+                copy => Placement::Send { replica: at, copy },
             };
         }
         let loading = available.iter().find(|(_, r)| r.is_loading(now, target));
         if let Some((at, _)) = loading {
             let at = (*at).clone();
-            return Placement::Loading { at };
+            return Placement::Loading { replica: at };
         }
         match self.home(now, request, target, &load_candidates()) {
-            Some(at) => Placement::Load { at },
+            Some(at) => Placement::Load { replica: at },
             None if holders.is_empty() => Placement::Unavailable,
             None => Placement::Full,
         }
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -78,12 +78,12 @@
         let waited = (at < load_deadline).then(|| at.since(start));
         let placement = choose_replica(node, routed, req, avoid, waited, at);
         let (deadline, refusal) = match placement {
-            Placement::Send { at, copy } => {
+            Placement::Send { replica, copy } => {
                 if let (Some(copy), Some(target)) = (copy, &req.target) {
                     beacons::request_load(node, &copy, target).await;
                 }
                 if owner_asks < MAX_OWNER_ASKS
-                    && owner_check::ask_owner(node, req, &at).await == Admission::ChooseAgain
+                    && owner_check::ask_owner(node, req, &replica).await == Admission::ChooseAgain
                 {
                     owner_asks += 1;
                     continue;
@@ -91,12 +91,12 @@
                 let waited = now().since(start);
                 metrics::histogram!("serve_wait_seconds").record(waited.0 as f64 / 1e6);
                 if waited >= LOGGED_WAIT {
-                    slog::info!(node.log, "placed"; "id" => &req.id, "replica" => at.as_str(),
+                    slog::info!(node.log, "placed"; "id" => &req.id, "replica" => replica.as_str(),
                         "waited_ms" => waited.as_millis(), "why" => reason);
                 }
-                return Ok(at);
+                return Ok(replica);
             }
-            Placement::Load { at: replica } | Placement::Loading { at: replica } => {
+            Placement::Load { replica } | Placement::Loading { replica } => {
                 let is_due =
                     requested_at.is_none_or(|w| at.since(w) >= to_span(LOAD_REQUEST_INTERVAL));
                 if let (true, Some(target)) = (is_due, &req.target) {
--- a/lib/tests/test_serving_place.rs
+++ b/lib/tests/test_serving_place.rs
@@ -132,7 +132,7 @@
     /// Returns the replica that a request is sent to, or what is done instead.
     fn destination(&self, now: Moment, service: &str, target: Option<&str>) -> String {
         match self.place(now, service, target) {
-            Placement::Send { at, .. } => at.to_string(),
+            Placement::Send { replica, .. } => replica.to_string(),
             other => format!("{other:?}"),
         }
     }
@@ -190,7 +190,7 @@
     for n in 0..20 {
         let place = fixture.place(at(0), "llm", Some(&format!("base/a{n}")));
         let at = "i-b".parse().unwrap();
-        assert_eq!(place, Placement::Load { at });
+        assert_eq!(place, Placement::Load { replica: at });
     }
 }
 
@@ -210,7 +210,7 @@
     }
     let home = |fixture: &Fixture, n: u32| fixture.place(at(0), "llm", Some(&format!("base/a{n}")));
     let idle = Placement::Load {
-        at: "i-3".parse().unwrap(),
+        replica: "i-3".parse().unwrap(),
     };
     fixture.waited = Some(Span::from_millis(100));
     assert!((0..20).any(|n| home(&fixture, n) != idle));
@@ -328,18 +328,18 @@
 /// with time left waits for the copy, as it would be late at the holder and delay
 /// the others; one without time left is sent to the holder.
 #[rstest]
-#[case::has_time(Some(0), 36_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::has_time(Some(0), 36_000, Placement::Load { replica: "i-b".parse().unwrap() })]
 #[case::has_none(None, 36_000, Placement::Send {
-    at: "i-a".parse().unwrap(),
+    replica: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
 #[case::waited_for_a_load(Some(460), 34_000, Placement::Send {
-    at: "i-a".parse().unwrap(),
+    replica: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
-#[case::long_queue(Some(460), 60_000, Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::long_queue(Some(460), 60_000, Placement::Load { replica: "i-b".parse().unwrap() })]
 #[case::holder_soon_free(Some(0), 24_000, Placement::Send {
-    at: "i-a".parse().unwrap(),
+    replica: "i-a".parse().unwrap(),
     copy: None,
 })]
 fn request_waits_for_copy_of_overloaded_holder(
@@ -557,13 +557,13 @@
 
 /// Placement with mechanisms switched off: each case lists those that are off.
 #[rstest]
-#[case::whole(&[], Placement::Load { at: "i-b".parse().unwrap() })]
+#[case::whole(&[], Placement::Load { replica: "i-b".parse().unwrap() })]
 #[case::copy_waits(&[Mechanism::CopyWaits], Placement::Send {
-    at: "i-a".parse().unwrap(),
+    replica: "i-a".parse().unwrap(),
     copy: Some("i-b".parse().unwrap()),
 })]
 #[case::second_copies(&[Mechanism::SecondCopies], Placement::Send {
-    at: "i-a".parse().unwrap(),
+    replica: "i-a".parse().unwrap(),
     copy: None,
 })]
 fn place_with_mechanism_off(#[case] off: &[Mechanism], #[case] expected: Placement) {
@@ -601,7 +601,7 @@
 /// sent, when the old version may no longer serve.
 #[rstest]
 #[case::free(0, "i-a")]
-#[case::crowded(4_000, "Load { at: ReplicaName(\"i-b\") }")]
+#[case::crowded(4_000, "Load { replica: ReplicaName(\"i-b\") }")]
 fn old_version_is_not_used_behind_a_long_queue(#[case] wait_ms: u64, #[case] expected: &str) {
     let a = listing("i-a", "llm", "z-a", &["base", "base/x"]);
     let b = listing("i-b", "llm", "z-a", &["base"]);
