--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -203,8 +203,8 @@
         // in between.
         if self.policy.has_removals {
             self.record_skipped(SkippedRange {
-                from: known.revision,
-                to: revision,
+                last_before: known.revision,
+                first_after: revision,
             });
         }
         self.record_answer(now, asked, revision);
@@ -217,7 +217,7 @@
 
     /// Returns the skipped revisions within the history that is shared.
     pub fn skipped(&self) -> Option<SkippedRange> {
-        self.skipped.filter(|s| s.to > self.history_start)
+        self.skipped.filter(|s| s.first_after > self.history_start)
     }
 
     /// Applies the changes returned by a watch that was sent at `asked` and
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -48,22 +48,22 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SkippedRange {
     /// The last revision known before the range.
-    pub from: u64,
+    pub last_before: u64,
     /// The first revision known after it.
-    pub to: u64,
+    pub first_after: u64,
 }
 
 impl SkippedRange {
     /// Whether a revision lies within the range.
     pub(super) fn contains(self, revision: u64) -> bool {
-        self.from < revision && revision < self.to
+        self.last_before < revision && revision < self.first_after
     }
 
     /// Returns the range that covers both and everything between them.
     pub(super) fn merge(self, other: Self) -> Self {
         Self {
-            from: self.from.min(other.from),
-            to: self.to.max(other.to),
+            last_before: self.last_before.min(other.last_before),
+            first_after: self.first_after.max(other.first_after),
         }
     }
 }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -312,8 +312,8 @@
             let feed = state.feeds.get(topic);
             let before = feed.has_gap();
             let skipped = SkippedRange {
-                from: message.blind_from,
-                to: message.blind_to,
+                last_before: message.blind_from,
+                first_after: message.blind_to,
             };
             let changes = match message.blind_to {
                 0 => feed.apply_update(at, update),
@@ -377,8 +377,8 @@
             age_us: at.since(update.as_of).0,
             since: update.since,
             changes: changes.collect(),
-            blind_from: skipped.map_or(0, |r| r.from),
-            blind_to: skipped.map_or(0, |r| r.to),
+            blind_from: skipped.map_or(0, |r| r.last_before),
+            blind_to: skipped.map_or(0, |r| r.first_after),
             witnesses: Vec::new(),
         })
     };
