--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -79,7 +79,7 @@
     failures: u32,
     retry_at: Option<Moment>,
     /// Whether the store no longer has the history after the synced revision.
-    expired: bool,
+    history_expired: bool,
 }
 
 impl Feed {
@@ -98,7 +98,7 @@
             failing: false,
             failures: 0,
             retry_at: None,
-            expired: false,
+            history_expired: false,
         }
     }
 
@@ -133,7 +133,7 @@
         if let Some(retry) = self.retry_at.filter(|at| *at > now) {
             return FeedAction::Wait(retry);
         }
-        let Some(known) = self.synced.filter(|_| !self.expired) else {
+        let Some(known) = self.synced.filter(|_| !self.history_expired) else {
             return FeedAction::List;
         };
         let Some(rank) = rank else {
@@ -307,7 +307,7 @@
         self.failing = false;
         self.failures = 0;
         self.retry_at = None;
-        self.expired = false;
+        self.history_expired = false;
     }
 
     /// Shares a change with the other VMs.
@@ -330,8 +330,8 @@
 
     /// Records that the store no longer has the history needed: the next action
     /// is a list.
-    pub fn mark_expired(&mut self) {
-        self.expired = true;
+    pub fn mark_history_expired(&mut self) {
+        self.history_expired = true;
     }
 
     /// Applies an update from another VM. Returns the changes that are new.
@@ -357,7 +357,7 @@
             self.advance(update.revision, update.as_of);
             self.gap_since = None;
             self.failing = false;
-            self.expired = false;
+            self.history_expired = false;
         } else {
             self.gap_since.get_or_insert(now);
         }
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -150,7 +150,7 @@
     let mut state = node.state();
     let feed = state.feeds.get(topic);
     if matches!(e, PlatformError::Expired) {
-        feed.mark_expired();
+        feed.mark_history_expired();
         slog::info!(node.log, "store history expired, listing again";
             "kind" => store_kind(node, topic),
             "revision" => feed.revision());
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -314,7 +314,7 @@
 #[test]
 fn expired_history_is_listed() {
     let mut feed = listed(0, 1, &["a", "b"]);
-    feed.mark_expired();
+    feed.mark_history_expired();
     assert_eq!(feed.next_action(at(100), Some(9)), FeedAction::List);
     let items = [item("b", 1), item("c", 7)];
     let changes = feed.apply_list(at(200), at(150), 9, &items);
--- a/lib/tests/test_serving_feed_late.rs
+++ b/lib/tests/test_serving_feed_late.rs
@@ -84,7 +84,7 @@
 #[test]
 fn apply_list_after_newer_update_removes_nothing() {
     let mut feed = listed(true, 1, &["a"]);
-    feed.mark_expired();
+    feed.mark_history_expired();
     feed.apply_update(at(100), update(5, 100, 1, &[("b", 5)]));
     let changes = feed.apply_list(at(200), at(50), 3, &[item("a", 1)]);
     assert!(
--- a/lib/tests/test_serving_feed_search.rs
+++ b/lib/tests/test_serving_feed_search.rs
@@ -170,7 +170,7 @@
     fn answer(&mut self, now: Moment, asked: Moment, answer: Answer) {
         let changes = match answer {
             Answer::Expired => {
-                self.feed.mark_expired();
+                self.feed.mark_history_expired();
                 return;
             }
             Answer::List(revision, items) => {
