--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -12,18 +12,18 @@
     pub removed: bool,
     /// Whether the removal may be due to an outage of the store, so that the
     /// object may come back.
-    pub lapsed: bool,
+    pub expired: bool,
     /// The compressed content, set once the change is shared.
     pub compressed: Vec<u8>,
 }
 
 impl TopicChange {
     /// Creates a change that is not shared yet.
-    pub fn new(item: Item, removed: bool, lapsed: bool) -> Self {
+    pub fn new(item: Item, removed: bool, expired: bool) -> Self {
         Self {
             item,
             removed,
-            lapsed,
+            expired,
             compressed: Vec::new(),
         }
     }
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -254,7 +254,7 @@
     let start = now();
     loop {
         tokio::time::sleep(MAINTENANCE_INTERVAL).await;
-        follow::drop_lapsed(&node);
+        follow::drop_expired(&node);
         node.state().update_lender(now());
         if now().since(start) >= PROPOSE_DELAY && node.phase() == Phase::Serving {
             repair_owners(&node).await;
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -272,7 +272,7 @@
 /// other VMs need.
 fn apply_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
-        if change.removed && !change.lapsed && topic == Topic::Replicas {
+        if change.removed && !change.expired && topic == Topic::Replicas {
             apply::announce_leaving(node, &change);
         }
         let update = StoreUpdate::Change(&change);
@@ -348,7 +348,7 @@
             spec,
         },
         removed: change.removed,
-        lapsed: change.lapsed,
+        expired: change.lapsed,
         compressed: change.spec.to_vec(),
     })
 }
@@ -369,7 +369,7 @@
             revision: c.item.revision,
             spec: c.compressed.into(),
             removed: c.removed,
-            lapsed: c.lapsed,
+            lapsed: c.expired,
         });
         Some(wire::StoreNews {
             topic: topic.number(),
@@ -493,7 +493,7 @@
 
 /// Removes the replicas whose entries did not come back after an outage of the
 /// store.
-pub(in crate::serving) fn drop_lapsed(node: &Node) {
+pub(in crate::serving) fn drop_expired(node: &Node) {
     let gone = node.state().fleet.remove_expired(now());
     for name in gone {
         slog::info!(node.log, "replica gone"; "replica" => name.as_str(), "why" => "lapsed");
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -296,17 +296,17 @@
 #[rstest]
 #[case::calm(false)]
 #[case::after_outage(true)]
-fn removal_after_outage_is_lapsed(#[case] outage: bool) {
+fn removal_after_outage_is_expired(#[case] outage: bool) {
     let mut feed = listed(0, 1, &["a"]);
     if outage {
         feed.record_failure(at(1_000), Some(0));
     }
     let gone = vec![(item("a", 2), true)];
     let changes = feed.apply_changes(at(2_000), at(2_000), Duration::ZERO, 2, gone);
-    assert_eq!(changes[0].lapsed, outage);
+    assert_eq!(changes[0].expired, outage);
     let again = vec![(item("b", 3), true)];
     let changes = feed.apply_changes(at(3_000), at(3_000), Duration::ZERO, 3, again);
-    assert!(!changes[0].lapsed);
+    assert!(!changes[0].expired);
 }
 
 /// After the store dropped its history, a list yields the changes, which are
