--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -73,7 +73,7 @@
     gap_since: Option<Moment>,
     /// Changes that were applied beyond the synced revision while earlier ones
     /// are missing: the revision by object name.
-    taken_ahead: BTreeMap<String, u64>,
+    applied_ahead: BTreeMap<String, u64>,
     /// Whether a call failed since the last answer of the store.
     failing: bool,
     failures: u32,
@@ -94,7 +94,7 @@
             skipped: None,
             last_answer: None,
             gap_since: None,
-            taken_ahead: BTreeMap::new(),
+            applied_ahead: BTreeMap::new(),
             failing: false,
             failures: 0,
             retry_at: None,
@@ -180,14 +180,14 @@
             self.names = names;
             // The first list may be seconds old. It is not shared, and its age
             // makes this VM poll again like any other old state.
-            self.record_answer(now, asked, revision);
+            self.record_store_answer(now, asked, revision);
             self.last_answer = None;
             return Vec::new();
         };
         // Another VM's update went beyond the list since it was requested:
         // objects missing from the list may have been created after it.
         if revision <= known.revision {
-            self.record_answer(now, asked, revision);
+            self.record_store_answer(now, asked, revision);
             return Vec::new();
         }
         let present = items
@@ -207,7 +207,7 @@
                 first_after: revision,
             });
         }
-        self.record_answer(now, asked, revision);
+        self.record_store_answer(now, asked, revision);
         changes
     }
 
@@ -239,7 +239,7 @@
         };
         let changes = self.with_removal_revisions(revision, changes);
         let changes = self.accept_new(changes);
-        self.record_answer(now, as_of, revision);
+        self.record_store_answer(now, as_of, revision);
         changes
     }
 
@@ -270,7 +270,7 @@
         let changes: Vec<_> = changes.into_iter().filter(|c| self.is_new(c)).collect();
         for c in &changes {
             let name = c.item.name.clone();
-            self.taken_ahead.insert(name.clone(), c.item.revision);
+            self.applied_ahead.insert(name.clone(), c.item.revision);
             match c.removed {
                 true => self.names.remove(&name),
                 false => self.names.insert(name),
@@ -285,7 +285,7 @@
     /// that already has the older change would conclude that it is up to date.
     fn is_new(&self, change: &TopicChange) -> bool {
         let revision = change.item.revision;
-        let ahead = self.taken_ahead.get(&change.item.name);
+        let ahead = self.applied_ahead.get(&change.item.name);
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
     }
 
@@ -296,11 +296,12 @@
             revision: old.revision.max(revision),
             as_of: old.as_of.max(as_of),
         };
-        self.taken_ahead.retain(|_, taken| *taken > known.revision);
+        self.applied_ahead
+            .retain(|_, applied| *applied > known.revision);
         self.synced = Some(known);
     }
 
-    fn record_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
+    fn record_store_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
         self.advance(revision, as_of);
         self.last_answer = Some(now);
         self.gap_since = None;
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -38,7 +38,7 @@
     let mut since = 0;
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        validity.update(&node);
+        validity.refresh_acknowledgements(&node);
         if !is_due(&node) {
             continue;
         }
@@ -90,7 +90,7 @@
 struct ValidityLog(bool);
 
 impl ValidityLog {
-    fn update(&mut self, node: &Node) {
+    fn refresh_acknowledgements(&mut self, node: &Node) {
         let mut state = node.state();
         let at = now();
         let acknowledged = state
