--- a/lib/src/claims/segment.rs
+++ b/lib/src/claims/segment.rs
@@ -67,9 +67,9 @@
 /// retention of all claims again.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The fencing token of the owner that wrote it last.
+    /// The fencing token of the owner that last wrote the segment.
     pub token: FencingToken,
-    /// Its position in the journal.
+    /// The position of the segment in the journal.
     pub number: u64,
     /// Identifies the write that stored this content, so that a writer that
     /// lost the answer can tell whether its write took effect.
--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -41,7 +41,7 @@
 pub struct Claimant {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
-    /// The entry's number of the request.
+    /// The number that the entry gave the request.
     pub request: u64,
 }
 
--- a/lib/src/control/owner/requests.rs
+++ b/lib/src/control/owner/requests.rs
@@ -25,13 +25,13 @@
 pub struct TrackedRequest {
     /// The entry process, as `name/incarnation`.
     pub entry: String,
-    /// The entry's number for it.
+    /// The number that the entry gave the request.
     pub request: u64,
     /// The request as received; the grant repeats parts of it.
     pub acquire: wire::Acquire,
-    /// The key that it claims, if any.
+    /// The key that the request claims, if any.
     pub claim: Option<ClaimKey>,
-    /// When its grant expires; `None` while the request waits.
+    /// When the grant expires; `None` while the request waits.
     pub expires: Option<Moment>,
     /// The grant, once sent or adopted.
     pub grant: Option<wire::Grant>,
@@ -51,12 +51,14 @@
 #[derive(Clone, Debug)]
 pub struct RequestTable {
     next_ticket: u64,
+    // The entry of each open stream.
     sessions: BTreeMap<SessionId, String>,
     // The latest stream of each entry.
     current: BTreeMap<String, SessionId>,
     requests: BTreeMap<Ticket, TrackedRequest>,
-    // By entry and the entry's number of the request.
+    // By the entry and the number that it gave the request.
     waiting: BTreeMap<(String, u64), Ticket>,
+    // Entries that have opened a stream to this owner.
     synced: BTreeSet<String>,
 }
 
--- a/lib/src/control/owner/service.rs
+++ b/lib/src/control/owner/service.rs
@@ -27,7 +27,7 @@
 use crate::control::owner::sessions::message;
 use crate::ids::PoolName;
 
-/// How many messages may wait for one entry to read them.
+/// The maximum number of messages queued for one entry.
 const OUTBOX_CAPACITY: usize = 4_096;
 
 /// How long the owner waits for the first message of a stream.
@@ -53,6 +53,8 @@
         }
     }
 
+    // Returns the message that redirects an entry; its address is empty unless another
+    // VM is known to own the pool.
     fn not_owner(&self, pool: &PoolName) -> wire::OwnerMessage {
         let owners = self.shared.state.owners.borrow();
         let other = owners.get(pool).filter(|o| o.vm != self.shared.vm);
@@ -85,7 +87,7 @@
     let (pool, hello) = match read_hello(&mut messages).await {
         Ok(first) => first,
         Err(status) => {
-            // The entry may be gone; then there is nobody to answer.
+            // Fails if the entry has disconnected, which needs no handling.
             let _ = out.try_send(Err(status));
             return;
         }
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -66,12 +66,12 @@
 pub struct HeldLease {
     /// The fencing token.
     pub token: FencingToken,
-    /// When it expires, with the margin subtracted. After that there may be a
+    /// When the lease expires, with the margin subtracted. After that there may be a
     /// successor, but none can be elected while the platform is unreachable.
     pub valid_until: Moment,
     /// When this process learned that it had acquired the lease.
     pub acquired_at: Moment,
-    /// How the previous holder gave it up.
+    /// How the previous holder gave up the lease.
     pub predecessor: Predecessor,
     /// The longest time for which a grant of the previous holder stays valid without
     /// a renewal.
--- a/lib/src/pool/dispatch.rs
+++ b/lib/src/pool/dispatch.rs
@@ -88,8 +88,8 @@
     fn can_run(&self, r: &Replica, lane: Lane, target: &Target) -> bool {
         let s = &self.settings;
         let long_waits = lane == Lane::Short && self.long_work_waits(r, target);
-        let slot = lane == Lane::Short || r.long_slot_allowed(target, s.long_slots);
-        slot && r.has_room(lane, s.effective_long_cap(), s.long_floor, long_waits)
+        let slot_allowed = lane == Lane::Short || r.long_slot_allowed(target, s.long_slots);
+        slot_allowed && r.has_room(lane, s.effective_long_cap(), s.long_floor, long_waits)
     }
 
     /// Returns whether a replica has room for a lane, regardless of long work
@@ -149,15 +149,16 @@
             return None;
         }
         let bare: Target = None;
-        let own = r.loaded.iter().map(|a| Some(a.clone()));
-        let targets: Vec<Target> = own.chain([bare]).collect();
+        let loaded = r.loaded.iter().map(|a| Some(a.clone()));
+        let targets: Vec<Target> = loaded.chain([bare]).collect();
         let entries = targets
             .iter()
             .filter_map(|t| Some((t, self.adapters.get(t)?)));
         let entries: Vec<_> = entries.filter(|(_, e)| e.waiting() > 0).collect();
         let s = &self.settings;
-        let slot = |t: &Target, lane| lane == Lane::Short || r.long_slot_allowed(t, s.long_slots);
-        let mut long_entries = entries.iter().filter(|(t, _)| slot(t, Lane::Long));
+        let slot_allowed =
+            |t: &Target, lane| lane == Lane::Short || r.long_slot_allowed(t, s.long_slots);
+        let mut long_entries = entries.iter().filter(|(t, _)| slot_allowed(t, Lane::Long));
         let long_waiting = long_entries.any(|(_, e)| !e.lane_queue(Lane::Long).is_empty());
         let lanes = Lane::ALL.into_iter();
         let mut open_lanes = lanes
@@ -166,7 +167,7 @@
             if lane == Lane::Long && !self.batch_ready(now, r, 0) {
                 return None;
             }
-            let usable = entries.iter().filter(|(t, _)| slot(t, lane));
+            let usable = entries.iter().filter(|(t, _)| slot_allowed(t, lane));
             let first_runnable = usable.flat_map(|(_, e)| {
                 let candidates = e.lane_queue(lane).iter().take(PROBED_REQUESTS);
                 candidates.filter(|(_, t)| self.may_run(*t, name)).take(1)
--- a/lib/src/pool/state.rs
+++ b/lib/src/pool/state.rs
@@ -258,11 +258,17 @@
         let backoff = self.backoffs.first().map(|(at, _)| *at);
         let wanted = self.adapters.queued_loads() > 0;
         let retention = self.retention_ends.first().map(|(at, _)| *at);
-        let frozen = [Some(self.slot_freeze), Some(self.evict_freeze), retention];
-        let frozen = frozen.into_iter().flatten();
-        let frozen = frozen.filter(|at| wanted && *at > self.service.now).min();
+        // The ends of freezes and of retentions matter only while a load is queued.
+        let slot_changes = [Some(self.slot_freeze), Some(self.evict_freeze), retention];
+        let slot_changes = slot_changes.into_iter().flatten();
+        let slot_change = slot_changes
+            .filter(|at| wanted && *at > self.service.now)
+            .min();
         let delay = self.batch_delays.first().map(|(at, _)| *at);
-        [expiry, backoff, frozen, delay].into_iter().flatten().min()
+        [expiry, backoff, slot_change, delay]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Returns the decisions made since the last call, in order.
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -282,7 +282,8 @@
     Done,
     /// The load failed; the eviction may have happened.
     Failed,
-    /// The result is unknown; the next load report settles it.
+    /// The result is unknown; the next load report shows which adapters are
+    /// loaded.
     Unknown,
     /// The engine has seen a higher fencing token and refused the order.
     Fenced,
--- a/lib/tests/test_owner_takeover.rs
+++ b/lib/tests/test_owner_takeover.rs
@@ -258,8 +258,8 @@
     });
     until(async || {
         let knows = |n: usize| {
-            let board = &rig.control(n).shared.state;
-            board.verdicts.borrow().contains_key(&Fingerprint(7))
+            let state = &rig.control(n).shared.state;
+            state.verdicts.borrow().contains_key(&Fingerprint(7))
         };
         (0..3).all(knows).then_some(())
     })
--- a/lib/tests/test_pool_faults.rs
+++ b/lib/tests/test_pool_faults.rs
@@ -94,8 +94,8 @@
 #[test]
 fn block_expires() {
     let mut rig = Rig::new(settings(), 1, 0, 8);
-    let hold = Span::from_millis(1_000);
-    rig.pool.block(rig.now, Fingerprint(0), hold);
+    let duration = Span::from_millis(1_000);
+    rig.pool.block(rig.now, Fingerprint(0), duration);
     rig.offer_in(0, arrival(0, "t", ""));
     rig.run_for(1_500);
     let mut again = arrival(1, "t", "");
