--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -25,8 +25,8 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// Timeout for a lender's answer: it is a millisecond or two away, and callers of services
-/// without models wait for a tenth of a second only.
+/// Timeout for a lender's answer, which usually takes a millisecond or two; callers of
+/// services without models wait for a tenth of a second only.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Pause before the next attempt when no lender is known: VMs that start at the same time
@@ -113,6 +113,8 @@
         weight,
         may_have_run: Cell::new(false),
     };
+    // The key `by` is "told" if an earlier answer of a lender still applies, and "asked" if
+    // a lender was asked for this request.
     let over = |after: Span, source: &'static str| {
         count_usage(name, "over_limit", weight);
         slog::info!(node.log, "organisation is over its rate limit"; "id" => &request.id,
--- a/lib/src/serving/path/codec.rs
+++ b/lib/src/serving/path/codec.rs
@@ -73,7 +73,8 @@
     Full,
 }
 
-/// Classification of a response by its status and headers.
+/// Classification of a replica's response by its status and headers, which decides whether
+/// the response is forwarded to the caller or the request is retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReplicaReply {
     /// The replica's response to this request.
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Waits for the turn of a long prompt, and starts to expect the first byte of the response.
-    /// The request must be sent right after it.
+    /// Waits for the turn of a long prompt, and starts the first-byte timer of the run. The
+    /// request must be sent right after this call.
     async fn wait_for_turn(&mut self, deadline: Moment) {
         if self.cost.prefill >= LONG_PROMPT_TOKENS {
             let node = self.node.clone();
--- a/lib/src/serving/path/placement.rs
+++ b/lib/src/serving/path/placement.rs
@@ -155,7 +155,8 @@
         "owners_term" => state.ownership.table.term.0);
 }
 
-/// Chooses where a request would run now.
+/// Chooses where a request would run now. `waited` is how long it has waited for a load so
+/// far; `None` if it may not wait for one.
 fn choose_replica(
     node: &Node,
     routed: &RoutedRequest,
--- a/lib/src/serving/path/prefill.rs
+++ b/lib/src/serving/path/prefill.rs
@@ -18,7 +18,8 @@
 use crate::serving::program::node::now;
 use crate::serving::program::node::time_until;
 
-/// How often the task that grants turns runs when no turn is due.
+/// How often the task that grants turns runs while no prompt waits. New requests wake it at
+/// once, so these passes only drop turns that timed out.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Guard for a requested turn; dropping it notifies the replica's owner that the turn has
@@ -149,7 +150,7 @@
     node.turns_wake.notify_one();
 }
 
-/// Ends the turn of another VM, whose prompt was read.
+/// Ends the turn of another VM: the engine has read its prompt, or the run has ended.
 pub(in crate::serving) fn handle_turn_end(node: &Node, end: &wire::TurnEnd) {
     let (Ok(vm), Ok(replica)) = (end.vm.parse(), end.replica.parse()) else {
         return;
--- a/lib/src/serving/program/experiment.rs
+++ b/lib/src/serving/program/experiment.rs
@@ -10,45 +10,50 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// While the only replicas with a request's adapter are busy, the request may wait until
-    /// the adapter is loaded on another one.
+    /// A request may wait for a copy: while the only replicas with its adapter are busy, it
+    /// waits until the adapter is loaded on another one.
     CopyWaits,
-    /// Adapters of busy replicas are also loaded on a second replica.
+    /// Second copies: adapters of busy replicas are also loaded on a second replica.
     SecondCopies,
-    /// Adapters are loaded on the replica that rendezvous hashing ranks first; without it, on
-    /// the least busy one.
+    /// Each adapter has a home, the replica that rendezvous hashing ranks first, and is loaded
+    /// there; without it, on the least busy replica.
     Homes,
     /// Requests with a common prompt prefix go to the same one of the replicas that have their
-    /// adapter loaded.
+    /// adapter loaded, whose engine may have kept the prefix in its cache.
     KeptPrompts,
     /// Replicas in the VM's own availability zone are preferred.
     NearZone,
     /// Replicas with recent failures are ranked as if they were busier.
     FailureWeight,
-    /// Concurrent fetches from the weight store are limited to its capacity.
+    /// The pace of fetches: concurrent fetches from the weight store are limited to its
+    /// capacity.
     FetchPace,
-    /// The capacity of the weight store is learned; without it the initial estimate is kept.
+    /// The width of fetches: how many the weight store can serve at once is learned; without
+    /// it the initial estimate is kept.
     FetchWidth,
-    /// VMs that wait for a load are notified at once when it completes.
+    /// News of loads: VMs that wait for a load are notified at once when the adapters of its
+    /// replica change; without it, with the next beacon.
     LoadNews,
-    /// Owners learn of requests sent to their replicas within a few engine steps; without it,
-    /// with the next beacon.
+    /// Requests sent to a replica are reported to its owner early, within a few engine steps;
+    /// without it, with the next beacon.
     EarlyReports,
     /// Prefills of long prompts take turns where they stall streams.
     PromptTurns,
     /// Orders without a response are repeated after a short timeout.
     OrderRepeats,
-    /// One VM polls the store and notifies the others; without it each VM polls.
+    /// News from the store: one VM polls the store and sends the changes to the others;
+    /// without it each VM polls.
     StoreNews,
-    /// The owner of a replica is asked before a request is sent there.
+    /// Placement asks: the owner of a replica is asked before a request is sent there.
     PlaceAsks,
-    /// VMs share the time at which the API keys were confirmed to be current; without it each
-    /// VM asks the store.
+    /// VMs send each other witnesses, which prove when the API keys were last current; without
+    /// it each VM asks the store.
     KeyWitnesses,
-    /// One VM per organisation lends parts of its rate limit to the others; without it each VM
-    /// has an equal part.
+    /// Each organisation has a lender, a VM that lends parts of its rate limit to the others;
+    /// without it each VM has an equal part.
     LimitLenders,
-    /// Under frequent requests, a VM borrows more of a rate limit than the current request needs.
+    /// Under frequent requests, a VM borrows limits ahead: more of a rate limit than the current
+    /// request needs.
     LimitsAhead,
     /// Beacons are sent once to each other availability zone and relayed there; without it each
     /// VM sends its own to all VMs.
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -183,7 +183,7 @@
         InFlight(self.clone())
     }
 
-    /// Returns the id of requests in flight.
+    /// Returns the number of requests in flight.
     pub(in crate::serving) fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -191,7 +191,7 @@
     }
 }
 
-/// Sends an order to a replica, unless the ownership has lapsed.
+/// Sends an order to a replica, unless the ownership has expired.
 async fn send_order(
     node: &Node,
     name: &ReplicaName,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -43,7 +43,8 @@
 /// other by then.
 const PROPOSE_DELAY: Span = Span::from_millis(2_000);
 
-/// Time without a beacon after which a VM's entry is removed.
+/// Time without a beacon from a VM after which the first live VM deletes its entry from the
+/// store.
 const VM_EXPIRY: Span = Span::from_millis(30_000);
 
 /// Time for which a stopping process still accepts connections: the load balancer checks
--- a/lib/src/serving/program/settings.rs
+++ b/lib/src/serving/program/settings.rs
@@ -34,7 +34,8 @@
     pub config_apply: Duration,
     /// Maximum time until a new adapter version is used on every VM.
     pub version_apply: Duration,
-    /// How long the ownership of a replica outlives its last use.
+    /// Minimum time between the end of a replica's ownership by one VM and the first order of
+    /// its next owner.
     pub lease: Duration,
     /// Whether replicas refuse orders with a lower fencing token.
     pub fencing: bool,
