--- a/lib/src/serving/cluster/feed.rs
+++ b/lib/src/serving/cluster/feed.rs
@@ -25,8 +25,8 @@
 
 /// How many of the first VMs in polling order send updates. If every VM that
 /// polls because it missed changes sent them on, the copies would fill the
-/// links: with 195 VMs the share of owed requests that were served fell from
-/// 0.90 to 0.76.
+/// links: with 195 VMs, the share of the requests due that were served fell
+/// from 0.90 to 0.76.
 const SENDER_COUNT: u64 = 3;
 
 /// The next action of a feed.
@@ -40,9 +40,13 @@
     Watch(Duration),
 }
 
+/// How far the store's changes are known, and as of when.
 #[derive(Clone, Copy, Debug)]
 struct SyncPoint {
+    /// All changes up to this revision are known.
     revision: u64,
+    /// The latest time at which the store is known to have had no newer
+    /// revision.
     as_of: Moment,
 }
 
@@ -58,6 +62,7 @@
 #[derive(Debug)]
 pub struct Feed {
     policy: PollPolicy,
+    /// The state reached; `None` before the first list.
     synced: Option<SyncPoint>,
     /// The names of the objects that exist.
     names: BTreeSet<String>,
@@ -71,8 +76,8 @@
     last_answer: Option<Moment>,
     /// Since when another VM is known to have changes that are missing here.
     gap_since: Option<Moment>,
-    /// Changes that were applied beyond the synced revision while earlier ones
-    /// are missing: the revision by object name.
+    /// The revision of each object whose newest change was applied beyond the
+    /// synced revision, by object name; earlier changes may be missing.
     applied_ahead: BTreeMap<String, u64>,
     /// Whether a call failed since the last answer of the store.
     failing: bool,
@@ -184,8 +189,9 @@
             self.last_answer = None;
             return Vec::new();
         };
-        // Another VM's update went beyond the list since it was requested:
-        // objects missing from the list may have been created after it.
+        // Since the list was requested, another VM's update brought this VM
+        // past its revision: objects missing from the list may have been
+        // created after it.
         if revision <= known.revision {
             self.record_store_answer(now, asked, revision);
             return Vec::new();
@@ -211,6 +217,7 @@
         changes
     }
 
+    /// Extends the skipped range by the revisions that a list skipped.
     fn record_skipped(&mut self, skipped: SkippedRange) {
         self.skipped = Some(self.skipped.map_or(skipped, |s| s.merge(skipped)));
     }
@@ -289,7 +296,8 @@
         revision > self.revision() && ahead.is_none_or(|known| revision > *known)
     }
 
-    /// Records that all changes up to a revision are known.
+    /// Records that all changes up to a revision are known and that the store
+    /// had none newer at `as_of`. Neither the revision nor the time goes back.
     fn advance(&mut self, revision: u64, as_of: Moment) {
         let old = self.synced.unwrap_or(SyncPoint { revision, as_of });
         let known = SyncPoint {
@@ -301,6 +309,8 @@
         self.synced = Some(known);
     }
 
+    /// Records an answer of the store to this VM: nothing newer than `revision`
+    /// existed at `as_of`, no gap remains, and the retry pause ends.
     fn record_store_answer(&mut self, now: Moment, as_of: Moment, revision: u64) {
         self.advance(revision, as_of);
         self.last_answer = Some(now);
--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -19,8 +19,9 @@
 /// The largest fleet with the shortest beacon interval. In larger fleets the
 /// interval grows in proportion, so that the cost of beacons to a VM does not:
 /// it receives at most 240 a second. Requests are misplaced when a VM's view is
-/// old. At 71 VMs on a calm day with intervals of 1.2 s and 0.4 s, 0.669 and
-/// 0.788 of the owed requests were served in time at 0.015 and 0.022 cores.
+/// old. At 71 VMs on a day without faults, with intervals of 1.2 s and 0.4 s,
+/// 0.669 and 0.788 of the requests due were served in time at 0.015 and 0.022
+/// cores.
 const SMALL_FLEET: usize = 96;
 
 /// The smallest fleet that relays beacons between availability zones. In
@@ -46,15 +47,16 @@
 /// trigger it.
 const MISSED_BEACONS: u64 = 5;
 
-/// Missed beacons after which another VM lends in place of a lender. Any of two
-/// datagrams, and of two more, may be lost.
+/// Missed beacons after which another VM lends in place of a lender. The loss of
+/// two beacons in a row must not replace it, although a relayed beacon is lost
+/// if either of its two datagrams is.
 const LENDER_MISSED_BEACONS: u64 = 4;
 
 /// Missed beacons after which a VM no longer counts as reachable for a lender.
 /// Until then it may use its own share of a limit in addition to what is lent.
 const REACHABLE_MISSED_BEACONS: u64 = 3;
 
-/// The delay of a beacon on a busy VM.
+/// The delay with which a busy VM sends or handles a beacon.
 const BEACON_DELAY_MARGIN: Span = Span::from_millis(100);
 
 /// How long a VM that was stopped as planned keeps its replicas: it is usually
@@ -65,20 +67,22 @@
 /// only one. A partitioned VM must not take over the others' replicas.
 const ISOLATION_TIMEOUT: Span = Span::from_millis(6_000);
 
-/// How long a VM that was stopped as planned and is started again considers
-/// nobody failed: the grace of a new member, less the delay of its last beacon.
+/// How long a VM that was stopped as planned and is started again considers no
+/// other VM failed: the grace of a new member, less the delay of its last
+/// beacon.
 const STOPPED_GRACE: Span = Span(NEW_MEMBER_GRACE.0 - 5_000_000);
 
 /// How long after its start a VM may not know the others yet: a few beacon
 /// intervals.
 const STARTUP_PERIOD: Span = Span::from_millis(1_500);
 
-/// The position of a VM in an order that depends on the seed, to spread duties
-/// over the VMs.
+/// Returns the sort key of a VM in an order that depends on the seed, to spread
+/// duties over the VMs.
 fn hash_order(vm: &VmName, seed: u64) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), seed)
 }
 
+/// The last beacon of another VM.
 #[derive(Clone, Copy, Debug)]
 struct PeerBeacon {
     received_at: Moment,
@@ -358,8 +362,8 @@
         all
     }
 
-    /// How long a silent lender is still asked. Each request of an organisation
-    /// waits for it in vain meanwhile.
+    /// Returns how long a lender without beacons is still asked. Until then, each
+    /// request that needs a loan from it waits for the answer until the timeout.
     fn lender_timeout(&self) -> Span {
         Span(self.beacon_interval().0 * LENDER_MISSED_BEACONS)
     }
@@ -393,7 +397,8 @@
         }
     }
 
-    /// Returns the other VMs and their addresses.
+    /// Returns all other VMs whose address is known, live or not, with their
+    /// addresses.
     pub fn peers(&self) -> impl Iterator<Item = (&VmName, SocketAddr)> {
         self.addresses.iter().map(|(vm, address)| (vm, *address))
     }
@@ -425,8 +430,8 @@
     /// is reported at once, and the next beacon makes up for a lost report. An
     /// adapter stays loaded for this long after its last use. On a small
     /// deployment at high load (8 days, processor time not counted), 0.54 s in
-    /// place of 0.9 s raised the share of owed requests served in time from
-    /// 0.884 to 0.901; 0.32 s served as many. The value here is 0.5 s.
+    /// place of 0.9 s raised the share of the requests due that were served in
+    /// time from 0.884 to 0.901; 0.32 s served as many. The value here is 0.5 s.
     pub fn report_delay(&self) -> Span {
         Span(self.beacon_interval().0 + BEACON_DELAY_MARGIN.0)
     }
--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -11,9 +11,10 @@
 use crate::ids::ReplicaName;
 use crate::ids::VmName;
 
-/// How many removed replicas keep their last owner in the table. If the entry of
-/// a replica comes back, or it restarts under its name, it may still get orders
-/// from that owner. No more than this many replicas leave within a lease.
+/// How many removed replicas keep their last owner in the table. A replica whose
+/// entry comes back, or that restarts under its name, is given to that owner,
+/// because orders from it may still arrive. At most this many replicas are
+/// removed within the time of a lease.
 const MAX_GONE: usize = 64;
 
 /// The owner of one replica.
@@ -23,8 +24,9 @@
     pub vm: VmName,
     /// The fencing token of this ownership.
     pub token: FencingToken,
-    /// Former owners that may not know of their loss yet. The owner clears this
-    /// after its wait, so that it does not wait again after a restart.
+    /// Former owners that may not know yet that they lost the replica. The owner
+    /// clears this after its wait, so that it does not wait again after a
+    /// restart.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub former: BTreeSet<VmName>,
 }
@@ -125,6 +127,7 @@
     }
 }
 
+/// Removes the owners with the lowest tokens until [`MAX_GONE`] are left.
 fn forget_oldest(gone: &mut BTreeMap<ReplicaName, Owner>) {
     while gone.len() > MAX_GONE {
         let oldest = gone.iter().min_by_key(|(_, o)| o.token);
--- a/lib/src/serving/cluster/ownership.rs
+++ b/lib/src/serving/cluster/ownership.rs
@@ -14,49 +14,50 @@
 /// takes effect everywhere within about a second.
 const PROPOSAL_STAGGER: Span = Span::from_millis(1_200);
 
-/// How long an owner may not notice the loss of a replica that checks fencing
-/// tokens: the pause between watches and one slow call.
+/// The longest time until an owner notices that it lost a replica that checks
+/// fencing tokens: the pause between watches and one slow call.
 const LOSS_DETECTION_DELAY: Span = Span::from_millis(1_500);
 
 /// How long an ownership lasts after the table was last confirmed to be the
-/// newest. One VM confirms it every 0.6 s, and beacons spread that every 0.4 s:
-/// the ownership survives two lost beacons in a row.
+/// newest. One VM confirms the table every 0.6 s, and beacons distribute the
+/// confirmation every 0.4 s, so an ownership survives the loss of two beacons in
+/// a row.
 pub const OWNERSHIP_TTL: Span = Span::from_millis(2_400);
 
-/// The age of the confirmation at which the first VM in name order renews it.
-/// With a beacon interval and one lost beacon on top, the others still learn of
-/// it in time.
+/// The age of the last confirmation at which the first VM in name order confirms
+/// the table again. The other VMs receive the new confirmation in time even if
+/// one beacon is lost.
 const FIRST_CONFIRM_AGE: Span = Span::from_millis(600);
 
-/// The age at which the other VMs confirm for themselves: about two
-/// confirmations of the first VM and a beacon interval.
+/// The age of the last confirmation at which the other VMs confirm the table
+/// themselves: about two confirmations of the first VM and a beacon interval.
 const OTHERS_CONFIRM_AGE: Span = Span::from_millis(1_600);
 
-/// How much later each further VM confirms, so that not all ask the store at
-/// once when the first one fails.
+/// How much later each further VM in name order confirms, so that they do not
+/// all call the store at once when the first one fails.
 const CONFIRM_STAGGER: Span = Span::from_millis(120);
 
 /// The position in name order after which the stagger stops growing: the last
 /// VM must confirm before its ownership expires.
 const MAX_STAGGER_STEPS: usize = 4;
 
-/// How long an order may take to reach its replica after the lease was checked:
-/// the response timeout, and a third as much in transit.
+/// How long after the check of the ownership an order may reach its replica: the
+/// response timeout, and a third as much in transit.
 const MAX_ORDER_DELAY: Span = Span::from_millis(1_100);
 
-/// How long after the last confirmation an ownership lasts because all members
-/// acknowledge this VM.
+/// How long after the last confirmation an ownership lasts at most while only
+/// the acknowledgements of all members keep it valid.
 const MAX_UNCONFIRMED: Span = Span::from_millis(15_000);
 
-/// How long a new member does not consider a VM failed that may not know of it.
-/// This is longer than an ownership lasts without the store.
+/// How long a new member waits before it considers a VM failed that may not know
+/// of the new member. This is longer than an ownership lasts without the store.
 pub(in crate::serving) const NEW_MEMBER_GRACE: Span = Span::from_millis(20_000);
 
 /// Our ownership of one replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct OwnershipGrant {
     token: FencingToken,
-    /// When it takes effect.
+    /// When the ownership takes effect.
     usable_from: Moment,
     /// The revision of the table that granted it.
     granted_revision: u64,
@@ -364,8 +365,8 @@
         (table != self.table).then_some(table)
     }
 
-    /// Returns the table without the former owners whose wait is over at our
-    /// replicas.
+    /// Returns the table without the former owners of our replicas for which the
+    /// takeover wait is over, or `None` if there are none.
     fn without_expired_waits(&self, now: Moment) -> Option<OwnerTable> {
         let mut table = self.table.clone();
         let over = |name: &ReplicaName| self.grants.get(name).is_some_and(|g| g.usable_from <= now);
@@ -377,7 +378,8 @@
         (table != self.table).then_some(table)
     }
 
-    /// Records that a proposal was sent, so that the next one waits its turn.
+    /// Records that a proposal was sent, so that the next one again waits for the
+    /// proposal stagger of this VM.
     pub fn record_proposal(&mut self, now: Moment) {
         self.proposal_due = Some(now);
     }
--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -64,6 +64,8 @@
         self.advance(Moment(at.min(now.0)));
     }
 
+    /// Records that the configuration was the newest at `at`, unless a later
+    /// proof is known.
     fn advance(&mut self, at: Moment) {
         self.as_of = Some(self.as_of.map_or(at, |known| known.max(at)));
     }
@@ -100,9 +102,10 @@
 /// was the newest after that.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Witness {
-    /// Identifies the VM and its incarnation.
+    /// The VM for which the proof is meant and its incarnation, as [`reader_id`]
+    /// identifies them.
     pub reader: u64,
-    /// When its last beacon received was sent, by its own clock.
+    /// When its last beacon that arrived was sent, by its own clock.
     pub sent: Moment,
     /// When the configuration was the newest, in microseconds after that beacon
     /// was received.
--- a/lib/src/serving/cluster/state.rs
+++ b/lib/src/serving/cluster/state.rs
@@ -56,6 +56,7 @@
 }
 
 impl ActiveConfig {
+    /// Indexes the routes, keys and limits of a configuration.
     fn new(config: Config) -> Self {
         let routes = Routes::new(&config.routes);
         let all = config.organisations.as_deref();
@@ -70,7 +71,8 @@
     }
 }
 
-/// This VM's use of one adapter at one replica.
+/// This VM's runs with one adapter at one replica: those running now and those
+/// started since the last report to the owner.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::serving) struct LocalUse {
     pub(in crate::serving) running: u32,
@@ -94,7 +96,7 @@
     pub(in crate::serving) reservations: Reservations,
     /// Leaving replicas to announce to the other VMs.
     pub(in crate::serving) leaving: BTreeSet<Instance>,
-    /// VMs that wait for changes of our replicas.
+    /// The VMs that wait for loads at replicas that this VM owns.
     pub(in crate::serving) subscriptions: Subscriptions,
     /// The incarnation and number of each VM's newest load report.
     pub(in crate::serving) last_reports: BTreeMap<VmName, (Incarnation, u64)>,
@@ -104,10 +106,11 @@
     pub(in crate::serving) relay_queue: BTreeMap<VmName, wire::Beacon>,
     /// Whether the replicas were listed at least once.
     pub(in crate::serving) replicas_listed: bool,
-    /// The time limits for applying changes of keys.
+    /// The time limits within which changes of keys must be applied.
     pub(in crate::serving) key_bounds: KeyBounds,
     /// When the configuration was last proven to be the newest.
     pub(in crate::serving) recency: Recency,
+    /// Distributes proofs that the configuration is the newest to the other VMs.
     pub(in crate::serving) witnesses: WitnessQueue,
     /// The shares of organisations' limits lent to this VM.
     pub(in crate::serving) borrower: Borrower,
@@ -159,8 +162,8 @@
         state
     }
 
-    /// Returns our position in the polling order of a topic, or `None` where
-    /// each VM polls for itself.
+    /// Returns the position of this VM in the polling order of a topic, or
+    /// `None` if each VM polls for itself.
     pub(in crate::serving) fn poll_rank(
         &self,
         now: Moment,
@@ -269,8 +272,8 @@
     ) -> bool {
         match self.ownership.owner(name) {
             Some(vm) if vm == own => self.ownership.token(now, name).is_some(),
-            // An owner that waits out the former owner's lease sends no
-            // contents yet.
+            // An owner that still waits for the former owner's lease to end
+            // does not report yet which adapters are loaded.
             Some(vm) => self.members.is_live(now, vm) && self.fleet.has_fresh_residency(now, name),
             None => false,
         }
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Counts the end of a run.
+    /// Counts the end of a run, unless the replica has restarted since.
     pub(in crate::serving) fn end_run(
         &mut self,
         at: &Instance,
@@ -331,8 +334,8 @@
         }
     }
 
-    /// Takes the uses at a replica to report to its owner. Started runs are
-    /// reported once.
+    /// Returns the use of a replica's adapters, to be reported to its owner, and
+    /// resets the counts of started runs, so that each is reported once.
     pub(in crate::serving) fn take_uses(
         &mut self,
         name: &ReplicaName,
--- a/lib/src/serving/cluster/subscriptions.rs
+++ b/lib/src/serving/cluster/subscriptions.rs
@@ -1,4 +1,5 @@
-//! Tracks which VMs are notified as soon as the contents of a replica change.
+//! Tracks which VMs are notified as soon as the adapters loaded or loading at a
+//! replica change.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,9 +15,9 @@
 
 /// The VMs that wait for loads at the replicas owned by this VM.
 ///
-/// A load changes the contents of its replica several times, but only the VMs
-/// whose requests wait for it act on that; the others learn of it from the next
-/// beacon. Sending each change to all VMs cost 20,000 datagrams a second
+/// Each load changes the adapters loaded or loading at its replica several
+/// times, but only the VMs whose requests wait for it act on that; the others
+/// get it with the next beacon. Sending each change to all VMs cost 20,000 datagrams a second
 /// between 71 VMs at 60 loads a second.
 #[derive(Debug, Default)]
 pub struct Subscriptions {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Records that the contents of a replica changed.
+    /// Records that the adapters loaded or loading at a replica changed.
     pub fn record_change(&mut self, now: Moment, replica: &ReplicaName) {
         let Some(subscribers) = self.subscribers.get_mut(replica) else {
             return;
--- a/lib/src/serving/cluster/topic.rs
+++ b/lib/src/serving/cluster/topic.rs
@@ -64,7 +64,7 @@
 const WATCH_FRACTION: f64 = 0.2;
 
 /// The fraction of `max_staleness` after which a VM without updates polls the
-/// store itself. The rest is for its call and for one repetition.
+/// store itself. The rest is for its call and one repetition of it.
 const MAX_AGE_FRACTION: f64 = 0.6;
 
 /// The fraction of `max_staleness` over which these polls are staggered: the
@@ -85,7 +85,8 @@
 /// of the store within this time and inform the others.
 const MAX_BACKOFF: Span = Span::from_millis(800);
 
-/// How many VMs retry at that pace, as any of them may be partitioned.
+/// How many of the first VMs in polling order retry with pauses of at most
+/// `MAX_BACKOFF`: more than one, as any of them may be partitioned.
 const FAST_RETRY_VMS: u64 = 3;
 
 /// The fraction of `max_staleness` that the other VMs pause, which mostly learn
@@ -96,7 +97,10 @@
 const SLOW_RETRY_FRACTION: f64 = 0.3;
 
 impl PollPolicy {
-    /// Returns the wait of a watch on behalf of all VMs.
+    /// Returns the wait of a watch on behalf of all VMs. It is shorter than that
+    /// of a VM that polls for itself, because the other VMs depend on the
+    /// answers: each one shows, also without changes, that their state is not
+    /// out of date, and must reach them before they would poll themselves.
     pub(super) fn shared_wait(&self) -> Duration {
         Duration::from_micros(self.fraction(WATCH_FRACTION).0)
     }
@@ -114,7 +118,8 @@
         Span(self.fraction(MAX_AGE_FRACTION).0 + self.stagger(rank).0)
     }
 
-    /// Returns the delay of the VM at this position against the first ones.
+    /// Returns how much later than the first VM in polling order the VM at this
+    /// position polls.
     pub(super) fn stagger(&self, rank: u64) -> Span {
         Span(self.fraction(STAGGER_FRACTION).0 * rank.min(MAX_STAGGER_RANK) / MAX_STAGGER_RANK)
     }
@@ -129,6 +134,7 @@
         }
     }
 
+    /// Returns this fraction of `max_staleness`.
     fn fraction(&self, of: f64) -> Span {
         Span((self.max_staleness.0 as f64 * of) as u64)
     }
--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -8,10 +8,10 @@
 pub struct TopicChange {
     /// The object, or its last state if it was removed.
     pub item: Item,
-    /// Whether it was removed.
+    /// Whether the object was removed.
     pub removed: bool,
-    /// Whether the removal may be due to an outage of the store, so that the
-    /// object may come back.
+    /// Whether the object vanished during an outage of the store, so that it may
+    /// come back.
     pub expired: bool,
     /// The compressed content, set once the change is shared.
     pub compressed: Vec<u8>,
@@ -42,24 +42,24 @@
     pub changes: Vec<TopicChange>,
 }
 
-/// A range of revisions that a list skipped. Objects that existed only within
-/// it are unknown, so a VM whose state is inside the range cannot continue from
-/// the changes shared.
+/// The revisions between two known ones that a list skipped, both ends
+/// excluded. Objects that existed only within the range are unknown, so a VM
+/// whose state is inside it cannot continue from the shared changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SkippedRange {
     /// The last revision known before the range.
     pub last_before: u64,
-    /// The first revision known after it.
+    /// The first revision known after the range.
     pub first_after: u64,
 }
 
 impl SkippedRange {
-    /// Whether a revision lies within the range.
+    /// Whether a revision was skipped. Both ends are known and thus excluded.
     pub(super) fn contains(self, revision: u64) -> bool {
         self.last_before < revision && revision < self.first_after
     }
 
-    /// Returns the range that covers both and everything between them.
+    /// Joins two skipped ranges. Revisions between them count as skipped, too.
     pub(super) fn merge(self, other: Self) -> Self {
         Self {
             last_before: self.last_before.min(other.last_before),
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -35,14 +35,14 @@
 /// The minimum interval between two beacons that carry changes.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(30);
 
-/// How long a crash is repeated in beacons, to make up for lost datagrams.
+/// How long a crash record is repeated in beacons, to make up for lost datagrams.
 const CRASH_REPORT_TTL: Span = Span::from_millis(5_000);
 
 /// The largest datagram accepted.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Sends beacons until the process ends: the state of the replicas that this VM
-/// owns to all VMs, and its load on replicas to their owners.
+/// Sends beacons until the process ends. They carry the state of the replicas
+/// that this VM owns to all VMs, and its load on other replicas to their owners.
 pub(in crate::serving) async fn send_beacons(node: Rc<Node>) {
     let mut number = 0;
     let mut phase = node.phase();
@@ -68,8 +68,9 @@
     }
 }
 
-/// Sends the contents of changed replicas to the subscribed VMs, and to all VMs
-/// which replicas are leaving and that this VM stops.
+/// Sends the adapters loaded or loading at changed replicas to the subscribed
+/// VMs. Sends to all VMs which replicas are leaving, and that this VM stops if
+/// `stopping` is set.
 async fn send_updates(node: &Node, number: &mut u64, stopping: bool) {
     let mut datagrams = Vec::new();
     {
@@ -121,6 +122,7 @@
     }
 }
 
+/// Creates a beacon with the fields that every beacon has.
 fn new_beacon(node: &Node, state: &NodeState, number: u64) -> wire::Beacon {
     let now = now();
     wire::Beacon {
@@ -137,6 +139,10 @@
 }
 
 /// Builds the part of a beacon that is the same for all VMs.
+///
+/// The beacon includes the adapters of all our replicas, so this also clears the
+/// planner's list of changed replicas and applies their adapters to the local
+/// view of the fleet.
 fn common_beacon(node: &Node, state: &mut NodeState, now: Moment, number: u64) -> wire::Beacon {
     let names: Vec<_> = state.planner.replicas().cloned().collect();
     state.planner.take_changed();
@@ -208,7 +214,8 @@
     datagram.encode_to_vec()
 }
 
-/// Encodes the contents of a replica owned by this VM.
+/// Encodes which adapters are loaded or loading at a replica that this VM owns;
+/// `None` if it may not give orders there now.
 fn encode_residency(
     state: &NodeState,
     now: Moment,
@@ -268,6 +275,7 @@
     }
 }
 
+/// Applies a beacon, unless a newer one of its sender was received.
 fn handle_beacon(node: &Node, beacon: wire::Beacon, from: SocketAddr) {
     let Ok(vm) = beacon.vm.parse::<VmName>() else {
         return;
@@ -357,12 +365,14 @@
     state.fleet.is_current(&replica).then_some(replica.name)
 }
 
+/// Applies another VM's report of the adapters loaded or loading at a replica,
+/// unless that VM is not the replica's owner.
 fn apply_residency(state: &mut NodeState, now: Moment, vm: &VmName, book: &wire::ReplicaBook) {
     let Some(name) = current_replica(state, &book.replica, book.born) else {
         return;
     };
-    // A former owner that does not know of its loss no longer speaks for the
-    // replica.
+    // Reports of a former owner that does not know yet that it lost the replica
+    // are ignored.
     if state
         .ownership
         .owner(&name)
@@ -415,6 +425,8 @@
     send(node, &datagram.encode_to_vec(), address).await;
 }
 
+/// Passes another VM's load request to the planner, and subscribes that VM to
+/// the replica.
 fn handle_load_request(node: &Node, wish: &wire::Wish) {
     let Ok(name) = wish.replica.parse::<ReplicaName>() else {
         return;
--- a/lib/src/serving/peers/renewal.rs
+++ b/lib/src/serving/peers/renewal.rs
@@ -26,7 +26,7 @@
 /// The pause after a failed confirmation.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The wait of a watch that only asks for existing changes.
+/// The wait of a watch that only returns existing changes.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
 
 /// Confirms the owner table until the process ends.
@@ -90,6 +90,8 @@
 struct ValidityLog(bool);
 
 impl ValidityLog {
+    /// Sets until when the acknowledgements of the members keep our ownerships
+    /// valid, and logs if the validity changed.
     fn refresh_acknowledgements(&mut self, node: &Node) {
         let mut state = node.state();
         let at = now();
@@ -125,7 +127,7 @@
     })
 }
 
-/// Handles the owner table revision and the acknowledgement in a beacon.
+/// Records the owner table revision and the acknowledgement in a beacon.
 pub(in crate::serving) fn handle_beacon(
     node: &Node,
     state: &mut NodeState,
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// Applies a configuration. The operator replaces it and never removes it.
+/// Applies a configuration. Returns whether the update held one. The operator
+/// replaces the configuration and never removes it.
 pub(in crate::serving) fn apply_config(node: &Node, update: &StoreUpdate<'_>) -> bool {
     for item in update.items() {
         match (node.codec.parse_config)(item) {
@@ -75,8 +76,8 @@
     !update.items().is_empty()
 }
 
-/// Applies replica entries. Returns whether one changed in more than the
-/// adapters that it holds.
+/// Applies replica entries. Returns whether the other VMs need the update, see
+/// [`apply_replica`].
 pub(in crate::serving) fn apply_replicas(node: &Node, update: &StoreUpdate<'_>) -> bool {
     let at = now();
     let parse = |item: &Item| {
@@ -119,6 +120,9 @@
     }
 }
 
+/// Applies a replica's entry. Returns whether the other VMs need the change:
+/// they do not if only the loaded adapters changed, as the replica's owner
+/// reports those.
 fn apply_replica(node: &Node, item: &Item, listing: ReplicaInfo) -> bool {
     let (name, draining) = (listing.name.clone(), listing.draining);
     let started_ms = listing.started_ms;
@@ -141,8 +145,8 @@
     }
 }
 
-/// Announces to the other VMs at once that a replica is leaving, as this VM read
-/// from the store.
+/// Announces to the other VMs at once that a replica is leaving, if a change read
+/// from the store says so: its entry was removed, or it is draining.
 pub(in crate::serving) fn announce_leaving(node: &Node, change: &TopicChange) {
     let Ok(name) = change.item.name.parse::<ReplicaName>() else {
         return;
@@ -158,7 +162,7 @@
     node.beacon_wake.notify_one();
 }
 
-/// Applies announced versions.
+/// Applies announced versions. Returns whether the update held any.
 pub(in crate::serving) fn apply_versions(node: &Node, update: &StoreUpdate<'_>) -> bool {
     for item in update.items() {
         match (node.codec.parse_version)(item) {
@@ -178,7 +182,8 @@
     !update.items().is_empty()
 }
 
-/// Applies VM entries and the owner table.
+/// Applies VM entries and the owner table. Returns `true`, as all VMs need every
+/// change of them.
 pub(in crate::serving) fn apply_cluster(node: &Node, update: &StoreUpdate<'_>) -> bool {
     update
         .items()
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -49,7 +49,7 @@
 /// at another replica.
 const CLUSTER_STALENESS: Span = Span::from_millis(6_000);
 
-/// How recently a VM must have sent a beacon to be sent a witness.
+/// The maximum age of a VM's last beacon for which it is sent a witness.
 const WITNESS_WINDOW: Span = Span::from_millis(4_000);
 
 /// Returns how a topic is polled.
@@ -146,6 +146,8 @@
     }
 }
 
+/// Logs and records a failed call to the store. If the store no longer has the
+/// history needed, the topic is listed next.
 fn log_failure(node: &Node, topic: Topic, rank: Option<u64>, e: &PlatformError) {
     let mut state = node.state();
     let feed = state.feeds.get(topic);
@@ -177,8 +179,8 @@
     // A first list may be stale, as the changes since then follow by watch or
     // from other VMs. There are two exceptions: without fencing, no ownership
     // is valid before the owner table is known to be the newest, and a stale
-    // list stopped all loads for 3 s after all VMs lost power; and keys that
-    // may have been revoked admit no callers.
+    // list stopped all loads for 3 s after all VMs lost power; and no caller is
+    // admitted by keys that may have been revoked.
     let must_prove = match topic {
         Topic::Cluster => !node.settings.fencing,
         Topic::Config => node.settings.key_revocation.is_some(),
