--- a/lib/tests/test_entry_failures.rs
+++ b/lib/tests/test_entry_failures.rs
@@ -1,4 +1,5 @@
-//! Upstreams, owners and callers that fail: what the caller is told is true.
+//! Failures of upstreams, owners and callers. The response must state truthfully
+//! whether the request ran.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,31 +14,31 @@
 
 use crate::test_entry_fakes::*;
 
-/// Grants a request one upstream first, and then another.
-fn first_then(first: SocketAddr, then: SocketAddr) -> Script {
+/// Grants `first` for the first attempt of a request and `then` for retries.
+fn grant_first_then(first: SocketAddr, then: SocketAddr) -> OwnerScript {
     Arc::new(move |a| {
         let address = if a.avoid.is_empty() { first } else { then };
         Some(grant(a, address, 5_000))
     })
 }
 
-fn always(address: SocketAddr) -> Script {
+fn grant_always(address: SocketAddr) -> OwnerScript {
     Arc::new(move |a| Some(grant(a, address, 5_000)))
 }
 
-fn once() -> String {
+fn not_idempotent() -> String {
     format!("{}\nx-idempotent: false", completion())
 }
 
 async fn good() -> FakeUpstream {
     FakeUpstream::start(|got| match got.body.contains("\"stream\":true") {
         true => stream(got, 0, 3),
-        false => vec![whole(got)],
+        false => vec![full_response(got)],
     })
     .await
 }
 
-async fn nowhere() -> SocketAddr {
+async fn unreachable_address() -> SocketAddr {
     bind().await.1
 }
 
@@ -50,58 +51,65 @@
 #[case::full("429 Too Many Requests", "engine_full")]
 #[case::leaving("503 Service Unavailable", "draining")]
 #[tokio::test]
-async fn not_run_tried_elsewhere(#[case] status: &'static str, #[case] code: &'static str) {
+async fn not_run_retried_elsewhere(#[case] status: &'static str, #[case] code: &'static str) {
     let bad = FakeUpstream::start(move |_| vec![error_code(status, code)]).await;
     let good = good().await;
-    let world = World::start(first_then(bad.address, good.address)).await;
-    // It did not run, so that it may even be one that runs only once.
-    let answer = world.ask(&once(), PROMPT).await;
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let world = World::start(grant_first_then(bad.address, good.address)).await;
+    // A refused request did not run, so even a non-idempotent one is retried.
+    let response = world.send(&not_idempotent(), PROMPT).await;
+    assert_eq!(response.status, 200, "{response:?}");
     assert_eq!(outcomes(&world.releases(2).await), [1, 0]);
-    let again = &world.acquires()[1];
-    assert_eq!(again.avoid, [format!("replica-{}", bad.address.port())]);
+    let retry = &world.acquires()[1];
+    assert_eq!(retry.avoid, [format!("replica-{}", bad.address.port())]);
 }
 
 #[tokio::test]
-async fn unreachable_tried_elsewhere() {
+async fn unreachable_retried_elsewhere() {
     let good = good().await;
-    let world = World::start(first_then(nowhere().await, good.address)).await;
-    assert_eq!(world.ask(&once(), PROMPT).await.status, 200);
+    let world = World::start(grant_first_then(unreachable_address().await, good.address)).await;
+    assert_eq!(world.send(&not_idempotent(), PROMPT).await.status, 200);
     assert_eq!(outcomes(&world.releases(2).await), [1, 0]);
 }
 
 #[tokio::test]
 async fn unreachable_given_up() {
-    let world = World::start(always(nowhere().await)).await;
-    let answer = world.ask(&completion(), PROMPT).await;
-    assert_eq!(answer.error(), (503, "no_replica".into(), "not_run".into()));
-    assert_eq!(answer.header("retry-after"), Some("1"));
+    let world = World::start(grant_always(unreachable_address().await)).await;
+    let response = world.send(&completion(), PROMPT).await;
+    assert_eq!(
+        response.error(),
+        (503, "no_replica".into(), "not_run".into())
+    );
+    assert_eq!(response.header("retry-after"), Some("1"));
     assert_eq!(world.acquires().len(), 4);
 }
 
 #[rstest]
-#[case::whole(PROMPT)]
+#[case::full_response(PROMPT)]
 #[case::stream(STREAM)]
 #[tokio::test]
 async fn broken_early_idempotent_retried(#[case] body: &str) {
-    let bad = FakeUpstream::start(|_| vec![Act::Cut]).await;
+    let bad = FakeUpstream::start(|_| vec![UpstreamAction::Cut]).await;
     let good = good().await;
-    let world = World::start(first_then(bad.address, good.address)).await;
-    let answer = world.ask(&completion(), body).await;
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    let world = World::start(grant_first_then(bad.address, good.address)).await;
+    let response = world.send(&completion(), body).await;
+    assert_eq!(
+        (response.status, response.complete),
+        (200, true),
+        "{response:?}"
+    );
     assert_eq!(outcomes(&world.releases(2).await), [2, 0]);
-    // Told only after the upstream was asked to end it.
+    // The release is sent only after the request was cancelled on the upstream.
     assert_eq!(bad.count("DELETE"), 1);
     assert_eq!(world.entry.state.usage.counts()[0].requests, 1);
 }
 
 #[tokio::test]
-async fn broken_early_runs_once() {
-    let bad = FakeUpstream::start(|_| vec![Act::Cut]).await;
-    let world = World::start(always(bad.address)).await;
-    let answer = world.ask(&once(), PROMPT).await;
+async fn broken_early_not_idempotent_runs_once() {
+    let bad = FakeUpstream::start(|_| vec![UpstreamAction::Cut]).await;
+    let world = World::start(grant_always(bad.address)).await;
+    let response = world.send(&not_idempotent(), PROMPT).await;
     assert_eq!(
-        answer.error(),
+        response.error(),
         (502, "outcome_unknown".into(), "unknown".into())
     );
     assert_eq!(bad.count("POST"), 1);
@@ -109,7 +117,7 @@
 
 #[tokio::test]
 async fn broken_then_refused_unknown() {
-    let bad = FakeUpstream::start(|_| vec![Act::Cut]).await;
+    let bad = FakeUpstream::start(|_| vec![UpstreamAction::Cut]).await;
     let address = bad.address;
     let world = World::start(Arc::new(move |a| {
         Some(match a.avoid.len() {
@@ -118,15 +126,16 @@
         })
     }))
     .await;
-    let answer = world.ask(&completion(), PROMPT).await;
-    // The refused try did not run, but the one before may have.
+    let response = world.send(&completion(), PROMPT).await;
+    // The refused retry did not run, but the first attempt may have.
     assert_eq!(
-        answer.error(),
+        response.error(),
         (502, "outcome_unknown".into(), "unknown".into())
     );
 }
 
-/// A service that leaves says so; a bare 503 may come after the call ran.
+/// A service that is shutting down sends an error code; a 503 without one may come
+/// after the call ran.
 #[rstest]
 #[case::draining("{\"error\":{\"code\":\"draining\"}}", 2)]
 #[case::bare("", 1)]
@@ -142,14 +151,14 @@
         )]
     })
     .await;
-    let world = World::start(first_then(bad.address, good.address)).await;
+    let world = World::start(grant_first_then(bad.address, good.address)).await;
     let head = format!("POST /booking/confirm\nauthorization: Bearer {KEY}");
-    let answer = world.ask(&head, "slot 4").await;
+    let response = world.send(&head, "slot 4").await;
     assert_eq!(bad.count("POST") + good.count("POST"), dispatches);
     match dispatches {
-        2 => assert_eq!(answer.status, 200),
+        2 => assert_eq!(response.status, 200),
         _ => assert_eq!(
-            answer.error(),
+            response.error(),
             (502, "outcome_unknown".into(), "unknown".into())
         ),
     }
@@ -157,19 +166,19 @@
 
 #[tokio::test]
 async fn stale_connection_runs_once() {
-    let upstream = FakeUpstream::start(|got| vec![whole(got), Act::Cut]).await;
-    let world = World::start(always(upstream.address)).await;
+    let upstream = FakeUpstream::start(|got| vec![full_response(got), UpstreamAction::Cut]).await;
+    let world = World::start(grant_always(upstream.address)).await;
     for _ in 0..20 {
-        assert_eq!(world.ask(&once(), PROMPT).await.status, 200);
+        assert_eq!(world.send(&not_idempotent(), PROMPT).await.status, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(upstream.count("POST"), 20);
 }
 
-fn forged(got: &Got, from: &str, to: &str) -> Vec<Act> {
+fn forged(got: &ReceivedRequest, from: &str, to: &str) -> Vec<UpstreamAction> {
     let head = identity(got).replace(from, to);
-    let body = whole_body(got).replace(from, to);
-    vec![sized("200 OK", &head, &body), Act::Cut]
+    let body = full_body(got).replace(from, to);
+    vec![sized("200 OK", &head, &body), UpstreamAction::Cut]
 }
 
 #[rstest]
@@ -183,16 +192,20 @@
 async fn wrong_identity_never_passed(#[case] from: &'static str, #[case] to: &'static str) {
     let bad = FakeUpstream::start(move |got| forged(got, from, to)).await;
     let good = good().await;
-    let world = World::start(first_then(bad.address, good.address)).await;
-    let answer = world.ask(&completion(), PROMPT).await;
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(answer.header("x-served-model"), Some("rosters@3"));
+    let world = World::start(grant_first_then(bad.address, good.address)).await;
+    let response = world.send(&completion(), PROMPT).await;
+    assert_eq!(
+        (response.status, response.complete),
+        (200, true),
+        "{response:?}"
+    );
+    assert_eq!(response.header("x-served-model"), Some("rosters@3"));
     assert_eq!(outcomes(&world.releases(2).await), [5, 0]);
 
-    let world = World::start(always(bad.address)).await;
-    let answer = world.ask(&once(), PROMPT).await;
+    let world = World::start(grant_always(bad.address)).await;
+    let response = world.send(&not_idempotent(), PROMPT).await;
     assert_eq!(
-        answer.error(),
+        response.error(),
         (502, "outcome_unknown".into(), "unknown".into())
     );
 }
@@ -204,16 +217,19 @@
 #[case::failure("HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n", "")]
 #[case::bare_503("HTTP/1.1 503 Oops\r\ncontent-length: 0\r\n", "")]
 #[tokio::test]
-async fn malformed_whole_unknown(#[case] head: &'static str, #[case] body: &'static str) {
+async fn malformed_response_unknown(#[case] head: &'static str, #[case] body: &'static str) {
     let bad = FakeUpstream::start(move |got| {
         let head = head.replace("ID", &identity(got));
-        vec![Act::Write(format!("{head}\r\n{body}")), Act::Cut]
+        vec![
+            UpstreamAction::Write(format!("{head}\r\n{body}")),
+            UpstreamAction::Cut,
+        ]
     })
     .await;
-    let world = World::start(always(bad.address)).await;
-    let answer = world.ask(&once(), PROMPT).await;
+    let world = World::start(grant_always(bad.address)).await;
+    let response = world.send(&not_idempotent(), PROMPT).await;
     assert_eq!(
-        answer.error(),
+        response.error(),
         (502, "outcome_unknown".into(), "unknown".into())
     );
 }
@@ -226,55 +242,66 @@
             stream_head(got),
             token(got, 0, false),
             token(got, 1, false),
-            Act::Cut,
+            UpstreamAction::Cut,
         ],
     })
     .await;
-    let world = World::start(always(upstream.address)).await;
-    let answer = world.ask(&completion(), STREAM).await;
+    let world = World::start(grant_always(upstream.address)).await;
+    let response = world.send(&completion(), STREAM).await;
     assert!(
-        answer.whole && answer.body.ends_with("data: [DONE]\n\n"),
-        "{answer:?}"
+        response.complete && response.body.ends_with("data: [DONE]\n\n"),
+        "{response:?}"
     );
     for index in 0..4 {
         let text = format!("\"token_index\":{index}");
-        assert_eq!(answer.body.matches(&text).count(), 1);
+        assert_eq!(response.body.matches(&text).count(), 1);
     }
     assert_eq!(outcomes(&world.releases(1).await), [0]);
     assert_eq!(world.entry.state.usage.counts()[0].output_tokens, 4);
 }
 
-/// What an upstream does after the first token, and how the owner hears of it.
+/// Cases: actions of the upstream after the first token, outcome in the release.
 #[rstest]
-#[case::cut_for_good(|_: &Got| vec![Act::Cut], 3)]
-#[case::gap(|got: &Got| vec![token(got, 2, false)], 5)]
-#[case::twice(|got: &Got| vec![token(got, 0, false)], 5)]
-#[case::early_done(|_: &Got| stream_end().to_vec(), 3)]
-#[case::no_json(|_: &Got| vec![chunk("data: x\n\n"), Act::Cut], 3)]
+#[case::cut_for_good(|_: &ReceivedRequest| vec![UpstreamAction::Cut], 3)]
+#[case::gap(|got: &ReceivedRequest| vec![token(got, 2, false)], 5)]
+#[case::twice(|got: &ReceivedRequest| vec![token(got, 0, false)], 5)]
+#[case::early_done(|_: &ReceivedRequest| stream_end().to_vec(), 3)]
+#[case::no_json(|_: &ReceivedRequest| vec![chunk("data: x\n\n"), UpstreamAction::Cut], 3)]
 #[tokio::test]
-async fn stream_truncated_visibly(#[case] rest: fn(&Got) -> Vec<Act>, #[case] outcome: u32) {
+async fn stream_truncated_visibly(
+    #[case] rest: fn(&ReceivedRequest) -> Vec<UpstreamAction>,
+    #[case] outcome: u32,
+) {
     let upstream = FakeUpstream::start(move |got| match got.header("x-resume-from") {
-        Some(_) => vec![Act::Cut],
+        Some(_) => vec![UpstreamAction::Cut],
         None => [vec![stream_head(got), token(got, 0, false)], rest(got)].concat(),
     })
     .await;
-    let world = World::start(always(upstream.address)).await;
-    let answer = world.ask(&completion(), STREAM).await;
-    assert_truncated(&answer);
+    let world = World::start(grant_always(upstream.address)).await;
+    let response = world.send(&completion(), STREAM).await;
+    assert_truncated(&response);
     assert_eq!(outcomes(&world.releases(1).await), [outcome]);
 }
 
-fn assert_truncated(answer: &Answer) {
-    assert_eq!((answer.status, answer.whole), (200, false), "{answer:?}");
-    assert!(answer.body.contains("event: error"), "{answer:?}");
-    assert!(!answer.body.contains("[DONE]"), "{answer:?}");
+fn assert_truncated(response: &CallerResponse) {
+    assert_eq!(
+        (response.status, response.complete),
+        (200, false),
+        "{response:?}"
+    );
+    assert!(response.body.contains("event: error"), "{response:?}");
+    assert!(!response.body.contains("[DONE]"), "{response:?}");
 }
 
-/// One token, then silence.
-async fn stuck() -> FakeUpstream {
+/// An upstream that sends one token and then stalls.
+async fn stalled_upstream() -> FakeUpstream {
     FakeUpstream::start(|got| match got.head.starts_with("DELETE") {
         true => vec![sized("200 OK", "", "")],
-        false => vec![stream_head(got), token(got, 0, false), Act::Sleep(20_000)],
+        false => vec![
+            stream_head(got),
+            token(got, 0, false),
+            UpstreamAction::Sleep(20_000),
+        ],
     })
     .await
 }
@@ -286,51 +313,54 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("no cancel came");
+    panic!("the upstream received no cancellation");
 }
 
 #[tokio::test]
-async fn lapsed_grant_ends_stream() {
-    let upstream = stuck().await;
+async fn expired_grant_ends_stream() {
+    let upstream = stalled_upstream().await;
     let address = upstream.address;
-    let script: Script = Arc::new(move |a| Some(grant(a, address, 600)));
+    let script: OwnerScript = Arc::new(move |a| Some(grant(a, address, 600)));
     let world = World::with(script, Default::default(), 600, false).await;
-    let answer = world.ask(&completion(), STREAM).await;
-    assert_truncated(&answer);
+    let response = world.send(&completion(), STREAM).await;
+    assert_truncated(&response);
     wait_for_cancel(&upstream).await;
     assert_eq!(outcomes(&world.releases(1).await), [4]);
 }
 
 #[tokio::test]
-async fn renewed_grant_outlives_its_time() {
+async fn renewed_grant_outlives_first_ttl() {
     let upstream = FakeUpstream::start(|got| {
         let mut acts = stream(got, 0, 2);
-        acts.insert(2, Act::Sleep(3_500));
+        acts.insert(2, UpstreamAction::Sleep(3_500));
         acts
     })
     .await;
     let address = upstream.address;
-    let script: Script = Arc::new(move |a| Some(grant(a, address, 2_500)));
+    let script: OwnerScript = Arc::new(move |a| Some(grant(a, address, 2_500)));
     let world = World::with(script, Default::default(), 2_500, true).await;
-    let answer = world.ask(&completion(), STREAM).await;
-    assert!(answer.whole && answer.body.contains("[DONE]"), "{answer:?}");
+    let response = world.send(&completion(), STREAM).await;
+    assert!(
+        response.complete && response.body.contains("[DONE]"),
+        "{response:?}"
+    );
 }
 
 #[rstest]
-#[case::whole(PROMPT)]
+#[case::full_response(PROMPT)]
 #[case::stream(STREAM)]
 #[tokio::test]
 async fn deadline_while_running(#[case] body: &str) {
     let upstream = FakeUpstream::start(|got| match got.head.starts_with("DELETE") {
         true => vec![sized("200 OK", "", "")],
-        false => vec![Act::Sleep(20_000)],
+        false => vec![UpstreamAction::Sleep(20_000)],
     })
     .await;
-    let world = World::start(always(upstream.address)).await;
+    let world = World::start(grant_always(upstream.address)).await;
     let head = format!("{}\nx-deadline-ms: 200", completion());
-    let answer = world.ask(&head, body).await;
+    let response = world.send(&head, body).await;
     assert_eq!(
-        answer.error(),
+        response.error(),
         (504, "outcome_unknown".into(), "unknown".into())
     );
     wait_for_cancel(&upstream).await;
@@ -340,8 +370,8 @@
 async fn deadline_before_dispatch() {
     let world = World::start(Arc::new(|_| None)).await;
     let head = format!("{}\nx-deadline-ms: 200", completion());
-    let answer = world.ask(&head, PROMPT).await;
-    assert_eq!(answer.error(), (504, "deadline".into(), "not_run".into()));
+    let response = world.send(&head, PROMPT).await;
+    assert_eq!(response.error(), (504, "deadline".into(), "not_run".into()));
 }
 
 #[tokio::test]
@@ -356,21 +386,21 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let head = format!("{}\nx-deadline-ms: 200", completion());
-    let answer = ask(entry.address, &head, PROMPT).await;
-    assert_eq!(answer.error(), (503, "no_owner".into(), "not_run".into()));
+    let response = send_request(entry.address, &head, PROMPT).await;
+    assert_eq!(response.error(), (503, "no_owner".into(), "not_run".into()));
 }
 
-/// The first owner grants one stream and then says nothing more, as one that
-/// is paused; the feed names a second one.
+/// The first owner grants one stream and then sends nothing more, like a paused
+/// process; the feed names a second owner.
 #[tokio::test]
 async fn takeover_keeps_stream_and_waiting() {
     let upstream = FakeUpstream::start(|got| match got.body.contains("\"stream\":true") {
         true => {
             let mut acts = stream(got, 0, 2);
-            acts.insert(2, Act::Sleep(1_500));
+            acts.insert(2, UpstreamAction::Sleep(1_500));
             acts
         }
-        false => vec![whole(got)],
+        false => vec![full_response(got)],
     })
     .await;
     let address = upstream.address;
@@ -379,12 +409,12 @@
     }))
     .await;
     let entry = world.entry.address;
-    let streaming = tokio::spawn(async move { ask(entry, &completion(), STREAM).await });
-    let waiting = tokio::spawn(async move { ask(entry, &completion(), PROMPT).await });
+    let streaming = tokio::spawn(async move { send_request(entry, &completion(), STREAM).await });
+    let waiting = tokio::spawn(async move { send_request(entry, &completion(), PROMPT).await });
     while world.acquires().len() < 2 || upstream.count("POST") == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let second = FakeOwner::new(always(address), 5_000, true);
+    let second = FakeOwner::new(grant_always(address), 5_000, true);
     let owner = banyangauge::control::Owner {
         vm: "vm-2".parse().unwrap(),
         address: second.serve().await,
@@ -395,10 +425,13 @@
         o.insert(pool, owner);
     });
     assert_eq!(waiting.await.unwrap().status, 200);
-    let answer = streaming.await.unwrap();
-    assert!(answer.whole && answer.body.contains("[DONE]"), "{answer:?}");
-    let heard = second.heard.lock().unwrap();
-    assert!(matches!(&heard[0], ToOwner::Hello(h) if h.held.len() == 1));
+    let response = streaming.await.unwrap();
+    assert!(
+        response.complete && response.body.contains("[DONE]"),
+        "{response:?}"
+    );
+    let received = second.received.lock().unwrap();
+    assert!(matches!(&received[0], ToOwner::Hello(h) if h.held.len() == 1));
 }
 
 #[rstest]
@@ -414,19 +447,19 @@
 #[case::answered("", "answered", 409, "claim_answered")]
 #[case::unknown("", "unknown", 409, "claim_unknown")]
 #[tokio::test]
-async fn refusal_told(
+async fn refusal_reported(
     #[case] reason: &'static str,
     #[case] claim: &'static str,
     #[case] status: u16,
     #[case] code: &str,
 ) {
     let world = World::start(Arc::new(move |a| Some(refuse(a, reason, claim)))).await;
-    // An owner that is stopping is asked again until the deadline.
+    // The entry retries at an owner that is stopping until the deadline.
     let head = format!("{}\nx-deadline-ms: 700", completion());
-    let answer = world.ask(&head, PROMPT).await;
-    assert_eq!(answer.error(), (status, code.into(), "not_run".into()));
-    let retry = claim.is_empty().then_some("2");
-    assert_eq!(answer.header("retry-after"), retry);
+    let response = world.send(&head, PROMPT).await;
+    assert_eq!(response.error(), (status, code.into(), "not_run".into()));
+    let retry_after = claim.is_empty().then_some("2");
+    assert_eq!(response.header("retry-after"), retry_after);
 }
 
 #[tokio::test]
@@ -441,7 +474,7 @@
         }
     }))
     .await;
-    assert_eq!(world.ask(&once(), PROMPT).await.status, 200);
+    assert_eq!(world.send(&not_idempotent(), PROMPT).await.status, 200);
     assert_eq!(world.acquires().len(), 3);
 }
 
@@ -449,7 +482,7 @@
     clippy::unwrap_used,
     reason = "a fake that cannot work must fail its test"
 )]
-async fn leave_after(world: &World, body: &str, wait_ms: u64) {
+async fn disconnect_after(world: &World, body: &str, wait_ms: u64) {
     let mut caller = TcpStream::connect(world.entry.address).await.unwrap();
     let message = message(&completion(), body);
     caller.write_all(message.as_bytes()).await.unwrap();
@@ -462,37 +495,37 @@
 }
 
 #[tokio::test]
-async fn caller_gone_cancels_stream() {
-    let upstream = stuck().await;
-    let world = World::start(always(upstream.address)).await;
-    leave_after(&world, STREAM, 0).await;
+async fn caller_disconnect_cancels_stream() {
+    let upstream = stalled_upstream().await;
+    let world = World::start(grant_always(upstream.address)).await;
+    disconnect_after(&world, STREAM, 0).await;
     wait_for_cancel(&upstream).await;
     assert_eq!(outcomes(&world.releases(1).await), [4]);
 }
 
 #[tokio::test]
-async fn caller_gone_abandons() {
+async fn caller_disconnect_abandons() {
     let world = World::start(Arc::new(|_| None)).await;
-    leave_after(&world, PROMPT, 100).await;
+    disconnect_after(&world, PROMPT, 100).await;
     for _ in 0..300 {
-        let abandoned = world.hear(|m| matches!(m, ToOwner::Abandon(_)).then_some(()));
+        let abandoned = world.owner_messages(|m| matches!(m, ToOwner::Abandon(_)).then_some(()));
         if !abandoned.is_empty() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("no Abandon came");
+    panic!("the owner received no Abandon");
 }
 
 #[tokio::test]
-async fn caller_gone_claim_recorded() {
+async fn caller_disconnect_records_claim() {
     let upstream = FakeUpstream::start(|got| {
         let id = got.header("x-request-id").unwrap();
         let head = format!("x-request-id: {id}\r\n");
-        vec![Act::Sleep(300), sized("200 OK", &head, "booked")]
+        vec![UpstreamAction::Sleep(300), sized("200 OK", &head, "booked")]
     })
     .await;
-    let world = World::start(always(upstream.address)).await;
+    let world = World::start(grant_always(upstream.address)).await;
     let head = format!("POST /booking/confirm\nauthorization: Bearer {KEY}\nidempotency-key: k-1");
     let mut caller = TcpStream::connect(world.entry.address).await.unwrap();
     caller
--- a/lib/tests/test_entry_fakes.rs
+++ b/lib/tests/test_entry_fakes.rs
@@ -1,5 +1,5 @@
-//! Small fakes around an entry: an owner with its feed, an upstream and a
-//! caller, all on 127.0.0.1 and all scripted.
+//! Scripted fakes for tests of the entry: an owner, a control feed, an upstream and a
+//! caller, all on 127.0.0.1.
 #![expect(
     clippy::unwrap_used,
     reason = "a fake that cannot work must fail its test"
@@ -34,16 +34,16 @@
 pub(crate) const KEY: &str = "key-of-laundry";
 pub(crate) const OTHER_KEY: &str = "key-of-letters";
 
-/// What the owner says to an `Acquire`.
-pub(crate) type Script = Arc<dyn Fn(&wire::Acquire) -> Option<FromOwner> + Send + Sync>;
+/// Returns the owner's reply to an `Acquire`; `None` leaves the request waiting.
+pub(crate) type OwnerScript = Arc<dyn Fn(&wire::Acquire) -> Option<FromOwner> + Send + Sync>;
 
 #[derive(Clone)]
 pub(crate) struct FakeOwner {
-    pub(crate) heard: Arc<Mutex<Vec<ToOwner>>>,
+    pub(crate) received: Arc<Mutex<Vec<ToOwner>>>,
     pub(crate) ttl_ms: u64,
-    /// Whether renewals are answered.
+    /// Whether the owner answers renewals.
     pub(crate) renews: bool,
-    pub(crate) script: Script,
+    pub(crate) script: OwnerScript,
 }
 
 type Answers<T> = std::pin::Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
@@ -58,16 +58,18 @@
     ) -> Result<tonic::Response<Self::SessionStream>, Status> {
         let mut inbox = request.into_inner();
         let (out, answers) = mpsc::channel(1_000);
-        let me = self.clone();
-        // Like the real owner, it answers the call only after the hello.
+        let owner = self.clone();
+        // Like the real owner, answers the call only after it has read the hello.
         let mut next = inbox.message().await;
         tokio::spawn(async move {
             while let Ok(Some(message)) = next {
                 let body = message.body.unwrap();
-                let answer = me.answer(&body);
-                me.heard.lock().unwrap().push(body);
-                if let Some(answer) = answer {
-                    let message = wire::OwnerMessage { body: Some(answer) };
+                let response = owner.answer(&body);
+                owner.received.lock().unwrap().push(body);
+                if let Some(response) = response {
+                    let message = wire::OwnerMessage {
+                        body: Some(response),
+                    };
                     if out.send(Ok(message)).await.is_err() {
                         return;
                     }
@@ -80,9 +82,9 @@
 }
 
 impl FakeOwner {
-    pub(crate) fn new(script: Script, ttl_ms: u64, renews: bool) -> Self {
+    pub(crate) fn new(script: OwnerScript, ttl_ms: u64, renews: bool) -> Self {
         Self {
-            heard: Arc::default(),
+            received: Arc::default(),
             ttl_ms,
             renews,
             script,
@@ -118,7 +120,7 @@
 pub(crate) fn grant(a: &wire::Acquire, address: SocketAddr, ttl_ms: u64) -> FromOwner {
     FromOwner::Granted(wire::Grant {
         request: a.request,
-        // Never given twice, as the owner's tickets are not.
+        // Unique, like the ticket numbers of the real owner.
         grant: a.request + 1_000 * (1 + u64::from(a.attempt)),
         replica: format!("replica-{}", address.port()),
         address: address.to_string(),
@@ -146,7 +148,7 @@
 pub(crate) struct FakeFeed {
     pub(crate) messages: Vec<wire::FeedMessage>,
     pub(crate) reports: Arc<Mutex<Vec<wire::UsageReport>>>,
-    /// How many reports are refused, as by a process that stops.
+    /// Number of reports to refuse, as a process that is stopping does.
     pub(crate) refusals: Arc<AtomicUsize>,
 }
 
@@ -167,10 +169,10 @@
         &self,
         request: tonic::Request<wire::UsageReport>,
     ) -> Result<tonic::Response<wire::UsageReply>, Status> {
-        let left = |n: usize| n.checked_sub(1);
+        let decrement = |n: usize| n.checked_sub(1);
         let refused = self
             .refusals
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, left);
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement);
         if refused.is_ok() {
             return Err(Status::unavailable("stopping"));
         }
@@ -245,11 +247,16 @@
 }
 
 impl World {
-    pub(crate) async fn start(script: Script) -> Self {
+    pub(crate) async fn start(script: OwnerScript) -> Self {
         Self::with(script, Limits::default(), 5_000, true).await
     }
 
-    pub(crate) async fn with(script: Script, limits: Limits, ttl_ms: u64, renews: bool) -> Self {
+    pub(crate) async fn with(
+        script: OwnerScript,
+        limits: Limits,
+        ttl_ms: u64,
+        renews: bool,
+    ) -> Self {
         let owner = FakeOwner::new(script, ttl_ms, renews);
         let owner_address = owner.serve().await;
         let feed = FakeFeed {
@@ -269,16 +276,16 @@
         Self { entry, owner, feed }
     }
 
-    pub(crate) async fn ask(&self, head: &str, body: &str) -> Answer {
-        ask(self.entry.address, head, body).await
+    pub(crate) async fn send(&self, head: &str, body: &str) -> CallerResponse {
+        send_request(self.entry.address, head, body).await
     }
 
-    /// Releases that the owner heard, once there are `count` of them.
-    /// The releases in the order of their grants: one that waits for a cancel
-    /// comes after that of the next try.
+    /// Waits until the owner has received `count` releases and returns them in the
+    /// order of their grants. They may arrive in another order: a release that waits
+    /// for a cancellation comes after that of the next attempt.
     pub(crate) async fn releases(&self, count: usize) -> Vec<wire::Release> {
         for _ in 0..300 {
-            let mut list: Vec<_> = self.hear(|m| match m {
+            let mut list: Vec<_> = self.owner_messages(|m| match m {
                 ToOwner::Release(r) => Some(r.clone()),
                 _ => None,
             });
@@ -288,16 +295,16 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("{count} releases did not come");
+        panic!("the owner did not receive {count} releases");
     }
 
-    pub(crate) fn hear<T>(&self, pick: impl Fn(&ToOwner) -> Option<T>) -> Vec<T> {
-        let heard = self.owner.heard.lock().unwrap();
-        heard.iter().filter_map(pick).collect()
+    pub(crate) fn owner_messages<T>(&self, pick: impl Fn(&ToOwner) -> Option<T>) -> Vec<T> {
+        let received = self.owner.received.lock().unwrap();
+        received.iter().filter_map(pick).collect()
     }
 
     pub(crate) fn acquires(&self) -> Vec<wire::Acquire> {
-        self.hear(|m| match m {
+        self.owner_messages(|m| match m {
             ToOwner::Acquire(a) => Some(a.clone()),
             _ => None,
         })
@@ -328,14 +335,14 @@
     Entry::start(settings, log).await.unwrap()
 }
 
-/// A request as an upstream got it.
+/// A request as the upstream received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Got {
+pub(crate) struct ReceivedRequest {
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-impl Got {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -348,9 +355,9 @@
     })
 }
 
-/// What an upstream does with a request, step by step.
+/// An action of an upstream in response to a request.
 #[derive(Clone, Debug)]
-pub(crate) enum Act {
+pub(crate) enum UpstreamAction {
     Write(String),
     Sleep(u64),
     /// Closes the connection at once.
@@ -359,18 +366,20 @@
 
 pub(crate) struct FakeUpstream {
     pub(crate) address: SocketAddr,
-    pub(crate) got: Arc<Mutex<Vec<Got>>>,
+    pub(crate) got: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl FakeUpstream {
-    pub(crate) async fn start(script: impl Fn(&Got) -> Vec<Act> + Send + Sync + 'static) -> Self {
+    pub(crate) async fn start(
+        script: impl Fn(&ReceivedRequest) -> Vec<UpstreamAction> + Send + Sync + 'static,
+    ) -> Self {
         let (listener, address) = bind().await;
-        let got: Arc<Mutex<Vec<Got>>> = Arc::default();
+        let got: Arc<Mutex<Vec<ReceivedRequest>>> = Arc::default();
         let script = Arc::new(script);
-        let kept = got.clone();
+        let shared = got.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (script, got) = (script.clone(), kept.clone());
+                let (script, got) = (script.clone(), shared.clone());
                 tokio::spawn(async move { serve_upstream(stream, got, &*script).await });
             }
         });
@@ -385,13 +394,13 @@
 
 async fn serve_upstream(
     mut stream: TcpStream,
-    got: Arc<Mutex<Vec<Got>>>,
-    script: &(dyn Fn(&Got) -> Vec<Act> + Send + Sync),
+    got: Arc<Mutex<Vec<ReceivedRequest>>>,
+    script: &(dyn Fn(&ReceivedRequest) -> Vec<UpstreamAction> + Send + Sync),
 ) -> Option<()> {
     let mut buffer = Vec::new();
     loop {
         let (head, body) = read_message(&mut stream, &mut buffer).await?;
-        let request = Got { head, body };
+        let request = ReceivedRequest { head, body };
         got.lock().unwrap().push(request.clone());
         if request.head.starts_with("DELETE") {
             let done = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
@@ -400,9 +409,9 @@
         }
         for act in script(&request) {
             match act {
-                Act::Write(s) => stream.write_all(s.as_bytes()).await.ok()?,
-                Act::Sleep(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-                Act::Cut => return None,
+                UpstreamAction::Write(s) => stream.write_all(s.as_bytes()).await.ok()?,
+                UpstreamAction::Sleep(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
+                UpstreamAction::Cut => return None,
             }
         }
     }
@@ -427,12 +436,12 @@
     }
 }
 
-fn model_of(got: &Got) -> String {
+fn model_of(got: &ReceivedRequest) -> String {
     let body: serde_json::Value = serde_json::from_str(&got.body).unwrap();
     body["model"].as_str().unwrap().to_owned()
 }
 
-pub(crate) fn identity(got: &Got) -> String {
+pub(crate) fn identity(got: &ReceivedRequest) -> String {
     format!(
         "x-request-id: {}\r\nx-served-model: {}\r\nx-engine-incarnation: 7\r\n",
         got.header("x-request-id").unwrap(),
@@ -440,14 +449,14 @@
     )
 }
 
-pub(crate) fn sized(status: &str, headers: &str, body: &str) -> Act {
-    Act::Write(format!(
+pub(crate) fn sized(status: &str, headers: &str, body: &str) -> UpstreamAction {
+    UpstreamAction::Write(format!(
         "HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-pub(crate) fn error_code(status: &str, code: &str) -> Act {
+pub(crate) fn error_code(status: &str, code: &str) -> UpstreamAction {
     sized(
         status,
         "",
@@ -455,12 +464,12 @@
     )
 }
 
-/// A whole completion of three tokens.
-pub(crate) fn whole(got: &Got) -> Act {
-    sized("200 OK", &identity(got), &whole_body(got))
+/// A full completion of three tokens.
+pub(crate) fn full_response(got: &ReceivedRequest) -> UpstreamAction {
+    sized("200 OK", &identity(got), &full_body(got))
 }
 
-pub(crate) fn whole_body(got: &Got) -> String {
+pub(crate) fn full_body(got: &ReceivedRequest) -> String {
     serde_json::json!({
         "id": got.header("x-request-id").unwrap(),
         "model": model_of(got),
@@ -470,19 +479,19 @@
     .to_string()
 }
 
-pub(crate) fn stream_head(got: &Got) -> Act {
-    Act::Write(format!(
+pub(crate) fn stream_head(got: &ReceivedRequest) -> UpstreamAction {
+    UpstreamAction::Write(format!(
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n{}transfer-encoding: chunked\r\n\r\n",
         identity(got)
     ))
 }
 
-pub(crate) fn chunk(data: &str) -> Act {
-    Act::Write(format!("{:x}\r\n{data}\r\n", data.len()))
+pub(crate) fn chunk(data: &str) -> UpstreamAction {
+    UpstreamAction::Write(format!("{:x}\r\n{data}\r\n", data.len()))
 }
 
-/// One token's event; the last has the usage.
-pub(crate) fn token(got: &Got, index: u64, last: bool) -> Act {
+/// The event of one token; the last one contains the usage.
+pub(crate) fn token(got: &ReceivedRequest, index: u64, last: bool) -> UpstreamAction {
     let mut event = serde_json::json!({
         "id": got.header("x-request-id").unwrap(),
         "model": model_of(got),
@@ -496,29 +505,32 @@
     chunk(&format!("data: {event}\n\n"))
 }
 
-pub(crate) fn stream_end() -> [Act; 2] {
-    [chunk("data: [DONE]\n\n"), Act::Write("0\r\n\r\n".into())]
+pub(crate) fn stream_end() -> [UpstreamAction; 2] {
+    [
+        chunk("data: [DONE]\n\n"),
+        UpstreamAction::Write("0\r\n\r\n".into()),
+    ]
 }
 
-/// A whole stream of `tokens`, from `first` on.
-pub(crate) fn stream(got: &Got, first: u64, tokens: u64) -> Vec<Act> {
+/// A complete stream of `tokens` tokens that starts at index `first`.
+pub(crate) fn stream(got: &ReceivedRequest, first: u64, tokens: u64) -> Vec<UpstreamAction> {
     let mut acts = vec![stream_head(got)];
     acts.extend((first..tokens).map(|i| token(got, i, i + 1 == tokens)));
     acts.extend(stream_end());
     acts
 }
 
-/// An answer as a caller got it.
+/// A response as the caller received it.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct CallerResponse {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// Whether it ended as its head promised.
-    pub(crate) whole: bool,
+    /// Whether the body ended as announced by the head.
+    pub(crate) complete: bool,
 }
 
-impl Answer {
+impl CallerResponse {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -530,12 +542,12 @@
     }
 }
 
-/// Sends a request on a connection of its own; `head` is the request line and
-/// headers, with `\n` between them.
-pub(crate) async fn ask(address: SocketAddr, head: &str, body: &str) -> Answer {
+/// Sends a request on a new connection; `head` is the request line and the headers,
+/// separated by `\n`.
+pub(crate) async fn send_request(address: SocketAddr, head: &str, body: &str) -> CallerResponse {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let message = message(head, body);
-    // A caller that is refused early may find the connection closed.
+    // The entry may refuse the request and close the connection before all is sent.
     stream.write_all(message.as_bytes()).await.ok();
     read_answer(&mut stream).await
 }
@@ -549,27 +561,27 @@
     )
 }
 
-pub(crate) async fn read_answer(stream: &mut TcpStream) -> Answer {
+pub(crate) async fn read_answer(stream: &mut TcpStream) -> CallerResponse {
     let mut raw = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(20), stream.read_to_end(&mut raw));
-    // A reset shows as an answer that is not whole.
-    read.await.expect("an answer in 20 s").ok();
+    // A reset shows as an incomplete response.
+    read.await.expect("no response within 20 s").ok();
     let text = String::from_utf8(raw).unwrap();
     let (head, rest) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     let status = head.split(' ').nth(1).map_or(0, |s| s.parse().unwrap());
-    let (body, whole) = match header(head, "content-length") {
+    let (body, complete) = match header(head, "content-length") {
         Some(n) => (rest.to_owned(), rest.len() == n.parse::<usize>().unwrap()),
-        None => unchunk(rest),
+        None => decode_chunks(rest),
     };
-    Answer {
+    CallerResponse {
         status,
         head: head.to_owned(),
         body,
-        whole,
+        complete,
     }
 }
 
-fn unchunk(mut rest: &str) -> (String, bool) {
+fn decode_chunks(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
         let size = usize::from_str_radix(size, 16).unwrap();
@@ -585,7 +597,7 @@
     (body, false)
 }
 
-/// Head of a completion by the laundry team.
+/// Returns the head of a completion request of the team `laundry`.
 pub(crate) fn completion() -> String {
     format!("POST /v1/completions\nauthorization: Bearer {KEY}")
 }
--- a/lib/tests/test_entry_input.rs
+++ b/lib/tests/test_entry_input.rs
@@ -1,4 +1,5 @@
-//! Bad input from callers and from the feed: a clear error, nothing blocked.
+//! Invalid input from callers and from the feed gives a clear error and does not
+//! affect other requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +20,9 @@
 use crate::test_entry_fakes::*;
 
 async fn world(limits: Limits) -> (World, FakeUpstream) {
-    let upstream = FakeUpstream::start(|got| vec![whole(got)]).await;
+    let upstream = FakeUpstream::start(|got| vec![full_response(got)]).await;
     let address = upstream.address;
-    let script: Script = Arc::new(move |a| Some(grant(a, address, 5_000)));
+    let script: OwnerScript = Arc::new(move |a| Some(grant(a, address, 5_000)));
     (World::with(script, limits, 5_000, true).await, upstream)
 }
 
@@ -53,8 +54,8 @@
 #[tokio::test]
 async fn body_refused(#[case] body: &str, #[case] status: u16, #[case] code: &str) {
     let (world, upstream) = world(Limits::default()).await;
-    let answer = world.ask(&completion(), body).await;
-    assert_eq!(answer.error(), (status, code.into(), "not_run".into()));
+    let response = world.send(&completion(), body).await;
+    assert_eq!(response.error(), (status, code.into(), "not_run".into()));
     assert_eq!(upstream.count("POST"), 0);
 }
 
@@ -69,10 +70,10 @@
 #[tokio::test]
 async fn header_refused(#[case] line: &str, #[case] status: u16, #[case] code: &str) {
     let (world, _upstream) = world(Limits::default()).await;
-    let answer = world
-        .ask(&format!("{}\n{line}", completion()), PROMPT)
+    let response = world
+        .send(&format!("{}\n{line}", completion()), PROMPT)
         .await;
-    assert_eq!(answer.error(), (status, code.into(), "not_run".into()));
+    assert_eq!(response.error(), (status, code.into(), "not_run".into()));
 }
 
 #[rstest]
@@ -97,8 +98,8 @@
 #[tokio::test]
 async fn head_refused(#[case] head: &str, #[case] status: u16, #[case] code: &str) {
     let (world, _upstream) = world(Limits::default()).await;
-    let answer = world.ask(head, PROMPT).await;
-    assert_eq!(answer.error(), (status, code.into(), "not_run".into()));
+    let response = world.send(head, PROMPT).await;
+    assert_eq!(response.error(), (status, code.into(), "not_run".into()));
 }
 
 fn small() -> Limits {
@@ -116,9 +117,12 @@
 async fn oversized_refused() {
     let (world, _upstream) = world(small()).await;
     let body = format!(r#"{{"model":"rosters","prompt":"{}"}}"#, "x".repeat(2_000));
-    let answer = world.ask(&completion(), &body).await;
-    assert_eq!(answer.error(), (413, "too_large".into(), "not_run".into()));
-    // The same without a length that tells it beforehand.
+    let response = world.send(&completion(), &body).await;
+    assert_eq!(
+        response.error(),
+        (413, "too_large".into(), "not_run".into())
+    );
+    // The same without a `Content-Length`.
     let mut caller = TcpStream::connect(world.entry.address).await.unwrap();
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
@@ -129,7 +133,7 @@
     assert_eq!(read_answer(&mut caller).await.status, 413);
 
     let head = format!("{}\nx-note: {}", completion(), "x".repeat(9_000));
-    assert_eq!(world.ask(&head, PROMPT).await.status, 431);
+    assert_eq!(world.send(&head, PROMPT).await.status, 431);
 }
 
 #[rstest]
@@ -137,14 +141,14 @@
 #[case::half_head("POST /v1/completions HTTP/1.1\r\nhost:")]
 #[case::half_preface("PRI * HTTP/2.0\r\n")]
 #[tokio::test]
-async fn slow_caller_sent_away(#[case] sent: &str) {
+async fn slow_caller_disconnected(#[case] sent: &str) {
     let (world, _upstream) = world(small()).await;
     let mut caller = TcpStream::connect(world.entry.address).await.unwrap();
     caller.write_all(sent.as_bytes()).await.unwrap();
     let mut rest = Vec::new();
     let closed = tokio::time::timeout(Duration::from_secs(10), caller.read_to_end(&mut rest));
     closed.await.expect("the connection is closed").ok();
-    assert_eq!(world.ask(&completion(), PROMPT).await.status, 200);
+    assert_eq!(world.send(&completion(), PROMPT).await.status, 200);
 }
 
 #[tokio::test]
@@ -155,8 +159,8 @@
     let whole = message(&head, PROMPT);
     let half = &whole.as_bytes()[..whole.len() - 10];
     caller.write_all(half).await.unwrap();
-    let answer = read_answer(&mut caller).await;
-    assert_eq!(answer.error(), (504, "deadline".into(), "not_run".into()));
+    let response = read_answer(&mut caller).await;
+    assert_eq!(response.error(), (504, "deadline".into(), "not_run".into()));
 }
 
 #[tokio::test]
@@ -167,8 +171,11 @@
     let half = &whole.as_bytes()[..whole.len() - 10];
     caller.write_all(half).await.unwrap();
     caller.shutdown().await.unwrap();
-    let answer = read_answer(&mut caller).await;
-    assert!(answer.status == 0 || answer.status == 400, "{answer:?}");
+    let response = read_answer(&mut caller).await;
+    assert!(
+        response.status == 0 || response.status == 400,
+        "{response:?}"
+    );
     assert_eq!(upstream.count("POST"), 0);
 }
 
@@ -183,16 +190,16 @@
     for _ in 0..3 {
         open.push(TcpStream::connect(world.entry.address).await.unwrap());
     }
-    let answer = world.ask(&completion(), PROMPT).await;
-    assert_eq!(answer.error(), (429, "too_many".into(), "not_run".into()));
+    let response = world.send(&completion(), PROMPT).await;
+    assert_eq!(response.error(), (429, "too_many".into(), "not_run".into()));
     drop(open);
     for _ in 0..300 {
-        if world.ask(&completion(), PROMPT).await.status == 200 {
+        if world.send(&completion(), PROMPT).await.status == 200 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("room did not come back");
+    panic!("closed connections still count against the limit");
 }
 
 #[tokio::test]
@@ -203,31 +210,34 @@
     };
     let world = World::with(Arc::new(|_| None), limits, 5_000, true).await;
     let head = format!("{}\nx-deadline-ms: 1000", completion());
-    let first = world.ask(&head, PROMPT);
+    let first = world.send(&head, PROMPT);
     let second = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        world.ask(&completion(), PROMPT).await
+        world.send(&completion(), PROMPT).await
     };
     let (_, second) = tokio::join!(first, second);
     assert_eq!(second.error(), (429, "too_many".into(), "not_run".into()));
 }
 
 #[tokio::test]
-async fn convicted_refused() {
+async fn blocked_refused() {
     let (world, upstream) = world(Limits::default()).await;
-    assert_eq!(world.ask(&completion(), PROMPT).await.status, 200);
+    assert_eq!(world.send(&completion(), PROMPT).await.status, 200);
     let fingerprint = Fingerprint(world.acquires()[0].fingerprint);
     world.entry.state.block([(fingerprint, 60_000)]);
-    let answer = world.ask(&completion(), PROMPT).await;
-    assert_eq!(answer.error(), (422, "convicted".into(), "not_run".into()));
+    let response = world.send(&completion(), PROMPT).await;
+    assert_eq!(
+        response.error(),
+        (422, "convicted".into(), "not_run".into())
+    );
     assert_eq!(upstream.count("POST"), 1);
 }
 
 #[tokio::test]
 async fn no_catalog_refused() {
     let entry = start_entry(bind().await.1, Limits::default()).await;
-    let answer = ask(entry.address, &completion(), PROMPT).await;
-    assert_eq!(answer.error(), (503, "no_owner".into(), "not_run".into()));
+    let response = send_request(entry.address, &completion(), PROMPT).await;
+    assert_eq!(response.error(), (503, "no_owner".into(), "not_run".into()));
 }
 
 #[test]
@@ -249,7 +259,7 @@
     };
     let serve = r#"{"revision":6,"operation":"o","operator":"p","changes":
         [{"change":"serve","team":"laundry","adapter":"rosters","version":3}]}"#;
-    // A gap, a malformed one and one that says another revision are refused.
+    // Refused: a gap, a malformed change set, and one of another revision.
     assert!(apply(&state, delta(7, serve)).is_err());
     assert!(apply(&state, delta(6, "{")).is_err());
     assert!(apply(&state, delta(6, &serve.replace(":6", ":7"))).is_err());
--- a/lib/tests/test_entry_life.rs
+++ b/lib/tests/test_entry_life.rs
@@ -1,4 +1,4 @@
-//! Settings, HTTP/2, and the end of the process.
+//! Settings, HTTP/2, and graceful shutdown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 async fn slow_stream() -> World {
     let upstream = FakeUpstream::start(|got| {
         let mut acts = stream(got, 0, 2);
-        acts.insert(2, Act::Sleep(500));
+        acts.insert(2, UpstreamAction::Sleep(500));
         acts
     })
     .await;
@@ -61,17 +61,20 @@
 }
 
 #[tokio::test]
-async fn stop_sees_stream_through() {
+async fn stop_waits_for_stream() {
     let world = slow_stream().await;
     let address = world.entry.address;
     let idle = TcpStream::connect(address).await.unwrap();
-    let asking = tokio::spawn(async move { ask(address, &completion(), STREAM).await });
+    let asking = tokio::spawn(async move { send_request(address, &completion(), STREAM).await });
     while world.acquires().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     world.entry.stop().await;
-    let answer = asking.await.unwrap();
-    assert!(answer.whole && answer.body.contains("[DONE]"), "{answer:?}");
+    let response = asking.await.unwrap();
+    assert!(
+        response.complete && response.body.contains("[DONE]"),
+        "{response:?}"
+    );
     assert!(TcpStream::connect(address).await.is_err());
     drop(idle);
 }
@@ -100,8 +103,8 @@
     }
 }
 
-/// A caller that reads nothing while more comes than all buffers hold must
-/// not keep its grant past its deadline.
+/// A caller that does not read while the stream exceeds all buffers must not keep its
+/// grant past its deadline.
 #[tokio::test]
 async fn unread_stream_ends_at_deadline() {
     let upstream = FakeUpstream::start(|got| match got.head.starts_with("DELETE") {
@@ -129,7 +132,7 @@
         .unwrap();
     let release = world.releases(1).await[0].clone();
     assert_eq!(release.outcome, 4);
-    // When it reads at last, what it gets is visibly not the whole.
+    // What the caller reads afterwards is visibly incomplete.
     let mut rest = Vec::new();
     caller.read_to_end(&mut rest).await.ok();
     let text = String::from_utf8_lossy(&rest);
--- a/lib/tests/test_entry_path.rs
+++ b/lib/tests/test_entry_path.rs
@@ -1,4 +1,4 @@
-//! The path of a request that goes well.
+//! Successful requests: forwarding, usage and the time line.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,14 +15,18 @@
 }
 
 #[tokio::test]
-async fn completion_whole() {
-    let upstream = FakeUpstream::start(|got| vec![whole(got)]).await;
+async fn completion_full() {
+    let upstream = FakeUpstream::start(|got| vec![full_response(got)]).await;
     let world = world(&upstream).await;
-    let answer = world.ask(&completion(), PROMPT).await;
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(answer.header("x-served-model"), Some("rosters@3"));
-    let body: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
-    assert_eq!(body["id"].as_str(), answer.header("x-request-id"));
+    let response = world.send(&completion(), PROMPT).await;
+    assert_eq!(
+        (response.status, response.complete),
+        (200, true),
+        "{response:?}"
+    );
+    assert_eq!(response.header("x-served-model"), Some("rosters@3"));
+    let body: serde_json::Value = serde_json::from_str(&response.body).unwrap();
+    assert_eq!(body["id"].as_str(), response.header("x-request-id"));
 
     let got = upstream.got.lock().unwrap()[0].clone();
     let sent: serde_json::Value = serde_json::from_str(&got.body).unwrap();
@@ -38,15 +42,19 @@
 async fn completion_stream() {
     let upstream = FakeUpstream::start(|got| stream(got, 0, 3)).await;
     let world = world(&upstream).await;
-    let answer = world.ask(&completion(), STREAM).await;
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
-    assert_eq!(answer.header("content-type"), Some("text/event-stream"));
-    assert_eq!(answer.header("x-served-model"), Some("rosters@2"));
-    assert_eq!(answer.body.matches("token_index").count(), 3);
-    assert!(answer.body.ends_with("data: [DONE]\n\n"));
+    let response = world.send(&completion(), STREAM).await;
+    assert_eq!(
+        (response.status, response.complete),
+        (200, true),
+        "{response:?}"
+    );
+    assert_eq!(response.header("content-type"), Some("text/event-stream"));
+    assert_eq!(response.header("x-served-model"), Some("rosters@2"));
+    assert_eq!(response.body.matches("token_index").count(), 3);
+    assert!(response.body.ends_with("data: [DONE]\n\n"));
 
     let got = upstream.got.lock().unwrap()[0].clone();
-    // The caller's own priority is replaced by the owner's.
+    // The owner's priority replaces the caller's.
     assert_eq!(got.body.matches("\"priority\":3").count(), 1);
     let release = &world.releases(1).await[0];
     assert_eq!((release.outcome, release.tokens, release.seen), (0, 3, 7));
@@ -71,13 +79,13 @@
     .await;
     let world = world(&upstream).await;
     let head = format!("POST /booking/slots?day=2\nauthorization: Bearer {KEY}\nx-note: n");
-    let answer = world.ask(&head, "slot 4").await;
+    let response = world.send(&head, "slot 4").await;
     assert_eq!(
-        (answer.status, answer.body.as_str()),
+        (response.status, response.body.as_str()),
         (201, "booked"),
-        "{answer:?}"
+        "{response:?}"
     );
-    assert_eq!(answer.header("x-slot"), Some("4"));
+    assert_eq!(response.header("x-slot"), Some("4"));
 
     let got = upstream.got.lock().unwrap()[0].clone();
     assert!(got.head.starts_with("POST /booking/slots?day=2 "));
@@ -94,9 +102,9 @@
 async fn timeline_one_request() {
     let upstream = FakeUpstream::start(|got| stream(got, 0, 2)).await;
     let world = world(&upstream).await;
-    let answer = world.ask(&completion(), STREAM).await;
+    let response = world.send(&completion(), STREAM).await;
     let events = world.entry.state.recorder.read(&wire::TimelineRequest {
-        request: answer.header("x-request-id").unwrap().to_owned(),
+        request: response.header("x-request-id").unwrap().to_owned(),
         ..Default::default()
     });
     let kinds: Vec<_> = events.events.iter().map(|e| e.kind.as_str()).collect();
@@ -110,32 +118,32 @@
     assert_eq!(kinds, want.map(EventKind::as_str));
 }
 
-/// An entry stops while its control processes stop or start again, too: the
-/// first that takes its last report is found.
+/// While an entry stops, its control processes may be restarting and refuse reports.
+/// The final report must reach the first one that accepts it.
 #[tokio::test]
 async fn usage_reported_at_stop_after_refusals() {
-    let upstream = FakeUpstream::start(|got| vec![whole(got)]).await;
+    let upstream = FakeUpstream::start(|got| vec![full_response(got)]).await;
     let world = world(&upstream).await;
-    world.ask(&completion(), PROMPT).await;
+    world.send(&completion(), PROMPT).await;
     let World { entry, feed, .. } = world;
     feed.reports.lock().unwrap().clear();
     feed.refusals.store(usize::MAX, Ordering::SeqCst);
     let refusals = feed.refusals.clone();
-    let back = async move {
+    let accept_later = async move {
         tokio::time::sleep(Duration::from_millis(300)).await;
         refusals.store(0, Ordering::SeqCst);
     };
-    tokio::join!(entry.stop(), back);
+    tokio::join!(entry.stop(), accept_later);
     let reports = feed.reports.lock().unwrap();
-    let last = reports.last().expect("nobody has the last usage");
+    let last = reports.last().expect("no final usage report was received");
     assert_eq!(last.counts[0].output_tokens, 3);
 }
 
 #[tokio::test]
 async fn usage_reported_at_stop() {
-    let upstream = FakeUpstream::start(|got| vec![whole(got)]).await;
+    let upstream = FakeUpstream::start(|got| vec![full_response(got)]).await;
     let world = world(&upstream).await;
-    world.ask(&completion(), PROMPT).await;
+    world.send(&completion(), PROMPT).await;
     let World { entry, feed, .. } = world;
     entry.stop().await;
     let reports = feed.reports.lock().unwrap();
