--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -148,7 +148,7 @@
         };
         abandon.request = None;
         match reply {
-            Reply::Granted(hold) => Ok(hold),
+            Reply::Granted(held_grant) => Ok(held_grant),
             Reply::Refused(refusal) => Err(NoGrant::Refused(refusal)),
         }
     }
