--- a/cli/tests/test_output.rs
+++ b/cli/tests/test_output.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn plan_text_whole() {
+fn plan_text_snapshot() {
     let mut plan = Plan::new(&Catalog::default(), changes()).unwrap();
     plan.operation = "00112233445566aa".to_owned();
     insta::assert_snapshot!(plan_text(&plan), @r"
@@ -75,12 +75,12 @@
     create adapter rosters of team laundry on pool assistant  -        -          0      0
     add rosters@1                                             -        -          0      0
     serve rosters@1 to team laundry                           laundry  assistant  1      1
-    in all at least 1 loads and -3 slots; nothing takes effect before it is confirmed
+    total: at least 1 loads and -3 slots; nothing changes until the plan is confirmed
     ");
 }
 
 #[test]
-fn adapters_text_whole() {
+fn adapters_text_snapshot() {
     let mut catalog = Catalog::default();
     catalog.apply(&changes()).unwrap();
     insta::assert_snapshot!(adapters_text(&catalog), @r"
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn status_text_whole() {
+fn status_text_snapshot() {
     let status = wire::StatusReply {
         vm: "vm-1".to_owned(),
         revision: 12,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn pools_text_whole() {
+fn pools_text_snapshot() {
     let replica = wire::ReplicaStatus {
         replica: "r1".to_owned(),
         address: "10.0.0.1:8000".to_owned(),
--- a/lib/src/operator/render.rs
+++ b/lib/src/operator/render.rs
@@ -73,7 +73,7 @@
     // Writing to a `String` cannot fail.
     let _ = writeln!(
         text,
-        "in all at least {} loads and {} slots; nothing takes effect before it is confirmed",
+        "total: at least {} loads and {} slots; nothing changes until the plan is confirmed",
         plan.loads(),
         plan.slots()
     );
--- a/lib/tests/test_operator_request_history.rs
+++ b/lib/tests/test_operator_request_history.rs
@@ -6,7 +6,7 @@
   1.0 vm-a {"msg":"owners","ts":"2026-01-01T10:00:01.000Z","vm":"a","term":4,"revision":9}
   1.1 vm-b {"msg":"order","ts":"2026-01-01T10:00:01.100Z","vm":"b","what":"load","target":"base/a7","replica":"i-1","end":"accepted"}
   1.2 vm-b {"msg":"order","ts":"2026-01-01T10:00:01.200Z","vm":"b","what":"load","target":"base/a8","replica":"i-2","end":"accepted"}
-no line of ours
+not a log line
   1.3 vm-a {"msg":"placed","ts":"2026-01-01T10:00:01.300Z","vm":"a","id":"r1","target":"base/a7","replica":"i-1","waited_ms":200,"why":"not_loaded_in_time"}
   1.3 vm-a {"msg":"placed","ts":"2026-01-01T10:00:01.310Z","vm":"a","id":"r2","replica":"i-1","waited_ms":200}
   1.4 vm-b {"msg":"replica gone","ts":"2026-01-01T10:00:01.390Z","vm":"b","replica":"i-1","why":"removed"}
