--- a/lib/src/operator/request_history.rs
+++ b/lib/src/operator/request_history.rs
@@ -10,7 +10,7 @@
 /// or adapters still counts as related.
 const LOOKBACK_MS: i64 = 5_000;
 
-/// Fields that are shown elsewhere in a line or are the same in every line.
+/// Fields that start each rendered line or add no information to it.
 const HIDDEN_FIELDS: [&str; 6] = ["msg", "level", "ts", "program", "vm", "id"];
 
 /// Messages about a VM as a whole, which can affect every request on it.
--- a/lib/src/telemetry/json_drain.rs
+++ b/lib/src/telemetry/json_drain.rs
@@ -111,8 +111,8 @@
         self.queue = None;
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(writer) = writer.take() {
-            // The thread ends after it has written the pending lines. A panic
-            // of the writer is ignored: a second one here could abort the process.
+            // The thread ends after it has written the pending lines. Its panic
+            // must not cause one here.
             writer.join().ok();
         }
     }
