--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -117,7 +117,7 @@
     pub(in crate::serving) place_calls: PendingCalls<wire::PlaceAnswer>,
     /// Pending calls to the lenders of organisations' limits.
     pub(in crate::serving) lease_calls: PendingCalls<wire::LeaseAnswer>,
-    /// ID of this process in the store updates that other VMs send it.
+    /// ID of this process in the witnesses that other VMs send.
     pub(in crate::serving) reader_id: u64,
     /// Wakes the task that grants prefill turns.
     pub(in crate::serving) turns_wake: Notify,
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -250,7 +250,8 @@
     }
 }
 
-/// Maintains the owner table and drops what has expired, until the process ends.
+/// Runs the maintenance task until the process ends: drops replicas whose entries expired in
+/// a store outage, renews the limits to lend, and maintains the owner table.
 async fn maintain(node: Rc<Node>) {
     let start = now();
     loop {
@@ -263,8 +264,8 @@
     }
 }
 
-/// Writes a new owner table if this VM should propose one now, and then removes the entries
-/// of expired VMs.
+/// Writes a new owner table if this VM should propose one now, and then deletes the entries
+/// of VMs without a beacon for `VM_EXPIRY`.
 async fn repair_owners(node: &Node) {
     let at = now();
     let (table, revision, live) = {
