--- a/lib/tests/test_serving_experiment.rs
+++ b/lib/tests/test_serving_experiment.rs
@@ -1,4 +1,4 @@
-//! Switching off mechanisms for measurements.
+//! Switching off mechanisms to measure their effect.
 
 use banyangauge::pool::Span;
 use banyangauge::serving::Experiment;
@@ -7,7 +7,8 @@
 use banyangauge::serving::Mechanism;
 use rstest::rstest;
 
-/// A mechanism runs unless it is named, and naming it switches off no other.
+/// A mechanism is enabled unless it is listed, and listing it switches off no
+/// other.
 #[rstest]
 #[case(Mechanism::CopyWaits, "copy_waits")]
 #[case(Mechanism::SecondCopies, "second_copies")]
@@ -27,16 +28,16 @@
 fn switch_is_off_by_name(#[case] mechanism: Mechanism, #[case] word: &str) {
     assert!(Experiment::default().is_enabled(mechanism));
     let text = format!("[experiment]\noff = [\"{word}\"]");
-    let named = Experiment::parse(&text).unwrap();
-    assert!(!named.is_enabled(mechanism));
-    assert_eq!(named.off.len(), 1);
+    let experiment = Experiment::parse(&text).unwrap();
+    assert!(!experiment.is_enabled(mechanism));
+    assert_eq!(experiment.off.len(), 1);
 }
 
 #[rstest]
 #[case::unknown("[experiment]\noff = [\"luck\"]")]
 #[case::other_table("[experiment]\noff = []\n[more]\n")]
 #[case::other_field("[experiment]\non = []")]
-fn experiment_refused(#[case] text: &str) {
+fn parse_rejects(#[case] text: &str) {
     assert!(Experiment::parse(text).is_err());
 }
 
@@ -44,16 +45,16 @@
 #[case::whole(&[], 1)]
 #[case::no_pace(&[Mechanism::FetchPace], usize::MAX)]
 #[case::no_width(&[Mechanism::FetchWidth], 8)]
-fn pace_without(#[case] off: &[Mechanism], #[case] capacity: usize) {
-    let mut pace = FetchLimiter::default();
-    pace.set_experiment(&Experiment {
+fn fetch_capacity_without(#[case] off: &[Mechanism], #[case] capacity: usize) {
+    let mut limiter = FetchLimiter::default();
+    limiter.set_experiment(&Experiment {
         off: off.iter().copied().collect(),
     });
-    let took = |ms| LoadDuration {
+    let load_duration = |ms| LoadDuration {
         min: Span::from_millis(ms),
         max: Span::from_millis(ms),
     };
     // The weight store serves one load at a time, so eight loads share its speed.
-    pace.observe(took(2_000), 8);
-    assert_eq!(pace.capacity(), capacity);
+    limiter.observe(load_duration(2_000), 8);
+    assert_eq!(limiter.capacity(), capacity);
 }
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -66,24 +66,25 @@
     feed: Feed,
     /// A pending watch: when it was sent and how long it waits.
     asked: Option<(u64, u64)>,
-    quiet_until: u64,
+    /// The end of the pause after an answer with changes.
+    paused_until: u64,
     frozen: bool,
 }
 
-/// A store, and VMs that receive each other's beacons.
-struct World {
+/// Simulates a store and VMs that receive each other's beacons.
+struct Simulation {
     vms: Vec<Vm>,
     log: Log,
     down: bool,
     calls: usize,
 }
 
-impl World {
+impl Simulation {
     fn new(count: usize) -> Self {
         let vm = |_| Vm {
             feed: listed(0, 1, &[]),
             asked: None,
-            quiet_until: 0,
+            paused_until: 0,
             frozen: false,
         };
         Self {
@@ -114,7 +115,7 @@
             let revision = self.log.revision(ms);
             let vm = &mut self.vms[n];
             let Some((asked, wait)) = vm.asked else {
-                if vm.quiet_until > ms {
+                if vm.paused_until > ms {
                     continue;
                 }
                 if let FeedAction::Watch(wait) = vm.feed.next_action(at(ms), rank) {
@@ -145,7 +146,7 @@
                 vm.feed.share(at(ms), change);
             }
             if some {
-                vm.quiet_until = ms + vm.feed.pause(rank).as_millis() as u64;
+                vm.paused_until = ms + vm.feed.pause(rank).as_millis() as u64;
             }
         }
     }
@@ -171,14 +172,14 @@
     }
 }
 
-/// In a calm minute with ten changes, the number of calls does not grow with
-/// the fleet, and all VMs know each change in time.
+/// In a minute with ten changes and no faults, the number of calls does not
+/// grow with the fleet, and all VMs know each change in time.
 #[rstest]
 #[case::small(9)]
 #[case::grown(90)]
 #[case::large(300)]
 fn calls_by_fleet_size(#[case] count: usize) {
-    let mut world = World::new(count);
+    let mut world = Simulation::new(count);
     for n in 0..10 {
         let when = n * 6_000 + 1_000;
         world.log.0.push((when, n + 2));
@@ -192,7 +193,7 @@
 /// Without sharing, the calls grow with the fleet.
 #[test]
 fn calls_without_sharing() {
-    let mut world = World::new(300);
+    let mut world = Simulation::new(300);
     world.run(0, 60_000, false);
     assert!(world.calls > 3_000, "{} calls a minute", world.calls);
 }
@@ -200,13 +201,13 @@
 /// The VM that polls for all fails or freezes right before a change.
 #[test]
 fn failed_poller_withholds_no_change() {
-    let mut world = World::new(200);
+    let mut world = Simulation::new(200);
     world.run(0, 2_000, true);
     world.vms[0].frozen = true;
     world.log.0.push((2_010, 2));
     world.run(2_000, 2_010 + MAX_STALENESS_MS, true);
     assert!(world.all_know(2));
-    // VMs that polled before they received the second VM's update.
+    // Some VMs poll before they receive the second VM's update.
     assert!(world.calls < 40, "{} calls", world.calls);
 }
 
@@ -214,7 +215,7 @@
 /// and all learn of its return soon.
 #[test]
 fn outage_costs_few_calls() {
-    let mut world = World::new(200);
+    let mut world = Simulation::new(200);
     world.run(0, 2_000, true);
     world.down = true;
     world.run(2_000, 7_000, true);
@@ -294,7 +295,7 @@
 /// An object that disappears during an outage may come back; one that
 /// disappears otherwise is removed.
 #[rstest]
-#[case::calm(false)]
+#[case::without_outage(false)]
 #[case::after_outage(true)]
 fn removal_after_outage_is_expired(#[case] outage: bool) {
     let mut feed = listed(0, 1, &["a"]);
--- a/lib/tests/test_serving_instances.rs
+++ b/lib/tests/test_serving_instances.rs
@@ -23,17 +23,17 @@
     Moment(10_000_000).after(Span::from_millis(ms))
 }
 
-fn started(born: u64, held: &[&str]) -> ReplicaInfo {
+fn started(started_ms: u64, loaded: &[&str]) -> ReplicaInfo {
     ReplicaInfo {
-        started_ms: born,
-        ..listing("i-1", "llm", "z-a", held)
+        started_ms,
+        ..listing("i-1", "llm", "z-a", loaded)
     }
 }
 
-fn instance(born: u64) -> Instance {
+fn instance(started_ms: u64) -> Instance {
     Instance {
         name: "i-1".parse().unwrap(),
-        started_ms: born,
+        started_ms,
     }
 }
 
@@ -87,10 +87,10 @@
     assert!(!fleet.is_current(&instance(1)));
 }
 
-fn report(born: u64, accepted: u64, held: &[&str]) -> ReplicaReport {
-    let here = held.iter().map(|t| (Target::parse(t).unwrap(), 1));
+fn report(started_ms: u64, accepted: u64, loaded: &[&str]) -> ReplicaReport {
+    let here = loaded.iter().map(|t| (Target::parse(t).unwrap(), 1));
     ReplicaReport {
-        started_ms: born,
+        started_ms,
         accepted,
         loaded: here.collect(),
         loading: BTreeSet::new(),
@@ -98,29 +98,30 @@
     }
 }
 
-/// The next order expects the order count of the new instance.
+/// After a restart, the planner forgets the loaded adapters, and the next order
+/// expects the order count of the new instance.
 #[test]
-fn book_ends_with_instance() {
-    let mut books = AdapterPlanner::default();
+fn planner_state_ends_with_instance() {
+    let mut planner = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
-    let held = ["base", "base/a1"];
-    books.track(at(0), &started(1, &held), 2);
+    let loaded = ["base", "base/a1"];
+    planner.track(at(0), &started(1, &loaded), 2);
     assert_eq!(
-        books.next_action(at(0), &name, &versions, None),
+        planner.next_action(at(0), &name, &versions, None),
         Some(ReplicaAction::Inspect)
     );
-    books.finish_inspection(at(0), &name, Some(report(1, 9, &held)));
-    books.track(at(10), &started(2, &[]), 2);
-    let here = books.residency(&name).unwrap().loaded;
+    planner.finish_inspection(at(0), &name, Some(report(1, 9, &loaded)));
+    planner.track(at(10), &started(2, &[]), 2);
+    let here = planner.residency(&name).unwrap().loaded;
     assert!(here.is_empty(), "{here:?}");
     assert_eq!(
-        books.next_action(at(10), &name, &versions, None),
+        planner.next_action(at(10), &name, &versions, None),
         Some(ReplicaAction::Inspect)
     );
-    books.finish_inspection(at(10), &name, Some(report(2, 0, &["base"])));
-    books.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
-    let next = books.next_action(at(20), &name, &versions, None);
+    planner.finish_inspection(at(10), &name, Some(report(2, 0, &["base"])));
+    planner.request_load(at(20), &name, &Target::parse("base/a2").unwrap());
+    let next = planner.next_action(at(20), &name, &versions, None);
     assert!(
         matches!(next, Some(ReplicaAction::Load { expected: 0, .. })),
         "{next:?}"
@@ -128,27 +129,28 @@
 }
 
 /// A report of the new instance may arrive before its entry in the store. The
-/// older entry then must not close the book.
+/// older entry, if applied after the report, must not bring back the earlier
+/// instance.
 #[test]
-fn book_detects_restart_from_report() {
-    let mut books = AdapterPlanner::default();
+fn planner_detects_restart_from_report() {
+    let mut planner = AdapterPlanner::default();
     let name = "i-1".parse().unwrap();
     let versions = Versions::default();
-    books.track(at(0), &started(1, &["base", "base/a1"]), 2);
-    books.next_action(at(0), &name, &versions, None);
-    books.finish_inspection(at(0), &name, Some(report(2, 4, &["base"])));
-    assert_eq!(books.started_ms(&name), Some(2));
+    planner.track(at(0), &started(1, &["base", "base/a1"]), 2);
+    planner.next_action(at(0), &name, &versions, None);
+    planner.finish_inspection(at(0), &name, Some(report(2, 4, &["base"])));
+    assert_eq!(planner.started_ms(&name), Some(2));
     assert!(
-        !books
+        !planner
             .residency(&name)
             .unwrap()
             .loaded
             .contains_key(&Target::parse("base/a1").unwrap())
     );
-    books.track(at(10), &started(1, &["base", "base/a1"]), 2);
-    books.track(at(20), &started(2, &["base"]), 2);
-    books.request_load(at(30), &name, &Target::parse("base/a2").unwrap());
-    let next = books.next_action(at(30), &name, &versions, None);
+    planner.track(at(10), &started(1, &["base", "base/a1"]), 2);
+    planner.track(at(20), &started(2, &["base"]), 2);
+    planner.request_load(at(30), &name, &Target::parse("base/a2").unwrap());
+    let next = planner.next_action(at(30), &name, &versions, None);
     assert!(
         matches!(next, Some(ReplicaAction::Load { expected: 4, .. })),
         "{next:?}"
--- a/lib/tests/test_serving_ownership.rs
+++ b/lib/tests/test_serving_ownership.rs
@@ -279,9 +279,9 @@
             self.tick(ms);
         }
         let pairs = self.orders.windows(2);
-        let mut broken =
+        let mut violations =
             pairs.filter(|w| w[0].1 != w[1].1 && w[1].0 < w[0].0 + ORDER_DELAY + LEASE.as_millis());
-        broken.next().map(|w| (w[0].0, w[1].0))
+        violations.next().map(|w| (w[0].0, w[1].0))
     }
 }
 
@@ -302,9 +302,9 @@
 }
 
 /// A schedule, and the times of the two orders.
-type Broken = (Vec<Vec<Fault>>, (u64, u64));
+type Violation = (Vec<Vec<Fault>>, (u64, u64));
 
-fn broken(count: usize, guards: Guards) -> Vec<Broken> {
+fn violations(count: usize, guards: Guards) -> Vec<Violation> {
     let played = schedules().filter_map(|schedule| {
         let found = World::new(count, guards).play(&schedule)?;
         Some((schedule, found))
@@ -323,13 +323,13 @@
         echoes: true,
         members,
     };
-    let broken = broken(count, guards);
+    let violations = violations(count, guards);
     assert!(
-        broken.is_empty(),
+        violations.is_empty(),
         "{} of {}: {:?}",
-        broken.len(),
+        violations.len(),
         schedules().count(),
-        broken[0]
+        violations[0]
     );
 }
 
@@ -338,7 +338,7 @@
 #[case::no_lease(Guards { lease: false, echoes: true, members: 3 })]
 #[case::no_echoes(Guards { lease: true, echoes: false, members: 3 })]
 fn search_finds_what_a_guard_prevents(#[case] guards: Guards) {
-    assert!(!broken(3, guards).is_empty());
+    assert!(!violations(3, guards).is_empty());
 }
 
 /// Ownerships stay valid during an outage of the store while all members
--- a/lib/tests/test_serving_port.rs
+++ b/lib/tests/test_serving_port.rs
@@ -16,13 +16,9 @@
 /// Guards against missed changes after a list with stale pages: each page is as old as the store
 /// VM that served it, so the list must carry the oldest page's revision to read changes from.
 #[rstest]
-#[case::newer_part_last(5, 9, 5)]
-#[case::older_part_last(9, 5, 5)]
-fn list_in_parts_is_as_old_as_its_oldest(
-    #[case] first: u64,
-    #[case] second: u64,
-    #[case] expected: u64,
-) {
+#[case::newer_page_last(5, 9, 5)]
+#[case::older_page_last(9, 5, 5)]
+fn append_keeps_oldest_revision(#[case] first: u64, #[case] second: u64, #[case] expected: u64) {
     let mut list = page(first, &["a"], true);
     list.append(page(second, &["b"], false));
     let names: Vec<_> = list.items.iter().map(|i| i.name.as_str()).collect();
--- a/lib/tests/test_serving_routes.rs
+++ b/lib/tests/test_serving_routes.rs
@@ -34,14 +34,14 @@
 #[case::case_and_port("H.Example:8080", "/a/x", Some("/a/"))]
 #[case::whole_segments("h.example", "/ab", None)]
 #[case::other_host("g.example", "/a/x", None)]
-fn route_found(#[case] host: &str, #[case] path: &str, #[case] prefix: Option<&str>) {
+fn find_route(#[case] host: &str, #[case] path: &str, #[case] prefix: Option<&str>) {
     let routes = Routes::new(&[route("/a/", &[]), route("/a/b/", &[])]);
     let found = routes.find(host, path).map(|r| r.prefix.as_str());
     assert_eq!(found, prefix);
 }
 
 #[test]
-fn split_follows_the_weights() {
+fn pick_service_follows_weights() {
     let route = route("/a/", &[("one", 90), ("two", 10), ("none", 0)]);
     let count = |service: &str| {
         let ids = (0..1_000).map(|n| n.to_string());
--- a/lib/tests/test_serving_subscriptions.rs
+++ b/lib/tests/test_serving_subscriptions.rs
@@ -1,4 +1,4 @@
-//! Which VMs are notified at once of changes of a replica.
+//! Which VMs are notified at once when the adapters loaded at a replica change.
 
 use banyangauge::ids::ReplicaName;
 use banyangauge::ids::VmName;
@@ -30,29 +30,29 @@
 
 #[test]
 fn record_change_notifies_subscribers() {
-    let mut a = Subscriptions::default();
-    a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
-    a.subscribe(at(0), &vm("vm-2"), &replica("i-2"), false);
-    assert_eq!(pending(&mut a), "");
-    a.record_change(at(200), &replica("i-1"));
-    a.record_change(at(200), &replica("i-3"));
-    assert_eq!(pending(&mut a), "vm-1: i-1");
-    assert_eq!(pending(&mut a), "");
+    let mut subscriptions = Subscriptions::default();
+    subscriptions.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
+    subscriptions.subscribe(at(0), &vm("vm-2"), &replica("i-2"), false);
+    assert_eq!(pending(&mut subscriptions), "");
+    subscriptions.record_change(at(200), &replica("i-1"));
+    subscriptions.record_change(at(200), &replica("i-3"));
+    assert_eq!(pending(&mut subscriptions), "vm-1: i-1");
+    assert_eq!(pending(&mut subscriptions), "");
 }
 
 /// A VM that requests what is loaded already has an outdated view.
 #[test]
 fn subscribe_to_loaded_adapter_notifies() {
-    let mut a = Subscriptions::default();
-    a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), true);
-    assert_eq!(pending(&mut a), "vm-1: i-1");
+    let mut subscriptions = Subscriptions::default();
+    subscriptions.subscribe(at(0), &vm("vm-1"), &replica("i-1"), true);
+    assert_eq!(pending(&mut subscriptions), "vm-1: i-1");
 }
 
 #[test]
 fn subscribe_expires_unless_renewed() {
-    let mut a = Subscriptions::default();
-    a.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
-    a.subscribe(at(900), &vm("vm-2"), &replica("i-1"), false);
-    a.record_change(at(1_200), &replica("i-1"));
-    assert_eq!(pending(&mut a), "vm-2: i-1");
+    let mut subscriptions = Subscriptions::default();
+    subscriptions.subscribe(at(0), &vm("vm-1"), &replica("i-1"), false);
+    subscriptions.subscribe(at(900), &vm("vm-2"), &replica("i-1"), false);
+    subscriptions.record_change(at(1_200), &replica("i-1"));
+    assert_eq!(pending(&mut subscriptions), "vm-2: i-1");
 }
--- a/lib/tests/test_serving_table.rs
+++ b/lib/tests/test_serving_table.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// The former owner may not know of its loss yet.
+/// The former owner may not know yet that it lost the replica.
 #[test]
 fn new_owner_waits_for_lease() {
     let first = OwnerTable::default()
@@ -114,7 +114,8 @@
     assert_eq!(a.token(at(9_000), &name), None);
 }
 
-/// A VM that was suspended may have lost its replicas.
+/// A VM that was suspended may have lost its replicas to others, so it must read
+/// the table again before it gives orders.
 #[test]
 fn invalidate_stops_orders() {
     let table = OwnerTable::default()
@@ -207,8 +208,8 @@
     assert!(again.token(at(60_000), &name).is_some());
 }
 
-/// A replica whose entry was removed and came back may still get orders from
-/// its last owner.
+/// A replica whose entry was removed and came back goes to its last owner, whose
+/// orders may still reach it.
 #[test]
 fn reassigned_remembers_owners_of_removed_replicas() {
     let none = vms(&[]);
@@ -244,7 +245,7 @@
 /// VMs that may not be considered failed yet keep their replicas and get no
 /// others.
 #[test]
-fn reassigned_keeps_unjudged_owner() {
+fn reassigned_keeps_protected_owner() {
     let none = vms(&[]);
     let table = OwnerTable::default().reassigned(&vms(&["a"]), &none, &replicas(&["1"]));
     let table = table.unwrap();
