--- a/bench/src/capacity/rows.rs
+++ b/bench/src/capacity/rows.rs
@@ -161,7 +161,7 @@
         row(
             "control, every VM",
             "heartbeats sent",
-            "`control/peers.rs`, at most 14 members each",
+            "`control/gossip.rs`, at most 14 members each",
             "bytes/s",
             NODE_BYTES,
             &|s| 2.0 * rates.fanout.min(s.nodes - 1.0) * rates.beats * (digest(s) + FRAME),
@@ -288,7 +288,7 @@
         row(
             "platform",
             "configuration writes",
-            "`catalog/ledger.rs`, shards then root",
+            "`catalog/store.rs`, shards then root",
             "writes/s",
             WRITES,
             &|s| s.changes / DAY * 3.0,
