--- a/cli/tests/test_convicted.rs
+++ b/cli/tests/test_convicted.rs
@@ -18,7 +18,7 @@
 const MAX_ATTEMPTS: usize = 12;
 
 /// Number of engines that one request may crash. The first crash makes every
-/// request that ran on the engine a suspect, and the second one convicts. One
+/// request that ran on the engine a suspect, and the second one blocks it. One
 /// more is allowed for a request that happened to run alone.
 const MAX_CRASHES: usize = 3;
 
