--- a/codegen/src/main.rs
+++ b/codegen/src/main.rs
@@ -1,7 +1,7 @@
-//! Writes the generated code of `proto/` from its `.proto` files.
+//! Generates the Rust code of `proto/` from its `.proto` files.
 //!
 //! Run it with `cargo run -p banyangauge-codegen`; CI runs it and checks that
-//! the committed files did not change.
+//! the committed files are up to date.
 
 use std::error::Error;
 use std::path::Path;
@@ -15,7 +15,7 @@
     tonic_prost_build::configure()
         .btree_map(".")
         .bytes(".")
-        // It is far larger than the other kinds of datagrams.
+        // Boxed because it is far larger than the other variants.
         .boxed(".banyan.v1.Datagram.body.beacon")
         .out_dir(root.join("proto/src/generated"))
         .compile_fds(set)?;
