--- a/cli/src/bin/banyan-serve.rs
+++ b/cli/src/bin/banyan-serve.rs
@@ -56,7 +56,7 @@
     }
     let log = stdout_logger("banyan-serve");
     let store = banyangauge_platform::store(settings.store_address);
-    let codec = banyangauge_platform::border();
+    let codec = banyangauge_platform::codec();
     let reload = || load_settings(&path).map_err(|e| e.to_string());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
