--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -20,7 +20,7 @@
 use crate::control::clock;
 use crate::control::config;
 use crate::control::members::Members;
-use crate::control::members::WARM_UP;
+use crate::control::members::NEW_MEMBER_PERIOD;
 use crate::control::ownership::OwnershipState;
 use crate::control::uptime_ms;
 use crate::ids::FencingToken;
@@ -310,7 +310,7 @@
 
     fn changed_recently(&self, now: Moment, pool: &PoolName) -> bool {
         let change = self.owner_changes.get(pool);
-        change.is_some_and(|(_, at)| now.since(*at) < WARM_UP)
+        change.is_some_and(|(_, at)| now.since(*at) < NEW_MEMBER_PERIOD)
     }
 }
 
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -41,7 +41,7 @@
 /// How long after its start a process counts as new. Digests to a new process
 /// are complete, and digests to others repeat the address of a new member and
 /// the owner of a pool for this long after a change.
-pub const WARM_UP: Span = Span::from_millis(10_000);
+pub const NEW_MEMBER_PERIOD: Span = Span::from_millis(10_000);
 
 #[derive(Clone, Debug)]
 struct Record {
@@ -53,7 +53,7 @@
 
 impl Record {
     fn is_warming_up(&self, now: Moment) -> bool {
-        now.since(self.first_seen) < WARM_UP
+        now.since(self.first_seen) < NEW_MEMBER_PERIOD
     }
 
     // Without address and zone, which do not change within an incarnation and
@@ -156,7 +156,7 @@
         );
     }
 
-    /// Whether a process started less than [`WARM_UP`] ago or is unknown.
+    /// Whether a process started less than [`NEW_MEMBER_PERIOD`] ago or is unknown.
     pub fn is_warming_up(&self, now: Moment, vm: &str) -> bool {
         self.table.get(vm).is_none_or(|r| r.is_warming_up(now))
     }
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -25,7 +25,7 @@
 pub use members::MAX_DIGEST_MEMBERS;
 pub use members::MemberState;
 pub use members::Members;
-pub use members::WARM_UP;
+pub use members::NEW_MEMBER_PERIOD;
 pub use members::candidates;
 pub use ownership::GrantHolders;
 pub use ownership::OwnershipState;
