--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -114,7 +114,7 @@
         let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
         let receiver = received.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
         let mut state = self.lock();
-        let full = state.members.is_warming_up(now, receiver);
+        let full = state.members.is_new(now, receiver);
         let owners = control.owners.borrow();
         state.record_owner_changes(now, &owners);
         let included = owners.iter().filter(|(pool, owner)| {
--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -52,7 +52,7 @@
 }
 
 impl Record {
-    fn is_warming_up(&self, now: Moment) -> bool {
+    fn is_new(&self, now: Moment) -> bool {
         now.since(self.first_seen) < NEW_MEMBER_PERIOD
     }
 
@@ -157,8 +157,8 @@
     }
 
     /// Whether a process started less than [`NEW_MEMBER_PERIOD`] ago or is unknown.
-    pub fn is_warming_up(&self, now: Moment, vm: &str) -> bool {
-        self.table.get(vm).is_none_or(|r| r.is_warming_up(now))
+    pub fn is_new(&self, now: Moment, vm: &str) -> bool {
+        self.table.get(vm).is_none_or(|r| r.is_new(now))
     }
 
     /// Marks members without recent heartbeats as suspect or gone, and removes
@@ -211,7 +211,7 @@
         records.truncate(MAX_DIGEST_MEMBERS);
         records
             .into_iter()
-            .map(|r| match full || is_self(r) || r.is_warming_up(now) {
+            .map(|r| match full || is_self(r) || r.is_new(now) {
                 true => r.member.clone(),
                 false => r.without_location(),
             })
