--- a/lib/src/control/feed.rs
+++ b/lib/src/control/feed.rs
@@ -67,7 +67,7 @@
     let state = &shared.state;
     let mut catalog = state.catalog.subscribe();
     let mut owners = state.owners.subscribe();
-    let mut verdicts = state.verdicts.subscribe();
+    let mut verdicts = state.blocked.subscribe();
     let mut stopping = state.stopping.subscribe();
     // Send all three values first.
     catalog.mark_changed();
@@ -138,7 +138,7 @@
 
 fn verdicts_body(shared: &Shared) -> Body {
     let now = uptime_ms();
-    let verdicts = shared.state.verdicts.borrow();
+    let verdicts = shared.state.blocked.borrow();
     let active = verdicts.iter().filter(|(_, end)| **end > now);
     let verdicts = active.map(|(fingerprint, end)| wire::Verdict {
         fingerprint: fingerprint.0,
--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -110,7 +110,7 @@
         let now = clock::now();
         let control = &self.shared.state;
         let uptime = uptime_ms();
-        let verdicts = control.verdicts.borrow();
+        let verdicts = control.blocked.borrow();
         let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
         let receiver = received.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
         let mut state = self.lock();
@@ -179,7 +179,7 @@
             state.members.detect_failures(now);
         }
         let uptime = uptime_ms();
-        control.verdicts.send_if_modified(|verdicts| {
+        control.blocked.send_if_modified(|verdicts| {
             let before = verdicts.len();
             verdicts.retain(|_, until| *until > uptime);
             verdicts.len() != before
@@ -197,7 +197,7 @@
         let until = uptime_ms() + hold.as_millis();
         let changed = shared
             .state
-            .verdicts
+            .blocked
             .send_if_modified(|verdicts| record_verdict(verdicts, fingerprint, until));
         if changed {
             ownership.gossip_wake.notify_one();
@@ -239,7 +239,7 @@
 
     fn merge_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
         let uptime = uptime_ms();
-        self.shared.state.verdicts.send_if_modified(|known| {
+        self.shared.state.blocked.send_if_modified(|known| {
             let mut changed = false;
             for v in verdicts {
                 changed |= record_verdict(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -72,7 +72,7 @@
 
     /// Passes new and extended blocks of requests to the pool.
     pub(super) fn apply_blocks(&mut self, now: Moment) {
-        let current = self.shared.state.verdicts.borrow().clone();
+        let current = self.shared.state.blocked.borrow().clone();
         if current == self.blocked {
             return;
         }
--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -44,7 +44,7 @@
     pub owners: watch::Sender<BTreeMap<PoolName, Owner>>,
     /// Blocked poison requests and the end of each block, on the clock of
     /// [`uptime_ms`]; written by `owner` and `gossip`.
-    pub verdicts: watch::Sender<BTreeMap<Fingerprint, u64>>,
+    pub blocked: watch::Sender<BTreeMap<Fingerprint, u64>>,
     /// This VM's view of the members; written by `gossip`.
     pub members: watch::Sender<BTreeMap<VmName, wire::Member>>,
     /// Addresses of upstreams that are leaving; written by `gossip`.
@@ -71,7 +71,7 @@
         Self {
             catalog: watch::Sender::new(Arc::default()),
             owners: watch::Sender::default(),
-            verdicts: watch::Sender::default(),
+            blocked: watch::Sender::default(),
             members: watch::Sender::default(),
             leaving: watch::Sender::default(),
             pools: watch::Sender::default(),
@@ -121,7 +121,7 @@
 static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
 /// Returns the milliseconds since the first call in this process. This is the
-/// clock of [`ControlState::verdicts`].
+/// clock of [`ControlState::blocked`].
 ///
 /// ```
 /// use banyangauge::control::uptime_ms;
--- a/lib/tests/test_owner_takeover.rs
+++ b/lib/tests/test_owner_takeover.rs
@@ -253,13 +253,13 @@
     rig.faults(json!({"down": true})).await;
     let shared = &rig.control(first).shared;
     let until_ms = banyangauge::control::uptime_ms() + 60_000;
-    shared.state.verdicts.send_modify(|v| {
+    shared.state.blocked.send_modify(|v| {
         v.insert(Fingerprint(7), until_ms);
     });
     until(async || {
         let knows = |n: usize| {
             let state = &rig.control(n).shared.state;
-            state.verdicts.borrow().contains_key(&Fingerprint(7))
+            state.blocked.borrow().contains_key(&Fingerprint(7))
         };
         (0..3).all(knows).then_some(())
     })
