--- a/lib/src/serving/decisions/retry.rs
+++ b/lib/src/serving/decisions/retry.rs
@@ -50,7 +50,8 @@
         !matches!(self, Self::NotSent | Self::Denied(_))
     }
 
-    /// Name used in logs, metrics and error replies.
+    /// Name used in logs, metrics and error replies. Operators and metrics read these
+    /// texts, so they stay the same when a variant is renamed.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -82,8 +83,8 @@
 }
 
 impl Attempts {
-    /// Records the end of a send.
-    pub fn record(&mut self, failure: AttemptFailure) {
+    /// Counts a failed attempt.
+    pub fn record_failure(&mut self, failure: AttemptFailure) {
         self.sends += 1;
         self.runs += u32::from(failure.may_have_run());
     }
@@ -94,9 +95,9 @@
     /// ```
     /// use banyangauge::serving::retry::{AttemptFailure, Attempts};
     /// let mut attempts = Attempts { max_runs: 2, ..Attempts::default() };
-    /// attempts.record(AttemptFailure::NotSent);
+    /// attempts.record_failure(AttemptFailure::NotSent);
     /// assert!(attempts.may_retry(AttemptFailure::NotSent));
-    /// attempts.record(AttemptFailure::Broken);
+    /// attempts.record_failure(AttemptFailure::Broken);
     /// assert!(!attempts.may_retry(AttemptFailure::Broken)); // may have run, and is not idempotent
     /// ```
     pub fn may_retry(&self, failure: AttemptFailure) -> bool {
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -267,7 +267,7 @@
             ));
         };
         events.scanner.reset();
-        self.attempts.record(ended);
+        self.attempts.record_failure(ended);
         let resume_after = events.last_id;
         let next = retry(
             &self.node,
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -342,7 +342,7 @@
             Ok(read) if started.failed && attempts.idempotent => {
                 complete = read;
                 started.run.record_end(RunOutcome::Failed);
-                attempts.record(AttemptFailure::Failed);
+                attempts.record_failure(AttemptFailure::Failed);
                 let pieces = std::mem::take(&mut buffered);
                 avoid.insert(started.run.replica.clone());
                 let next = retry(
@@ -373,7 +373,7 @@
             Err(ended) => {
                 started.run.record_end(RunOutcome::Broken);
                 crate::serving::path::forward::record_strike(node, &req, &started.run.instance());
-                attempts.record(ended);
+                attempts.record_failure(ended);
                 avoid.insert(started.run.replica.clone());
                 drop(started);
                 buffered.clear();
@@ -447,7 +447,7 @@
     match forward(node, req, &at, None).await {
         Ok(started) => Ok(started),
         Err(ended) => {
-            attempts.record(ended);
+            attempts.record_failure(ended);
             log_attempt(node, req, &at, attempts, ended);
             avoid.insert(at);
             retry(node, routed, req, attempts, avoid, ended, None).await
@@ -492,7 +492,7 @@
             Ok(started) => return Ok(started),
             Err(next) => next,
         };
-        attempts.record(ended);
+        attempts.record_failure(ended);
         log_attempt(node, req, &at, attempts, ended);
         avoid.insert(at);
     }
--- a/lib/tests/test_serving_retry_budget.rs
+++ b/lib/tests/test_serving_retry_budget.rs
@@ -59,7 +59,7 @@
 #[case::timed_out(AttemptFailure::TimedOut, 504)]
 fn refusal_status_by_failure(#[case] failure: AttemptFailure, #[case] status: u16) {
     let mut attempts = Attempts::default();
-    attempts.record(failure);
+    attempts.record_failure(failure);
     assert_eq!(Refusal::after(&attempts, failure).status, status);
 }
 
@@ -68,8 +68,8 @@
 #[test]
 fn refusal_after_a_possible_run_is_not_retryable() {
     let mut attempts = Attempts::default();
-    attempts.record(AttemptFailure::Broken);
-    attempts.record(AttemptFailure::NotSent);
+    attempts.record_failure(AttemptFailure::Broken);
+    attempts.record_failure(AttemptFailure::NotSent);
     let refusal = Refusal::after(&attempts, AttemptFailure::NotSent);
     assert_eq!((refusal.status.as_u16(), refusal.retry_after), (502, None));
 }
