--- a/lib/src/serving/decisions/access.rs
+++ b/lib/src/serving/decisions/access.rs
@@ -60,7 +60,7 @@
     pub apply: Span,
 }
 
-/// Reason why a request is not admitted.
+/// Reason why the API-key check rejects a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
     /// No organisation holds its key.
@@ -70,7 +70,8 @@
 }
 
 impl Denial {
-    /// Name used in logs, metrics and error replies.
+    /// Name used in logs, metrics and error replies. Operators and metrics read these
+    /// texts, so they stay the same when a variant is renamed.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownKey => "unknown_key",
--- a/lib/src/serving/decisions/adapter_planner/mod.rs
+++ b/lib/src/serving/decisions/adapter_planner/mod.rs
@@ -45,6 +45,7 @@
 }
 
 impl LoadRateLimit {
+    /// Returns whether the next load may begin now.
     fn allows(&self, now: Moment) -> bool {
         self.last.is_none_or(|at| now.since(at) >= self.interval)
     }
@@ -124,7 +125,8 @@
         self.plans.get(name).map(ReplicaPlan::residency)
     }
 
-    /// Returns the replicas whose contents changed since the last call.
+    /// Returns the replicas whose set of loaded or loading models and adapters changed
+    /// since the last call.
     pub fn take_changed(&mut self) -> Vec<ReplicaName> {
         let changed = self.plans.iter_mut().filter(|(_, p)| p.changed);
         let changed = changed.map(|(name, p)| {
--- a/lib/src/serving/decisions/adapter_planner/order.rs
+++ b/lib/src/serving/decisions/adapter_planner/order.rs
@@ -6,7 +6,7 @@
 use crate::pool::Span;
 use crate::serving::path::types::Target;
 
-/// The next action at a replica.
+/// What a replica's owner does next: read its report, or send it an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicaAction {
     /// Read the replica's report.
@@ -49,7 +49,8 @@
 }
 
 impl OrderOutcome {
-    /// Name used in logs and metrics.
+    /// Name used in logs and metrics. Operators and metrics read these texts, so they
+    /// stay the same when a variant is renamed.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
--- a/lib/src/serving/decisions/adapter_planner/replica_plan.rs
+++ b/lib/src/serving/decisions/adapter_planner/replica_plan.rs
@@ -67,6 +67,7 @@
 /// hundred milliseconds.
 const RESYNC_DELAY: Span = Span::from_millis(250);
 
+/// State of a slot as far as the owner knows it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
     Loaded,
@@ -76,7 +77,7 @@
     Unloading(Moment),
 }
 
-/// A load in progress.
+/// Timing of a load in progress: its start and its polls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Loading {
     since: Moment,
@@ -105,12 +106,15 @@
     }
 }
 
+/// A model or adapter that the replica holds, loads or unloads.
 #[derive(Debug)]
 struct Slot {
+    /// Version of the adapter; 0 if it is not known, and for most models.
     version: u32,
     phase: Phase,
 }
 
+/// Demand for a target, and its runs in progress.
 #[derive(Debug)]
 struct Use {
     demand: Demand,
@@ -163,6 +167,7 @@
 }
 
 impl ReplicaPlan {
+    /// Creates a plan from the replica's listing; the first action reads its report.
     pub(super) fn new(now: Moment, listing: &ReplicaInfo) -> Self {
         let adapters = listing.adapters.iter();
         let adapters = adapters.map(|(t, v)| (t.clone(), Slot::loaded(*v)));
@@ -186,11 +191,14 @@
         }
     }
 
+    /// Records or renews a request to load a target.
     pub(super) fn request_load(&mut self, now: Moment, target: &Target) {
         let request = self.requests.entry(target.clone()).or_insert((now, now));
         request.1 = now;
     }
 
+    /// Records a VM's report on a target: its runs in progress, and the runs that
+    /// began since its last report.
     pub(super) fn record_use(
         &mut self,
         now: Moment,
@@ -207,6 +215,7 @@
         entry.running.insert(vm.clone(), (now, running));
     }
 
+    /// Returns what the replica holds and what it is loading.
     pub(super) fn residency(&self) -> Residency {
         let loaded = self.slots.iter().filter(|(_, s)| s.phase == Phase::Loaded);
         let loading = self.slots.iter();
@@ -217,6 +226,7 @@
         }
     }
 
+    /// Records the replica's report; `None` if it could not be read.
     pub(super) fn apply_inspection(&mut self, now: Moment, report: Option<ReplicaReport>) {
         let Some(report) = report else {
             self.inspect_from = now.after(RESYNC_DELAY);
@@ -239,6 +249,7 @@
         self.uses.values_mut().for_each(|u| u.running.clear());
     }
 
+    /// Returns the use of a target, created without demand if there is none.
     fn use_of(&mut self, target: &Target) -> &mut Use {
         let new = || Use {
             demand: Demand::NONE,
@@ -247,6 +258,7 @@
         self.uses.entry(target.clone()).or_insert_with(new)
     }
 
+    /// Returns how many adapters it is loading.
     pub(super) fn loading_count(&self) -> usize {
         let adapters = self.slots.iter().filter(|(t, _)| t.adapter.is_some());
         let loading = adapters.filter(|(_, s)| matches!(s.phase, Phase::Loading(_)));
@@ -259,6 +271,8 @@
         self.accepted.is_some() && self.slots.keys().all(|t| t.adapter.is_some())
     }
 
+    /// Returns the order to load a model; `None` while the replica's order count is
+    /// not known.
     pub(super) fn load_model(&self, model: &ModelName) -> Option<ReplicaAction> {
         let expected = self.accepted?;
         Some(ReplicaAction::Load {
@@ -380,6 +394,7 @@
         old.next().map(|(t, _)| t.clone())
     }
 
+    /// Returns the adapters that can serve requests now.
     fn loaded_adapters(&self) -> impl Iterator<Item = (&Target, &Slot)> {
         let adapters = self.slots.iter().filter(|(t, _)| t.adapter.is_some());
         adapters.filter(|(_, s)| s.phase == Phase::Loaded)
@@ -434,6 +449,7 @@
         running.next().is_none() && now.since(uses.demand.last_request) >= self.report_delay
     }
 
+    /// Returns when the next action may be due.
     pub(super) fn next_wake(&self, now: Moment) -> Option<Moment> {
         if self.accepted.is_none() {
             return Some(self.inspect_from);
@@ -447,6 +463,8 @@
         slots.chain(requested).min()
     }
 
+    /// Updates the slots from the replica's report, which may lack an order of
+    /// the last [`RESYNC_DELAY`].
     fn take_report(&mut self, now: Moment, report: &ReplicaReport) {
         let slots = &mut self.slots;
         slots.retain(|t, s| {
@@ -472,6 +490,9 @@
         self.changed = true;
     }
 
+    /// Records the outcome of an action. Returns the duration of the load that it
+    /// completed, if any. `poll_delay` is the delay before the first poll of a load
+    /// from the weight store.
     pub(super) fn apply_outcome(
         &mut self,
         now: Moment,
@@ -510,6 +531,7 @@
         }
     }
 
+    /// Returns whether an action polls an order that is being carried out.
     fn is_in_progress(&self, action: &ReplicaAction) -> bool {
         let target = match action {
             ReplicaAction::Load { target, .. } | ReplicaAction::Unload { target, .. } => target,
@@ -523,6 +545,8 @@
         )
     }
 
+    /// Marks the action's target as loading or unloading, with the time of the
+    /// next poll.
     fn apply_accepted(&mut self, now: Moment, action: &ReplicaAction, poll_delay: Span) {
         self.changed = true;
         match action {
@@ -553,6 +577,8 @@
         }
     }
 
+    /// Marks the action's target as loaded, or removes it if it is unloaded. Returns
+    /// the duration of a load that was in progress.
     fn apply_in_effect(&mut self, now: Moment, action: &ReplicaAction) -> Option<LoadDuration> {
         self.changed = true;
         match action {
--- a/lib/src/serving/decisions/fetch_limiter.rs
+++ b/lib/src/serving/decisions/fetch_limiter.rs
@@ -14,8 +14,9 @@
 
 /// Initial number of concurrent fetches per engine. Known stores serve from 0.5
 /// to two per engine; a slower one is detected by its first loads. With 1.0
-/// instead of 0.5 the net value served rose from 0.684 to 0.698 of the value due
-/// (small deployment, 8 days, processor time not counted).
+/// instead of 0.5 per engine the net value (what callers received minus what it
+/// cost, as a fraction of what was owed to them) rose from 0.684 to 0.698 (small
+/// deployment, 8 days, processor time not counted).
 const CAPACITY_PER_ENGINE: f64 = 1.0;
 
 /// Bounds of the learned capacity: the lower one lets every owner fetch, the
@@ -52,11 +53,11 @@
     /// Concurrent fetches that the store serves at full speed.
     capacity: f64,
     /// Whether a fetch was observed; until then the capacity is estimated.
-    learned: bool,
+    has_observation: bool,
     /// Whether a fetch was ever slowed down by concurrent ones.
     slowed: bool,
     /// Whether the capacity is learned; a switch for experiments.
-    learns: bool,
+    learning_enabled: bool,
     /// Whether the capacity is enforced; a switch for experiments.
     enforced: bool,
 }
@@ -66,9 +67,9 @@
         Self {
             uncontended_us: INITIAL_FETCH_US,
             capacity: INITIAL_CAPACITY,
-            learned: false,
+            has_observation: false,
             slowed: false,
-            learns: true,
+            learning_enabled: true,
             enforced: true,
         }
     }
@@ -77,14 +78,14 @@
 impl FetchLimiter {
     /// Applies the mechanisms that are switched off.
     pub fn set_experiment(&mut self, experiment: &Experiment) {
-        self.learns = experiment.is_enabled(Mechanism::FetchWidth);
+        self.learning_enabled = experiment.is_enabled(Mechanism::FetchWidth);
         self.enforced = experiment.is_enabled(Mechanism::FetchPace);
     }
 
     /// Estimates the capacity from the number of engines that the store serves,
     /// until the first fetch is observed.
     pub fn set_engine_count(&mut self, engines: usize) {
-        if !self.learned {
+        if !self.has_observation {
             self.capacity = INITIAL_CAPACITY.max(engines as f64 * CAPACITY_PER_ENGINE);
         }
     }
@@ -93,7 +94,7 @@
     /// flight. If the end was detected late, because the replica left orders
     /// unanswered, the fetch may or may not have been slow and is ignored.
     pub fn observe(&mut self, duration: LoadDuration, in_flight: usize) {
-        if !self.learns {
+        if !self.learning_enabled {
             return;
         }
         let (min_us, max_us) = (duration.min.0 as f64, (duration.max.0 as f64).max(1.0));
@@ -106,7 +107,7 @@
             () if max_us <= slow_us => self.estimate_at_full_speed(n),
             () => return,
         };
-        self.learned = true;
+        self.has_observation = true;
         let first_slow = min_us > slow_us && !self.slowed;
         self.slowed |= first_slow;
         if first_slow {
@@ -118,7 +119,8 @@
 
     /// Estimates the capacity after a fetch at full speed beside `n - 1` others.
     /// Until the first slow fetch, each fetch raises the capacity by one if at least
-    /// half of it is in use, so it doubles within a few loads.
+    /// half of it is in use, so it doubles after at most as many such fetches as its
+    /// value.
     fn estimate_at_full_speed(&mut self, n: f64) -> f64 {
         if !self.slowed && n * 2.0 >= self.capacity {
             self.capacity += 1.0;
--- a/lib/src/serving/decisions/fleet/health.rs
+++ b/lib/src/serving/decisions/fleet/health.rs
@@ -65,6 +65,8 @@
         self.consecutive_failures == 0 || outstanding == 0
     }
 
+    /// Returns whether a run waits too long for its first byte and the replica has
+    /// sent nothing to this VM for as long.
     fn is_unresponsive(&self, now: Moment) -> bool {
         let Some(oldest) = self.waiting.values().min() else {
             return false;
@@ -73,12 +75,15 @@
             && now.since(self.last_received) > UNRESPONSIVE_AFTER
     }
 
+    /// Counts a failure, and backs off for `MIN_BACKOFF`, doubled for each consecutive
+    /// failure before it, up to `MAX_BACKOFF`.
     fn back_off(&mut self, now: Moment) {
         let span = MIN_BACKOFF.0 << self.consecutive_failures.min(8);
         self.backoff_until = now.after(Span(span.min(MAX_BACKOFF.0)));
         self.consecutive_failures += 1;
     }
 
+    /// Adds an outcome to the moving average of failures.
     fn update_failure_rate(&mut self, failed: bool) {
         let sample = if failed { 1.0 } else { 0.0 };
         self.failure_rate += OUTCOME_WEIGHT * (sample - self.failure_rate);
@@ -143,6 +148,9 @@
     }
 
     /// Returns the state of a replica for the log.
+    ///
+    /// Operators read these texts in the log, so they stay the same when a field or
+    /// method is renamed.
     pub fn status(&self, now: Moment, name: &ReplicaName) -> &'static str {
         let Some(r) = self.replicas.get(name) else {
             return "unlisted";
--- a/lib/src/serving/decisions/fleet/mod.rs
+++ b/lib/src/serving/decisions/fleet/mod.rs
@@ -158,6 +158,7 @@
         }
     }
 
+    /// Returns whether it is loading a target, by a fresh report of its owner.
     fn is_loading(&self, now: Moment, target: &Target) -> bool {
         let residency = self.residency.as_ref().filter(|(until, _)| *until > now);
         residency.is_some_and(|(_, report)| report.loading.contains(target))
@@ -169,6 +170,7 @@
         residency.map_or(0, |(_, report)| report.loading.len())
     }
 
+    /// Returns whether it may get new requests by its listing.
     fn is_usable(&self) -> bool {
         !self.listing.draining
     }
@@ -191,7 +193,7 @@
 }
 
 impl Fleet {
-    /// Creates an empty view from an availability zone.
+    /// Creates an empty view for a VM in `zone`.
     pub fn new(zone: ZoneName) -> Self {
         Self {
             zone,
@@ -492,6 +494,7 @@
         r.local_load
     }
 
+    /// Removes a peer's last load report from the loads of the replicas.
     fn remove_peer(&mut self, vm: &VmName) {
         let Some((_, loads)) = self.peers.remove(vm) else {
             return;
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -32,8 +32,9 @@
 /// and an engine that runs out of memory preempts its newest runs.
 const MEMORY_FRACTION: f64 = 0.9;
 
-/// Queue length allowed at a plain replica as a multiple of its slots: a short
-/// queue keeps it busy, requests in a longer one could not be withdrawn.
+/// Queue length allowed at a replica of a service without inference engine, as a
+/// multiple of its slots: a short queue keeps it busy, requests in a longer one
+/// could not be withdrawn.
 const QUEUE_FACTOR: f64 = 1.0;
 
 /// Penalty for a replica in another zone in milliseconds: traffic between zones
@@ -50,10 +51,11 @@
 /// Fraction of a request's latency objective by which the holder of its adapter
 /// may be busier than the least busy replica before a second copy is requested
 /// there. Below it the requests still meet their objective, while a copy costs a
-/// fetch and evicts another adapter. With 0.6 s instead of 0.25 s, and more
-/// slack at the owners, the net value served rose from 0.559 to 0.593 of the
-/// value due; with 0.9 s it was 0.587 (three small deployments and a fifth of a
-/// large one, at high load and with faults, ten runs each).
+/// fetch and evicts another adapter. The net value is what callers received minus
+/// what it cost, as a fraction of what was owed to them. It rose from 0.559 with a
+/// slack of 0.25 s to 0.593 with 0.6 s and more slack at the owners; with 0.9 s it
+/// was 0.587 (three small deployments and a fifth of a large one, at high load and
+/// with faults, ten runs each).
 const COPY_FRACTION: f64 = 0.75;
 
 /// How much busier than the least busy replica an adapter's home may be, in
--- a/lib/src/serving/decisions/fleet/versions.rs
+++ b/lib/src/serving/decisions/fleet/versions.rs
@@ -10,8 +10,9 @@
 use crate::serving::path::types::Target;
 
 /// How long the previous version still serves after a new one is announced.
-/// Owners load the new one within about a third of a second. The guaranteed
-/// bound is seconds longer, as a request may still wait in the replica's queue.
+/// Owners load the new one within about a third of a second. The guaranteed bound
+/// on the time after an announcement until no run begins on the previous version
+/// is seconds longer than this, as a request may still wait in the replica's queue.
 const PREVIOUS_SERVES: Span = Span::from_millis(1_800);
 
 /// The announced versions of each adapter, with the time of each announcement.
--- a/lib/src/serving/decisions/quota/borrower.rs
+++ b/lib/src/serving/decisions/quota/borrower.rs
@@ -27,10 +27,11 @@
 /// each request of an organisation over its limit would cause a remote call.
 const EXHAUSTED_TTL: Span = Span::from_millis(100);
 
-/// Fractions of the rate and of the burst that all VMs together may use if no
-/// lender answers. A lender that cannot reach them reduces what it lends, but only
+/// Fraction of the limit's rate that all VMs together may use if no lender answers. A lender that cannot reach them reduces what it lends, but only
 /// after it has detected that.
 const LOCAL_RATE: f64 = 0.5;
+
+/// The same fraction for the limit's burst.
 const LOCAL_BURST: f64 = 0.25;
 
 /// Result of taking a request's tokens from those borrowed.
@@ -45,6 +46,7 @@
     Exhausted(Span),
 }
 
+/// Tokens that this VM has borrowed of one organisation's limit.
 #[derive(Debug)]
 struct Account {
     /// Borrowed tokens that are not used yet.
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Adds a request to the moving average of the use.
     fn record_use(&mut self, now: Moment, weight: f64) {
         let elapsed_us = now.since(self.used_at).0 as f64;
         let decay = (-elapsed_us / RATE_WINDOW.0 as f64).exp();
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -71,6 +71,7 @@
     confirmed_at: Moment,
 }
 
+/// State of one organisation's limit at its lender.
 #[derive(Debug)]
 struct Account {
     bucket: Bucket,
--- a/lib/src/serving/decisions/reservations.rs
+++ b/lib/src/serving/decisions/reservations.rs
@@ -15,8 +15,9 @@
 /// How much busier than the sender assumes a replica may be and still accept a
 /// request, in milliseconds: about the prefill time of a long prompt. Beyond it
 /// the sender should look for a better replica. With 200 instead of 100 ms the
-/// net value served rose from 0.554 to 0.567 of the value due (a fifth of a
-/// large deployment, four runs each).
+/// net value (what callers received minus what it cost, as a fraction of what was
+/// owed to them) rose from 0.554 to 0.567 (a fifth of a large deployment, four runs
+/// each).
 const SLACK_MS: f64 = 200.0;
 
 /// Reservations that this VM granted at the replicas it owns.
