--- a/lib/src/control/owner/actor.rs
+++ b/lib/src/control/owner/actor.rs
@@ -159,8 +159,8 @@
     pub(super) journal: Journal,
     // Grants that are sent once their claim is durable.
     pub(super) awaiting_commit: BTreeMap<ClaimKey, (Ticket, wire::Grant)>,
-    // Grants on replicas that are not in this process's catalog yet.
-    pub(super) orphans: Vec<InheritedDispatch>,
+    // Inherited dispatches to replicas that are not in this process's catalog yet.
+    pub(super) unlisted_dispatches: Vec<InheritedDispatch>,
     pub(super) outboxes: BTreeMap<SessionId, Outbox>,
     pub(super) replicas: BTreeMap<ReplicaName, ReplicaMonitor>,
     // Sends load and unload orders.
@@ -239,7 +239,7 @@
             catalog: Arc::default(),
             external: ExternalState::default(),
             awaiting_commit: BTreeMap::new(),
-            orphans: Vec::new(),
+            unlisted_dispatches: Vec::new(),
             outboxes: BTreeMap::new(),
             replicas: BTreeMap::new(),
             blocked: BTreeMap::new(),
--- a/lib/src/control/owner/journal.rs
+++ b/lib/src/control/owner/journal.rs
@@ -13,8 +13,8 @@
 use crate::pool::Moment;
 use crate::pool::Span;
 
-/// The platform's kind of journal objects.
-const CLAIMS: &str = "claims";
+/// Object kind under which journal segments are stored on the platform.
+const SEGMENT_KIND: &str = "claims";
 
 /// The delay after a failure to read or seal the journal.
 const JOURNAL_RETRY_DELAY: Span = Span::from_millis(500);
@@ -38,7 +38,7 @@
     platform: &Platform,
     pool: &PoolName,
 ) -> Result<Vec<(Segment, String)>, PlatformError> {
-    let list = platform.list::<Segment>(CLAIMS).await?;
+    let list = platform.list::<Segment>(SEGMENT_KIND).await?;
     let mut segments: Vec<_> = list
         .items
         .into_iter()
@@ -76,10 +76,10 @@
     match &write.version {
         Some(version) => {
             platform
-                .replace(CLAIMS, &name, version, &write.segment)
+                .replace(SEGMENT_KIND, &name, version, &write.segment)
                 .await
         }
-        None => platform.create(CLAIMS, &name, &write.segment).await,
+        None => platform.create(SEGMENT_KIND, &name, &write.segment).await,
     }
 }
 
@@ -103,7 +103,7 @@
 
 async fn read_back(platform: &Platform, pool: &PoolName, write: &Write) -> WriteOutcome {
     let name = object_name(pool, write.segment.number);
-    match platform.get::<Segment>(CLAIMS, &name).await {
+    match platform.get::<Segment>(SEGMENT_KIND, &name).await {
         Ok(o) if o.spec.operation == write.segment.operation => {
             WriteOutcome::Done(o.metadata.version)
         }
@@ -116,7 +116,9 @@
 pub(super) async fn delete(platform: Platform, pool: PoolName, numbers: Vec<u64>) {
     for number in numbers {
         // If this fails, the next owner reads the segment and expires it.
-        let _ = platform.delete(CLAIMS, &object_name(&pool, number)).await;
+        let _ = platform
+            .delete(SEGMENT_KIND, &object_name(&pool, number))
+            .await;
     }
 }
 
--- a/lib/src/control/owner/maintenance.rs
+++ b/lib/src/control/owner/maintenance.rs
@@ -26,7 +26,7 @@
             _ => false,
         };
         self.external = ExternalState {
-            majority: self.local.majority_contact(now),
+            majority_contact: self.local.majority_contact(now),
             predecessor_left: left,
             synced: self.requests.synced().clone(),
         };
@@ -70,7 +70,8 @@
         self.pool.drain(clock::now());
     }
 
-    /// Passes new and extended blocks of requests to the pool.
+    /// Passes new and extended blocks of crashing requests (by fingerprint) to the
+    /// pool.
     pub(super) fn apply_blocks(&mut self, now: Moment) {
         let current = self.shared.state.blocked.borrow().clone();
         if current == self.blocked {
--- a/lib/src/control/owner/polling.rs
+++ b/lib/src/control/owner/polling.rs
@@ -39,7 +39,9 @@
     }
 }
 
-/// Asks an engine to confirm the token and sends its answer to the owner.
+/// Asks an engine to confirm that it has seen no higher token, and sends its answer
+/// to the owner. `report` waits for the answer and is accepted if the engine
+/// confirms.
 pub(super) async fn fence(
     owner: Address<OwnerActor>,
     orders: OrderClient,
--- a/lib/src/control/owner/replicas.rs
+++ b/lib/src/control/owner/replicas.rs
@@ -49,7 +49,7 @@
             })
             .collect();
         self.pool.set_replicas(now, &specs);
-        self.adopt_orphans(now);
+        self.adopt_unlisted(now);
     }
 
     // Polls each replica of the specification, and stops polling those that left it
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -16,8 +16,8 @@
 use crate::pool::Span;
 
 /// How long an owner with an expired lease may grant on a replica after it sent a
-/// fence request that the engine confirmed. Four polls; a successor waits this
-/// much longer.
+/// fence request that the engine confirmed. This is four poll intervals at the default
+/// setting. A successor waits this much longer.
 pub(super) const FENCE_MAX_AGE: Span = Span::from_millis(1_000);
 
 /// The greatest age of the last answers of a majority of peers at which an owner
@@ -31,9 +31,9 @@
 /// A snapshot of the state outside the owner that its rules depend on.
 #[derive(Clone, Debug, Default)]
 pub struct ExternalState {
-    /// A majority of the configured peers has answered exchanges that began at
-    /// this moment or later.
-    pub majority: Moment,
+    /// The latest time such that this process has completed heartbeat exchanges with a
+    /// majority, itself included, that began then or later.
+    pub majority_contact: Moment,
     /// Whether the previous owner's VM has left the platform's VM list.
     pub predecessor_left: bool,
     /// Entries that have reported the grants they hold to this owner.
@@ -131,7 +131,8 @@
     /// the others a majority of the peers does.
     pub fn may_grant(&self, now: Moment, replica: &ReplicaName, external: &ExternalState) -> bool {
         if !self.honours_token {
-            return !self.is_expired(now) || now <= external.majority.after(MAJORITY_MAX_AGE);
+            return !self.is_expired(now)
+                || now <= external.majority_contact.after(MAJORITY_MAX_AGE);
         }
         let Some((_, _, last)) = self.fenced.get(replica) else {
             return false;
@@ -182,14 +183,20 @@
         )
     }
 
+    // How long a grant of the previous holder may still be in use after its last
+    // renewal.
     fn grant_wait(&self) -> Span {
         Span(self.lease.predecessor_ttl.0 + self.margin.0)
     }
 
+    // The wait after a replica was fenced until no grant that an owner with an
+    // expired lease issued on it can be in use.
     fn fence_wait(&self) -> Span {
         Span(FENCE_MAX_AGE.0 + self.grant_wait().0)
     }
 
+    // Returns whether no grant of an earlier owner can be in use on a slot that
+    // `may_evict` does not protect.
     fn can_unfreeze(
         &mut self,
         now: Moment,
@@ -214,7 +221,8 @@
             }
             Predecessor::Lapsed(_) if external.predecessor_left => waited,
             Predecessor::Lapsed(_) | Predecessor::Unsettled => {
-                let known = external.majority >= self.lease.acquired_at.after(PUBLISH_DELAY);
+                let known =
+                    external.majority_contact >= self.lease.acquired_at.after(PUBLISH_DELAY);
                 if self.announced.is_none() && known {
                     self.announced = Some(now);
                 }
--- a/lib/src/control/owner/sessions.rs
+++ b/lib/src/control/owner/sessions.rs
@@ -123,19 +123,19 @@
         };
         match self.replicas.contains_key(&inherited.replica) {
             true => self.pool.adopt(now, inherited),
-            false => self.orphans.push(inherited),
+            false => self.unlisted_dispatches.push(inherited),
         }
     }
 
-    /// Passes orphaned grants to the pool once the catalog lists their replicas.
-    pub(super) fn adopt_orphans(&mut self, now: Moment) {
-        for orphan in std::mem::take(&mut self.orphans) {
-            if self.requests.get(orphan.ticket).is_none() {
+    /// Passes inherited dispatches to the pool once the catalog lists their replicas.
+    pub(super) fn adopt_unlisted(&mut self, now: Moment) {
+        for dispatch in std::mem::take(&mut self.unlisted_dispatches) {
+            if self.requests.get(dispatch.ticket).is_none() {
                 continue;
             }
-            match self.replicas.contains_key(&orphan.replica) {
-                true => self.pool.adopt(now, orphan),
-                false => self.orphans.push(orphan),
+            match self.replicas.contains_key(&dispatch.replica) {
+                true => self.pool.adopt(now, dispatch),
+                false => self.unlisted_dispatches.push(dispatch),
             }
         }
     }
--- a/lib/src/lease/elector.rs
+++ b/lib/src/lease/elector.rs
@@ -48,16 +48,18 @@
     sent: BTreeMap<String, Moment>,
     write_count: u64,
     last_write: Moment,
+    // No call is made before this time.
     retry_at: Moment,
     held: Option<HeldLease>,
-    // How the previous holder gave up the lease, and its grant TTL; set when this
-    // process sends a write to take the lease over, and taken when it observes that
-    // it holds the lease.
+    // What is known of the previous holder, and whether grants of earlier holders
+    // may still be in use; and the previous holder's grant TTL. Set when this
+    // process sends a write to take the lease over, and taken when it observes
+    // that it holds the lease.
     takeover: Option<(Predecessor, Span)>,
     // No grant of an earlier holder can be in use any more.
     settled: bool,
     // The token of the lease that was given up without a release.
-    resigned: Option<FencingToken>,
+    abandoned_token: Option<FencingToken>,
 }
 
 impl Elector {
@@ -79,7 +81,7 @@
             held: None,
             takeover: None,
             settled: false,
-            resigned: None,
+            abandoned_token: None,
         }
     }
 
@@ -147,7 +149,7 @@
     pub fn resign(&mut self, token: FencingToken) {
         if self.held.as_ref().is_some_and(|t| t.token == token) {
             self.held = None;
-            self.resigned = Some(token);
+            self.abandoned_token = Some(token);
         }
     }
 
@@ -226,8 +228,8 @@
 
     // Updates the held lease from a new record.
     fn update_held(&mut self, now: Moment, record: &Record) {
-        let resigned = self.resigned == Some(record.token);
-        if !record.is_held_by(&self.me) || record.released || resigned {
+        let abandoned = self.abandoned_token == Some(record.token);
+        if !record.is_held_by(&self.me) || record.released || abandoned {
             self.held = None;
             return;
         }
@@ -255,10 +257,16 @@
         }
     }
 
+    // Returns the margin of the lease's expiry in microseconds, at most the TTL.
     fn margin(&self) -> u64 {
         self.timing.margin.0.min(self.timing.ttl.0)
     }
 
+    // Returns the next write of the holder: a renewal, or the release.
+    //
+    // `stop` is `None` while the lease is to be kept. If it is to be released, the
+    // inner option has the entries that may hold grants, or `None` if that set is
+    // not known.
     fn step_held(&mut self, now: Moment, stop: Option<&Option<BTreeSet<String>>>) -> Step {
         let Some(observed) = self.observed.clone() else {
             return Step::Wait;
@@ -273,6 +281,8 @@
         self.send(now, Some(observed.version), record, None)
     }
 
+    // Returns the write that acquires the lease once it is free and this process's
+    // stagger delay has passed.
     fn step_contending(&mut self, now: Moment, rank: impl FnOnce() -> u64) -> Step {
         let step = self.timing.stagger.0;
         let stagger = || Span(step * rank());
@@ -328,6 +338,8 @@
         self.send(now, None, record, Some(takeover))
     }
 
+    // Returns a record that names this process as the holder; `send` sets its
+    // operation.
     fn new_record(&self, token: FencingToken) -> Record {
         Record {
             holder: self.me.vm.clone(),
@@ -343,6 +355,8 @@
         }
     }
 
+    // Returns the step that creates the object, or replaces its `version`, and keeps
+    // what is needed to process the outcome of the write.
     fn send(
         &mut self,
         now: Moment,
--- a/lib/src/lease/types.rs
+++ b/lib/src/lease/types.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// How the previous holder gave up the lease.
+/// What is known of the previous holder, and whether grants of earlier holders may
+/// still be in use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Predecessor {
     /// There was no previous holder.
@@ -71,7 +72,8 @@
     pub valid_until: Moment,
     /// When this process learned that it had acquired the lease.
     pub acquired_at: Moment,
-    /// How the previous holder gave up the lease.
+    /// What is known of the previous holder, and whether grants of earlier holders may
+    /// still be in use.
     pub predecessor: Predecessor,
     /// The longest time for which a grant of the previous holder stays valid without
     /// a renewal.
--- a/lib/tests/test_owner_safety.rs
+++ b/lib/tests/test_owner_safety.rs
@@ -43,7 +43,7 @@
 
 fn external(majority: u64) -> ExternalState {
     ExternalState {
-        majority: ms(majority),
+        majority_contact: ms(majority),
         ..ExternalState::default()
     }
 }
