--- a/lib/src/claims/journal.rs
+++ b/lib/src/claims/journal.rs
@@ -15,6 +15,7 @@
 use crate::ids::FencingToken;
 use crate::pool::Moment;
 
+/// A claim, and where it is recorded.
 #[derive(Clone, Debug)]
 struct Claim {
     // `None` if an earlier owner recorded the claim.
@@ -27,6 +28,7 @@
     updated_at: Moment,
 }
 
+/// The write state of one segment.
 #[derive(Clone, Debug, Default)]
 struct SegmentState {
     // `None` until the segment is created.
@@ -328,10 +330,12 @@
         empty
     }
 
+    // Returns whether the journal has as many claims as all segments can hold.
     fn is_full(&self) -> bool {
         self.claims.len() >= self.limits.segment_size * self.limits.max_segments
     }
 
+    // Marks a segment as changed since its last write.
     fn mark_dirty(&mut self, now: Moment, segment: Option<u64>) {
         if let Some(segment) = segment.and_then(|n| self.segments.get_mut(&n)) {
             segment.dirty_since = segment.dirty_since.or(Some(now));
@@ -352,6 +356,8 @@
         self.head
     }
 
+    // Returns the segment that has been dirty for the longest time, if that is at least
+    // `outcome_delay`.
     fn oldest_dirty(&self, now: Moment) -> Option<u64> {
         self.segments
             .iter()
@@ -361,6 +367,8 @@
             .map(|(_, n)| n)
     }
 
+    // Removes and returns the pending claims that still fit into a segment; only the
+    // head takes new claims.
     fn take_pending(&mut self, number: u64) -> BTreeSet<ClaimKey> {
         if number != self.head {
             return BTreeSet::new();
@@ -378,6 +386,7 @@
         self.segment_with(number, &BTreeSet::new())
     }
 
+    // Returns a segment for a write of its claims and those of `keys`.
     fn segment_with(&mut self, number: u64, keys: &BTreeSet<ClaimKey>) -> Segment {
         self.write_count += 1;
         let claims = self
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -252,6 +252,7 @@
     }
 }
 
+// Sends the unload of the evicted adapter, if there is one.
 async fn send_unload(load: &Load) -> Result<(), OrderError> {
     let Some(evict) = &load.evict else {
         return Ok(());
--- a/lib/src/control/owner/journal.rs
+++ b/lib/src/control/owner/journal.rs
@@ -101,6 +101,7 @@
     let _ = owner.send(Event::Committed(outcome)).detach().await;
 }
 
+// Reads a segment to find out whether a write took effect.
 async fn read_back(platform: &Platform, pool: &PoolName, write: &Write) -> WriteOutcome {
     let name = object_name(pool, write.segment.number);
     match platform.get::<Segment>(SEGMENT_KIND, &name).await {
--- a/lib/src/control/owner/supervisor.rs
+++ b/lib/src/control/owner/supervisor.rs
@@ -63,6 +63,7 @@
     }
 }
 
+// Stops the owners whose lease is not held any more with their token.
 fn stop_lost(shared: &Shared, registry: &Registry, held: &BTreeMap<PoolName, HeldLease>) {
     registry.lock().retain(|pool, (token, address)| {
         let kept = held.get(pool).is_some_and(|t| t.token == *token);
