--- a/lib/src/control/gossip.rs
+++ b/lib/src/control/gossip.rs
@@ -47,14 +47,14 @@
 /// being repeated; several heartbeats.
 const LEAVING_REPORT_TTL: Span = Span::from_millis(10_000);
 
-/// How much later a verdict must end to replace the known one. Smaller
-/// differences come from transmission time, which would otherwise add up as
-/// verdicts are forwarded.
-const MIN_VERDICT_EXTENSION_MS: u64 = 1_000;
+/// How much later a block must end to replace the known one. Smaller differences
+/// come from transmission time, which would otherwise add up as blocks are
+/// forwarded.
+const MIN_BLOCK_EXTENSION_MS: u64 = 1_000;
 
-/// Maximum verdicts kept. Each needs a request that crashed several upstreams, so
+/// Maximum blocks kept. Each needs a request that crashed several upstreams, so
 /// more indicate a fault; the first to end are removed.
-const MAX_VERDICTS: usize = 1_024;
+const MAX_BLOCKS: usize = 1_024;
 
 struct State {
     members: Members,
@@ -110,8 +110,8 @@
         let now = clock::now();
         let control = &self.shared.state;
         let uptime = uptime_ms();
-        let verdicts = control.blocked.borrow();
-        let verdicts = verdicts.iter().filter(|(_, until)| **until > uptime);
+        let blocked = control.blocked.borrow();
+        let blocked = blocked.iter().filter(|(_, until)| **until > uptime);
         let receiver = received.map_or(self.shared.vm.as_str(), |d| d.vm.as_str());
         let mut state = self.lock();
         let full = state.members.is_new(now, receiver);
@@ -129,7 +129,7 @@
             members: state
                 .members
                 .digest(now, full, received.map_or(&[], |d| &d.members)),
-            verdicts: verdicts
+            verdicts: blocked
                 .map(|(fingerprint, until)| wire::Verdict {
                     fingerprint: fingerprint.0,
                     left_ms: until - uptime,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Merges a received digest; changes to verdicts or owners start an urgent
+    /// Merges a received digest; changes to blocks or owners start an urgent
     /// round.
     pub fn merge(&self, digest: &wire::Digest) {
         let now = clock::now();
@@ -155,7 +155,7 @@
                 state.leaving_reports.insert(address, now);
             }
         }
-        let mut changed = self.merge_verdicts(&digest.verdicts);
+        let mut changed = self.merge_blocks(&digest.verdicts);
         changed |= self.merge_owners(&digest.owners);
         self.publish_view(now);
         let members = digest.members.iter().map(|m| m.revision);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Advances the heartbeat, detects failed members and removes verdicts that
+    /// Advances the heartbeat, detects failed members and removes blocks that
     /// have ended.
     pub fn heartbeat(&self) {
         let control = &self.shared.state;
@@ -179,26 +179,27 @@
             state.members.detect_failures(now);
         }
         let uptime = uptime_ms();
-        control.blocked.send_if_modified(|verdicts| {
-            let before = verdicts.len();
-            verdicts.retain(|_, until| *until > uptime);
-            verdicts.len() != before
+        control.blocked.send_if_modified(|blocked| {
+            let before = blocked.len();
+            blocked.retain(|_, until| *until > uptime);
+            blocked.len() != before
         });
         self.publish_view(now);
     }
 
-    /// Publishes a verdict of this process on this VM and wakes the gossip task.
+    /// Blocks requests with this fingerprint for `duration`, and wakes the gossip
+    /// task to tell peers.
     pub fn block(
         shared: &Shared,
         ownership: &OwnershipState,
         fingerprint: Fingerprint,
-        hold: Span,
+        duration: Span,
     ) {
-        let until = uptime_ms() + hold.as_millis();
+        let until = uptime_ms() + duration.as_millis();
         let changed = shared
             .state
             .blocked
-            .send_if_modified(|verdicts| record_verdict(verdicts, fingerprint, until));
+            .send_if_modified(|blocked| record_block(blocked, fingerprint, until));
         if changed {
             ownership.gossip_wake.notify_one();
         }
@@ -237,12 +238,12 @@
         });
     }
 
-    fn merge_verdicts(&self, verdicts: &[wire::Verdict]) -> bool {
+    fn merge_blocks(&self, verdicts: &[wire::Verdict]) -> bool {
         let uptime = uptime_ms();
         self.shared.state.blocked.send_if_modified(|known| {
             let mut changed = false;
             for v in verdicts {
-                changed |= record_verdict(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
+                changed |= record_block(known, Fingerprint(v.fingerprint), uptime + v.left_ms);
             }
             changed
         })
@@ -279,15 +280,17 @@
     }
 }
 
-fn record_verdict(known: &mut BTreeMap<Fingerprint, u64>, key: Fingerprint, until: u64) -> bool {
+/// Records that requests with this fingerprint are blocked until `until`. Returns
+/// false if a known block ends at about the same time or later.
+fn record_block(known: &mut BTreeMap<Fingerprint, u64>, key: Fingerprint, until: u64) -> bool {
     if known
         .get(&key)
-        .is_some_and(|old| until < old + MIN_VERDICT_EXTENSION_MS)
+        .is_some_and(|old| until < old + MIN_BLOCK_EXTENSION_MS)
     {
         return false;
     }
     known.insert(key, until);
-    if known.len() > MAX_VERDICTS {
+    if known.len() > MAX_BLOCKS {
         let oldest = known.iter().min_by_key(|(_, until)| **until);
         if let Some(key) = oldest.map(|(k, _)| *k) {
             known.remove(&key);
