--- a/lib/src/control/members.rs
+++ b/lib/src/control/members.rs
@@ -29,8 +29,8 @@
     Gone = 3,
 }
 
-/// How long a gone member is kept in the table: several times longer than any
-/// other process still sends it, so that a late digest does not re-add it.
+/// How long a gone member stays in the table. Other processes stop sending it
+/// much earlier, so that a late digest does not add it again.
 const GONE_RETENTION: Span = Span::from_millis(60_000);
 
 /// Maximum members in a digest. Small deployments fit into one digest; in larger
@@ -38,7 +38,7 @@
 /// follow in later digests.
 pub const MAX_DIGEST_MEMBERS: usize = 14;
 
-/// How long after its start a process counts as new. Digests to a new process
+/// How long a process counts as new after it was first seen. Digests to a new process
 /// are complete, and digests to others repeat the address of a new member and
 /// the owner of a pool for this long after a change.
 pub const NEW_MEMBER_PERIOD: Span = Span::from_millis(10_000);
@@ -156,7 +156,8 @@
         );
     }
 
-    /// Whether a process started less than [`NEW_MEMBER_PERIOD`] ago or is unknown.
+    /// Whether digests to this VM must be complete: its process was first seen less
+    /// than [`NEW_MEMBER_PERIOD`] ago, or is unknown.
     pub fn is_new(&self, now: Moment, vm: &str) -> bool {
         self.table.get(vm).is_none_or(|r| r.is_new(now))
     }
@@ -191,9 +192,9 @@
 
     /// Returns the members for a digest: this process and those with the most
     /// recent heartbeats, except gone ones and those that the receiver already
-    /// has according to `received`. With `full`, for a receiver that started
-    /// recently, every record has its address and zone; otherwise only those of
-    /// this process and of members that started recently.
+    /// has according to `received`. With `full`, for a receiver that is new, every
+    /// record has its address and zone; otherwise only those of this process and
+    /// of new members.
     pub fn digest(&self, now: Moment, full: bool, received: &[wire::Member]) -> Vec<wire::Member> {
         let is_self = |r: &Record| r.member.vm == self.me.as_str();
         let version = |m: &wire::Member| (m.incarnation, m.heartbeat);
--- a/lib/src/control/operator.rs
+++ b/lib/src/control/operator.rs
@@ -1,4 +1,4 @@
-//! The gRPC service for operators: plan, confirm, status, usage and time line.
+//! The gRPC service for operators: plan, confirm, status, usage and timeline.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/lib/src/control/run.rs
+++ b/lib/src/control/run.rs
@@ -46,7 +46,7 @@
 use crate::timeline::Recorder;
 use crate::timeline::TimelineService;
 
-/// Capacity of the time line in events of about 200 bytes.
+/// Capacity of the timeline in events of about 200 bytes.
 const TIMELINE_EVENTS: usize = 16_384;
 
 /// How long a planned stop waits for leases to be released; after that they
--- a/lib/src/control/shared.rs
+++ b/lib/src/control/shared.rs
@@ -112,7 +112,7 @@
     pub platform: Platform,
     /// State published by the tasks.
     pub state: Arc<ControlState>,
-    /// Recorder of the time line.
+    /// Recorder of the timeline.
     pub recorder: Arc<Recorder>,
     /// Logger of the process.
     pub log: slog::Logger,
--- a/lib/src/control/vm_list.rs
+++ b/lib/src/control/vm_list.rs
@@ -20,7 +20,8 @@
 /// Delay before a failed watch is reopened.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A VM object of the list.
+/// A VM of the platform's list, which has those of upstreams and of control
+/// processes.
 #[derive(Clone, Debug, Deserialize)]
 struct Vm {
     address: String,
@@ -29,6 +30,8 @@
 }
 
 impl Vm {
+    /// Whether the platform marks the VM as leaving, so that its upstream gets no
+    /// more requests.
     fn is_leaving(&self) -> bool {
         self.state == "leaving"
     }
