--- a/lib/src/catalog/item.rs
+++ b/lib/src/catalog/item.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// State of an item that does not exist.
+/// Returned by [`Catalog::state_of`] for an item that does not exist; the hash of
+/// an existing item is never 0.
 const ABSENT: u64 = 0;
 
 impl Catalog {
--- a/lib/src/catalog/rules.rs
+++ b/lib/src/catalog/rules.rs
@@ -15,14 +15,14 @@
 const HASH_DIGITS: usize = 64;
 
 /// Maximum share of a team. A higher one would give the team all of any pool
-/// and is taken for a typing error.
+/// and is assumed to be a typo.
 const MAX_SHARE: u32 = 1_000;
 
-/// Maximum adapter slots of a replica. Engines have a few; far more is taken for
-/// a typing error.
+/// Maximum adapter slots of a replica. Engines have a few; far more is assumed
+/// to be a typo.
 const MAX_SLOTS: u32 = 4_096;
 
-/// Maximum requests in one engine step; more is taken for a typing error.
+/// Maximum requests in one engine step; more is assumed to be a typo.
 const MAX_BATCH: u32 = 65_536;
 
 /// Maximum replicas of a pool. Pools have a few dozen; an owner is designed for
@@ -33,7 +33,7 @@
 const MAX_LOADS_PER_S: f64 = 1_000.0;
 
 /// Maximum duration of the shortest engine step. Steps take milliseconds; more
-/// than ten seconds is taken for a typing error.
+/// than ten seconds is assumed to be a typo.
 const MAX_STEP_US: u64 = 10_000_000;
 
 pub(super) fn check_team(
--- a/lib/src/catalog/store.rs
+++ b/lib/src/catalog/store.rs
@@ -44,7 +44,8 @@
 /// a day; eight conflicts in a row point to a faulty script.
 const MAX_ROUNDS: u32 = 8;
 
-/// Upper bound of the backoff before it is doubled for each attempt.
+/// Base of the random backoff's upper bound, which is doubled for each attempt,
+/// at most five times.
 const BASE_BACKOFF_MS: u64 = 50;
 
 /// Revisions between two searches for orphaned shard objects.
