--- a/lib/src/entry/call.rs
+++ b/lib/src/entry/call.rs
@@ -49,7 +49,7 @@
 /// A caller's request, checked against the catalog.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
-    /// Identifier for upstreams, callers and the time line.
+    /// Identifier for upstreams, callers and the timeline.
     pub id: String,
     /// Number in this process, the same for all attempts.
     pub number: u64,
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Records an event of a call on the time line.
+/// Records an event of a call on the timeline.
 pub(super) fn record_event(
     state: &State,
     kind: EventKind,
--- a/lib/src/entry/retry.rs
+++ b/lib/src/entry/retry.rs
@@ -18,7 +18,7 @@
 /// pool gets a new owner or a replica is replaced.
 const RETRY_DELAY_MS: u64 = 1_000;
 
-/// Reason why an attempt ended without a response.
+/// Why an attempt failed, before its response or in the middle of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
     /// The grant was invalid; nothing was sent.
@@ -141,7 +141,7 @@
     }
 }
 
-/// Describes a failure for the caller and the time line.
+/// Describes a failure for the caller and the timeline.
 pub fn describe(failure: &Failure) -> String {
     match failure {
         Failure::InvalidGrant(m) => format!("invalid grant: {m}"),
--- a/lib/src/entry/session_state.rs
+++ b/lib/src/entry/session_state.rs
@@ -55,8 +55,9 @@
 struct GrantEntry {
     grant: wire::Grant,
     lease: Arc<Lease>,
-    /// Set until the grant is handed out, which may wait for a renewal.
-    parked: Option<PendingAcquire>,
+    /// The request that waits for this grant; `None` once the grant was handed out.
+    /// Handing out may wait for a renewal.
+    undelivered: Option<PendingAcquire>,
 }
 
 /// A released grant.
@@ -234,7 +235,7 @@
     /// Releases the grants that expired before they were handed out, and requests
     /// them again.
     fn reacquire_expired(&mut self, now: u64) -> Vec<ToOwner> {
-        let expired = |h: &GrantEntry| h.parked.is_some() && h.lease.has_expired(now);
+        let expired = |h: &GrantEntry| h.undelivered.is_some() && h.lease.has_expired(now);
         let expired_ids: Vec<u64> = self
             .held
             .iter()
@@ -275,7 +276,7 @@
         let mut held = GrantEntry {
             grant,
             lease,
-            parked: Some(w),
+            undelivered: Some(w),
         };
         // `sent_us` may be long before the grant was made, so `until` may be far too
         // early. A renewal gives an exact bound.
@@ -329,7 +330,7 @@
     fn drop_grant(&mut self, id: u64, now: u64) -> Option<ToOwner> {
         let held = self.held.get_mut(&id)?;
         held.lease.revoke();
-        let mut w = held.parked.take()?;
+        let mut w = held.undelivered.take()?;
         self.held.remove(&id);
         let acquire = acquire_message(&mut w, now);
         self.waiting.insert(acquire.request, w);
@@ -337,7 +338,9 @@
     }
 
     fn hand_out(&self, held: &mut GrantEntry) {
-        let Some(w) = held.parked.take() else { return };
+        let Some(w) = held.undelivered.take() else {
+            return;
+        };
         let mut held_grant = HeldGrant::new(
             held.grant.clone(),
             held.lease.clone(),
--- a/lib/src/entry/settings.rs
+++ b/lib/src/entry/settings.rs
@@ -39,7 +39,7 @@
     pub organisation: String,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address that serves the time line to other processes.
+    /// Address that serves the timeline to other processes.
     pub internal: SocketAddr,
     /// Address that serves metrics; metrics are off if it is missing.
     pub metrics: Option<SocketAddr>,
@@ -93,7 +93,7 @@
     pub most_deadline_ms: u64,
     /// Maximum retries of a request.
     pub retries: u32,
-    /// Maximum events kept by the time line.
+    /// Maximum events kept by the timeline.
     pub events: usize,
 }
 
--- a/lib/src/entry/state.rs
+++ b/lib/src/entry/state.rs
@@ -37,7 +37,7 @@
     pub upstreams: Upstreams,
     /// Usage of the teams.
     pub usage: Usage,
-    /// The time line.
+    /// The timeline.
     pub recorder: Arc<Recorder>,
     /// Permits for requests in flight.
     pub request_permits: Arc<Semaphore>,
--- a/lib/src/entry/stream_grant.rs
+++ b/lib/src/entry/stream_grant.rs
@@ -28,13 +28,15 @@
     Released,
 }
 
-struct Inner {
+/// State shared by a [`StreamGrant`] and the task that enforces its deadline and
+/// expiry.
+struct SharedState {
     state: Mutex<GrantState>,
     waker: AtomicWaker,
     deadline_us: u64,
 }
 
-impl Inner {
+impl SharedState {
     fn lock(&self) -> MutexGuard<'_, GrantState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -61,7 +63,7 @@
 
 /// The grant of a stream; dropping it cancels the dispatch.
 pub(super) struct StreamGrant {
-    inner: Arc<Inner>,
+    inner: Arc<SharedState>,
     watchdog: AbortHandle,
 }
 
@@ -69,7 +71,7 @@
     /// Starts the task that enforces the expiry of the grant and `deadline_us`, a
     /// time of the entry's clock.
     pub(super) fn new(held_grant: Box<HeldGrant>, deadline_us: u64) -> Self {
-        let inner = Arc::new(Inner {
+        let inner = Arc::new(SharedState {
             state: Mutex::new(GrantState::Running(held_grant, None)),
             waker: AtomicWaker::new(),
             deadline_us,
@@ -127,7 +129,7 @@
     }
 }
 
-async fn enforce_expiry(inner: Arc<Inner>) {
+async fn enforce_expiry(inner: Arc<SharedState>) {
     while let Some(next) = inner.check(now_us()) {
         tokio::time::sleep_until(clock::to_instant(next)).await;
     }
