--- a/lib/src/upstream/connections.rs
+++ b/lib/src/upstream/connections.rs
@@ -34,7 +34,8 @@
 /// after some tens of seconds, and using a stale one costs an attempt.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Margin before the idle time that an upstream names in `Keep-Alive`. A request
+/// How long before the idle timeout that an upstream gives in `Keep-Alive` its
+/// connection is no longer used. A request
 /// sent shortly before the upstream closes the connection may be lost.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
--- a/lib/src/upstream/errors.rs
+++ b/lib/src/upstream/errors.rs
@@ -13,7 +13,7 @@
     Leaving,
 }
 
-/// Error of a dispatch, in place of a response to pass on.
+/// Why a dispatch has no response to pass on, or only a part of one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RunError {
     /// No byte of the request was sent, so it did not run.
@@ -26,7 +26,8 @@
     /// The connection broke, or the response is malformed or a failure, before any
     /// part of it was read. The request may have run.
     BrokenEarly(String),
-    /// The same after a part of the response was read. The request may have run.
+    /// The connection broke, or the response is malformed, after a part of it was
+    /// read. The request may have run.
     BrokenLate(String),
     /// The response belongs to another request, model or incarnation.
     WrongIdentity {
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -59,10 +59,11 @@
 
 impl std::error::Error for OrderError {}
 
-/// An engine's reply to a fence order.
+/// An engine's reply to an owner that announces its fencing token. A refusal is
+/// [`OrderError::Fenced`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceReply {
-    /// The highest token that the engine has seen, including this one.
+    /// The engine now refuses lower tokens than this, the highest that it has seen.
     Highest(FencingToken),
     /// The engine does not support fencing tokens.
     Unsupported,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Raises the engine's fence to `token`, so that it refuses lower tokens.
+    /// Announces `token` to the engine, which then refuses orders with lower tokens.
     ///
     /// # Errors
     ///
