--- a/cli/src/bin/banyan-entry.rs
+++ b/cli/src/bin/banyan-entry.rs
@@ -8,7 +8,7 @@
 use banyangauge::entry::EntrySettings;
 use banyangauge::settings;
 
-/// Serve callers' requests on one VM.
+/// Accept callers' requests on one VM and forward them to upstreams.
 #[derive(FromArgs)]
 struct Options {
     /// settings file; settings/entry.toml is a commented example
--- a/cli/src/bin/banyan-serve.rs
+++ b/cli/src/bin/banyan-serve.rs
@@ -1,4 +1,5 @@
-//! `banyan-serve`: serves callers' requests on one VM.
+//! `banyan-serve`: serves callers' requests on one VM, with the whole request path
+//! in one process and the platform's store.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/cli/src/bin/banyan.rs
+++ b/cli/src/bin/banyan.rs
@@ -7,8 +7,8 @@
 #[path = "../commands/mod.rs"]
 mod commands;
 
-/// Exit code for wrong usage. The default of `argh` is 1, which here means that
-/// the system refused.
+/// Exit code for wrong usage. `argh` uses 1, which in this program means that the
+/// system refused a command.
 const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
