--- a/lib/src/operator/client.rs
+++ b/lib/src/operator/client.rs
@@ -170,8 +170,8 @@
     ///
     /// See [`ClientError`].
     pub async fn confirm(&self, plan: &Plan) -> Result<u64, ClientError> {
-        // The effects are informational; without them the message is half the
-        // size.
+        // Confirming does not need the effects; without them the message is half
+        // the size.
         let request_plan = Plan {
             effects: Vec::new(),
             ..plan.clone()
--- a/lib/src/operator/request_history.rs
+++ b/lib/src/operator/request_history.rs
@@ -13,7 +13,8 @@
 /// Fields that start each rendered line or add no information to it.
 const HIDDEN_FIELDS: [&str; 6] = ["msg", "level", "ts", "program", "vm", "id"];
 
-/// Messages about a VM as a whole, which can affect every request on it.
+/// Log messages of `banyan-serve` about a VM as a whole, which can affect every
+/// request on it.
 const VM_MESSAGES: [&str; 6] = [
     "configuration",
     "owners",
--- a/lib/src/telemetry/json_drain.rs
+++ b/lib/src/telemetry/json_drain.rs
@@ -23,9 +23,9 @@
 
 /// A drain that writes one JSON object per line on a separate thread.
 ///
-/// `slog-async` counts a dropped line twice when the queue has no room for its
-/// report of the loss either, which under a flood is every time; this drain
-/// reports the exact number. All pending lines are written in one call, which
+/// Used instead of `slog-async`, which counts a dropped line twice when the queue
+/// has no room for its report of the loss either, as always happens under a
+/// flood. This drain reports the exact number. All pending lines are written in one call, which
 /// keeps the number of system calls low under load.
 pub(super) struct JsonDrain {
     /// `None` once the drain is being dropped.
