--- a/lib/src/serving/cluster/update.rs
+++ b/lib/src/serving/cluster/update.rs
@@ -12,18 +12,19 @@
     pub removed: bool,
     /// Whether the object vanished during an outage of the store, so that it may
     /// come back.
-    pub expired: bool,
+    pub missing_after_outage: bool,
     /// The compressed content, set once the change is shared.
     pub compressed: Vec<u8>,
 }
 
 impl TopicChange {
-    /// Creates a change that is not shared yet.
-    pub fn new(item: Item, removed: bool, expired: bool) -> Self {
+    /// Creates a change that is not shared yet. `missing_after_outage` is set for
+    /// an object that vanished during an outage of the store.
+    pub fn new(item: Item, removed: bool, missing_after_outage: bool) -> Self {
         Self {
             item,
             removed,
-            expired,
+            missing_after_outage,
             compressed: Vec::new(),
         }
     }
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -96,7 +96,7 @@
             state.replicas_listed = true;
             true
         }
-        StoreUpdate::Change(change) if change.expired => {
+        StoreUpdate::Change(change) if change.missing_after_outage => {
             if let Ok(name) = change.item.name.parse::<ReplicaName>() {
                 node.state().fleet.mark_expired(at, &name);
                 slog::info!(node.log, "replica entry missing after a store outage";
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -274,7 +274,7 @@
 /// other VMs need.
 fn apply_changes(node: &Node, topic: Topic, changes: Vec<TopicChange>) {
     for change in changes {
-        if change.removed && !change.expired && topic == Topic::Replicas {
+        if change.removed && !change.missing_after_outage && topic == Topic::Replicas {
             apply::announce_leaving(node, &change);
         }
         let update = StoreUpdate::Change(&change);
@@ -350,7 +350,7 @@
             spec,
         },
         removed: change.removed,
-        expired: change.lapsed,
+        missing_after_outage: change.lapsed,
         compressed: change.spec.to_vec(),
     })
 }
@@ -371,7 +371,7 @@
             revision: c.item.revision,
             spec: c.compressed.into(),
             removed: c.removed,
-            lapsed: c.expired,
+            lapsed: c.missing_after_outage,
         });
         Some(wire::StoreNews {
             topic: topic.number(),
--- a/lib/tests/test_serving_feed.rs
+++ b/lib/tests/test_serving_feed.rs
@@ -304,10 +304,10 @@
     }
     let gone = vec![(item("a", 2), true)];
     let changes = feed.apply_changes(at(2_000), at(2_000), Duration::ZERO, 2, gone);
-    assert_eq!(changes[0].expired, outage);
+    assert_eq!(changes[0].missing_after_outage, outage);
     let again = vec![(item("b", 3), true)];
     let changes = feed.apply_changes(at(3_000), at(3_000), Duration::ZERO, 3, again);
-    assert!(!changes[0].expired);
+    assert!(!changes[0].missing_after_outage);
 }
 
 /// After the store dropped its history, a list yields the changes, which are
