--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -63,8 +63,8 @@
 /// back before a new owner could give orders.
 const STOPPED_RETENTION: Span = Span::from_millis(6_000);
 
-/// How long a VM that receives no beacons waits before it assumes to be the
-/// only one. A partitioned VM must not take over the others' replicas.
+/// How long a VM that receives no beacons waits before it assumes that it
+/// is the only one. A partitioned VM must not take over the others' replicas.
 const ISOLATION_TIMEOUT: Span = Span::from_millis(6_000);
 
 /// How long a VM that was stopped as planned and is started again considers no
@@ -212,6 +212,8 @@
         zones.into_values().filter_map(choose).collect()
     }
 
+    /// Whether the VM's last beacon said that it is stopping. Such a VM is not
+    /// chosen as a relay while another is live.
     fn is_stopping(&self, vm: &VmName) -> bool {
         self.beacons.get(vm).is_some_and(|b| b.stopping)
     }
@@ -298,16 +300,16 @@
         true
     }
 
-    /// Returns the last beacon of a VM: its incarnation, when it was sent by
-    /// the VM's clock, and when it was received.
+    /// Returns the last beacon of a VM: its incarnation, when it was sent (on
+    /// the sender's clock) and when it was received (on ours).
     pub fn last_beacon(&self, vm: &VmName) -> Option<(Incarnation, Moment, Moment)> {
         let beacon = self.beacons.get(vm)?;
         Some((beacon.incarnation, beacon.sent, beacon.received_at))
     }
 
     /// Returns the VMs whose last beacon was received within `span`: name,
-    /// incarnation, when it was sent by the VM's clock, and when it was
-    /// received.
+    /// incarnation, when it was sent (on the sender's clock) and when it was
+    /// received (on ours).
     pub fn recent_beacons(
         &self,
         now: Moment,
@@ -346,8 +348,11 @@
         !new && self.reachable_fraction(now) > 0.5
     }
 
-    /// Returns the lenders in the hash order of this seed: the first one is
-    /// asked, the others if it does not answer.
+    /// Returns the VMs with recent beacons that lend shares of organisations'
+    /// limits, in the hash order of the seed. Each organisation has a seed of its own
+    /// (`lender_seed`), which spreads the organisations over the lenders. A
+    /// request asks the first lender and, if it gives no answer, the second one
+    /// (`LENDER_RANKS` in `path/charge.rs`).
     pub fn lenders(&self, now: Moment, seed: u64) -> Vec<&VmName> {
         let timeout = self.lender_timeout();
         let others = self.beacons.iter().filter(|(vm, b)| {
--- a/lib/src/serving/cluster/owner_table.rs
+++ b/lib/src/serving/cluster/owner_table.rs
@@ -58,8 +58,9 @@
     /// Returns the table after replicas were added or removed and VMs failed,
     /// or `None` if nothing changes. Replicas keep live owners, as each change
     /// of owner stops loads there for a lease. They also keep `protected`
-    /// owners, which may not be considered failed yet and get no further
-    /// replicas.
+    /// owners, which must not be considered failed yet because they may not know
+    /// of this VM as a member; these get no further replicas unless they are
+    /// live.
     pub fn reassigned(
         &self,
         live: &BTreeSet<VmName>,
--- a/lib/src/serving/cluster/recency.rs
+++ b/lib/src/serving/cluster/recency.rs
@@ -11,11 +11,11 @@
 /// answer without changes may be wrong for this long.
 const MAX_WATCH_LAG: Span = Span::from_millis(1_100);
 
-/// The fraction of the bound on revoked keys after which a VM asks the store
+/// The fraction of `key_revocation` after which a VM asks the store
 /// itself. The rest is for its call and for one more if that fails.
 const PROOF_AGE_FRACTION: f64 = 0.5;
 
-/// The fraction of that bound over which the calls of the VMs are staggered:
+/// The fraction of `key_revocation` over which the calls of the VMs are staggered:
 /// the answers to the first ones make the others unnecessary.
 const STAGGER_FRACTION: f64 = 0.12;
 
@@ -125,8 +125,8 @@
 
 impl WitnessQueue {
     /// Returns the witnesses for the next beacon. `beacons` has the last beacon
-    /// of each VM: its incarnation, when it was sent by the VM's clock, and
-    /// when it was received.
+    /// of each VM: its incarnation, when it was sent (on the sender's clock) and
+    /// when it was received (on ours).
     pub fn next_batch<'a>(
         &mut self,
         recency: &Recency,
--- a/lib/src/serving/path/charge.rs
+++ b/lib/src/serving/path/charge.rs
@@ -25,8 +25,9 @@
 use crate::serving::program::node::Node;
 use crate::serving::program::node::now;
 
-/// Timeout for a lender's answer, which usually takes a millisecond or two; callers of
-/// services without models wait for a tenth of a second only.
+/// How long a request waits for a lender's answer, which usually takes a millisecond or two.
+/// Callers of services without models wait for a tenth of a second only; two of these
+/// timeouts fit into that.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Pause before the next attempt when no lender is known: VMs that start at the same time
@@ -113,14 +114,14 @@
         weight,
         may_have_run: Cell::new(false),
     };
-    // The key `by` is "told" if an earlier answer of a lender still applies, and "asked" if
-    // a lender was asked for this request.
-    let over = |after: Span, source: &'static str| {
+    let over = |after: Span, answer_origin: &'static str| {
         count_usage(name, "over_limit", weight);
+        // The key `by` is "told" if an earlier answer of a lender still applies, and "asked"
+        // if a lender was asked for this request.
         slog::info!(node.log, "organisation is over its rate limit"; "id" => &request.id,
             "organisation" => name.as_str(), "weight" => weight,
             "rate" => limit.rate, "burst" => limit.burst,
-            "after_ms" => after.as_millis(), "by" => source);
+            "after_ms" => after.as_millis(), "by" => answer_origin);
         Refusal::over_limit(Duration::from_micros(after.0))
     };
     let lending = node.settings.experiment.is_enabled(Mechanism::LimitLenders);
@@ -172,8 +173,8 @@
     NoLender,
 }
 
-/// Asks the lender of this rank for a part of the organisation's limit, or asks the local
-/// lender if that is this VM.
+/// Asks the lender of this rank for a part of the organisation's limit, without a datagram if
+/// that is this VM. The first lender is asked if there is none of this rank.
 async fn ask_lender(
     node: &Node,
     name: &OrganisationName,
--- a/lib/src/serving/path/forward.rs
+++ b/lib/src/serving/path/forward.rs
@@ -82,6 +82,7 @@
 }
 
 impl Run {
+    /// Creates the guard and counts the run's load on the replica from now on.
     fn begin(node: &Rc<Node>, req: &BufferedRequest, replica: &ReplicaName) -> Self {
         let id = node.next_id();
         let mut state = node.state();
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -36,7 +36,7 @@
 use crate::upstream::EventSplitter;
 
 /// A resumable stream is checked after a silence of this many times the route's maximum gap;
-/// callers disconnect after eight times.
+/// callers disconnect after eight times that gap.
 const GAPS_BEFORE_CHECK: u32 = 4;
 
 /// Error that aborts a response and closes the caller's connection; holds the reason.
@@ -103,6 +103,7 @@
         }
     }
 
+    /// Updates the time to the first byte or the longest gap for data that arrived at `now`.
     fn record_data(&mut self, now: Moment) {
         match self.last_data {
             None => self.first_byte = now.since(self.arrived),
--- a/lib/src/serving/path/routes.rs
+++ b/lib/src/serving/path/routes.rs
@@ -48,7 +48,8 @@
 
 /// Picks the service for a request in proportion to the route's weights.
 ///
-/// The choice depends only on a hash of the request ID, so that every VM makes the same one.
+/// The choice depends only on a hash of the request ID: a request that is sent again
+/// with the same ID goes to the same service, also through another VM.
 pub fn pick_service<'a>(route: &'a Route, id: &str) -> Option<&'a ServiceName> {
     let total: u64 = route.services.iter().map(|(_, w)| u64::from(*w)).sum();
     if total == 0 {
--- a/lib/src/serving/path/serve.rs
+++ b/lib/src/serving/path/serve.rs
@@ -169,8 +169,8 @@
     let (head, body) = request.into_parts();
     let routed = find_route(&active, &head.uri, &head.headers, &info)?;
     let organisation = authorize(node, &active, &routed, &info)?;
-    let wait = info.timeout.unwrap_or(DEFAULT_TIMEOUT);
-    let timeout = wait.min(routed.route.timeout);
+    let requested = info.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = requested.min(routed.route.timeout);
     let deadline = arrived.after(to_span(timeout));
     let charge = match &organisation {
         Some(organisation) => charge::acquire(node, organisation, &info).await?,
@@ -235,6 +235,8 @@
     let (keys, public) = (active.keys.as_ref(), routed.route.public);
     let found = bounds.admit(keys, public, info.key.as_ref(), &config_age);
     found.map_err(|denial| {
+        // `borne`: whether the request has a key. `proven_ms` and `believed_ms`: time since
+        // the configuration was confirmed, or estimated, to be the newest.
         slog::info!(node.log, "API key refused"; "id" => &info.id, "why" => denial.as_str(),
             "borne" => info.key.is_some(), "config" => active.config.version,
             "proven_ms" => config_age.confirmed.map(Span::as_millis),
@@ -443,13 +445,13 @@
     attempts: &mut Attempts,
     avoid: &mut BTreeSet<ReplicaName>,
 ) -> Result<StartedResponse, Refusal> {
-    let at = wait_for_replica(node, routed, req, avoid).await?;
-    match forward(node, req, &at, None).await {
+    let replica = wait_for_replica(node, routed, req, avoid).await?;
+    match forward(node, req, &replica, None).await {
         Ok(started) => Ok(started),
         Err(ended) => {
             attempts.record_failure(ended);
-            log_attempt(node, req, &at, attempts, ended);
-            avoid.insert(at);
+            log_attempt(node, req, &replica, attempts, ended);
+            avoid.insert(replica);
             retry(node, routed, req, attempts, avoid, ended, None).await
         }
     }
@@ -475,15 +477,15 @@
             // The view of the loaded adapters was wrong; the replicas themselves work.
             avoid.clear();
         }
-        let at = match wait_for_replica(node, routed, req, avoid).await {
-            Ok(at) => at,
+        let replica = match wait_for_replica(node, routed, req, avoid).await {
+            Ok(replica) => replica,
             Err(refusal) if attempts.runs == 0 => return Err(refusal),
             Err(_) => return Err(Refusal::after(attempts, ended)),
         };
         if ended.reached_replica() && !spend_retry(node, routed) {
             return Err(Refusal::after(attempts, ended));
         }
-        ended = match forward(node, req, &at, resume_after).await {
+        ended = match forward(node, req, &replica, resume_after).await {
             // An error response cannot continue a response that has started.
             Ok(started) if attempts.answered && !started.answer.head.status.is_success() => {
                 started.run.record_end(RunOutcome::Failed);
@@ -493,8 +495,8 @@
             Err(next) => next,
         };
         attempts.record_failure(ended);
-        log_attempt(node, req, &at, attempts, ended);
-        avoid.insert(at);
+        log_attempt(node, req, &replica, attempts, ended);
+        avoid.insert(replica);
     }
 }
 
@@ -509,13 +511,13 @@
 fn log_attempt(
     node: &Node,
     req: &BufferedRequest,
-    at: &ReplicaName,
+    replica: &ReplicaName,
     attempts: &Attempts,
     ended: AttemptFailure,
 ) {
-    let standing = node.state().fleet.status(now(), at);
-    slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => at.as_str(),
-        "why" => ended.as_str(), "standing" => standing, "sends" => attempts.sends,
+    let status = node.state().fleet.status(now(), replica);
+    slog::info!(node.log, "try ended"; "id" => &req.id, "replica" => replica.as_str(),
+        "why" => ended.as_str(), "standing" => status, "sends" => attempts.sends,
         "runs" => attempts.runs, "left_ms" => req.deadline.since(now()).as_millis());
     metrics::counter!("serve_tries_total", "end" => ended.as_str()).increment(1);
 }
--- a/lib/src/serving/peers/beacons.rs
+++ b/lib/src/serving/peers/beacons.rs
@@ -115,9 +115,11 @@
     }
 }
 
+/// Sends a datagram to another VM. A failure is only logged.
 pub(in crate::serving) async fn send(node: &Node, bytes: &[u8], address: SocketAddr) {
     if let Err(e) = node.socket.send_to(bytes, address).await {
-        // The next beacon makes up for it.
+        // Like a lost datagram, this is tolerated: full beacons and load reports are
+        // repeated, and calls to other VMs and prefill turns time out.
         slog::debug!(node.log, "datagram not sent"; "to" => %address, "error" => %e);
     }
 }
--- a/lib/src/serving/peers/load_reports.rs
+++ b/lib/src/serving/peers/load_reports.rs
@@ -147,6 +147,7 @@
     })
 }
 
+/// Encodes a replica's adapter uses by this VM for the replica's owner.
 fn encode_uses(uses: &BTreeMap<Target, LocalUse>) -> Vec<wire::AdapterUse> {
     let uses = uses.iter().map(|(t, u)| wire::AdapterUse {
         target: t.to_string(),
--- a/lib/src/serving/program/experiment.rs
+++ b/lib/src/serving/program/experiment.rs
@@ -81,7 +81,7 @@
 
 impl fmt::Display for BadExperiment {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad experiment: {}", self.0)
+        write!(f, "invalid `experiment` table: {}", self.0)
     }
 }
 
--- a/lib/src/serving/program/node.rs
+++ b/lib/src/serving/program/node.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The state; never held across an await.
+    /// Borrows the state. The guard must not be held across an await.
     pub(in crate::serving) fn state(&self) -> RefMut<'_, NodeState> {
         self.state.borrow_mut()
     }
@@ -173,6 +173,7 @@
         self.last_id.get()
     }
 
+    /// Returns the current phase of the process.
     pub(in crate::serving) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
@@ -204,7 +205,7 @@
 /// must not use up a caller's time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Idle timeout for connections to replicas that state none.
+/// Idle timeout for connections to replicas whose `Keep-Alive` header names none.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Returns the current time of a clock that also runs while the VM is suspended.
--- a/lib/src/serving/program/orders.rs
+++ b/lib/src/serving/program/orders.rs
@@ -89,8 +89,8 @@
     let mut state = node.state();
     state.sync_planner(at);
     let state = &mut *state;
-    let loads = state.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
-    let pause = Span((state.members.count() as f64 / loads * LOAD_PAUSE_FACTOR * 1e6) as u64);
+    let load_rate = state.fleet.weight_loads_per_s().max(MIN_LOAD_RATE);
+    let pause = Span((state.members.count() as f64 / load_rate * LOAD_PAUSE_FACTOR * 1e6) as u64);
     state.planner.set_load_interval(pause.max(MIN_LOAD_PAUSE));
     let engines = state.fleet.engines().count();
     state
--- a/lib/src/serving/program/run.rs
+++ b/lib/src/serving/program/run.rs
@@ -105,7 +105,8 @@
             "callers" => %settings.caller_address,
             "version" => env!("CARGO_PKG_VERSION"));
         if settings.experiment != Experiment::default() {
-            slog::warn!(log, "experiment"; "off" => ?settings.experiment.off);
+            slog::warn!(log, "mechanisms are switched off by the experiment table";
+                "off" => ?settings.experiment.off);
         }
         let node = Rc::new(Node::new(settings, codec, store, log, socket));
         spawn_followers(&node);
@@ -170,7 +171,7 @@
     let mut hangup = install(SignalKind::hangup())?;
     let old = settings.clone();
     let log = log.new(slog::o!("vm" => settings.vm.to_string()));
-    let program = Server::start(settings, codec, store, log.clone()).await?;
+    let server = Server::start(settings, codec, store, log.clone()).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -179,7 +180,7 @@
         }
     }
     tokio::select! {
-        () = program.stop() => {}
+        () = server.stop() => {}
         _ = interrupt.recv() => slog::warn!(log, "stopped by a second interrupt without draining"),
     }
     Ok(())
@@ -236,11 +237,11 @@
     loop {
         node.owners_wake.notified().await;
         loop {
-            let asked = now();
+            let asked_at = now();
             match follow::list(&node, node.codec.kinds.internal, Consistency::Latest).await {
                 Ok((items, _)) => {
                     apply_cluster(&node, &StoreUpdate::List(&items));
-                    node.state().ownership.confirm(asked);
+                    node.state().ownership.confirm(asked_at);
                     break;
                 }
                 Err(e) => slog::warn!(node.log, "could not read the owner table"; "error" => %e),
@@ -290,7 +291,7 @@
         return;
     };
     let kind = node.codec.kinds.internal;
-    let asked = now();
+    let asked_at = now();
     let call = match revision {
         0 => (node.store.create)(kind, OWNER_TABLE, &spec),
         _ => (node.store.replace)(kind, OWNER_TABLE, revision, &spec),
@@ -301,7 +302,7 @@
             let mut state = node.state();
             let moved = table.count_moved(&state.ownership.table);
             state.apply_owner_table(now(), table, revision);
-            state.ownership.confirm(asked);
+            state.ownership.confirm(asked_at);
             drop(state);
             slog::info!(node.log, "owner table changed"; "term" => term, "revision" => revision,
                 "moved" => moved, "live" => live);
@@ -311,7 +312,7 @@
         Err(PlatformError::Conflict) => {}
         Err(e) => slog::warn!(node.log, "could not write the owner table"; "error" => %e),
     }
-    let gone = {
+    let expired = {
         let state = node.state();
         let first = state.members.live_vms(at).first() == Some(&node.settings.vm);
         match first {
@@ -319,7 +320,7 @@
             false => Vec::new(),
         }
     };
-    for vm in gone {
+    for vm in expired {
         let call = (node.store.delete)(kind, &format!("{VM_PREFIX}{vm}"));
         if let Err(e) = with_timeout(follow::CALL_TIMEOUT, call).await {
             slog::info!(node.log, "could not remove the entry of an expired VM";
--- a/lib/src/serving/store/apply.rs
+++ b/lib/src/serving/store/apply.rs
@@ -83,7 +83,7 @@
     let parse = |item: &Item| {
         let listing = (node.codec.parse_replica)(item);
         listing.map_err(|e| {
-            slog::error!(node.log, "replica entry not decoded";
+            slog::error!(node.log, "replica entry not decoded, the replica is not used";
                 "name" => &item.name, "error" => %e);
         })
     };
@@ -205,7 +205,7 @@
 
 fn apply_cluster_item(node: &Node, item: &Item) {
     let log_error = |e: serde_json::Error| {
-        slog::error!(node.log, "entry not decoded"; "name" => &item.name, "error" => %e);
+        slog::error!(node.log, "VM entry or owner table not decoded"; "name" => &item.name, "error" => %e);
     };
     if item.name == OWNER_TABLE {
         match serde_json::from_str::<OwnerTable>(item.spec.get()) {
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -40,8 +40,8 @@
 /// heartbeat, so an answer is rarely without changes.
 const REPLICA_PAUSE_FRACTION: f64 = 0.75;
 
-/// The fraction of the time for renewing a version within which all VMs must
-/// know it. The rest is for the replicas to load it.
+/// The fraction of `version_apply` within which all VMs must know a new
+/// version. The rest is for the replicas to load it.
 const VERSION_FRACTION: f64 = 0.5;
 
 /// The time within which all VMs must know a change of owners. Beacons show
@@ -395,7 +395,8 @@
     all
 }
 
-/// Returns the witnesses to send to other VMs.
+/// Returns the witnesses for the next update: for each VM a proof of when the
+/// configuration, and with it the API keys, was the newest.
 fn witnesses(state: &mut NodeState, at: Moment) -> Vec<wire::Witness> {
     let beacons = state.members.recent_beacons(at, WITNESS_WINDOW);
     let chosen = state
