--- a/lib/src/ids/mod.rs
+++ b/lib/src/ids/mod.rs
@@ -112,7 +112,7 @@
     TeamName
 );
 name_type!(
-    /// A customer of the system, which holds API keys and has a quota.
+    /// A customer, whose callers have API keys and may share a rate limit.
     OrganisationName
 );
 name_type!(
@@ -132,7 +132,7 @@
     ModelName
 );
 name_type!(
-    /// The replicas that serve one base model or run one application.
+    /// A service that a route sends requests to, with or without an inference engine.
     ServiceName
 );
 name_type!(
