--- a/lib/src/upstream/errors.rs
+++ b/lib/src/upstream/errors.rs
@@ -26,10 +26,9 @@
     /// The connection broke, or the response is malformed or a failure, before any
     /// part of it was read. The request may have run.
     BrokenEarly(String),
-    /// The connection broke, or the response is malformed, after a part of it was
-    /// read. The request may have run.
+    /// Like [`Self::BrokenEarly`], but after a part of the response was read.
     BrokenLate(String),
-    /// The response belongs to another request, model or incarnation.
+    /// The response belongs to another request, adapter, version or incarnation.
     WrongIdentity {
         /// The part of the identity that differs.
         what: &'static str,
--- a/lib/src/upstream/orders.rs
+++ b/lib/src/upstream/orders.rs
@@ -63,7 +63,7 @@
 /// [`OrderError::Fenced`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceReply {
-    /// The engine now refuses lower tokens than this, the highest that it has seen.
+    /// The highest token that the engine has seen, including the announced one.
     Highest(FencingToken),
     /// The engine does not support fencing tokens.
     Unsupported,
