--- a/lib/src/claims/types.rs
+++ b/lib/src/claims/types.rs
@@ -77,7 +77,8 @@
     pub segment: Segment,
 }
 
-/// The outcome of a write, after reading back where that was needed.
+/// The outcome of a write, after reading back where that was needed. It may still be
+/// unknown then.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
     /// The write took effect; contains the new version.
--- a/lib/src/control/owner/dispatch.rs
+++ b/lib/src/control/owner/dispatch.rs
@@ -261,6 +261,7 @@
     load.orders.unload(load.address, load.token, evict).await
 }
 
+// Sends the order to load the adapter, once `send_unload` has made room where needed.
 async fn send_load(load: &Load) -> Result<(), OrderError> {
     check_lease(load)?;
     load.orders
--- a/lib/src/control/owner/safety.rs
+++ b/lib/src/control/owner/safety.rs
@@ -190,7 +190,9 @@
     }
 
     // The wait after a replica was fenced until no grant that an owner with an
-    // expired lease issued on it can be in use.
+    // expired lease issued on it can be in use: such an owner may grant for
+    // `FENCE_MAX_AGE` after its last confirmed fence request, and its last grant may
+    // be in use for `grant_wait` after that.
     fn fence_wait(&self) -> Span {
         Span(FENCE_MAX_AGE.0 + self.grant_wait().0)
     }
--- a/lib/src/pool/types.rs
+++ b/lib/src/pool/types.rs
@@ -206,7 +206,7 @@
     pub replica: ReplicaName,
     /// Incarnation that sent the report.
     pub incarnation: Incarnation,
-    /// Age of the report on receipt.
+    /// Age of the report when it was received.
     pub age: Span,
     /// Number of requests in the batch.
     pub running: u32,
--- a/lib/src/serving/cluster/members.rs
+++ b/lib/src/serving/cluster/members.rs
@@ -219,8 +219,9 @@
     }
 
     /// Returns our position among the live VMs in the hash order of this seed.
-    /// A VM that has just started does not know the others yet and is never
-    /// first.
+    /// During `STARTUP_PERIOD` after its start a VM may not have heard of all
+    /// others; if it knows the address of another, it counts one more VM before
+    /// itself, so that it is never first.
     pub fn rank(&self, now: Moment, seed: u64) -> u64 {
         let own = hash_order(&self.own, seed);
         let before = self.beacons.iter().filter(|(vm, b)| {
--- a/lib/src/serving/decisions/adapter_planner/replica_plan.rs
+++ b/lib/src/serving/decisions/adapter_planner/replica_plan.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the duration of a load that is complete now.
+    /// Returns bounds of the duration of a load that was found complete by a poll now.
     fn duration(&self, now: Moment) -> LoadDuration {
         LoadDuration {
             min: self.not_loaded_at.since(self.since),
--- a/lib/src/serving/decisions/fleet/place.rs
+++ b/lib/src/serving/decisions/fleet/place.rs
@@ -63,8 +63,9 @@
 /// hash order may be idle.
 const HOME_SLACK_MS: f64 = 250.0;
 
-/// How long a request waits for a second copy although another replica could run
-/// it later: about a load plus the delay of its report.
+/// How long a request waits for a second copy, whatever this saves: about a load
+/// plus the delay of its report. It waits longer if that saves more; see
+/// `SAVED_FRACTION`.
 const COPY_WAIT: Span = Span::from_millis(450);
 
 /// Maximum wait for a second copy as a fraction of the time that it is expected
@@ -72,8 +73,8 @@
 /// one, and stays out of the engine's queue, from which it cannot be withdrawn.
 const SAVED_FRACTION: f64 = 0.5;
 
-/// Returns whether a copy that saves `saved_ms` milliseconds is still worth
-/// waiting for.
+/// Returns whether to keep waiting for a copy that saves `saved_ms`: up to
+/// `COPY_WAIT`, or up to `SAVED_FRACTION` of the saving if that is longer.
 fn is_worth_waiting(saved_ms: f64, waited: Span) -> bool {
     let max_wait = Span::from_millis((saved_ms.max(0.0) * SAVED_FRACTION) as u64);
     waited < COPY_WAIT || waited < max_wait
--- a/lib/src/serving/decisions/prefill_turns.rs
+++ b/lib/src/serving/decisions/prefill_turns.rs
@@ -39,6 +39,7 @@
     pub number: u64,
 }
 
+/// A prompt that waits for its turn or is being prefilled.
 #[derive(Debug)]
 struct Turn {
     id: TurnId,
--- a/lib/src/serving/decisions/quota/lender.rs
+++ b/lib/src/serving/decisions/quota/lender.rs
@@ -144,7 +144,9 @@
         }
     }
 
-    /// Returns the initial level of a new lender's bucket.
+    /// Returns the initial level of a new lender's bucket: a small part of the
+    /// permitted overshoot, at most the burst, as it does not know what its
+    /// predecessor lent.
     fn start(&self, limit: &RateLimit) -> f64 {
         let o = &self.overshoot;
         let permitted = o.ratio * (limit.rate * o.window_s + limit.burst) + o.slack;
--- a/lib/src/serving/path/response.rs
+++ b/lib/src/serving/path/response.rs
@@ -332,7 +332,8 @@
 
 impl Drop for ResponseStream {
     fn drop(&mut self) {
-        // A response that ended or broke off has been logged already.
+        // Logs and counts a caller that disconnected; responses that ended or broke off
+        // have been recorded already.
         if let Some(started) = &self.response {
             let last = self.events.as_ref().and_then(|e| e.last_id);
             slog::info!(self.node.log, "caller disconnected during the response";
--- a/lib/src/serving/store/follow.rs
+++ b/lib/src/serving/store/follow.rs
@@ -218,6 +218,10 @@
 }
 
 /// Watches a topic and applies the changes. Returns whether there were any.
+///
+/// `rank` is the position of this VM in the polling order of the topic, or `None` if
+/// each VM polls for itself. In that order only the first polls regularly: a poll
+/// by a later one is logged, as the updates that it should have received are overdue.
 async fn sync_by_watch(
     node: &Node,
     topic: Topic,
